--- a/packages/scheduler/include/foxwing/scheduler/callerwatch.h
+++ b/packages/scheduler/include/foxwing/scheduler/callerwatch.h
@@ -1,15 +1,15 @@
 /*
-    Whose callers are to be looked at before their jobs are placed.
+    Decides when callers are probed before their jobs are placed.
 
-    A loss of sessions often takes the callers' connections along. The end of a caller's connection
-    may lie unread while the entry deals with its agents; if the job were placed meanwhile, it would
-    run here while its caller's next try runs elsewhere. So for a while after a loss, a job is
-    placed only after a look whether its caller is still there.
+    A loss of agent sessions often takes the callers' connections down too. The closed connection
+   may go unnoticed while the entry handles its agents; a job placed in that time would run here
+   while its caller's retry runs on another entry. So for a while after a loss, each caller is
+   probed before its job is placed.
 
         CallerWatch watch;
         noteSessionLost(watch, now);
         for (std::uint64_t number : callersToSee(watch, scheduler, now))
-            ... look at the caller's connection; abandon() the job if it is gone ...
+            ... check the caller's connection; abandon() the job if it is closed ...
 
     [SECTION] State
     [SECTION] Functions
@@ -24,12 +24,12 @@
 
 struct CallerWatchSettings
 {
-    // After the last loss, callers are looked at for this long: until a caller that lost its entry
-    // has sent the job again, and the runs of lost agents are certainly over.
+    // Callers are probed for this long after the last loss: until a caller that lost its entry has
+    // retried, and the runs of lost agents have certainly stopped.
     Milliseconds watchFor { 2000 };
 
-    // Callers are not looked at again for this long, so that sessions that come back one after the
-    // other don't cost a look each.
+    // Minimum time between probes, so that sessions lost or restored one after another don't cost a
+    // probe each.
     Milliseconds trustFor { 5 };
 };
 
@@ -37,21 +37,21 @@
 {
     CallerWatchSettings settings;
 
-    // Callers are looked at until then.
+    // Callers are probed until then.
     Time until {};
 
-    // The last look, and the last loss that made a look due
+    // Times of the last probe, and of the last loss that made one due
     Time lookedAt {};
     Time lossAt {};
 };
 
 // [SECTION] Functions
 
-// A session with an agent was lost: the next look is due at once.
+// A session with an agent was lost: a probe is due at once.
 void noteSessionLost(CallerWatch &watch, Time now);
 
-// The open jobs that what comes next may place, those with work that waits or whose runs are
-// uncertain, if a look at their callers is due; it counts as done.
+// If a probe is due, returns the open jobs that may be placed next (with waiting tasks, or runs in
+// an unknown state) and counts the probe as done.
 std::vector<std::uint64_t> callersToSee(CallerWatch &watch, const SchedulerState &scheduler,
                                         Time now);
 
--- a/packages/scheduler/include/foxwing/scheduler/runtimes.h
+++ b/packages/scheduler/include/foxwing/scheduler/runtimes.h
@@ -1,14 +1,14 @@
 /*
-    How long work of a queue really takes, against what its callers guess.
+    Predicts how long jobs of a queue run, from their callers' estimates and past jobs.
 
-    A caller's guess is often off by half, but not at random around the truth: guesses scatter more
-    widely than the work does. So the expected time lies between the guess and what is usual for
-    the queue. Per queue the line through the logarithms of guesses and of measured times is kept,
-    with old jobs fading; until enough jobs have been seen it stays near the guess itself.
+    Callers' estimates are often off by half, and scatter more widely than the run times themselves.
+   So the expected time lies between the estimate and the queue's usual time. Each queue has a
+   linear regression of measured on estimated time, in logarithms, in which old jobs decay; until
+   enough jobs were seen, it stays near the estimate.
 
         RunTimes times;
-        noteRunTime(times, guess, measured);
-        Milliseconds expected = expectedRunTime(times, guess);
+        noteRunTime(times, estimate, measured);
+        Milliseconds expected = expectedRunTime(times, estimate);
 
     [SECTION] State
     [SECTION] Functions
@@ -23,19 +23,20 @@
 
 struct RunTimeSettings
 {
-    // A sample's weight falls to a third after so many later ones. Some seconds of a busy queue's
-    // jobs, so that a change in the work shows within that time.
+    // A sample's weight falls to 1/e after this many later ones. Covers a few seconds of a busy
+    // queue, so that a change in the work shows within that time.
     double memory = 400;
 
-    // The guesses are believed as if so many jobs had confirmed them.
+    // Weight of the prior: estimates are trusted as if this many jobs had confirmed them.
     double trustInGuesses = 20;
 
-    // Jobs that this many guesses' worth above or below were held up or cut short by something
-    // else.
+    // Bound of measured over estimated time, either way; jobs beyond it were held up or cut short
+    // by something else.
     double mostFactor = 5;
 };
 
-// Weighted sums over past jobs; x is the logarithm of the guess, y that of measured over guess.
+// Weighted sums over past jobs; x is the logarithm of the estimate, y that of measured over
+// estimated time.
 struct RunTimes
 {
     RunTimeSettings settings;
@@ -48,11 +49,10 @@
 
 // [SECTION] Functions
 
-// A job's guessed and measured longest chain of work, waiting left out. Spans of zero are passed
-// over.
+// Adds a job's estimated and measured critical path, waits excluded. Ignores durations of zero.
 void noteRunTime(RunTimes &times, Milliseconds guess, Microseconds measured);
 
-// What work with this guess will take.
+// The predicted run time of work with this estimate.
 Milliseconds expectedRunTime(const RunTimes &times, Milliseconds guess);
 
 } // namespace foxwing::scheduler
--- a/packages/scheduler/include/foxwing/scheduler/scheduler.h
+++ b/packages/scheduler/include/foxwing/scheduler/scheduler.h
@@ -1,13 +1,13 @@
 /*
-    The entry's decisions: which task starts where and when, what is tried again, and when a job is
-    refused or given up.
+    The entry's scheduler: decides which task starts where and when, what is retried, and when a job
+   is refused or given up.
 
-    Every entry sees the room of all endpoints and sends starts to their agents directly; an agent
-    refuses what does not fit, at once. Waiting jobs are ordered by the time at which they must
-    begin to be on time; those that can't be any more come after those that can.
+    Every entry knows the free capacity of all endpoints and sends starts directly to their agents;
+   an agent refuses at once what does not fit. Waiting jobs are ordered by the latest time at which
+   they can start and still be on time; those that can no longer be on time come last.
 
-    No two runs of a task overlap: a task is started again only after its last run's end was told,
-    or after the agent it was sent to has certainly stopped it (see certainSilence).
+    No two runs of a task overlap: a task is started again only after the end of its last run was
+    reported, or after the agent it was sent to has certainly stopped it (see certainSilence).
 
         SchedulerState scheduler = makeScheduler(settings);
         SchedulerActions actions = submit(scheduler, spec, terms, now, &number);
@@ -42,8 +42,8 @@
 
 // [SECTION] Settings
 
-// How the next endpoint for a task is chosen; the first is the one in use, the others are there to
-// be measured against it.
+// How the endpoint for a task is chosen. Fastest is for production; the others are baselines to
+// compare it with.
 enum class Placement {
     // By observed speed and load
     Fastest,
@@ -51,30 +51,30 @@
     MostRoom,
 };
 
-// Which waiting job goes next. Jobs that have begun go first in all but FirstCome.
+// Which waiting job goes next. Jobs that have begun go first, except with FirstCome.
 enum class Order {
-    // By the latest time to begin, jobs that can't be on time last
+    // By the latest start time; jobs that can't be on time last
     LatestBegin,
 
-    // Of the jobs that can be on time the newest first, jobs that can't last
+    // Newest first among jobs that can be on time; jobs that can't last
     Newest,
     FirstCome,
 
-    // By the queue's priority, and among equals by the latest time to begin; jobs that can't be on
-    // time last
+    // By the queue's priority, then by the latest start time; jobs that can't be on time last
     Priority,
 
-    // As Priority, but of the jobs that have not begun the one with the least work first: with more
-    // work than room more of them are served
+    // Like Priority, but of the jobs that have not begun, the one with the least work first: serves
+    // more jobs in an overload
     LeastWork,
 };
 
-// Whose starts may wait at agents for room, so that freed room goes by priority over all entries.
+// Queues whose starts may wait at agents for capacity, so that freed capacity goes by priority
+// across all entries.
 enum class WaitingQueues {
-    // Those of the most urgent priority, where there is another
+    // The most urgent priority, if there is more than one
     MostUrgent,
 
-    // Those of all priorities but the least urgent
+    // All priorities but the least urgent
     AllButLeast,
 };
 
@@ -91,142 +91,145 @@
     Placement placement = Placement::Fastest;
     Order order = Order::Priority;
 
-    // Of this entry; empty: not known, and no endpoint counts as away.
+    // Data centre of this entry. If empty, no endpoint counts as remote.
     std::string dataCentre;
 
-    // Work in another data centre counts as so much slower, in percent of a task that takes what
-    // its caller guessed: above what a full endpoint at home costs, so work leaves home only where
-    // home is full, slow or gone, and fewer payloads cross between data centres.
+    // Cost of an endpoint in another data centre, in percent of a task that runs as long as
+    // estimated. Higher than the cost of a fully loaded local endpoint, so that work leaves the
+    // data centre only if the local endpoints are full, slow or gone.
     std::uint32_t awayPercent = 30;
 
-    // Work away from the rack of its data takes so many times as long.
+    // Slowdown of a task that runs outside the rack of its data.
     double farFactor = 1.5;
 
-    // A beat goes to an agent that was sent nothing for this long.
+    // A heartbeat is sent to an agent after this long without other messages to it.
     Milliseconds beatInterval { 100 };
 
-    // After work found no room, agents are asked for fresh news of it for this long: some turns of
-    // the shortest tasks, so that a busy spell asks once and not for each job.
+    // After work did not fit, agents are asked for fresh updates for this long: several times the
+    // shortest task, so that a busy period costs one request and not one for each job.
     Milliseconds wantRoomFor { 300 };
 
-    // An agent that was not heard for this long is given up. Above three beats, and under what an
-    // agent waits for its entry.
+    // An agent that was silent for this long is given up. More than three heartbeats, and less than
+    // the agent waits for its entry.
     Milliseconds agentSilence { 400 };
 
-    // An agent that was not heard for this long takes work only if no other has room: twice the
-    // time between its answers to beats, and some for a turn of the loop. It may be cut off, and
-    // its tasks would stay uncertain for certainSilence.
+    // An agent that was silent for this long gets work only if no other fits: twice the time
+    // between its heartbeat answers, plus one turn of the event loop. It may be cut off, and then
+    // its tasks would be in an unknown state for certainSilence.
     Milliseconds quietAfter { 220 };
 
-    // After the last word to a lost agent, its runs are certainly over: it stops them when it does
-    // not hear the entry (450 ms), or its endpoint's lease ends (400 ms and 2 percent), and a stop
-    // takes 50 ms.
+    // This long after the last message to a lost agent, its runs have certainly stopped: the agent
+    // stops them if it does not hear from the entry (450 ms) or its endpoint's lease ends (400 ms
+    // plus 2 percent), and stopping takes up to 50 ms.
     Milliseconds certainSilence { 950 };
 
-    // Jobs waiting for room are looked through until this many could not be placed.
+    // A placement pass ends once this many jobs could not be placed.
     std::size_t mostPassedOver = 16;
 
-    // A job counts as one that can be on time until its latest begin less this part of its
-    // expected time, in percent: expectations are off by a third, and what is placed at the last
-    // moment is late as often as not.
+    // A job counts as late this long before its latest start, in percent of its expected time.
+    // Expected times are off by about a third, and jobs placed at the last moment are late half of
+    // the time.
     std::uint32_t marginPercent = 50;
 
-    // Where no endpoint has room, a start of the most urgent queue may wait at an agent whose room
-    // falls short by no more than this part of its endpoint's, in percent; zero: starts go only
-    // where room is known, and freed room goes to the entry that learns of it first.
+    // If a task fits nowhere, a start of the most urgent queue may wait at an agent that lacks up
+    // to this part of its endpoint's capacity, in percent. Zero: starts are sent only where
+    // capacity is known to be free, and freed capacity goes to the entry that learns of it first.
     std::int64_t waitPercent = 15;
 
     WaitingQueues waitingQueues = WaitingQueues::MostUrgent;
 
-    // What each queue is to be served of the work that it asks for, whatever its priority
+    // Guaranteed share of each queue's requested work, whatever its priority
     shares::ShareSettings shares;
 
-    // A start waits at an agent for no longer; then another one may be better.
+    // Bound on the wait of a start at an agent; after it, another agent may be better.
     Milliseconds mostWait { 50 };
 
-    // Up to this many times its objective after it came, a job is still worth finishing.
+    // A job is worth finishing until this many times its objective after its arrival.
     double lateFactor = 3.0;
 
-    // A task under which so many endpoints have crashed is given up: it is likely to be what
-    // crashes them, and each try takes all that runs beside it along. Two crash under many a task
-    // by themselves while endpoints go down and up by turns.
+    // A task under which this many endpoints crashed is given up: it probably causes the crashes,
+    // and each retry takes down what runs beside it. Below three, a task may just be unlucky with
+    // unstable endpoints.
     std::uint32_t mostCrashes = 3;
 
-    // Its job is given up at once when it is sent again within this time: above any deadline of
-    // those who wait for it.
+    // If the job is sent again within this time, it is given up at once. Longer than the deadline
+    // of any caller.
     Milliseconds crashingFor { 60000 };
 
-    // Jobs whose crashes are remembered as agents tell them: more than run on some endpoints that
-    // crash, within that time.
+    // Bound on the jobs whose reported crashes are remembered: more than run on several crashing
+    // endpoints within crashingFor.
     std::size_t mostCrashedJobs = 1024;
 
-    // Work that has begun is finished, late too, for as long as its caller waits. Where the caller
-    // does not say how long that is, up to this, or to lateFactor objectives if those take longer.
+    // Jobs that have begun are finished, even if late, while their callers wait. If a caller gave
+    // no deadline, it is taken to wait for this long, or for lateFactor objectives if that is
+    // longer.
     Milliseconds longestJob { 15000 };
 
     // A job whose expected wait is over this many objectives is refused at once.
     double refuseAbove = 2.0;
 
-    // One that would wait longer than this part of the time until it counts as late, in percent, at
-    // the pace at which room came free of late, is refused at once too; zero: it waits until it is
-    // late. Twice that time: at the pace of this entry alone, closer refusals turn away what would
-    // have been served.
+    // A job is also refused at once if, at the rate at which capacity was freed lately, it would
+    // wait longer than this percentage of the time until it counts as late. Zero: it waits until it
+    // is late. 200, since the rate seen by one entry is too low: a lower limit refuses jobs that
+    // would be served.
     std::uint32_t refuseAtArrivalPercent = 200;
 
-    // Ends of runs count for the room that comes free for about this long: some turns of the
-    // shortest tasks, and less than a burst.
+    // Averaging window of the rate at which capacity is freed: several times the shortest task, and
+    // shorter than a burst.
     Milliseconds freedSpan { 300 };
 
-    // Refusal at arrival and the time to come back go by the forecast of what all agents tell, and
-    // not by what this entry sees by itself. In force with serveLate, too.
+    // Refusal at arrival and the retry time follow the forecast from all agents' updates instead of
+    // what this entry observes. Implied by serveLate.
     bool forecast = false;
 
-    // The part of freed room that comes to this entry is taken over about this long: above a burst
-    // of one queue, so that the pace of the moment is the agents' alone.
+    // Averaging window of this entry's share of freed capacity: longer than a burst of one queue,
+    // so that short-term changes come from the agents' reports alone.
     Milliseconds shareSpan { 2000 };
 
-    // What agents tell is added up so often for that.
+    // Interval at which the agents' reports are added up for that.
     Milliseconds shareInterval { 100 };
 
-    // A job that can't be on time any more waits on, behind all that can, as long as the forecast
-    // says that it begins before its caller has gone. Needs refuseLate, without which all late jobs
-    // wait on.
+    // A job that can no longer be on time keeps waiting, behind all that can, while the forecast
+    // says that it begins before its caller has gone. Needs refuseLate; without it all late jobs
+    // keep waiting.
     bool serveLate = false;
 
-    // While late jobs have waited for less than this, any that the forecast lets wait may do so:
-    // the overload may be short. Longer than that, only as many may wait as the room that late jobs
-    // got of late takes in time, and the rest are refused at once.
+    // Until late jobs have waited for this long, any that the forecast admits may wait: the
+    // overload may be short. After that, only as many may wait as the capacity recently given to
+    // late jobs can serve in time; the rest are refused at once.
     Milliseconds lateSpan { 1000 };
 
-    // As many late jobs of a service may wait all the same, to find out when there is room again.
+    // This many late jobs of a service may wait in any case, to find out when there is capacity
+    // again.
     std::size_t lateProbes = 2;
 
-    // Late jobs take only room that was told as free for this long: two rounds of news, in which
-    // any entry with a job that can be on time has taken what it needs.
+    // Late jobs only use capacity that was reported free for this long: two rounds of updates, in
+    // which any entry with a job that can be on time has taken what it needs.
     Milliseconds restSpan { 40 };
 
-    // A job that has not begun when it counts as late is refused. What is late takes the room of
-    // what is not.
+    // A job that has not begun when it counts as late is refused, so that it does not take the
+    // capacity of jobs that can be on time.
     bool refuseLate = true;
 
-    // Work is expected to take what the queue's jobs showed, not what the caller guesses.
+    // Run times are predicted from the queue's past jobs instead of taken from the caller's
+    // estimate.
     bool learnRunTimes = true;
 
-    // Runs that are behind, or stand still, are started elsewhere.
+    // Runs that lag or stall are restarted elsewhere.
     bool moveRuns = true;
 
-    // A run that is behind is moved only if the new one would end in less than this part of what is
-    // left, in percent.
+    // A lagging run is moved only if a new run would take less than this percentage of its
+    // remaining time.
     std::uint32_t moveBelowPercent = 60;
 
-    // Bounds of what one entry holds.
+    // Limits of one entry.
     std::size_t mostJobs = 4000;
     std::uint32_t mostTasksPerJob = 2000;
 };
 
 // [SECTION] Jobs
 
-// What the job's queue promises.
+// A job's queue, priority, objective and deadlines.
 struct JobTerms
 {
     std::string queue;
@@ -236,16 +239,17 @@
     double stretch = 1.0;
     Milliseconds targetLatency { 0 };
 
-    // When the call came, if it was held before it was submitted: its objective counts from then.
+    // When the call arrived, if it was held before it was submitted: the objective counts from
+    // then.
     std::optional<Time> cameAt;
 
-    // What is not begun by then is given up.
+    // The job is given up if it has not begun by then.
     Time beginBy {};
 
-    // The caller waits until then at the most, if it said so.
+    // The caller waits until then, if it gave a deadline.
     std::optional<Time> patienceUntil;
 
-    // Endpoints that suit it are known to be there, if only without a session so far.
+    // Suitable endpoints are known to exist, though this entry has no session with them yet.
     bool suitableElsewhere = false;
 };
 
@@ -253,7 +257,7 @@
     Waiting,
     Placed,
 
-    // Its agent is lost: waits until the run is certainly over.
+    // Its agent is lost; the run may still be going on. Waits until it has certainly stopped.
     Uncertain,
     Done,
 };
@@ -266,28 +270,29 @@
     std::uint32_t run = 0;
     std::uint32_t failures = 0;
 
-    // Endpoints that crashed while it ran there
+    // Endpoints that crashed while running it
     std::uint32_t crashes = 0;
     std::string agent;
     Time placedAt {};
     Time certainAt {};
     bool stopAsked = false;
 
-    // What one run of it takes: the caller's guess as the queue's jobs correct it, or what a run
-    // that was behind has shown
+    // Expected time of one run: the caller's estimate as corrected by the queue's past jobs, or
+    // what a lagging run has shown
     Milliseconds expected { 0 };
 
-    // Agents whose endpoints failed it or let it stand
+    // Agents whose endpoints failed it or stalled
     std::vector<std::string> avoid;
 };
 
-// Jobs that have begun go first: what they hold is wasted until their last task has run.
+// Queue groups, in order. Jobs that have begun go first: what they hold is wasted until their last
+// task has run.
 enum class Rank {
     Begun,
     OnTime,
     Late,
 
-    // Begun, and too late to be worth anything
+    // Begun, and too late to be of any use
     Hopeless,
 };
 
@@ -298,25 +303,25 @@
     JobTerms terms;
     Time arrivedAt {};
 
-    // The longest chain of work by the caller's guess, and by what the queue's jobs have shown
+    // Critical path by the caller's estimates, and as corrected by the queue's past jobs
     Milliseconds guessed { 0 };
     Milliseconds expected { 0 };
 
-    // By step, the longest run that is done
+    // By step, the longest finished run
     std::vector<Milliseconds> longestRun;
 
-    // Estimated: the end of being on time, and the latest begin for that
+    // Estimated: when the job is due, and the latest start to be done by then
     Time objectiveAt {};
     Time latestBegin {};
 
-    // Not begun by then, it counts as late.
+    // If it has not begun by then, it counts as late.
     Time onTimeUntil {};
 
-    // Begun later, it is worth nothing.
+    // If it begins later, it is of no use.
     Time worthUntil {};
 
-    // Begun by then, a late job still ends while its caller waits and its result is worth
-    // something; onTimeUntil where its queue leaves no time beyond the objective.
+    // A late job that begins by then ends while its caller waits and its result is of use; equals
+    // onTimeUntil if its queue leaves no time beyond the objective.
     Time lateUntil {};
 
     std::vector<Task> tasks;
@@ -330,21 +335,21 @@
     // When all of its tasks had been placed for the first time
     Time allPlacedAt {};
 
-    // A run of it began, or may have.
+    // A run of it began or may have begun.
     bool mayHaveBegun = false;
 
-    // Answered or abandoned: stays only until its runs are over.
+    // Answered or abandoned; kept only until its runs are over.
     bool over = false;
 
     // A job with the same id whose runs are not over yet
     std::uint64_t waitsFor = 0;
 
-    // What it is queued under
+    // As used in its queue key
     Rank group = Rank::OnTime;
     std::uint32_t queuedPriority = 0;
 
-    // The work that waited when the job was queued, in thousandths of a core times milliseconds;
-    // only where the order goes by it
+    // Remaining work when the job was queued, in millicores times milliseconds; only set for
+    // Order::LeastWork
     std::int64_t leftWhenQueued = 0;
 };
 
@@ -355,13 +360,14 @@
     jobs::EndpointView endpoint;
     bool welcomed = false;
 
-    // The last word to it and from it
+    // Last message to and from it
     Time sentAt {};
     Time heardAt {};
     std::uint64_t beat = 0;
     bool toldWantsRoom = false;
 
-    // Starts sent in this session, and how many of them are in the agent's view of its room
+    // Starts sent in this session, and how many of them the agent's report of its free capacity
+    // includes
     std::uint64_t startsSent = 0;
     std::uint64_t startsTaken = 0;
     struct Pending
@@ -371,26 +377,27 @@
     };
     std::vector<Pending> pending;
 
-    // The least room that it told as free within this restSpan and the one before: what the other
-    // entries leave free, too
+    // Minimum of the reported free capacity in this and the previous restSpan: what the other
+    // entries leave free too
     std::int64_t leastFree = 0;
     std::int64_t leastFreeBefore = 0;
     Time leastFreeSince {};
 
-    // Starts of all entries that wait there, and the room that comes free there, as it told last
+    // Starts of all entries that wait there and capacity that is freed there, as last reported
     std::vector<jobs::WaitingRoom> waiting;
     std::uint32_t freedPerSecond = 0;
 };
 
 // [SECTION] State
 
-// Where a waiting job stands; smaller goes first.
+// Position of a waiting job; smaller goes first.
 struct QueueKey
 {
     Rank group = Rank::OnTime;
     std::uint32_t priority = 0;
 
-    // Of a queue below its floor: goes before others of the priority that it was raised to
+    // Its queue is below its guaranteed share: goes before others of the priority that it was
+    // raised to
     bool raised = false;
     std::int64_t rank = 0;
     std::uint64_t number = 0;
@@ -402,48 +409,48 @@
     }
 };
 
-// How a queue stands beside the others of its service.
+// A queue's priority compared to the others of its service.
 struct QueueStanding
 {
     std::string service;
     std::uint32_t priority = 0;
 
-    // What its jobs go by: its priority, or a more urgent one while it is below its floor
+    // Its own priority, or a more urgent one while it is below its guaranteed share
     std::uint32_t effective = 0;
     bool belowFloor = false;
 
-    // A less urgent queue is below its floor, while this one is not: its starts do not wait at
-    // agents, where they would take all room that comes free.
+    // A less urgent queue is below its guaranteed share and this one is not: its starts do not wait
+    // at agents, where they would take all freed capacity.
     bool yields = false;
 };
 
-// Room of one service that ended runs gave back, in thousandths of a core.
+// Capacity of one service that ended runs freed, in millicores.
 struct FreedRoom
 {
-    // Of this entry, of late: what waits here can count on it.
+    // Recently freed for this entry: what waits here can count on it
     FadingSum ofLate;
 
-    // Of this entry by priority, over shareSpan; without failed runs, as agents tell it
+    // Freed for this entry by priority, over shareSpan; without failed runs, as agents report it
     std::map<std::uint32_t, FadingSum> own;
 };
 
-// What agents tell of a job under whose tasks their endpoints crashed, here or for another entry.
+// Reported crashes of endpoints under a job's tasks, run here or for another entry.
 struct CrashedJob
 {
-    // By task, and by the agent that saw them
+    // By task, and by the agent that observed them
     std::map<jobs::TaskId, std::map<std::string, std::uint32_t>> crashes;
 
-    // When it is forgotten, unless there is more news
+    // Forgotten then, unless another report comes
     Time until {};
 };
 
-// Late jobs of one service that wait, or have waited of late.
+// A period in which late jobs of one service wait.
 struct LateSpell
 {
     Time since {};
     Time seenAt {};
 
-    // Room that late jobs got, in thousandths of a core, over lateSpan
+    // Capacity given to late jobs, in millicores, over lateSpan
     FadingSum taken;
 };
 
@@ -456,7 +463,7 @@
     std::uint64_t timedOut = 0;
     std::uint64_t abandoned = 0;
 
-    // Completed, though they began too late to be on time
+    // Completed, though begun too late to be on time
     std::uint64_t servedLate = 0;
     std::uint64_t starts = 0;
     std::uint64_t startsRefused = 0;
@@ -464,10 +471,10 @@
     std::uint64_t runsLost = 0;
     std::uint64_t runsCrashed = 0;
 
-    // Jobs given up since endpoints crashed under one of their tasks, again and again
+    // Jobs given up since endpoints kept crashing under one of their tasks
     std::uint64_t crashingJobs = 0;
 
-    // Endpoints that were looked at to place tasks
+    // Endpoints examined to place tasks
     std::uint64_t endpointsTried = 0;
 };
 
@@ -482,16 +489,16 @@
     std::map<std::string, std::uint64_t> byId;
     std::set<QueueKey> queue;
 
-    // Jobs that were given up since endpoints crashed under them, and until when that is remembered
+    // Jobs given up since endpoints crashed under them, and when each is forgotten
     std::map<std::string, Time> crashing;
 
     // By job
     std::map<std::string, CrashedJob> crashedJobs;
 
-    // Some waiting work was not looked at yet with the room as it is.
+    // Waiting work has not been tried yet with the capacity as it is.
     bool untried = false;
 
-    // Work has found no room of late.
+    // Work did not fit lately; agents are asked for fresh updates until then.
     Time wantsRoomUntil {};
     std::map<std::string, Agent> agents;
 
@@ -504,22 +511,23 @@
     // By service
     std::map<std::string, FreedRoom> freed;
 
-    // The same of all entries as agents told it, over shareSpan; only where the forecast is in use
+    // The same for all entries, as reported by agents, over shareSpan; only maintained if the
+    // forecast is used
     std::map<std::string, FadingSum> told;
     Time toldAddedAt {};
 
     // By service
     std::map<std::string, LateSpell> lateSpells;
 
-    // What queues were served of late, and by queue how each stands for that
+    // What was recently served of each queue's requests, and the resulting priorities by queue
     shares::ShareState shares;
     std::map<std::string, QueueStanding> standings;
 
-    // Priorities of the jobs that came since the declared queues changed last
+    // Priorities of the jobs that came since the declared queues last changed
     std::uint32_t mostUrgent = std::numeric_limits<std::uint32_t>::max();
     std::uint32_t leastUrgent = 0;
 
-    // Entries that share the endpoints, this one included
+    // Entries that share the endpoints, including this one
     std::uint32_t entries = 1;
     SchedulerCounters counters;
 };
@@ -530,10 +538,10 @@
     Completed,
     Failed,
 
-    // Certainly nothing of it ran and nothing will.
+    // Certainly nothing of it ran or will run.
     NotRun,
 
-    // Given up with work begun, or sent again after that; whatever runs is being stopped.
+    // Given up after work had begun, or sent again after that; whatever runs is being stopped.
     TimedOut,
 };
 
@@ -545,7 +553,7 @@
     JobOutcome outcome = JobOutcome::Completed;
     std::string reason;
 
-    // NotRun: when it makes sense to come back
+    // NotRun: when the caller should retry
     Milliseconds retryAfter { 0 };
 };
 
@@ -560,7 +568,7 @@
     std::vector<AgentSend> sends;
     std::vector<JobAnswer> answers;
 
-    // Agents whose connection is to be closed without sending what waits in it.
+    // Agents whose connection is to be closed, dropping unsent messages.
     std::vector<std::string> closes;
     std::vector<eventlog::Event> events;
 };
@@ -569,15 +577,15 @@
 
 SchedulerState makeScheduler(const SchedulerSettings &settings);
 
-// A job, to be answered later by its number. If one with the same id is still at work, joins it
-// and gives its number.
+// Submits a job, to be answered later by its number. If one with the same id is still open, joins
+// it and returns its number.
 SchedulerActions submit(SchedulerState &scheduler, const jobs::JobSpec &spec, const JobTerms &terms,
                         Time now, std::uint64_t *number);
 
-// Nobody waits for the answer any more: its runs are stopped.
+// Nobody waits for the answer any more: the job's runs are stopped.
 SchedulerActions abandon(SchedulerState &scheduler, std::uint64_t number, Time now);
 
-// A connection to an agent; starts go there only after its welcome.
+// Connection and handshake with an agent; starts are sent only after the handshake.
 SchedulerActions agentConnected(SchedulerState &scheduler, const std::string &agent, Time now);
 SchedulerActions agentWelcomed(SchedulerState &scheduler, const std::string &agent,
                                const jobs::Welcome &welcome, Time now);
@@ -585,45 +593,46 @@
                               const jobs::AgentUpdate &update, Time now);
 SchedulerActions agentLost(SchedulerState &scheduler, const std::string &agent, Time now);
 
-// Gives up a session that no run of this entry needs; false, and nothing changed, if one does.
+// Drops the session if no run of this entry needs it. If one does, changes nothing and returns
+// false.
 bool releaseAgent(SchedulerState &scheduler, const std::string &agent);
 
 SchedulerActions tick(SchedulerState &scheduler, Time now);
 
-// After a pause of this process: agents have stopped its runs and callers may have sent their jobs
-// elsewhere, so everything is given up.
+// For use after a pause of this process: agents have stopped its runs and callers may have retried
+// elsewhere, so every open job is given up.
 SchedulerActions giveUpAll(SchedulerState &scheduler, const std::string &why, Time now);
 
-// Other queues are declared: forgets what was learned of those that are gone, and learns anew which
+// The declared queues changed: forgets what was learned about those that are gone, and which
 // priorities are in use.
 void keepQueues(SchedulerState &scheduler, const std::set<std::string> &declared);
 
-// Other data centres are cordoned: nothing more goes there, and what waits looks for room anew.
+// The cordoned data centres changed: nothing more is sent to them, and waiting work is placed anew.
 SchedulerActions takeCordons(SchedulerState &scheduler, const catalog::Cordons &cordons, Time now);
 
-// What the job is ordered by, here and at agents: the priority of its queue, or a more urgent one
-// while the queue is below its floor.
+// The priority that the job is ordered by, here and at agents: its queue's, or a more urgent one
+// while the queue is below its guaranteed share.
 std::uint32_t effectivePriority(const SchedulerState &scheduler, const Job &job);
 
-// Whether some endpoint of some service could take work.
+// Whether this entry has a session with an agent that has an endpoint.
 bool reachesEndpoints(const SchedulerState &scheduler);
 
-// Part of the freed room of a service that comes to this entry for jobs of this priority and of
-// less urgent ones.
+// The part of a service's freed capacity that this entry's jobs of this and less urgent priorities
+// get.
 double shareFor(const SchedulerState &scheduler, const std::string &service, std::uint32_t priority,
                 Time now);
 
-// What the forecast says now, for the operator.
+// The forecast in short, for operators.
 struct Outlook
 {
-    // Of a job of the size of one core that comes now and goes after all that waits; of the service
-    // with the longest such wait. Nothing while no room came free of late.
+    // Expected wait of a one-core job that arrives now and goes last, in the service where that is
+    // longest. Nothing if no capacity was freed lately.
     std::optional<Milliseconds> wait;
 
-    // Of the oldest news in it
+    // Age of the oldest update that it is based on
     Microseconds age { 0 };
 
-    // Jobs that wait though they can't be on time any more
+    // Jobs that wait though they can no longer be on time
     std::size_t waitingLate = 0;
 };
 
--- a/packages/scheduler/src/admission.cpp
+++ b/packages/scheduler/src/admission.cpp
@@ -1,5 +1,5 @@
 /*
-    Which jobs are taken in, what they are expected to take, and which are refused at once.
+    Admission of jobs: what their run times are expected to be, and which are refused at once.
 
     [SECTION] Admission
 */
@@ -37,7 +37,7 @@
     return count;
 }
 
-// Without its tasks, which a job that is refused never gets: a caller may name millions.
+// Leaves out the tasks: a caller may ask for millions, and a refused job never needs them.
 Job makeJob(const SchedulerState &scheduler, const jobs::JobSpec &spec, const JobTerms &terms,
             Time now)
 {
@@ -63,7 +63,7 @@
     return job;
 }
 
-// One step's estimate, corrected as the whole chain is.
+// One step's estimate, corrected by the same factor as the critical path.
 Milliseconds expectedOf(const Job &job, Milliseconds estimate)
 {
     return job.guessed.count() > 0 ? estimate * job.expected.count() / job.guessed.count()
@@ -88,8 +88,7 @@
     job.waiting = static_cast<std::uint32_t>(job.tasks.size());
 }
 
-// Work that waits here and would go first, against the part of all room that this entry can count
-// on.
+// Waiting work of this entry that would go first, over its share of all capacity.
 Microseconds expectedWait(const SchedulerState &scheduler, const Job &wanted)
 {
     double waiting = 0;
@@ -110,13 +109,13 @@
     }
     if (room <= 0)
         return Microseconds(0);
-    // Declared rooms can be absurd; beyond an hour it makes no difference.
+    // Declared capacities are not validated; beyond an hour the value makes no difference.
     constexpr double MostMilliseconds = 3.6e6;
     return scaled(Milliseconds(1), std::min(MostMilliseconds, waiting * scheduler.entries / room));
 }
 
-// Whether what waits here and goes before this job takes, at the pace at which room came free here
-// of late, more time than the job has until it counts as late.
+// Whether the work that goes before this job here takes, at the rate at which capacity was recently
+// freed here, longer than the job has until it counts as late.
 bool waitsTooLong(const SchedulerState &scheduler, const Job &wanted, Time now)
 {
     const auto freed = scheduler.freed.find(wanted.terms.service);
@@ -139,7 +138,7 @@
     return waiting > 0 && waiting > perMillisecond * most;
 }
 
-// The same by the forecast; nothing if it does not know.
+// The same by the forecast; nothing if there is none.
 std::optional<bool> forecastIsTooLong(const SchedulerState &scheduler, const Job &wanted, Time now)
 {
     const SchedulerSettings &settings = scheduler.settings;
@@ -168,7 +167,7 @@
         if (suits(agent, job, step))
             return true;
     }
-    // Without a single endpoint of the service nothing is known of what would fit.
+    // Without any endpoint of the service, it is not known what would fit.
     return !any;
 }
 
@@ -181,8 +180,9 @@
                });
 }
 
-// Whether a call that waited before it was submitted has lost its time by that. One whose queue
-// leaves it no time from the start has lost nothing, and is tried like any other.
+// Whether a call that was held before it was submitted has missed its latest start because of that.
+// If its queue leaves it no slack from the start, holding cost it nothing and it is tried like any
+// other.
 bool heldTooLong(const Job &job, Time now)
 {
     return job.terms.cameAt && job.latestBegin > job.arrivedAt && now > job.latestBegin;
@@ -199,33 +199,33 @@
             || waitsTooLong(scheduler, job, now);
 }
 
-// Why a job is not taken whatever room there is; empty if it may be.
+// Why a job is refused regardless of capacity; empty if it may be admitted.
 std::string refusal(const SchedulerState &scheduler, const Job &job, Time now)
 {
     if (scheduler.jobs.size() >= scheduler.settings.mostJobs)
-        return "this entry holds as many jobs as it may";
+        return "this entry is at its limit of jobs";
     const jobs::JobTraits &traits = job.spec.traits;
     if (traits.kept || traits.gang || traits.lasting || traits.timed)
         return "this kind of job is not served yet";
     const std::uint64_t tasks = taskCount(job.spec);
     if (tasks == 0 || tasks > scheduler.settings.mostTasksPerJob)
-        return "a job needs at least one task, and at most the number in the settings";
+        return "a job must have at least one task, and at most the number in the settings";
     const bool mayBeLate = scheduler.settings.serveLate && now < job.lateUntil;
     if (heldTooLong(job, now) && scheduler.settings.refuseLate && !mayBeLate)
-        return "it waited too long before it could be taken up";
+        return "the call was held too long before it was admitted";
     return "";
 }
 
 void refuse(SchedulerState &scheduler, Job &job, JobOutcome outcome, const std::string &why,
             Time now, SchedulerActions &actions)
 {
-    // A job that never was in the table is answered through it, so that all answers are alike.
+    // Adds the job to the table although it is refused, since answerJob() expects it there.
     const std::uint64_t number = job.number;
     Job &kept = scheduler.jobs.emplace(number, std::move(job)).first->second;
     answerJob(scheduler, kept, outcome, why, now, actions);
 }
 
-// Counts the job as asked for, and refuses it if the work before it takes too long.
+// Counts the job as requested work, and refuses it if the work before it takes too long.
 bool refusedForRoom(SchedulerState &scheduler, Job &job, bool possible, Time now,
                     SchedulerActions &actions)
 {
@@ -235,8 +235,8 @@
         return false;
     if (possible)
         noteRefusedJob(scheduler, job, now);
-    refuse(scheduler, job, JobOutcome::NotRun, "the work before it takes longer than it may wait",
-           now, actions);
+    refuse(scheduler, job, JobOutcome::NotRun,
+           "the work before this job takes longer than it may wait", now, actions);
     return true;
 }
 
@@ -264,7 +264,7 @@
     job.number = ++scheduler.lastNumber;
     *number = job.number;
     if (isCrashing(scheduler, spec.id, now)) {
-        refuse(scheduler, job, JobOutcome::TimedOut, "endpoints have crashed under it before", now,
+        refuse(scheduler, job, JobOutcome::TimedOut, "endpoints crashed under this job before", now,
                actions);
         return actions;
     }
@@ -277,7 +277,7 @@
     if (refusedForRoom(scheduler, job, possible, now, actions))
         return actions;
     if (!possible) {
-        refuse(scheduler, job, JobOutcome::Failed, "no endpoint of its service could ever run it",
+        refuse(scheduler, job, JobOutcome::Failed, "no endpoint of the service can run the job",
                now, actions);
         return actions;
     }
--- a/packages/scheduler/src/callerwatch.cpp
+++ b/packages/scheduler/src/callerwatch.cpp
@@ -1,5 +1,5 @@
 /*
-    Whose callers are to be looked at before their jobs are placed.
+    Decides when callers are probed before their jobs are placed.
 
     [SECTION] Functions
 */
@@ -27,7 +27,7 @@
 void noteSessionLost(CallerWatch &watch, Time now)
 {
     watch.until = now + watch.settings.watchFor;
-    // Losses that follow one another closely make one look due, not one each.
+    // Losses in quick succession make one probe due, not one each.
     if (now < watch.lossAt + watch.settings.trustFor)
         return;
     watch.lossAt = now;
--- a/packages/scheduler/src/crashes.cpp
+++ b/packages/scheduler/src/crashes.cpp
@@ -1,5 +1,5 @@
 /*
-    Tasks that crash the endpoints that run them, as the agents that saw it tell all entries.
+    Tasks under which endpoints crash, as reported to all entries by the agents that saw it.
 
     [SECTION] Memory
     [SECTION] Jobs
@@ -29,7 +29,7 @@
     }
 }
 
-// A crash that is told again, in another session, is the same one.
+// The same crash may be reported again in another session: counts are not added up.
 void noteCrashes(SchedulerState &scheduler, const std::string &agent,
                  const jobs::CrashReport &report, Time now)
 {
@@ -87,7 +87,7 @@
 
 namespace {
 
-// What is at work here under the id: the newest job, or none.
+// The newest job with the id if it is open.
 Job *workingJob(SchedulerState &scheduler, const std::string &id)
 {
     const auto number = scheduler.byId.find(id);
--- a/packages/scheduler/src/ending.cpp
+++ b/packages/scheduler/src/ending.cpp
@@ -51,7 +51,7 @@
     }
 }
 
-// One line a job: what it was, how long each part took, and how it ended.
+// Logged once for each job: what it was, how long each part took, and how it ended.
 Event answerEvent(const Job &job, JobOutcome outcome, const std::string &reason, Time now)
 {
     std::uint32_t failures = 0;
@@ -87,7 +87,7 @@
         event.with("expected_wait_ms", *wait);
 }
 
-// What a refusal was decided on: how much room this entry knew of.
+// What a refusal was based on: the free capacity that this entry knew of.
 void addRoom(const SchedulerState &scheduler, const Job &job, Time now, Event &event)
 {
     std::uint64_t endpoints = 0;
@@ -115,7 +115,7 @@
         addForecast(scheduler, job, now, event);
 }
 
-// Time for the room to take what waits now, at least a tenth of a second.
+// Time for the waiting jobs to be placed, at least 100 ms.
 Milliseconds retryAfter(SchedulerState &scheduler, const Job &job, Time now)
 {
     if (usesForecast(scheduler))
@@ -162,8 +162,8 @@
     const std::string id = found->second.spec.id;
     const auto newest = scheduler.byId.find(id);
     const bool isNewest = newest != scheduler.byId.end() && newest->second == number;
-    // A job that never began may go before the one that it waited for: whoever comes next under the
-    // id waits for that one, or two jobs of the id would run at once.
+    // A job that never began may be removed before the one that it waited for. The next job with
+    // the id then waits for that one, or two jobs of the id would run at once.
     const std::uint64_t older = found->second.waitsFor;
     scheduler.jobs.erase(found);
     if (isNewest && older != 0)
@@ -182,8 +182,8 @@
 
 Task *findTask(SchedulerState &scheduler, const jobs::RunId &id, Job **job)
 {
-    // More than one job can have the id only while the older one's runs end; the run then belongs
-    // to the older, since the newer has not begun.
+    // Several jobs can have the id only while the runs of the oldest end; the run then belongs to
+    // the oldest, since the others have not begun.
     const auto newest = scheduler.byId.find(id.task.job);
     if (newest == scheduler.byId.end())
         return nullptr;
@@ -265,7 +265,7 @@
     --job.outstanding;
     --job.tasksLeft[task.step];
     ++job.done;
-    // A step that waited for this one may begin.
+    // A step that depends on this one may begin.
     if (job.tasksLeft[task.step] == 0 && job.waiting > 0)
         scheduler.untried = true;
     if (job.done < job.tasks.size())
@@ -299,8 +299,8 @@
                   now, actions);
 }
 
-// The endpoint is gone with all that it ran: this task may be why, or one that ran beside it. It is
-// tried again where least runs, so that the next crash tells the two apart and takes few along.
+// The endpoint crashed with all its runs: this task may be the cause, or one that ran beside it. It
+// is retried where least runs, so that the next crash tells the two apart and affects few others.
 void taskCrashed(SchedulerState &scheduler, Job &job, Task &task, Time now,
                  SchedulerActions &actions)
 {
@@ -314,7 +314,7 @@
     giveUpIfCrashing(scheduler, job, task, agent, now, actions);
 }
 
-// Room that came free in a cordoned data centre is no room for what waits.
+// Capacity freed in a cordoned data centre is of no use to what waits.
 void noteRoomOf(SchedulerState &scheduler, const std::string &agent, const Job &job,
                 const Task &task, RunEnd end, Time now)
 {
@@ -388,7 +388,7 @@
                                      .with("stands_still", report.standsStill ? 1 : 0)
                                      .with("since_placed_ms", now - task->placedAt));
     ++scheduler.counters.runsMoved;
-    // It may be the estimate that is wrong: the next run is measured against what this one showed.
+    // The estimate may be wrong: the next run is measured against what this one showed.
     if (!report.standsStill)
         task->expected = std::max(task->expected,
                                   std::chrono::duration_cast<Milliseconds>(now - task->placedAt)
--- a/packages/scheduler/src/floors.cpp
+++ b/packages/scheduler/src/floors.cpp
@@ -1,10 +1,10 @@
 /*
-    Queues that are below their floor: what their jobs go by until they are above it again.
+    Priorities of queues that are below their guaranteed share, until they are above it again.
 
-    A floor never moves the most urgent queue back, and only queues above their own floor give way:
-    where all are below, their priorities decide. A queue that gives way stands behind the raised
-    one here, and its starts do not wait at agents: of many entries each would else hold the room
-    that comes free for its own, and the raised queue would find none.
+    A guaranteed share never delays the most urgent queue, and only queues above their own share
+   yield: if all are below, their priorities decide. A queue that yields goes behind the raised one
+   here, and its starts do not wait at agents: the starts of many entries would otherwise take all
+   freed capacity there, and the raised queue would get none.
 
     [SECTION] Work
     [SECTION] Standings
@@ -22,10 +22,10 @@
 
 namespace {
 
-// By the caller's guess: what was asked and what of it was refused are the same number.
+// By the caller's estimate, so that the same amount is counted as requested and as refused.
 std::int64_t workOf(const jobs::JobSpec &spec)
 {
-    // Declared rooms can be absurd, and sums of them must not overflow.
+    // Declared capacities are not validated, and sums of them must not overflow.
     constexpr double Most = 1e15;
     double work = 0;
     for (const jobs::StepSpec &step : spec.steps)
@@ -57,8 +57,8 @@
 
 namespace {
 
-// Whether the queue can give way: one of the same service that is neither the most urgent nor below
-// its own floor.
+// Whether the queue may yield: it is of the same service, and neither the most urgent nor below its
+// own guaranteed share.
 bool canYield(const QueueStanding &standing, const std::string &service, std::uint32_t mostUrgent)
 {
     return standing.service == service && standing.priority > mostUrgent && !standing.belowFloor;
@@ -74,8 +74,8 @@
     return most;
 }
 
-// Before the least urgent of the more urgent queues that can give way, which are told to; where
-// there is none the queue keeps its priority.
+// Raises the queue to just before the least urgent of the more urgent queues that may yield, and
+// marks all of these as yielding. If there are none, the queue keeps its priority.
 void raise(SchedulerState &scheduler, QueueStanding &raised)
 {
     const std::uint32_t most = mostUrgentOf(scheduler, raised.service);
@@ -129,7 +129,7 @@
 
 std::uint32_t effectivePriority(const SchedulerState &scheduler, const Job &job)
 {
-    // A job that waits from before its queue was declared anew keeps the priority it came with.
+    // A job that waited while its queue was redeclared keeps the priority that it came with.
     const auto found = scheduler.standings.find(job.terms.queue);
     const bool known = found != scheduler.standings.end()
             && found->second.priority == job.terms.priority;
--- a/packages/scheduler/src/internal.h
+++ b/packages/scheduler/src/internal.h
@@ -1,5 +1,5 @@
 /*
-    Inside the scheduler: what its files share.
+    Internal declarations of the scheduler.
 
     [SECTION] Placing
     [SECTION] Freed room
@@ -16,101 +16,102 @@
 
 // [SECTION] Placing
 
-// Starts what can start now.
+// Starts whatever can start now.
 void place(SchedulerState &scheduler, Time now, SchedulerActions &actions);
 
-// The same where only one agent's room has grown since work was last placed: nothing that waits
-// found room elsewhere then, and nothing does now.
+// The same if only one agent's free capacity has grown since the last pass: the waiting work did
+// not fit elsewhere then, and does not now.
 void placeAt(SchedulerState &scheduler, const std::string &agent, Time now,
              SchedulerActions &actions);
 QueueKey keyOf(const SchedulerState &scheduler, const Job &job);
 
-// All waiting jobs in their order, after each has found its rank at this time.
+// All waiting jobs in order, after updating the group and priority of each.
 std::vector<QueueKey> sortOut(SchedulerState &scheduler, Time now);
 void enqueue(SchedulerState &scheduler, Job &job);
 void dequeue(SchedulerState &scheduler, const Job &job);
 
-// Keeps an agent's session alive, and tells it whether work waits here for room.
+// Sends a heartbeat, which also tells the agent whether work waits here for capacity.
 void beatAgent(const SchedulerState &scheduler, const std::string &name, Agent &agent, Time now,
                SchedulerActions &actions);
 
-// Whether its caller's patience is over: nothing more of it is placed, since the caller may send it
-// elsewhere. The next tick gives it up.
+// Whether its caller's deadline has passed. Nothing more of the job is placed then, since the
+// caller may retry elsewhere; the next tick gives it up.
 bool isUnwanted(const Job &job, Time now);
 
-// Nothing of the job has begun; a start that is under way may begin.
+// Whether no task of the job has begun or may begin through a start already sent.
 bool certainlyNotBegun(const Job &job);
 
-// Whether the endpoint's data centre is cordoned, as far as this entry knows.
+// Whether this entry knows the endpoint's data centre to be cordoned.
 bool isCordoned(const SchedulerState &scheduler, const Agent &agent);
 
-// Room that this entry may count on at an agent.
+// The agent's free capacity, less the starts that its last update does not include.
 jobs::Room roomAt(const Agent &agent);
 
-// The same for a job: one that waits on though it is late takes only room that nobody else wants.
+// The same for one job: a late job only gets capacity that nobody else wants.
 jobs::Room roomFor(const SchedulerState &scheduler, const Agent &agent, const Job &job);
 
-// Whether the endpoint may run the step at all, whatever runs on it now.
+// Whether the endpoint could run the step when empty.
 bool suits(const Agent &agent, const Job &job, const jobs::StepSpec &step);
 
-// The longest chain through the steps, with these spans for the steps.
+// Critical path through the steps, given the time of each.
 Milliseconds longestChain(const jobs::JobSpec &spec, const std::vector<Milliseconds> &spans);
 Microseconds scaled(Milliseconds span, double factor);
 
 // [SECTION] Freed room
 
-// A run of the job has ended like this and given its room back.
+// A run of the job ended this way and freed its capacity.
 void noteFreed(SchedulerState &scheduler, const Job &job, const jobs::Room &room, jobs::RunEnd end,
                Time now);
 
-// Of the room that came free of late, only this part goes on coming free.
+// Scales the recently freed capacity of a service, when only this part of its endpoints is still
+// usable.
 void scaleFreed(SchedulerState &scheduler, const std::string &service, double part);
 
-// Thousandths of a core that came free in a millisecond, of late.
+// Recently freed millicores per millisecond.
 double freedPerMillisecond(const SchedulerState &scheduler, const FreedRoom &freed, Time now);
 
 // [SECTION] Outlook
 
 bool usesForecast(const SchedulerState &scheduler);
 
-// What the agents of the service have told, without those that take nothing.
+// Forecast input from the service's agents that take work.
 forecast::Picture pictureOf(const SchedulerState &scheduler, const std::string &service, Time now);
 
-// Part of the freed room that comes to this entry, for jobs of any priority.
+// This entry's share of freed capacity, over all priorities.
 double wholeShare(const SchedulerState &scheduler, const std::string &service, Time now);
 
-// Until a job that comes now has found room, if it can be on time and if it can't. Nothing if that
-// is not known.
+// Expected wait of a job that arrives now, if it is on time and if it is late; nothing if not
+// known.
 std::optional<Milliseconds> waitOnTime(const SchedulerState &scheduler, const Job &job, Time now);
 std::optional<Milliseconds> waitLate(const SchedulerState &scheduler, const Job &job, Time now);
 
-// Jobs that can't be on time any more, and wait on since they begin before their callers are gone.
+// Late jobs that keep waiting since they begin before their callers are gone.
 std::set<std::uint64_t> worthWaiting(SchedulerState &scheduler, Time now);
 
-// Starts of the job were sent; if it began late, late jobs have got so much room.
+// Starts of the job were sent; if it began late, counts their capacity as given to late jobs.
 void noteLateStart(SchedulerState &scheduler, const Job &job, std::int64_t milliCores, Time now);
 
-// When a caller that is refused now should come back, by the forecast.
+// When a caller that is refused now should retry, by the forecast.
 Milliseconds comeBackAfter(SchedulerState &scheduler, const Job &job, Time now);
 
-// Adds up what agents tell of freed room.
+// Adds up the freed capacity that agents report.
 void addTold(SchedulerState &scheduler, Time now);
 
-// Whether there is room for all tasks with which a job that has not begun begins.
+// Whether all first tasks of a job that has not begun fit now.
 bool fitsWhole(const SchedulerState &scheduler, const Job &job, Time now);
 
 // [SECTION] Crashes
 
-// An agent tells of tasks under which its endpoint crashed; jobs that are at work here and have
-// crashed too many are given up.
+// Takes an agent's reports of tasks under which its endpoint crashed, and gives up open jobs with
+// too many crashes.
 void takeCrashes(SchedulerState &scheduler, const std::string &agent,
                  const std::vector<jobs::CrashReport> &reports, Time now,
                  SchedulerActions &actions);
 
-// Crashes under the task that agents have told of, all entries' runs counted
+// Crashes under the task that agents have reported, for all entries
 std::uint32_t crashesOf(const SchedulerState &scheduler, const jobs::TaskId &task);
 
-// Whether endpoints have crashed too often under the job of late.
+// Whether endpoints recently crashed too often under the job.
 bool isCrashing(SchedulerState &scheduler, const std::string &id, Time now);
 
 // Gives the job up if endpoints have crashed too often under the task.
@@ -119,15 +120,15 @@
 
 // [SECTION] Floors
 
-// A job has come that endpoints could serve; such a job is refused since room lacks.
+// A job arrived that some endpoint could serve; such a job is refused for lack of capacity.
 void noteAskedJob(SchedulerState &scheduler, const Job &job, Time now);
 void noteRefusedJob(SchedulerState &scheduler, const Job &job, Time now);
 
-// Finds the queues that are below their floor, and what their jobs go by.
+// Updates which queues are below their guaranteed share, and their effective priorities.
 void updateStandings(SchedulerState &scheduler, Time now, SchedulerActions &actions);
 
-// Whether the job's starts are not to wait at agents, so that a less urgent queue that is below its
-// floor gets some of the freed room.
+// Whether the job's starts may not wait at agents, so that a less urgent queue below its guaranteed
+// share gets some of the freed capacity.
 bool yields(const SchedulerState &scheduler, const Job &job);
 
 // [SECTION] Ending
@@ -139,7 +140,7 @@
 void runLags(SchedulerState &scheduler, const std::string &agent, const jobs::LagReport &report,
              Time now, SchedulerActions &actions);
 
-// The task's run is certainly over without a result: it may be started again.
+// The task's run is certainly over without a result: it may start again.
 void freeTask(SchedulerState &scheduler, Job &job, Task &task);
 void removeIfFinished(SchedulerState &scheduler, std::uint64_t number);
 void stopTask(SchedulerState &scheduler, const Job &job, Task &task, SchedulerActions &actions);
--- a/packages/scheduler/src/order.cpp
+++ b/packages/scheduler/src/order.cpp
@@ -1,5 +1,5 @@
 /*
-    Which waiting job goes next.
+    Order of the waiting jobs.
 
     [SECTION] Order
     [SECTION] Ranks
@@ -14,7 +14,7 @@
 
 namespace {
 
-// Of the tasks that wait, in thousandths of a core times milliseconds
+// Of the waiting tasks, in millicores times milliseconds
 std::int64_t workLeft(const Job &job)
 {
     std::int64_t work = 0;
@@ -48,13 +48,12 @@
         [[fallthrough]];
     case Order::LatestBegin:
         key.group = job.group;
-        // Of those that are late the newest goes first: the oldest are the next to be worth
-        // nothing.
+        // Late jobs go newest first: the oldest are the next to be of no use.
         key.rank = job.group == Rank::Late ? -arrived : latestBegin;
-        // Where late jobs are served, the next one to lose its caller goes first.
+        // If late jobs are served, the one whose caller leaves first goes first.
         if (job.group == Rank::Late && scheduler.settings.serveLate)
             key.rank = job.lateUntil.time_since_epoch().count();
-        // What has begun goes on by its time: by its work the widest of these jobs would end late.
+        // Jobs that have begun go by time: ordered by work, the widest of them would end late.
         if (scheduler.settings.order == Order::LeastWork && job.group == Rank::OnTime)
             key.rank = job.leftWhenQueued;
         break;
@@ -82,8 +81,8 @@
 
 namespace {
 
-// Begun later, what is left of the job is worth nothing. Late jobs that were let begin are worth
-// finishing for as long as they might have begun.
+// After this, what is left of the job is of no use. Late jobs that were allowed to begin may be
+// finished for as long as they were allowed to begin.
 Time worthUntil(const SchedulerState &scheduler, const Job &job)
 {
     const bool beganLate = scheduler.settings.serveLate && job.firstPlacedAt > job.onTimeUntil;
@@ -99,7 +98,7 @@
 
 } // namespace
 
-// The keys to be looked at, after each job has found its group and priority.
+// The waiting jobs in order, after updating the group and priority of each.
 std::vector<QueueKey> sortOut(SchedulerState &scheduler, Time now)
 {
     const std::vector<QueueKey> before(scheduler.queue.begin(), scheduler.queue.end());
--- a/packages/scheduler/src/outlook.cpp
+++ b/packages/scheduler/src/outlook.cpp
@@ -1,6 +1,6 @@
 /*
-    What the entry knows of the forecast: the picture of a service, the part of it that is this
-    entry's, and what follows for its jobs.
+    Use of the forecast: its input for a service, this entry's share of freed capacity, and the
+   waits of its jobs that follow.
 
     [SECTION] Picture
     [SECTION] Share
@@ -47,7 +47,7 @@
 
 namespace {
 
-// Never taken for less, so that a queue of which nothing ran of late is tried again.
+// Lower bound, so that a queue of which nothing ran lately is tried again.
 constexpr double LeastShare = 0.01;
 
 std::set<std::string> services(const SchedulerState &scheduler)
@@ -75,7 +75,7 @@
     if (!usesForecast(scheduler) || span < settings.shareInterval)
         return;
     scheduler.toldAddedAt = now;
-    // After a pause of this process the pace of the time between is not known.
+    // After a pause of this process, the rate in between is not known.
     if (span > 2 * settings.shareInterval)
         return;
     for (const std::string &service : services(scheduler)) {
@@ -112,7 +112,7 @@
 
 namespace {
 
-// Declared rooms can be absurd: sums of such ones must not overflow.
+// Declared capacities are not validated, and sums of them must not overflow.
 constexpr double MostMilliCores = 1e12;
 
 std::int64_t roomOf(const jobs::StepSpec &step, std::uint32_t tasks)
@@ -123,7 +123,7 @@
 
 std::int64_t roomWanted(const Job &job)
 {
-    // A job that comes has no tasks yet.
+    // A job that is being admitted has no tasks yet.
     const jobs::StepSpec &step = job.spec.steps.front();
     return roomOf(step, job.tasks.empty() ? step.tasks : job.waiting);
 }
@@ -156,7 +156,7 @@
     picture.share = shareFor(scheduler, job.terms.service, job.terms.priority, now);
     const forecast::Wanted wanted = wantedBy(job,
                                              workBefore(scheduler, job, keyOf(scheduler, job)));
-    // The next in turn is tried whatever its own size.
+    // The first job in line is tried whatever its size.
     if (!forecast::hasWorkBefore(picture, wanted))
         return Milliseconds(0);
     return forecast::expectedWait(picture, wanted);
@@ -212,13 +212,13 @@
 
 namespace {
 
-// One service, with the work that goes before the job that is looked at.
+// The waiting work of one service that goes before the job being examined.
 struct Line
 {
     forecast::Picture picture;
     std::int64_t before = 0;
 
-    // Late jobs that are let wait, and what they want
+    // Late jobs that may wait, and what they need
     std::size_t late = 0;
     std::int64_t lateBefore = 0;
 };
@@ -229,7 +229,7 @@
     return wait && now + *wait <= job.lateUntil;
 }
 
-// A late job waits: a spell begins, or goes on.
+// A late job waits: starts a period of waiting or extends it.
 LateSpell &noteLateWaits(SchedulerState &scheduler, const std::string &service, Time now)
 {
     LateSpell &spell = scheduler.lateSpells[service];
@@ -239,7 +239,7 @@
     return spell;
 }
 
-// Whether what late jobs got of late lets this one wait, too.
+// Whether the capacity recently given to late jobs allows this one to wait, too.
 bool lateRoomAllows(const SchedulerSettings &settings, const LateSpell &spell, const Line &line,
                     const Job &job, Time now)
 {
@@ -250,7 +250,7 @@
     return static_cast<double>(line.lateBefore + roomWanted(job)) <= room;
 }
 
-// Whether a late job may wait behind those before it in the line.
+// Whether a late job may wait behind those before it.
 bool joinsLate(SchedulerState &scheduler, Line &line, const Job &job, Time now)
 {
     const LateSpell &spell = noteLateWaits(scheduler, job.terms.service, now);
@@ -296,7 +296,7 @@
 
 namespace {
 
-// What the job takes when it begins: the steps that wait for no other.
+// What the job needs to begin: the steps that depend on no other.
 forecast::Wanted wantedToBegin(const Job &job)
 {
     forecast::Wanted wanted { job.terms.priority, 0, 0, 0 };
--- a/packages/scheduler/src/placing.cpp
+++ b/packages/scheduler/src/placing.cpp
@@ -1,5 +1,5 @@
 /*
-    Where waiting tasks start.
+    Placement of waiting tasks on endpoints.
 
     [SECTION] Endpoints
     [SECTION] Placing
@@ -72,15 +72,15 @@
     return !here.empty() && agent.endpoint.dataCentre != here;
 }
 
-// What speaks against an endpoint in another data centre, on the scale of paces.
+// Added cost of an endpoint in another data centre, on the scale of its pace.
 double awayCost(const SchedulerState &scheduler, const Agent &agent)
 {
     return isAway(scheduler, agent) ? scheduler.settings.awayPercent / 100.0 : 0;
 }
 
-// Smaller is better. Speed first, and the own data centre; then a little for endpoints that are
-// less full, since work of other entries goes where there is room too; and a little chance, so that
-// entries differ.
+// Smaller is better. Speed and the own data centre come first. Load counts a little, since other
+// entries also send their work where there is capacity, and so does chance, so that entries make
+// different choices.
 double costOf(SchedulerState &scheduler, const Agent &agent, const jobs::Room &free,
               const jobs::StepSpec &step, const Task &task)
 {
@@ -115,7 +115,7 @@
             && belowStepLimit(job, task.step, step.mostPerEndpoint, id);
 }
 
-// The agents that are looked at.
+// The agents to examine.
 struct AgentRange
 {
     std::map<std::string, Agent>::iterator from;
@@ -125,8 +125,8 @@
     std::map<std::string, Agent>::iterator end() const { return to; }
 };
 
-// Where its room comes free soonest: by what is lacking against all that the endpoint has, and by
-// pace. Nothing if too much is lacking everywhere.
+// The agent where capacity for the task is likely to be free soonest: by the lacking part of the
+// endpoint's capacity, and by pace. Nothing if too much is lacking everywhere.
 Agent *chooseWait(SchedulerState &scheduler, const AgentRange &agents, const Job &job,
                   const Task &task, Time now, std::string *name)
 {
@@ -228,7 +228,7 @@
     const bool all = scheduler.settings.waitingQueues == WaitingQueues::AllButLeast;
     const bool first = job.terms.priority < scheduler.leastUrgent
             && (all || job.terms.priority <= scheduler.mostUrgent);
-    // What is late and has not begun is refused at the next tick, or waits on behind the rest.
+    // A late job that has not begun is refused at the next tick, or waits behind all others.
     const bool late = scheduler.settings.refuseLate && now > job.onTimeUntil
             && certainlyNotBegun(job);
     const bool beganLate = scheduler.settings.serveLate && job.firstPlacedAt > job.onTimeUntil;
@@ -240,7 +240,7 @@
     return std::clamp(slack, Least, scheduler.settings.mostWait);
 }
 
-// A run of the task is ordered at the agent.
+// A start of the task is sent to the agent.
 void notePlaced(SchedulerState &scheduler, Agent &agent, const std::string &name, Job &job,
                 Task &task, Time now)
 {
@@ -257,7 +257,7 @@
     agent.sentAt = now;
 }
 
-// Starts as many of the job's tasks as find room; true if none is left waiting.
+// Starts as many of the job's tasks as fit; true if no ready task is left waiting.
 bool placeJob(SchedulerState &scheduler, const AgentRange &agents, Job &job, Time now,
               SchedulerActions &actions)
 {
@@ -270,7 +270,7 @@
             continue;
         std::string name;
         Agent *agent = chooseAgent(scheduler, agents, job, task, now, &name);
-        // What may crash an endpoint is not put where all room is taken.
+        // A task that may crash endpoints is not queued at a full one.
         if (!agent && wait.count() > 0 && task.crashes == 0)
             agent = chooseWait(scheduler, agents, job, task, now, &name);
         if (!agent) {
@@ -298,7 +298,7 @@
     });
 }
 
-// Work has found no room: agents that think otherwise are asked for news of theirs.
+// Work did not fit: asks agents that don't know of it yet for fresh updates.
 void wantRoom(SchedulerState &scheduler, Time now, SchedulerActions &actions)
 {
     scheduler.wantsRoomUntil = now + scheduler.settings.wantRoomFor;
@@ -308,17 +308,17 @@
     }
 }
 
-// Jobs that found no room while work was placed.
+// Jobs that did not fit in this pass.
 struct PassedOver
 {
     std::size_t others = 0;
 
-    // Late jobs that wait on
+    // Late jobs that keep waiting
     std::size_t late = 0;
 };
 
-// A late job that waits on takes no room while others wait for it that can be on time, and begins
-// only as a whole: begun in part, it would go before them.
+// A late job gets nothing while jobs that can be on time wait for capacity, and begins only as a
+// whole: once begun in part, it would go before them.
 bool isKeptBack(const SchedulerState &scheduler, const Job &job, const PassedOver &passedOver,
                 Time now)
 {
--- a/packages/scheduler/src/runtimes.cpp
+++ b/packages/scheduler/src/runtimes.cpp
@@ -1,5 +1,5 @@
 /*
-    A fading line through guessed and measured times.
+    Regression of measured on estimated run times, with decaying weights.
 
     [SECTION] Functions
 */
@@ -38,8 +38,8 @@
     const double meanY = times.sumY / times.weight;
     const double spread = times.sumXX - times.weight * meanX * meanX;
     const double joint = times.sumXY - times.weight * meanX * meanY;
-    // The guesses' own weight, with the spread of a factor of 1.6, draws the slope to that of
-    // guesses that are right.
+    // Variance of the prior's samples (a spread by a factor of 1.6); pulls the slope towards that
+    // of correct estimates.
     constexpr double GuessVariance = 0.22;
     const double slope = std::clamp(joint / (spread + trust * GuessVariance), -1.0, 0.0);
     const double share = times.weight / (times.weight + trust);
--- a/packages/scheduler/src/scheduler.cpp
+++ b/packages/scheduler/src/scheduler.cpp
@@ -1,5 +1,5 @@
 /*
-    Events of the scheduler but for jobs that come and go (admission.cpp) and runs that end
+    The scheduler's events, except for jobs that come and go (admission.cpp) and ends of runs
     (ending.cpp).
 
     [SECTION] Names
@@ -171,7 +171,7 @@
     agent.leastFree = std::min(agent.leastFree, free);
 }
 
-// Takes over what the agent tells of its room.
+// Takes over what the agent reports of its capacity.
 void takeRoom(Agent &agent, const jobs::AgentUpdate &update)
 {
     if (!update.endpoint.empty())
@@ -190,7 +190,7 @@
                         agent.pending.end());
 }
 
-// Whether a start that found no room may find some now.
+// Whether a start that did not fit before may fit now.
 bool grew(const jobs::Room &before, const jobs::Room &room)
 {
     return room.milliCores > before.milliCores || room.megabytes > before.megabytes
@@ -217,9 +217,8 @@
     takeCrashes(scheduler, name, update.crashed, now, actions);
     for (const jobs::LagReport &report : update.lagging)
         runLags(scheduler, name, report, now, actions);
-    // Most news tells of less room. With sixteen jobs that wait and eighty endpoints, one piece of
-    // news had 1,280 endpoints looked at; now none if there is less room, and sixteen if there is
-    // more.
+    // Most updates report less free capacity, and then nothing that waits can start: trying every
+    // waiting job at every endpoint for each of them would be far too much work.
     if (scheduler.untried || !update.endpoint.empty())
         place(scheduler, now, actions);
     else if (grew(roomBefore, roomAt(agent)) || agent.endpoint.mostStarts > startsBefore)
@@ -270,7 +269,7 @@
 
 namespace {
 
-// Room of the endpoints that may take work, by service.
+// Capacity of the endpoints that may take work, by service.
 std::map<std::string, double> usableRoom(const SchedulerState &scheduler)
 {
     std::map<std::string, double> room;
@@ -291,8 +290,8 @@
     const std::map<std::string, double> before = usableRoom(scheduler);
     scheduler.cordons = cordons;
     std::map<std::string, double> after = usableRoom(scheduler);
-    // Jobs that can't be served by what is left are refused at once, and not after the pace at
-    // which room comes free has been learned anew.
+    // Jobs that the remaining endpoints can't serve are refused at once, not only after the rate at
+    // which capacity is freed has been measured anew.
     for (const auto &[service, room] : before) {
         if (after[service] < room)
             scaleFreed(scheduler, service, after[service] / room);
@@ -337,7 +336,7 @@
         removeIfFinished(scheduler, number);
 }
 
-// When nobody waits for the job any longer, begun or not.
+// When the caller stops waiting, whether or not the job has begun.
 Time endOfJob(const SchedulerState &scheduler, const Job &job)
 {
     if (job.terms.patienceUntil)
@@ -349,7 +348,7 @@
                                      scaled(objective, scheduler.settings.lateFactor));
 }
 
-// Jobs that nobody waits for any longer, and those that have not begun and are worth nothing.
+// Gives up jobs whose callers no longer wait, and late or expired ones that have not begun.
 void giveUpLate(SchedulerState &scheduler, Time now, SchedulerActions &actions)
 {
     std::vector<std::uint64_t> over;
@@ -368,7 +367,7 @@
         if (notRun)
             noteRefusedJob(scheduler, job, now);
         answerJob(scheduler, job, notRun ? JobOutcome::NotRun : JobOutcome::TimedOut,
-                  notRun ? "no room came free in time" : "its time is over", now, actions);
+                  notRun ? "no room came free in time" : "deadline exceeded", now, actions);
     }
 }
 
--- a/packages/scheduler/tests/admission_test.cpp
+++ b/packages/scheduler/tests/admission_test.cpp
@@ -1,5 +1,5 @@
 /*
-    Which jobs are taken in, and which are refused at once.
+    Which jobs are admitted, and which are refused at once.
 
     [SECTION] Admission
 */
@@ -80,8 +80,8 @@
 class Arrivals : public testing::TestWithParam<ArrivalCase>
 { };
 
-// Of late 2500 thousandths of a core came free within 300 ms, and a job has 70 ms until it counts
-// as late: in twice that time room for one task comes free, and not for two.
+// 2500 millicores were freed in the last 300 ms, and a job has 70 ms until it counts as late: in
+// twice that time, capacity for one task is freed and not for two.
 TEST_P(Arrivals, AreRefusedAtOnceIfTheRoomThatComesFreeIsTooLittle)
 {
     SchedulerSettings settings;
@@ -143,13 +143,13 @@
     EXPECT_EQ(startsIn(bench.report("agent-0", { endOf("job", 0, 1, RunEnd::Stopped) })), 1U);
 }
 
-// A chain of jobs of one id: the first is abandoned with its run on, each of the others goes before
-// that run is over.
+// Jobs of one id: the first is abandoned while its run goes on, and all but the last of the others
+// before that run is over.
 struct ChainCase
 {
     const char *name;
 
-    // Callers that come and go while the first job's run is on
+    // Jobs submitted and abandoned during the first job's run
     int gone;
 };
 
@@ -185,7 +185,7 @@
                                          ChainCase { "ThreeBetween", 3 }),
                          [](const auto &tested) { return tested.param.name; });
 
-// A job of one task of 100 ms under these terms.
+// A job of one task of 100 ms.
 SchedulerActions submitOne(Bench &bench, const JobTerms &terms)
 {
     jobs::JobSpec spec;
@@ -199,8 +199,7 @@
     return submit(bench.scheduler, spec, terms, bench.now, &bench.number);
 }
 
-// Room that comes free before the next tick, for a job that waits and whose caller waits for 100
-// ms.
+// Capacity is freed before the next tick, for a waiting job whose caller waits for 100 ms.
 struct PatienceCase
 {
     const char *name;
@@ -233,7 +232,7 @@
                                          PatienceCase { "Over", Milliseconds(100), 0 }),
                          [](const auto &tested) { return tested.param.name; });
 
-// Calls that came while an entry did not know its queues yet. A job of 100 ms work has to begin
+// Calls that were held while an entry did not know its queues yet. A job of 100 ms has to begin
 // within 120 ms of its call.
 struct HeldCase
 {
@@ -264,8 +263,8 @@
                                          HeldCase { "TooLong", Milliseconds(121), false }),
                          [](const auto &tested) { return tested.param.name; });
 
-// A queue that allows its jobs no more than their work: each is late from its first moment. It is
-// tried all the same, and a call that was on its way for a millisecond is not a held one.
+// A queue whose objective is the run time itself, so that each job is late from the start: jobs are
+// tried all the same, also after a millisecond on the way.
 TEST(HeldJob, OfAQueueWithoutSlackIsTried)
 {
     Bench bench({ 4000 });
--- a/packages/scheduler/tests/bench.h
+++ b/packages/scheduler/tests/bench.h
@@ -1,5 +1,5 @@
 /*
-    What the scheduler's tests share: a scheduler with agents, a clock, and what its actions hold.
+    Test fixture of the scheduler: a scheduler with agents and a clock, and queries on its actions.
 
         Bench bench({ 4000, 4000 });
         const SchedulerActions actions = bench.submit("job", 3);
@@ -49,7 +49,7 @@
         return agentWelcomed(scheduler, name, message, now);
     }
 
-    // A job of one step of tasks that take 1000 thousandths of a core and 100 ms.
+    // A job of one step, whose tasks take 1000 millicores and 100 ms.
     SchedulerActions submit(const std::string &id, std::uint32_t tasks)
     {
         jobs::StepSpec step;
@@ -81,7 +81,7 @@
         return terms;
     }
 
-    // The agent has dealt with all starts, and tells this.
+    // An update by the agent that includes all starts sent to it.
     SchedulerActions report(const std::string &agent, const std::vector<jobs::RunReport> &ended,
                             std::int64_t free = 100000)
     {
--- a/packages/scheduler/tests/callerwatch_test.cpp
+++ b/packages/scheduler/tests/callerwatch_test.cpp
@@ -1,5 +1,5 @@
 /*
-    Which callers are looked at after sessions were lost, and when.
+    Which callers are probed after the loss of sessions, and when.
 
     [SECTION] Looks
 */
@@ -16,16 +16,16 @@
 {
     const char *name;
 
-    // After the loss of a session; none: no session was lost
+    // Time since the loss of a session; none: no session was lost
     std::optional<Milliseconds> after;
 
-    // Jobs of one task, of which the only endpoint takes four
+    // Jobs of one task; the only endpoint fits four
     int jobs;
 
-    // A look was made this long before
+    // Time since an earlier probe
     std::optional<Milliseconds> lookedBefore;
 
-    // The jobs' agent is the one that was lost
+    // Whether the lost agent is the one with the jobs
     bool agentLost;
     std::size_t toSee;
 };
--- a/packages/scheduler/tests/crashes_test.cpp
+++ b/packages/scheduler/tests/crashes_test.cpp
@@ -1,5 +1,5 @@
 /*
-    What agents tell of tasks under which their endpoints crashed, here or for other entries.
+    Crashes of endpoints under tasks as reported by agents, for runs of any entry.
 
     [SECTION] Told
     [SECTION] Memory
@@ -15,13 +15,13 @@
 {
     const char *name;
 
-    // Told one after the other: by which agent, and how often its endpoint crashed under the task
+    // Reports in order: the agent, and its number of crashes under the task
     std::vector<std::pair<std::string, std::uint32_t>> told;
 
-    // The job came before all of it was told, or after.
+    // Whether the job arrived before the reports or after them
     bool cameBefore;
 
-    // The news came in a welcome, or in an update.
+    // Whether reports come in the handshake or in an update
     bool welcome;
     bool givenUp;
 };
@@ -101,7 +101,7 @@
                            true }),
         [](const auto &tested) { return tested.param.name; });
 
-// Two crashes elsewhere and one here end it.
+// Two crashes elsewhere and one here.
 TEST(SchedulerCrashes, UnderAFormerTryCountWithThoseHere)
 {
     Bench bench({ 4000, 4000, 4000 });
--- a/packages/scheduler/tests/ending_test.cpp
+++ b/packages/scheduler/tests/ending_test.cpp
@@ -1,5 +1,5 @@
 /*
-    What follows when runs end, are behind, or are lost with their agent.
+    Handling of runs that end, lag, or are lost with their agent.
 
     [SECTION] Ends
     [SECTION] Lost agents
@@ -76,7 +76,7 @@
 {
     const char *name;
 
-    // Ends of the task's runs, one after the other
+    // How the task's runs end, in order
     std::vector<RunEnd> ends;
     std::optional<JobOutcome> outcome;
 };
@@ -134,7 +134,8 @@
     EXPECT_EQ(startsIn(bench.submit("job", 1)), 1U);
 }
 
-// What ran beside a crash is told apart by its next try: it goes where least runs.
+// The retry shows which of the tasks at the crashed endpoint was the cause: it goes where least
+// runs.
 TEST(SchedulerEnds, AfterACrashATaskIsTriedWhereLeastRuns)
 {
     Bench bench({ 8000, 8000, 8000 });
@@ -147,7 +148,7 @@
     }
     for (auto &[name, agent] : bench.scheduler.agents) {
         agent.endpoint.free.milliCores = name == idle ? 7000 : 4000;
-        // Slow, which speaks against it for any other task.
+        // Slow, which makes it the last choice for any other task.
         agent.endpoint.paceMille = name == idle ? 3000 : 500;
     }
     const SchedulerActions actions = bench.report(crashed, { endOf("job", 0, 1, RunEnd::Crashed) },
@@ -219,7 +220,7 @@
 class EndlessJobs : public testing::TestWithParam<EndlessCase>
 { };
 
-// A job of one task that has begun and does not end. Its objective is 1.6 times the estimate and
+// A job of one task that has begun and does not end. Its objective is 1.6 times the estimate plus
 // 60 ms.
 TEST_P(EndlessJobs, AreGivenUpWhenNobodyWaitsAnyLonger)
 {
--- a/packages/scheduler/tests/floors_test.cpp
+++ b/packages/scheduler/tests/floors_test.cpp
@@ -1,6 +1,6 @@
 /*
-    Queues below their floor: what their jobs go by, whose starts wait at agents, and what counts as
-    asked and refused.
+    Queues below their guaranteed share: their effective priority, whose starts wait at agents, and
+   what counts as requested and refused.
 
     [SECTION] Helpers
     [SECTION] Standings
@@ -29,7 +29,7 @@
     return settings;
 }
 
-// A job of one task of the queue that has this priority.
+// A job of one task, in the queue of this priority.
 SchedulerActions submitTo(Bench &bench, std::uint32_t priority, const std::string &id)
 {
     jobs::JobSpec spec;
@@ -45,7 +45,7 @@
     return submit(bench.scheduler, spec, terms, bench.now, &bench.number);
 }
 
-// Each queue of the list has asked for work; those below their floor were refused all of it.
+// Each of the queues requests work; those in below get all of it refused.
 void setStandings(Bench &bench, const std::vector<std::uint32_t> &queues,
                   const std::set<std::uint32_t> &below)
 {
@@ -72,7 +72,7 @@
     std::vector<std::uint32_t> queues;
     std::set<std::uint32_t> below;
 
-    // In the order of the queues
+    // In the order of queues
     std::vector<std::uint32_t> effective;
     std::set<std::uint32_t> yielding;
 };
@@ -108,10 +108,10 @@
                 StandingCase { "TheLeastUrgent", Floor, { 0, 1, 2 }, { 2 }, { 0, 1, 1 }, { 1 } },
                 StandingCase { "TheMiddleOne", Floor, { 0, 1, 2 }, { 1 }, { 0, 1, 2 }, {} },
                 StandingCase { "TheMostUrgent", Floor, { 0, 1, 2 }, { 0 }, { 0, 1, 2 }, {} },
-                // Where floors can't be met, priorities decide.
+                // If shares can't be met, priorities decide.
                 StandingCase { "AllBelow", Floor, { 0, 1, 2 }, { 0, 1, 2 }, { 0, 1, 2 }, {} },
                 StandingCase { "BothButFirst", Floor, { 0, 1, 2 }, { 1, 2 }, { 0, 1, 2 }, {} },
-                // Nothing stands between them, and the most urgent one never gives way.
+                // There is no queue in between, and the most urgent one never yields.
                 StandingCase { "TwoQueues", Floor, { 0, 5 }, { 5 }, { 0, 5 }, {} },
                 StandingCase { "Four", Floor, { 0, 1, 2, 3 }, { 3 }, { 0, 1, 2, 2 }, { 1, 2 } },
                 StandingCase {
@@ -131,7 +131,7 @@
     EXPECT_FALSE(standing(bench, 1).yields);
 }
 
-// A queue of another service has no part in the room.
+// Queues of different services don't share capacity.
 TEST(Floors, HoldWithinAService)
 {
     Bench bench({ 1000000 }, withFloor(Floor));
@@ -153,7 +153,7 @@
     EXPECT_FALSE(standing(bench, 1).yields);
 }
 
-// A queue that is declared anew with another priority goes by it at once.
+// A queue that is redeclared with another priority follows it at once.
 TEST(Floors, FollowAQueueOfAnotherPriority)
 {
     Bench bench({ 1000000 }, withFloor(Floor));
@@ -180,7 +180,7 @@
 class FloorOrder : public testing::TestWithParam<OrderCase>
 { };
 
-// Jobs that wait already change their place, and leave it as they were queued.
+// Waiting jobs move in the queue, and can still be removed from it.
 TEST_P(FloorOrder, ChangesWithTheStanding)
 {
     Bench bench({ 3000 }, withFloor(Floor));
@@ -244,7 +244,7 @@
                                          WaitCase { "MiddleWhileBothBelow", { 1, 2 }, 1, true }),
                          [](const auto &tested) { return tested.param.name; });
 
-// The start goes by the priority that its queue was raised to, at agents too.
+// Starts carry the raised priority, so that agents follow it too.
 TEST(Floors, AreToldToAgents)
 {
     Bench bench({ 1000000 }, withFloor(Floor));
@@ -290,45 +290,44 @@
     bench.submit("too-large", { step });
 }
 
-INSTANTIATE_TEST_SUITE_P(Floors, Counted,
-                         testing::Values(CountedCase { "Placed",
-                                                       [](Bench &b) { b.submit("job", 1); }, 1, 0 },
-                                         CountedCase { "SentAgainWhileAtWork",
-                                                       [](Bench &b) {
-                                                           b.submit("job", 1);
-                                                           b.submit("job", 1);
-                                                       },
-                                                       1, 0 },
-                                         CountedCase { "NoRoomInTime",
-                                                       [](Bench &b) {
-                                                           b.submit("first", 1);
-                                                           b.submit("job", 1);
-                                                           b.pass(Milliseconds(1600));
-                                                       },
-                                                       2, 1 },
-                                         CountedCase { "RefusedAtOnce",
-                                                       [](Bench &b) {
-                                                           b.submit("first", 1);
-                                                           b.submit("before", 100);
-                                                           b.submit("job", 1);
-                                                       },
-                                                       3, 1 },
-                                         CountedCase { "NotServed",
-                                                       [](Bench &b) {
-                                                           b.traits.gang = true;
-                                                           b.submit("job", 1);
-                                                       },
-                                                       0, 0 },
-                                         CountedCase { "TooLargeForAll", submitUnsuited, 0, 0 },
-                                         CountedCase { "EntryStoodStill",
-                                                       [](Bench &b) {
-                                                           b.submit("first", 1);
-                                                           b.submit("job", 1);
-                                                           giveUpAll(b.scheduler, "it stood still",
-                                                                     b.now);
-                                                       },
-                                                       2, 0 }),
-                         [](const auto &tested) { return tested.param.name; });
+INSTANTIATE_TEST_SUITE_P(
+        Floors, Counted,
+        testing::Values(CountedCase { "Placed", [](Bench &b) { b.submit("job", 1); }, 1, 0 },
+                        CountedCase { "SentAgainWhileAtWork",
+                                      [](Bench &b) {
+                                          b.submit("job", 1);
+                                          b.submit("job", 1);
+                                      },
+                                      1, 0 },
+                        CountedCase { "NoRoomInTime",
+                                      [](Bench &b) {
+                                          b.submit("first", 1);
+                                          b.submit("job", 1);
+                                          b.pass(Milliseconds(1600));
+                                      },
+                                      2, 1 },
+                        CountedCase { "RefusedAtOnce",
+                                      [](Bench &b) {
+                                          b.submit("first", 1);
+                                          b.submit("before", 100);
+                                          b.submit("job", 1);
+                                      },
+                                      3, 1 },
+                        CountedCase { "NotServed",
+                                      [](Bench &b) {
+                                          b.traits.gang = true;
+                                          b.submit("job", 1);
+                                      },
+                                      0, 0 },
+                        CountedCase { "TooLargeForAll", submitUnsuited, 0, 0 },
+                        CountedCase { "EntryStoodStill",
+                                      [](Bench &b) {
+                                          b.submit("first", 1);
+                                          b.submit("job", 1);
+                                          giveUpAll(b.scheduler, "this entry was paused", b.now);
+                                      },
+                                      2, 0 }),
+        [](const auto &tested) { return tested.param.name; });
 
 // [SECTION] Log
 
--- a/packages/scheduler/tests/order_test.cpp
+++ b/packages/scheduler/tests/order_test.cpp
@@ -1,5 +1,5 @@
 /*
-    Which waiting job goes next, and what decisions do not depend on.
+    Which waiting job goes next, and what decisions must not depend on.
 
     [SECTION] Order
 */
@@ -20,7 +20,7 @@
 class Orders : public testing::TestWithParam<OrderCase>
 { };
 
-// An early job with much time, and a later one with little.
+// An earlier job with much slack, and a later one with little.
 TEST_P(Orders, DecideWhichJobGoesNext)
 {
     SchedulerSettings settings;
@@ -59,7 +59,7 @@
 class Widths : public testing::TestWithParam<WidthCase>
 { };
 
-// A wide job came first, a narrow one with as much time after it; only one task finds room.
+// A wide job, and after it a narrow one with the same slack; only one task fits.
 TEST_P(Widths, CountWhereLeastWorkGoesFirst)
 {
     SchedulerSettings settings;
@@ -91,7 +91,7 @@
     EXPECT_FALSE(placementNamed("sideways"));
 }
 
-// What a decision depends on: not on what queues, services, jobs and data centres are called.
+// Decisions must not depend on the names of queues, services, jobs and data centres.
 struct Names
 {
     const char *queue;
@@ -103,8 +103,8 @@
 class RenamedWorlds : public testing::TestWithParam<Names>
 { };
 
-// A busy second of two queues on three endpoints that differ in pace: all starts, stops and
-// answers.
+// All starts, stops and answers in a second of load by two queues on three endpoints of different
+// speed.
 std::vector<std::string> decisionsUnder(const Names &names)
 {
     SchedulerState scheduler = makeScheduler({});
@@ -174,7 +174,7 @@
                                          Names { "queue", "align", "9f", "north" },
                                          Names { "queue", "align", "job", "a-very-long-name" }));
 
-// A queue's priority goes before how little time a job of another queue has.
+// A more urgent priority comes before less slack.
 TEST(SchedulerOrder, PriorityGoesBeforeTheLatestBegin)
 {
     Bench bench({ 1000 });
@@ -199,8 +199,8 @@
     const char *name;
     bool refuseLate;
 
-    // After the job came: 100 ms of work within 220 ms, so a latest begin at 120 ms and 50 ms of
-    // margin
+    // Since the job's arrival: 100 ms of work due within 220 ms, so a latest start at 120 ms, and a
+    // margin of 50 ms
     Milliseconds waited;
     bool refused;
 };
@@ -231,7 +231,7 @@
                                                     false }),
                          [](const auto &tested) { return tested.param.name; });
 
-// Jobs of a queue that take twice what callers guess have half of the time that the guess leaves.
+// If a queue's jobs take twice their estimates, the expected time follows and leaves less slack.
 TEST(SchedulerOrder, ObjectivesFollowWhatTheQueuesJobsShowed)
 {
     Bench bench({ 100000 });
--- a/packages/scheduler/tests/outlook_test.cpp
+++ b/packages/scheduler/tests/outlook_test.cpp
@@ -1,6 +1,6 @@
 /*
-    What follows from the forecast: refusal at arrival, late jobs that wait on, and when callers
-    should come back.
+    Decisions by the forecast: refusal at arrival, late jobs that keep waiting, and when callers
+   retry.
 
     [SECTION] Helpers
     [SECTION] Arrivals
@@ -23,7 +23,7 @@
     return settings;
 }
 
-// One agent of 1000 thousandths of a core, all taken by a run of a job that came first.
+// One agent of 1000 millicores, all in use by an earlier job.
 struct BusyBench : Bench
 {
     explicit BusyBench(const SchedulerSettings &settings)
@@ -33,7 +33,7 @@
         tell(0);
     }
 
-    // The agent tells this as free, and the pace of the test.
+    // An update with this free capacity and the test's rate.
     SchedulerActions tell(std::int64_t free)
     {
         jobs::AgentUpdate update;
@@ -45,7 +45,7 @@
         return agentUpdated(scheduler, "agent-0", update, now);
     }
 
-    // Time goes by in ticks, and the agent tells the same in each.
+    // Lets time pass in ticks, with the same update in each.
     SchedulerActions wait(Milliseconds span, std::int64_t free)
     {
         constexpr Milliseconds Turn { 20 };
@@ -102,11 +102,11 @@
     bool forecast;
     std::uint32_t freedPerSecond;
 
-    // Thousandths of a core that wait at the agent with priority 0
+    // Millicores that wait at the agent with priority 0
     std::int64_t waitingThere;
     std::uint32_t priority;
 
-    // Age of the agent's news
+    // Age of the agent's update
     Milliseconds age;
     bool refused;
 };
@@ -114,8 +114,8 @@
 class ForecastArrivals : public testing::TestWithParam<ForecastCase>
 { };
 
-// A job of 1000 thousandths of a core has 70 ms until it counts as late, and may wait for twice
-// that. Without a share of its own that is known, the entry counts on all that comes free.
+// A job of 1000 millicores has 70 ms until it counts as late, and may wait for twice that. While
+// its own share is not known, the entry counts on all freed capacity.
 TEST_P(ForecastArrivals, AreRefusedIfTheyCannotBeOnTime)
 {
     SchedulerSettings settings;
@@ -152,7 +152,7 @@
 {
     const char *name;
 
-    // Ends here of runs of priority 0 and 2, of 1000 thousandths of a core each
+    // Runs of priority 0 and 2 that end here, of 1000 millicores each
     std::uint32_t urgentEnds;
     std::uint32_t otherEnds;
     std::uint32_t priority;
@@ -162,7 +162,7 @@
 class Shares : public testing::TestWithParam<ShareCase>
 { };
 
-// Agents have told of four such ends: what more urgent jobs get does not come to the others.
+// Agents have reported four such ends. A queue does not get what more urgent jobs take.
 TEST_P(Shares, AreThePartOfFreedRoomThatComesToAPriority)
 {
     Bench bench({ 1000 }, withForecast(false));
@@ -192,7 +192,7 @@
     std::optional<Milliseconds> patience;
     std::optional<Milliseconds> timeout;
 
-    // After the job came
+    // Time since the job's arrival
     Milliseconds after;
     bool refused;
 };
@@ -200,7 +200,7 @@
 class WaitingOn : public testing::TestWithParam<WaitOnCase>
 { };
 
-// 100 ms of work within 220 ms, which counts as late after 70 ms.
+// 100 ms of work due within 220 ms, which counts as late after 70 ms.
 TEST_P(WaitingOn, LastsAsLongAsTheJobBeginsBeforeItsCallerIsGone)
 {
     BusyBench bench(withForecast(GetParam().serveLate));
@@ -282,13 +282,13 @@
 {
     const char *name;
 
-    // For how long the agent tells of free room
+    // For how long the agent reports free capacity
     Milliseconds rested;
     std::uint32_t tasks;
     std::int64_t taskCores;
     std::int64_t free;
 
-    // Another job of the size of the agent waits, and can be on time for 160 ms
+    // Whether a job of the agent's whole capacity waits that can be on time for 160 ms
     bool onTimeWaits;
     std::vector<std::string> started;
 };
@@ -296,7 +296,7 @@
 class LateStarts : public testing::TestWithParam<LateStartCase>
 { };
 
-// A late job that waits on, at an agent of one core.
+// A late job that keeps waiting, at an agent of one core.
 TEST_P(LateStarts, TakeOnlyRoomThatNobodyElseWants)
 {
     BusyBench bench(withForecast(true));
@@ -335,7 +335,7 @@
                 LateStartCase { "NotWhileOnTimeWaits", Milliseconds(120), 1, 500, 500, true, {} }),
         [](const auto &tested) { return tested.param.name; });
 
-// Its later steps need no room yet.
+// Later steps need no capacity yet.
 TEST(LateStart, NeedsRoomForItsFirstStepOnly)
 {
     BusyBench bench(withForecast(true));
@@ -366,7 +366,7 @@
     bench.report("agent-0", { endOf("running", 0, 1, RunEnd::Done) }, 1000);
     bench.submit("begun", 2);
     bench.wait(Milliseconds(500), 0);
-    // All room that comes free is this entry's.
+    // This entry's share is all freed capacity.
     addTo(bench.scheduler.freed["align"].own[0], settings.shareSpan, 20000, bench.now);
     bench.taskCores = 600;
     bench.timeout = Milliseconds(9000);
@@ -377,7 +377,7 @@
     EXPECT_EQ(startedIn(bench.wait(Milliseconds(20), 1000)), std::vector<std::string> { "begun" });
 }
 
-// A start that waits at an agent holds room back from all that is on time.
+// A start that waits at an agent holds capacity back from jobs that are on time.
 TEST(LateStart, NeverWaitsAtAnAgent)
 {
     BusyBench bench(withForecast(true));
@@ -402,11 +402,11 @@
 {
     const char *name;
 
-    // Late jobs wait, and the spell of waiting has lasted so long
+    // Late jobs that wait, and how long there have been such
     std::size_t jobs;
     Milliseconds lasted;
 
-    // Thousandths of a core that late jobs got of late
+    // Millicores recently given to late jobs
     double taken;
     std::size_t waiting;
 };
@@ -414,7 +414,7 @@
 class LongSpells : public testing::TestWithParam<LongSpellCase>
 { };
 
-// Jobs of one core and 100 ms; all would begin in time by the forecast.
+// Jobs of one core and 100 ms; by the forecast all of them would begin in time.
 TEST_P(LongSpells, LetAsManyWaitAsLateJobsGotRoomFor)
 {
     BusyBench bench(withForecast(true));
@@ -440,7 +440,7 @@
 
 // [SECTION] Coming back
 
-// Those who are turned away together come back spread over a while.
+// Callers refused together must not all retry together.
 TEST(ComingBack, IsSpreadOverThoseWhoAreRefusedTogether)
 {
     BusyBench bench(withForecast(false));
--- a/packages/scheduler/tests/placing_test.cpp
+++ b/packages/scheduler/tests/placing_test.cpp
@@ -1,5 +1,5 @@
 /*
-    What starts where.
+    Placement of tasks on endpoints.
 
     [SECTION] Placing
 */
@@ -14,7 +14,7 @@
 {
     Bench bench({ 2000, 1000 });
     EXPECT_EQ(startsIn(bench.submit("job", 5)), 3U);
-    // Nothing is known of room that starts on their way will take.
+    // Free capacity already promised to starts on the way is not used again.
     EXPECT_EQ(startsIn(bench.pass(Milliseconds(20))), 0U);
     EXPECT_EQ(startsIn(bench.report("agent-0", {}, 1000)), 1U);
 }
@@ -75,7 +75,7 @@
                 SuitCase { "Full", [](jobs::EndpointView &v) { v.free.milliCores = 999; }, false }),
         [](const auto &tested) { return tested.param.name; });
 
-// Two endpoints in "north" and one in "south", each with room for four tasks.
+// Two endpoints in "north" and one in "south", each with capacity for four tasks.
 struct CordonedBench : Bench
 {
     CordonedBench()
@@ -114,12 +114,12 @@
     bench.cordon(1, { "north" });
     bench.submit("job", 6);
     EXPECT_EQ(startsIn(bench.cordon(2, {})), 2U);
-    // Older news that comes late
+    // An older revision that arrives late
     bench.cordon(1, { "north" });
     EXPECT_TRUE(bench.scheduler.cordons.dataCentres.empty());
 }
 
-// A third of the room stays: what came free in the other two is nothing that work can wait for.
+// A third of the capacity stays: what was freed in the other two thirds no longer counts.
 TEST(SchedulerCordon, CountsOnlyRoomThatStays)
 {
     CordonedBench bench;
@@ -159,7 +159,7 @@
     EXPECT_EQ(startsIn(bench.report("agent-0", { endOf("job", 1, 1, RunEnd::Done) })), 3U);
 }
 
-// Eighty full endpoints, sixteen jobs that wait, and one endpoint that tells its room.
+// Eighty full endpoints, sixteen waiting jobs, and one endpoint that reports its free capacity.
 struct NewsCase
 {
     const char *name;
@@ -215,15 +215,15 @@
     EXPECT_EQ(wishesIn(actions, false), 3U);
 }
 
-// An entry of one data centre among endpoints of two, four cores each: how many of a job's tasks,
-// of a core each, start at the entry's own.
+// An entry of one data centre and endpoints of two, with four cores each: how many of a job's
+// one-core tasks start in the entry's own.
 struct AwayCase
 {
     const char *name;
     const char *entryAt;
     std::uint32_t awayPercent;
 
-    // Time taken by the endpoint at home, in thousandths of what callers guess
+    // Time taken by work at the local endpoint, in thousandths of its estimates
     std::uint32_t homePace;
     bool homeLeaves;
     std::uint32_t tasks;
@@ -269,7 +269,7 @@
                                          AwayCase { "NotKnown", "", 50, 1000, false, 16, 4, 16 }),
                          [](const auto &tested) { return tested.param.name; });
 
-// Four endpoints of four cores, some of which were not heard of for a while: starts at those.
+// Four endpoints of four cores, some of them silent for a while: how many tasks start at those.
 struct QuietCase
 {
     const char *name;
@@ -308,11 +308,11 @@
 {
     const char *name;
 
-    // Of the job, and of one of another queue that came before
+    // Of the job, and of an earlier one of another queue
     std::uint32_t priority;
     std::uint32_t otherPriority;
 
-    // Free at the only endpoint, of 10000
+    // Free millicores at the only endpoint, of 10000
     std::int64_t free;
     std::int64_t waitPercent;
     bool sent;
@@ -321,7 +321,7 @@
 class Waits : public testing::TestWithParam<WaitCase>
 { };
 
-// A task of 1000 where there is no room for it.
+// A task of 1000 millicores, with less than that free.
 TEST_P(Waits, AtAnAgentOnlyWhatGoesFirstThere)
 {
     SchedulerSettings settings;
@@ -348,7 +348,7 @@
                                          WaitCase { "SwitchedOff", 0, 1, 0, 0, false }),
                          [](const auto &tested) { return tested.param.name; });
 
-// A session that a run needs is kept: its end would be told to nobody.
+// The end of a run is reported in its session.
 TEST(SchedulerPlacing, ASessionIsReleasedOnlyOnceNoRunNeedsIt)
 {
     Bench bench({ 10000, 10000 });
@@ -362,7 +362,7 @@
     EXPECT_TRUE(releaseAgent(bench.scheduler, busy));
 }
 
-// An endpoint that suits is there and only has no session yet: the job is not given up for it.
+// A suitable endpoint exists but has no session yet: the job is not refused.
 TEST(SchedulerPlacing, AJobWaitsForAnEndpointThatIsKnownToSuit)
 {
     Bench bench({ 10000 });
@@ -381,7 +381,7 @@
     EXPECT_EQ(startsIn(bench.welcome("agent-1", makeView(20000))), 1U);
 }
 
-// The most urgent queue is dropped: the next one takes its place at the agents.
+// The most urgent queue is removed: starts of the next one may wait at agents.
 TEST(SchedulerPlacing, WhatGoesFirstIsLearnedAnewWhenTheQueuesChange)
 {
     Bench bench({ 10000 });
@@ -397,7 +397,7 @@
     EXPECT_EQ(startsIn(bench.submit("after-1", 1)), 1U);
 }
 
-// A start that waits at an agent may still begin: nothing is said of it before the agent does.
+// A start that waits at an agent may still begin: the job is not answered before the agent reports.
 TEST(SchedulerPlacing, AJobThatWaitsAtAnAgentIsRefusedOnlyAfterTheAgentsWord)
 {
     Bench bench({ 10000 });
