--- a/packages/control/include/foxwing/control/control.h
+++ b/packages/control/include/foxwing/control/control.h
@@ -58,7 +58,7 @@
 struct NodeRecord
 {
     Beat last;
-    Time heardAt {};
+    Time lastReceivedAt {};
     bool live = true;
 
     // When a life of this node ended last; milliseconds since 1970.
--- a/packages/control/include/foxwing/control/quota.h
+++ b/packages/control/include/foxwing/control/quota.h
@@ -68,7 +68,7 @@
 
     // The last share that was sent; the entry may or may not have it.
     std::uint32_t sent = 0;
-    Time heardAt {};
+    Time lastReceivedAt {};
 };
 
 struct ShareBook
--- a/packages/control/src/control.cpp
+++ b/packages/control/src/control.cpp
@@ -57,7 +57,7 @@
         ++control.agentsVersion;
     node.live = !beat.leaving;
     node.last = beat;
-    node.heardAt = now;
+    node.lastReceivedAt = now;
     return &node;
 }
 
@@ -65,7 +65,7 @@
 {
     for (auto &entry : control.nodes) {
         NodeRecord &node = entry.second;
-        if (!node.live || now < node.heardAt + control.settings.deadAfter)
+        if (!node.live || now < node.lastReceivedAt + control.settings.deadAfter)
             continue;
         ++control.counters.deaths;
         endLife(control, node, now, wallNow);
@@ -90,7 +90,7 @@
     if (gap < LongestTickGap)
         return;
     for (auto &entry : control.nodes)
-        entry.second.heardAt += gap;
+        entry.second.lastReceivedAt += gap;
 }
 
 // [SECTION] Updates
--- a/packages/control/src/quota.cpp
+++ b/packages/control/src/quota.cpp
@@ -18,7 +18,7 @@
 // What an entry may run at the most until it is heard from again.
 std::uint32_t believed(const ShareBook &book, const HeldShare &held, Time now)
 {
-    if (now >= held.heardAt + book.shareLife)
+    if (now >= held.lastReceivedAt + book.shareLife)
         return 0;
     return std::max({ held.reported.share, held.sent, held.reported.running });
 }
@@ -65,12 +65,12 @@
     for (auto &team : book.teams) {
         const auto held = team.second.find(entry);
         if (held != team.second.end())
-            held->second.heardAt = now;
+            held->second.lastReceivedAt = now;
     }
     for (const ShareReport &report : reports) {
         HeldShare &held = book.teams[report.team][entry];
         held.reported = report;
-        held.heardAt = now;
+        held.lastReceivedAt = now;
     }
 }
 
@@ -92,8 +92,8 @@
     std::vector<ShareGrant> grants;
     for (const TeamQuota &quota : quotas) {
         HeldShare &own = book.teams[quota.team][entry];
-        if (own.heardAt == Time {})
-            own.heardAt = now;
+        if (own.lastReceivedAt == Time {})
+            own.lastReceivedAt = now;
         const std::uint32_t target = targetFor(book.teams[quota.team], entry, entries,
                                                quota.concurrency);
         const std::uint32_t others = believedSum(book, quota.team, now) - believed(book, own, now);
--- a/packages/entry/include/foxwing/entry/placement.h
+++ b/packages/entry/include/foxwing/entry/placement.h
@@ -55,7 +55,7 @@
 struct PeerLoad
 {
     LoadReport report;
-    Time heardAt {};
+    Time lastReceivedAt {};
 };
 
 struct Placement
--- a/packages/entry/src/placement.cpp
+++ b/packages/entry/src/placement.cpp
@@ -27,7 +27,7 @@
 
 bool believable(const Placement &placement, const PeerLoad &peer, Time now)
 {
-    return !peer.report.leaving && now < peer.heardAt + placement.settings.reportLife;
+    return !peer.report.leaving && now < peer.lastReceivedAt + placement.settings.reportLife;
 }
 
 const ReportedLoad *findLoad(const LoadReport &report, const std::string &service)
--- a/packages/fleet/src/agentlinks.cpp
+++ b/packages/fleet/src/agentlinks.cpp
@@ -28,9 +28,9 @@
     subset::forgetControlHost(m_subset, host);
 }
 
-void AgentLinks::takeCordons(const catalog::Cordons &cordons)
+void AgentLinks::applyCordons(const catalog::Cordons &cordons)
 {
-    subset::takeCordons(m_subset, cordons);
+    subset::applyCordons(m_subset, cordons);
 }
 
 // [SECTION] Connections
--- a/packages/fleet/src/agentlinks.h
+++ b/packages/fleet/src/agentlinks.h
@@ -42,7 +42,7 @@
     // News from control
     void takeUpdate(const std::string &from, const directory::DirectoryUpdate &update);
     void forgetControlHost(const std::string &host);
-    void takeCordons(const catalog::Cordons &cordons);
+    void applyCordons(const catalog::Cordons &cordons);
 
     // Opens and gives up connections, so that they follow the subset. wantsRoom: work has found no
     // room of late.
--- a/packages/fleet/src/controlshell.cpp
+++ b/packages/fleet/src/controlshell.cpp
@@ -70,7 +70,7 @@
 {
     std::unique_ptr<fabric::Dialer> dialer;
     std::shared_ptr<fabric::Link> link;
-    Time heardAt {};
+    Time lastReceivedAt {};
 };
 
 class ControlShell : public RoleShell
@@ -217,7 +217,7 @@
     m_nodes.beat(beat, now);
     std::vector<std::shared_ptr<fabric::Link>> silent;
     for (auto &[address, peer] : m_controls) {
-        if (peer.link && now >= peer.heardAt + NodeSilence)
+        if (peer.link && now >= peer.lastReceivedAt + NodeSilence)
             silent.push_back(peer.link);
         else if (peer.link)
             peer.link->send(beat);
@@ -284,7 +284,7 @@
             [this, address](const std::shared_ptr<fabric::Link> &link) {
                 GroupPeer &peer = m_controls.at(address);
                 peer.link = link;
-                peer.heardAt = steadyNow();
+                peer.lastReceivedAt = steadyNow();
                 link->start([this,
                              address](std::string_view bytes) { controlReceived(address, bytes); },
                             [this, address] {
@@ -293,7 +293,7 @@
                                            change("control-lost")
                                                    .with("host", address)
                                                    .with("heard_ms_ago",
-                                                         steadyNow() - lost.heardAt));
+                                                         steadyNow() - lost.lastReceivedAt));
                                 lost.link.reset();
                                 lost.dialer->lost();
                             });
@@ -314,7 +314,7 @@
 
 void ControlShell::controlReceived(const std::string &address, std::string_view bytes)
 {
-    m_controls.at(address).heardAt = steadyNow();
+    m_controls.at(address).lastReceivedAt = steadyNow();
     const auto frame = readFrame(m_core, address, bytes);
     if (!frame)
         return;
--- a/packages/fleet/src/core.cpp
+++ b/packages/fleet/src/core.cpp
@@ -68,7 +68,7 @@
 {
     std::unique_ptr<fabric::Dialer> dialer;
     std::shared_ptr<fabric::Link> link;
-    Time heardAt {};
+    Time lastReceivedAt {};
     Time sentAt {};
     bool wasLost = false;
 };
@@ -109,7 +109,7 @@
 {
     const Time now = steadyNow();
     peer.link = link;
-    peer.heardAt = now;
+    peer.lastReceivedAt = now;
     peer.sentAt = now;
     fleet::connected(m_book, peer.dialer->address(), now);
     link->start([this, &peer](std::string_view bytes) { received(peer, bytes); },
@@ -117,7 +117,7 @@
                     writeEvent(m_core.log,
                                change("control-lost")
                                        .with("host", peer.dialer->address())
-                                       .with("heard_ms_ago", steadyNow() - peer.heardAt));
+                                       .with("heard_ms_ago", steadyNow() - peer.lastReceivedAt));
                     peer.link.reset();
                     connectionLost(m_book, peer.dialer->address());
                     peer.wasLost = true;
@@ -131,16 +131,16 @@
 
 void ControlLinks::received(Peer &peer, std::string_view bytes)
 {
-    peer.heardAt = steadyNow();
+    peer.lastReceivedAt = steadyNow();
     const std::string from = peer.dialer->address();
-    heard(m_book, from, peer.heardAt);
+    heard(m_book, from, peer.lastReceivedAt);
     if (!bytes.empty() && bytes == m_lastAgreed)
         return;
     const auto frame = readFrame(m_core, from, bytes);
     if (!frame)
         return;
     if (const auto *update = std::get_if<directory::DirectoryUpdate>(&*frame)) {
-        for (const std::string &address : takeUpdate(m_book, from, *update, peer.heardAt))
+        for (const std::string &address : takeUpdate(m_book, from, *update, peer.lastReceivedAt))
             dial(address);
         m_events.directory(from, *update);
     } else if (const auto *push = std::get_if<AgreedPush>(&*frame)) {
@@ -167,7 +167,7 @@
     for (auto &[address, peer] : m_peers) {
         if (!peer->link)
             continue;
-        if (now >= peer->heardAt + ControlSilence) {
+        if (now >= peer->lastReceivedAt + ControlSilence) {
             peer->link->close();
         } else if (now >= peer->sentAt + ControlBeat) {
             peer->sentAt = now;
--- a/packages/fleet/src/entryshell.cpp
+++ b/packages/fleet/src/entryshell.cpp
@@ -13,7 +13,7 @@
 #include <foxwing/base/digest.h>
 #include <foxwing/fabric/httpserver.h>
 #include <foxwing/lag/lag.h>
-#include <foxwing/scheduler/callerwatch.h>
+#include <foxwing/scheduler/callerprobe.h>
 
 #include "agentlinks.h"
 #include "core.h"
@@ -101,13 +101,14 @@
     ControlEvents controlEvents();
     void takeDirectory(const std::string &from, const directory::DirectoryUpdate &update);
     void takeCatalog(const catalog::Catalog &catalog);
-    void takeCordons(const catalog::Cordons &cordons);
+    void applyCordons(const catalog::Cordons &cordons);
 
     void carryOut(scheduler::SchedulerActions &&actions);
     void answer(const scheduler::JobAnswer &answer);
 
     // Lag
-    Time cameAt(const fabric::Exchange &exchange, std::optional<Time> heldSince, Time now) const;
+    Time receivedAt(const fabric::Exchange &exchange, std::optional<Time> heldSince,
+                    Time now) const;
     void noteTurn(Time now);
     void tellStandingBack(Time now);
     void addLagSamples(std::vector<metrics::Sample> &samples) const;
@@ -138,7 +139,7 @@
     Time m_stopBegan {};
     std::uint64_t m_notFound = 0;
     std::uint64_t m_badRequests = 0;
-    scheduler::CallerWatch m_callerWatch;
+    scheduler::CallerProbeState m_callerWatch;
 
     // Callers that were found gone by a look
     std::uint64_t m_callersFoundGone = 0;
@@ -153,9 +154,9 @@
     if (!m_callers)
         return false;
     // Until a caller that lost its entry has sent again, and lost runs are certainly over
-    m_callerWatch.settings.watchFor = std::max(m_callerWatch.settings.watchFor,
-                                               m_core.settings.resendAfter
-                                                       + m_core.settings.scheduler.certainSilence);
+    m_callerWatch.settings.probeWindow =
+            std::max(m_callerWatch.settings.probeWindow,
+                     m_core.settings.resendAfter + m_core.settings.scheduler.lostRunTimeout);
     m_lastTurn = steadyNow();
     m_held.startedAt = m_lastTurn;
     if (m_core.settings.readiness.empty())
@@ -217,10 +218,10 @@
         writeEvent(m_core.log,
                    change("held-calls-served")
                            .with("calls", std::uint64_t { calls.size() })
-                           .with("oldest_ms", steadyNow() - calls.front().cameAt));
+                           .with("oldest_ms", steadyNow() - calls.front().receivedAt));
     for (const HeldCall &call : calls) {
         if (call.exchange->callerIsThere())
-            serveCaller(call.exchange, call.cameAt);
+            serveCaller(call.exchange, call.receivedAt);
     }
 }
 
@@ -249,16 +250,16 @@
 
 namespace {
 
-scheduler::JobTerms makeTerms(const catalog::QueueDeclaration &queue)
+scheduler::JobOptions makeTerms(const catalog::QueueDeclaration &queue)
 {
-    scheduler::JobTerms terms;
-    terms.queue = queue.name;
-    terms.service = queue.service;
-    terms.priority = queue.priority;
-    terms.attempts = queue.attempts;
-    terms.stretch = std::clamp(queue.stretch, 0.0, MostStretch);
-    terms.targetLatency = queue.targetLatency;
-    return terms;
+    scheduler::JobOptions options;
+    options.queue = queue.name;
+    options.service = queue.service;
+    options.priority = queue.priority;
+    options.attempts = queue.attempts;
+    options.stretch = std::clamp(queue.stretch, 0.0, MostStretch);
+    options.targetLatency = queue.targetLatency;
+    return options;
 }
 
 } // namespace
@@ -278,17 +279,17 @@
         return;
     const Time now = steadyNow();
     seeCallers(now);
-    const Time came = cameAt(*exchange, heldSince, now);
-    scheduler::JobTerms terms = makeTerms(queue);
+    const Time came = receivedAt(*exchange, heldSince, now);
+    scheduler::JobOptions options = makeTerms(queue);
     if (came < now)
-        terms.cameAt = came;
-    terms.beginBy = came + queue.timeout;
+        options.receivedAt = came;
+    options.startDeadline = came + queue.timeout;
     if (call.patience)
-        terms.patienceUntil = came + *call.patience;
-    terms.suitableElsewhere = m_agents.reach(*spec, queue.service, now);
+        options.callerDeadline = came + *call.patience;
+    options.suitableUnconnected = m_agents.reach(*spec, queue.service, now);
     keepAgents(now);
     std::uint64_t number = 0;
-    scheduler::SchedulerActions actions = scheduler::submit(m_scheduler, *spec, terms, now,
+    scheduler::SchedulerActions actions = scheduler::submit(m_scheduler, *spec, options, now,
                                                             &number);
     m_waiting[number].push_back(exchange);
     m_queueOf[number] = queue.name;
@@ -317,7 +318,7 @@
 
 void EntryShell::seeCallers(Time now)
 {
-    for (const std::uint64_t number : scheduler::callersToSee(m_callerWatch, m_scheduler, now))
+    for (const std::uint64_t number : scheduler::callersToProbe(m_callerWatch, m_scheduler, now))
         seeCallersOf(number);
 }
 
@@ -381,7 +382,7 @@
     };
     events.lost = [this](const std::string &address) {
         const Time now = steadyNow();
-        scheduler::noteSessionLost(m_callerWatch, now);
+        scheduler::recordSessionLost(m_callerWatch, now);
         carryOut(scheduler::agentLost(m_scheduler, address, now));
     };
     events.release = [this](const std::string &address) {
@@ -410,13 +411,13 @@
     if (const auto *update = std::get_if<jobs::AgentUpdate>(&*frame))
         carryOut(scheduler::agentUpdated(m_scheduler, address, *update, now));
     else if (const auto *welcome = std::get_if<jobs::Welcome>(&*frame))
-        carryOut(scheduler::agentWelcomed(m_scheduler, address, *welcome, now));
+        carryOut(scheduler::agentAccepted(m_scheduler, address, *welcome, now));
 }
 
 void EntryShell::keepAgents(Time now)
 {
-    m_agents.keep(now < m_scheduler.wantsRoomUntil, now);
-    m_scheduler.entries = m_agents.subset().sharingEntries;
+    m_agents.keep(now < m_scheduler.needsCapacityUntil, now);
+    m_scheduler.entryCount = m_agents.subset().sharingEntries;
 }
 
 // [SECTION] Control
@@ -428,7 +429,7 @@
         takeDirectory(from, update);
     };
     events.agreed = [this](const AgreedPush &push) {
-        takeCordons(push.cordons);
+        applyCordons(push.cordons);
         takeCatalog(push.catalog);
     };
     events.forgotten = [this](const std::string &host) { m_agents.forgetControlHost(host); };
@@ -441,7 +442,7 @@
     keepAgents(steadyNow());
 }
 
-void EntryShell::takeCordons(const catalog::Cordons &cordons)
+void EntryShell::applyCordons(const catalog::Cordons &cordons)
 {
     m_knowsCordons = true;
     if (cordons.revision <= m_scheduler.cordons.revision)
@@ -452,10 +453,10 @@
                        .with("before", m_scheduler.cordons.revision)
                        .with("data_centres", joinedNames(cordons)));
     const Time now = steadyNow();
-    m_agents.takeCordons(cordons);
+    m_agents.applyCordons(cordons);
     keepAgents(now);
     seeCallers(now);
-    carryOut(scheduler::takeCordons(m_scheduler, cordons, now));
+    carryOut(scheduler::applyCordons(m_scheduler, cordons, now));
 }
 
 void EntryShell::takeCatalog(const catalog::Catalog &catalog)
@@ -472,7 +473,7 @@
     std::set<std::string> queues;
     for (const catalog::QueueDeclaration &queue : catalog.queues)
         queues.insert(queue.name);
-    scheduler::keepQueues(m_scheduler, queues);
+    scheduler::retainQueues(m_scheduler, queues);
     fabric::HttpLimits limits;
     limits.headerBytes = catalog.limits.headerBytes;
     limits.bodyBytes = catalog.limits.bodyBytes;
@@ -485,8 +486,8 @@
 // [SECTION] Lag
 
 // A call that an entry reads while it is behind has lost part of its caller's time already.
-Time EntryShell::cameAt(const fabric::Exchange &exchange, std::optional<Time> heldSince,
-                        Time now) const
+Time EntryShell::receivedAt(const fabric::Exchange &exchange, std::optional<Time> heldSince,
+                            Time now) const
 {
     if (heldSince)
         return *heldSince;
@@ -535,7 +536,7 @@
     if (pause < PauseSpan)
         return;
     writeEvent(m_core.log, change("paused").with("for_ms", pause));
-    carryOut(scheduler::giveUpAll(m_scheduler, "this entry stood still", now));
+    carryOut(scheduler::closeAllJobs(m_scheduler, "this entry stood still", now));
     m_agents.closeAll();
 }
 
@@ -584,7 +585,7 @@
                      std::vector<metrics::Sample> &samples)
 {
     const auto add = [&](const char *name, const char *help, bool gauge, auto valueOf) {
-        for (const auto &[queue, standing] : scheduler.standings)
+        for (const auto &[queue, standing] : scheduler.queueStatuses)
             samples.push_back({ metrics::labelled(name, "queue", queue), help,
                                 static_cast<double>(valueOf(queue)), gauge });
     };
@@ -601,7 +602,9 @@
             return shares::servedPercent(scheduler.shares, queue, now);
         });
     add("foxwing_queue_below_floor", "Queues that are below their floor", true,
-        [&](const std::string &queue) { return scheduler.standings.at(queue).belowFloor ? 1 : 0; });
+        [&](const std::string &queue) {
+            return scheduler.queueStatuses.at(queue).belowGuarantee ? 1 : 0;
+        });
 }
 
 std::vector<metrics::Sample> EntryShell::samples() const
@@ -639,13 +642,15 @@
     };
     gauge("foxwing_jobs_open", "Jobs not answered yet", scheduler::openJobs(m_scheduler));
     gauge("foxwing_jobs_waiting", "Jobs with tasks that wait", m_scheduler.queue.size());
-    const scheduler::Outlook outlook = scheduler::outlook(m_scheduler, steadyNow());
-    gauge("foxwing_jobs_waiting_late", "Jobs that wait and can't be on time", outlook.waitingLate);
-    if (outlook.wait)
+    const scheduler::ForecastStatus forecastStatus = scheduler::forecastStatus(m_scheduler,
+                                                                               steadyNow());
+    gauge("foxwing_jobs_waiting_late", "Jobs that wait and can't be on time",
+          forecastStatus.waitingLate);
+    if (forecastStatus.wait)
         gauge("foxwing_expected_wait_ms", "Wait of a job that comes now, behind all others",
-              static_cast<std::size_t>(outlook.wait->count()));
+              static_cast<std::size_t>(forecastStatus.wait->count()));
     samples.push_back({ "foxwing_picture_age_ms", "Age of the oldest news in the forecast",
-                        toMilliseconds(outlook.age), true });
+                        toMilliseconds(forecastStatus.age), true });
     gauge("foxwing_agents", "Agents in touch", m_scheduler.agents.size());
     gauge("foxwing_agents_listed", "Agents that control hosts list",
           m_agents.subset().agents.size());
--- a/packages/fleet/src/heldcalls.cpp
+++ b/packages/fleet/src/heldcalls.cpp
@@ -23,7 +23,7 @@
 std::vector<HeldCall> expired(HeldCalls &held, Time now)
 {
     std::vector<HeldCall> over;
-    while (!held.calls.empty() && now >= held.calls.front().cameAt + held.settings.mostHold) {
+    while (!held.calls.empty() && now >= held.calls.front().receivedAt + held.settings.mostHold) {
         over.push_back(std::move(held.calls.front()));
         held.calls.pop_front();
     }
--- a/packages/fleet/src/heldcalls.h
+++ b/packages/fleet/src/heldcalls.h
@@ -13,7 +13,7 @@
         if (!hold(held, exchange, now))
             ... refuse ...
         for (HeldCall &call : expired(held, now)) ... refuse ...
-        for (HeldCall &call : release(held)) ... go on as of call.cameAt ...
+        for (HeldCall &call : release(held)) ... go on as of call.receivedAt ...
 
     [SECTION] State
     [SECTION] Functions
@@ -46,7 +46,7 @@
 struct HeldCall
 {
     fabric::ExchangePtr exchange;
-    Time cameAt {};
+    Time receivedAt {};
 };
 
 struct HeldCalls
--- a/packages/fleet/src/nodelinks.cpp
+++ b/packages/fleet/src/nodelinks.cpp
@@ -22,7 +22,7 @@
     const std::uint64_t connection = ++m_lastConnection;
     Node &node = m_nodes[connection];
     node.link = link;
-    node.heardAt = steadyNow();
+    node.lastReceivedAt = steadyNow();
     link->start([this, connection](std::string_view bytes) { received(connection, bytes); },
                 [this, connection] { lost(connection); });
 }
@@ -30,7 +30,7 @@
 void NodeLinks::received(std::uint64_t connection, std::string_view bytes)
 {
     Node &node = m_nodes.at(connection);
-    node.heardAt = steadyNow();
+    node.lastReceivedAt = steadyNow();
     const auto frame = readFrame(m_core, node.link->remote(), bytes);
     if (!frame)
         return;
@@ -63,7 +63,7 @@
                    change("node-lost")
                            .with("name", gone.info.name)
                            .with("role", toString(gone.info.role))
-                           .with("heard_ms_ago", steadyNow() - gone.heardAt));
+                           .with("heard_ms_ago", steadyNow() - gone.lastReceivedAt));
 }
 
 // [SECTION] Telling
@@ -118,7 +118,7 @@
 {
     std::vector<std::shared_ptr<fabric::Link>> silent;
     for (auto &[connection, node] : m_nodes) {
-        if (now >= node.heardAt + NodeSilence)
+        if (now >= node.lastReceivedAt + NodeSilence)
             silent.push_back(node.link);
         else
             node.link->send(frame);
--- a/packages/fleet/src/nodelinks.h
+++ b/packages/fleet/src/nodelinks.h
@@ -66,7 +66,7 @@
         std::shared_ptr<fabric::Link> link;
         directory::NodeInfo info;
         bool announced = false;
-        Time heardAt {};
+        Time lastReceivedAt {};
         std::uint64_t toldRevision = 0;
 
         // What is agreed as it was sent there: whether at all, version of the catalog, revision of
--- a/packages/fleet/src/operatorshell.cpp
+++ b/packages/fleet/src/operatorshell.cpp
@@ -96,7 +96,7 @@
         writeEvent(m_core.log,
                    change("operator-gone")
                            .with("call", operators::toString(call->second.request))
-                           .with("waited_ms", steadyNow() - call->second.cameAt));
+                           .with("waited_ms", steadyNow() - call->second.receivedAt));
     operators::dropCall(m_operators, number);
     m_origins.erase(number);
 }
--- a/packages/fleet/src/peerbook.cpp
+++ b/packages/fleet/src/peerbook.cpp
@@ -50,12 +50,12 @@
 {
     KnownPeer &peer = book.peers[address];
     peer.connected = true;
-    peer.heardAt = now;
+    peer.lastReceivedAt = now;
 }
 
 void heard(PeerBook &book, const std::string &address, Time now)
 {
-    book.peers[address].heardAt = now;
+    book.peers[address].lastReceivedAt = now;
 }
 
 void connectionLost(PeerBook &book, const std::string &address)
@@ -85,7 +85,7 @@
     for (const auto &[address, peer] : book.peers) {
         const Milliseconds span = book.settings.forgetAfter;
         if (!peer.connected && wanted.count(address) == 0 && now >= peer.listedAt + span
-            && now >= peer.heardAt + span)
+            && now >= peer.lastReceivedAt + span)
             changes.dropped.push_back(address);
     }
     for (const std::string &address : changes.dropped)
--- a/packages/fleet/src/peerbook.h
+++ b/packages/fleet/src/peerbook.h
@@ -37,7 +37,7 @@
 struct KnownPeer
 {
     bool connected = false;
-    Time heardAt {};
+    Time lastReceivedAt {};
 
     // When it was last named to this process
     Time listedAt {};
--- a/packages/fleet/src/settings.cpp
+++ b/packages/fleet/src/settings.cpp
@@ -111,7 +111,7 @@
     scheduler::SchedulerSettings &policy = settings.scheduler;
     std::string order = scheduler::toString(policy.order);
     table.text("order", order);
-    const auto known = scheduler::orderNamed(order);
+    const auto known = scheduler::parseOrder(order);
     if (known)
         policy.order = *known;
     else
@@ -120,27 +120,27 @@
                      "\"least-work\"");
     std::string placement = scheduler::toString(policy.placement);
     table.text("placement", placement);
-    const auto knownPlacement = scheduler::placementNamed(placement);
+    const auto knownPlacement = scheduler::parsePlacement(placement);
     if (knownPlacement)
         policy.placement = *knownPlacement;
     else
         table.refuse("placement", "must be \"fastest\", \"random\" or \"most-room\"");
     std::string waiting = scheduler::toString(policy.waitingQueues);
     table.text("waiting_queues", waiting);
-    const auto knownWaiting = scheduler::waitingQueuesNamed(waiting);
+    const auto knownWaiting = scheduler::parseWaitingQueues(waiting);
     if (knownWaiting)
         policy.waitingQueues = *knownWaiting;
     else
         table.refuse("waiting_queues", "must be \"most-urgent\" or \"all-but-least\"");
     table.whole("margin_percent", policy.marginPercent, 0, 1000);
-    table.number("refuse_above", policy.refuseAbove, 0.01, 100);
-    table.number("far_factor", policy.farFactor, 1, 100);
-    table.whole("away_percent", policy.awayPercent, 0, 1000);
+    table.number("refuse_above", policy.maxWaitFactor, 0.01, 100);
+    table.number("far_factor", policy.offRackFactor, 1, 100);
+    table.whole("away_percent", policy.remotePercent, 0, 1000);
     table.flag("refuse_late", policy.refuseLate);
     table.flag("serve_late", policy.serveLate);
     table.flag("forecast", policy.forecast);
-    table.whole("refuse_at_arrival_percent", policy.refuseAtArrivalPercent, 0, 1000);
-    table.whole("wait_percent", policy.waitPercent, 0, 100);
+    table.whole("refuse_at_arrival_percent", policy.maxWaitPercent, 0, 1000);
+    table.whole("wait_percent", policy.maxShortfallPercent, 0, 100);
     table.whole("floor_percent", policy.shares.floorPercent, 0, 100);
     table.flag("learn_run_times", policy.learnRunTimes);
     table.flag("move_runs", policy.moveRuns);
@@ -157,17 +157,17 @@
     scheduler::SchedulerSettings &entry = settings.scheduler;
     runner::RunnerSettings &agent = settings.runner;
     const Milliseconds most = settings.resendAfter - ResendMargin;
-    if (entry.certainSilence <= most || most.count() <= 0)
+    if (entry.lostRunTimeout <= most || most.count() <= 0)
         return;
     const double factor = static_cast<double>(most.count())
-            / static_cast<double>(entry.certainSilence.count());
+            / static_cast<double>(entry.lostRunTimeout.count());
     const auto shrink = [factor](Milliseconds &span) {
         span = Milliseconds(static_cast<std::int64_t>(static_cast<double>(span.count()) * factor));
     };
-    shrink(entry.certainSilence);
-    shrink(entry.agentSilence);
-    shrink(entry.beatInterval);
-    shrink(entry.quietAfter);
+    shrink(entry.lostRunTimeout);
+    shrink(entry.agentTimeout);
+    shrink(entry.heartbeatInterval);
+    shrink(entry.suspectAfter);
     shrink(agent.ownerSilence);
     shrink(agent.leaseSpan);
     shrink(agent.calmInterval);
--- a/packages/fleet/tests/heldcalls_test.cpp
+++ b/packages/fleet/tests/heldcalls_test.cpp
@@ -39,14 +39,14 @@
 {
     HeldCalls held;
     held.startedAt = Time(Seconds(100));
-    const Time cameAt = held.startedAt + GetParam().cameAfter;
-    EXPECT_EQ(hold(held, makeCall(), cameAt), GetParam().held);
-    const std::vector<HeldCall> over = expired(held, cameAt + GetParam().knownAfter);
+    const Time receivedAt = held.startedAt + GetParam().cameAfter;
+    EXPECT_EQ(hold(held, makeCall(), receivedAt), GetParam().held);
+    const std::vector<HeldCall> over = expired(held, receivedAt + GetParam().knownAfter);
     const std::vector<HeldCall> rest = release(held);
     EXPECT_EQ(rest.size(), GetParam().released ? 1U : 0U);
     EXPECT_EQ(over.size() + rest.size(), GetParam().held ? 1U : 0U);
     for (const HeldCall &call : rest)
-        EXPECT_EQ(call.cameAt, cameAt);
+        EXPECT_EQ(call.receivedAt, receivedAt);
     EXPECT_TRUE(held.calls.empty());
 }
 
--- a/packages/fleet/tests/settings_test.cpp
+++ b/packages/fleet/tests/settings_test.cpp
@@ -66,21 +66,21 @@
     EXPECT_TRUE(settings->firstStart);
     EXPECT_EQ(settings->toleratedLosses, 1U);
     EXPECT_EQ(settings->scheduler.dataCentre, "oviedo");
-    EXPECT_EQ(settings->scheduler.awayPercent, 40U);
-    EXPECT_EQ(settings->scheduler.farFactor, 3);
+    EXPECT_EQ(settings->scheduler.remotePercent, 40U);
+    EXPECT_EQ(settings->scheduler.offRackFactor, 3);
     EXPECT_EQ(settings->subset.least, 12U);
     EXPECT_EQ(settings->subset.entriesPerAgent, 3U);
     EXPECT_EQ(innerAddress(*settings), "10.1.0.13:7720");
     EXPECT_EQ(seedAddresses(*settings),
               (std::vector<std::string> { "10.1.0.17:7720", "10.2.0.34:7720" }));
     EXPECT_EQ(settings->stopGrace, Milliseconds(6000));
-    EXPECT_EQ(settings->scheduler.order, scheduler::Order::LatestBegin);
+    EXPECT_EQ(settings->scheduler.order, scheduler::Order::LatestStart);
     EXPECT_EQ(settings->scheduler.marginPercent, 20U);
     EXPECT_FALSE(settings->scheduler.refuseLate);
     EXPECT_TRUE(settings->scheduler.serveLate);
     EXPECT_TRUE(settings->scheduler.forecast);
-    EXPECT_EQ(settings->scheduler.refuseAtArrivalPercent, 150U);
-    EXPECT_EQ(settings->scheduler.waitPercent, 0);
+    EXPECT_EQ(settings->scheduler.maxWaitPercent, 150U);
+    EXPECT_EQ(settings->scheduler.maxShortfallPercent, 0);
     EXPECT_EQ(settings->scheduler.waitingQueues, scheduler::WaitingQueues::AllButLeast);
     EXPECT_EQ(settings->scheduler.shares.floorPercent, 65U);
     EXPECT_EQ(settings->scheduler.placement, scheduler::Placement::MostRoom);
@@ -159,14 +159,14 @@
     ASSERT_TRUE(settings) << reason.message;
     const auto &entry = settings->scheduler;
     const auto &agent = settings->runner;
-    EXPECT_LT(entry.certainSilence, Milliseconds(GetParam().resendMilliseconds));
-    EXPECT_LT(agent.ownerSilence + agent.leaseSpan * 102 / 100, entry.certainSilence);
-    EXPECT_LT(entry.agentSilence, agent.ownerSilence);
-    EXPECT_LT(entry.beatInterval * 2, agent.ownerSilence);
+    EXPECT_LT(entry.lostRunTimeout, Milliseconds(GetParam().resendMilliseconds));
+    EXPECT_LT(agent.ownerSilence + agent.leaseSpan * 102 / 100, entry.lostRunTimeout);
+    EXPECT_LT(entry.agentTimeout, agent.ownerSilence);
+    EXPECT_LT(entry.heartbeatInterval * 2, agent.ownerSilence);
 
     // An agent that is there is neither given up nor passed over between two pieces of news.
-    EXPECT_LT(agent.calmInterval * 2, entry.quietAfter);
-    EXPECT_LT(entry.quietAfter, entry.agentSilence);
+    EXPECT_LT(agent.calmInterval * 2, entry.suspectAfter);
+    EXPECT_LT(entry.suspectAfter, entry.agentTimeout);
 }
 
 INSTANTIATE_TEST_SUITE_P(Fleet, Resend,
--- a/packages/forecast/include/foxwing/forecast/forecast.h
+++ b/packages/forecast/include/foxwing/forecast/forecast.h
@@ -32,7 +32,7 @@
     std::int64_t freeMilliCores = 0;
     std::vector<jobs::WaitingRoom> waiting;
     std::uint32_t freedPerSecond = 0;
-    Time heardAt {};
+    Time lastReceivedAt {};
 };
 
 // One service as a whole.
--- a/packages/forecast/src/forecast.cpp
+++ b/packages/forecast/src/forecast.cpp
@@ -32,7 +32,7 @@
 
 void addAgent(Picture &picture, const AgentNews &news, Time now)
 {
-    const Microseconds age = now - news.heardAt;
+    const Microseconds age = now - news.lastReceivedAt;
     if (age > OldestNews)
         return;
     picture.age = std::max(picture.age, age);
--- a/packages/load/src/fleetcost.cpp
+++ b/packages/load/src/fleetcost.cpp
@@ -35,7 +35,7 @@
     const auto agents = static_cast<double>(shape.agents);
     const auto controlHosts = static_cast<double>(shape.controlHosts);
     // Each beat is answered.
-    const double perSession = 2 * perSecond(shape.scheduler.beatInterval);
+    const double perSession = 2 * perSecond(shape.scheduler.heartbeatInterval);
     const double perControlLink = 2 * perSecond(shape.controlBeat);
     FleetCost cost;
     cost.entry.sessions = static_cast<double>(sessionsOfEntry(shape));
--- a/packages/node/src/node.cpp
+++ b/packages/node/src/node.cpp
@@ -235,9 +235,9 @@
     if (m_entry)
         m_entry->fillBeat(beat);
     const bool hurried = m_entry && !beat.leaving && !m_entry->allClaimsInService();
-    m_nextBeat = now + (hurried ? HurriedBeatInterval : m_settings.cluster.beatInterval);
+    m_nextBeat = now + (hurried ? HurriedBeatInterval : m_settings.cluster.heartbeatInterval);
     // The host that answered last is asked alone, as long as it answers.
-    const Milliseconds patience = 2 * m_settings.cluster.beatInterval;
+    const Milliseconds patience = 2 * m_settings.cluster.heartbeatInterval;
     const bool answered = m_reporter.confirmed && now < m_reporter.confirmedAt + patience;
     for (const settings::Peer &peer : m_settings.cluster.control) {
         if (!answered || peer.id == m_controlLeader)
--- a/packages/node/src/operatorapi.cpp
+++ b/packages/node/src/operatorapi.cpp
@@ -223,7 +223,7 @@
         node["agent"] = last.isAgent;
         node["service"] = last.service;
         node["revision"] = static_cast<Json::UInt64>(last.revision);
-        node["silentMs"] = toMilliseconds(now - entry.second.heardAt);
+        node["silentMs"] = toMilliseconds(now - entry.second.lastReceivedAt);
         nodes.append(node);
     }
     responder.reply(200, "application/json", writeJson(json));
--- a/packages/operators/include/foxwing/operators/operators.h
+++ b/packages/operators/include/foxwing/operators/operators.h
@@ -73,7 +73,7 @@
     // Another control host has handed it over: it is not handed on once more.
     bool fromPeer = false;
 
-    Time cameAt {};
+    Time receivedAt {};
     Time nextTry {};
 
     // Under way: at this host's log under an index and a term, as a read of this host, or at the
--- a/packages/operators/src/operators.cpp
+++ b/packages/operators/src/operators.cpp
@@ -67,7 +67,7 @@
     actions.events.push_back(
             event.with("accepted", given.outcome == OperatorOutcome::Accepted ? 1 : 0)
                     .with("reason", given.reason)
-                    .with("took_ms", now - call.cameAt));
+                    .with("took_ms", now - call.receivedAt));
     operators.calls.erase(found);
     actions.answers.push_back(std::move(given));
 }
@@ -175,7 +175,7 @@
 {
     OperatorActions actions;
     *number = ++operators.lastNumber;
-    call.cameAt = now;
+    call.receivedAt = now;
     const bool old = std::holds_alternative<CordonOrder>(call.request) && mayBeOld(operators, now);
     operators.calls.emplace(*number, std::move(call));
     if (old)
@@ -282,7 +282,7 @@
         numbers.push_back(number);
     for (const std::uint64_t number : numbers) {
         const OperatorCall &call = operators.calls.at(number);
-        if (now >= call.cameAt + operators.settings.patience)
+        if (now >= call.receivedAt + operators.settings.patience)
             answer(operators, number, unsure("no quorum has confirmed it in time"), group, now,
                    actions);
         else if (now >= call.nextTry)
--- a/packages/quorum/include/foxwing/quorum/quorum.h
+++ b/packages/quorum/include/foxwing/quorum/quorum.h
@@ -98,7 +98,7 @@
     std::uint64_t next = 1;
     std::uint64_t match = 0;
     std::uint64_t ackedRound = 0;
-    Time heardAt {};
+    Time lastReceivedAt {};
     Time sentAt {};
     bool waiting = false;
     bool counts = true;
--- a/packages/quorum/src/members.cpp
+++ b/packages/quorum/src/members.cpp
@@ -130,7 +130,7 @@
 {
     const auto peer = quorum.peers.find(id);
     return id == quorum.settings.self
-            || (peer != quorum.peers.end() && now <= peer->second.heardAt + span);
+            || (peer != quorum.peers.end() && now <= peer->second.lastReceivedAt + span);
 }
 
 // A voter that is away, with enough others there.
--- a/packages/quorum/src/replication.cpp
+++ b/packages/quorum/src/replication.cpp
@@ -92,7 +92,7 @@
     quorum.votes.clear();
     for (const std::string &id : others(quorum)) {
         quorum.peers[id].next = lastIndex(quorum) + 1;
-        quorum.peers[id].heardAt = now;
+        quorum.peers[id].lastReceivedAt = now;
     }
     LogEntry entry;
     entry.index = lastIndex(quorum) + 1;
@@ -211,7 +211,7 @@
     if (quorum.role != Role::Leader || reply.term < quorum.term || found == quorum.peers.end())
         return;
     Peer &peer = found->second;
-    peer.heardAt = now;
+    peer.lastReceivedAt = now;
     peer.counts = reply.counts;
     peer.waiting = false;
     peer.ackedRound = std::max(peer.ackedRound, reply.round);
@@ -272,7 +272,7 @@
             return true;
         const auto peer = quorum.peers.find(voter);
         return peer != quorum.peers.end() && peer->second.counts
-                && now < peer->second.heardAt + quorum.settings.electionSpan;
+                && now < peer->second.lastReceivedAt + quorum.settings.electionSpan;
     });
     const bool removed = !isVoter(quorum, quorum.settings.self)
             && quorum.commit >= std::max(quorum.membersIndex, quorum.termStart);
--- a/packages/quorum/tests/members_test.cpp
+++ b/packages/quorum/tests/members_test.cpp
@@ -27,9 +27,9 @@
     quorum.commit = 5;
     quorum.termStart = 5;
     for (const std::string &id : voters)
-        quorum.peers[id].heardAt = Now;
+        quorum.peers[id].lastReceivedAt = Now;
     for (const std::string &id : learners) {
-        quorum.peers[id].heardAt = Now;
+        quorum.peers[id].lastReceivedAt = Now;
         quorum.peers[id].match = 5;
     }
     return quorum;
@@ -127,7 +127,7 @@
     QuorumState quorum = makeLeader(voters);
     const Time later = Now + GetParam().silent;
     for (std::size_t i = 0; i < voters.size(); ++i)
-        quorum.peers[voters[i]].heardAt = i >= 1 && i <= GetParam().away ? Now : later;
+        quorum.peers[voters[i]].lastReceivedAt = i >= 1 && i <= GetParam().away ? Now : later;
     const auto members = adviseMembers(quorum, {}, later);
     ASSERT_EQ(members.has_value(), GetParam().removed);
     if (members) {
@@ -162,7 +162,7 @@
         hosts.push_back("host-" + std::to_string(i) + "/1");
     QuorumState quorum = makeLeader({ hosts[0], hosts[1], hosts[2] });
     for (const std::string &host : hosts) {
-        quorum.peers[host].heardAt = Now;
+        quorum.peers[host].lastReceivedAt = Now;
         quorum.peers[host].match = quorum.commit;
     }
     for (std::size_t change = 0; change < 3 * Hosts; ++change) {
--- a/packages/runner/include/foxwing/runner/runner.h
+++ b/packages/runner/include/foxwing/runner/runner.h
@@ -330,7 +330,7 @@
 struct Session
 {
     std::string owner;
-    Time heardAt {};
+    Time lastReceivedAt {};
     bool welcomed = false;
 
     // Ended: its runs are being stopped.
--- a/packages/runner/src/runner.cpp
+++ b/packages/runner/src/runner.cpp
@@ -228,7 +228,7 @@
 {
     std::vector<std::uint64_t> silent;
     for (const auto &[number, session] : runner.sessions) {
-        if (!session.over && now >= session.heardAt + runner.settings.ownerSilence)
+        if (!session.over && now >= session.lastReceivedAt + runner.settings.ownerSilence)
             silent.push_back(number);
     }
     for (const std::uint64_t number : silent)
--- a/packages/runner/src/sessions.cpp
+++ b/packages/runner/src/sessions.cpp
@@ -35,7 +35,7 @@
     actions.events.push_back(change("session-over")
                                      .with("entry", session.owner)
                                      .with("why", why)
-                                     .with("heard_ms_ago", now - session.heardAt)
+                                     .with("heard_ms_ago", now - session.lastReceivedAt)
                                      .with("runs_stopped", runs));
 }
 
@@ -49,11 +49,11 @@
     const auto found = runner.sessions.find(number);
     if (found == runner.sessions.end() || found->second.over)
         return runner.sessions.end();
-    if (now >= found->second.heardAt + runner.settings.ownerSilence) {
+    if (now >= found->second.lastReceivedAt + runner.settings.ownerSilence) {
         endSession(runner, number, "its entry was silent", now, actions);
         return runner.sessions.end();
     }
-    found->second.heardAt = now;
+    found->second.lastReceivedAt = now;
     return found;
 }
 
@@ -125,7 +125,7 @@
     }
     Session opened;
     opened.owner = owner;
-    opened.heardAt = now;
+    opened.lastReceivedAt = now;
     runner.sessions.emplace(session, opened);
     finishEvent(runner, now, actions);
     return actions;
--- a/packages/runner/tests/bench.h
+++ b/packages/runner/tests/bench.h
@@ -136,7 +136,7 @@
     {
         now += span;
         for (auto &[number, session] : runner.sessions)
-            session.heardAt = now;
+            session.lastReceivedAt = now;
         return tick(runner, now);
     }
 
--- a/packages/scheduler/include/foxwing/scheduler/callerwatch.h
+++ b/packages/scheduler/include/foxwing/scheduler/callerprobe.h
@@ -6,9 +6,9 @@
    while its caller's retry runs on another entry. So for a while after a loss, each caller is
    probed before its job is placed.
 
-        CallerWatch watch;
-        noteSessionLost(watch, now);
-        for (std::uint64_t number : callersToSee(watch, scheduler, now))
+        CallerProbeState watch;
+        recordSessionLost(watch, now);
+        for (std::uint64_t number : callersToProbe(watch, scheduler, now))
             ... check the caller's connection; abandon() the job if it is closed ...
 
     [SECTION] State
@@ -22,20 +22,20 @@
 
 // [SECTION] State
 
-struct CallerWatchSettings
+struct CallerProbeSettings
 {
     // Callers are probed for this long after the last loss: until a caller that lost its entry has
     // retried, and the runs of lost agents have certainly stopped.
-    Milliseconds watchFor { 2000 };
+    Milliseconds probeWindow { 2000 };
 
     // Minimum time between probes, so that sessions lost or restored one after another don't cost a
     // probe each.
     Milliseconds trustFor { 5 };
 };
 
-struct CallerWatch
+struct CallerProbeState
 {
-    CallerWatchSettings settings;
+    CallerProbeSettings settings;
 
     // Callers are probed until then.
     Time until {};
@@ -48,11 +48,11 @@
 // [SECTION] Functions
 
 // A session with an agent was lost: a probe is due at once.
-void noteSessionLost(CallerWatch &watch, Time now);
+void recordSessionLost(CallerProbeState &watch, Time now);
 
 // If a probe is due, returns the open jobs that may be placed next (with waiting tasks, or runs in
 // an unknown state) and counts the probe as done.
-std::vector<std::uint64_t> callersToSee(CallerWatch &watch, const SchedulerState &scheduler,
-                                        Time now);
+std::vector<std::uint64_t> callersToProbe(CallerProbeState &watch, const SchedulerState &scheduler,
+                                          Time now);
 
 } // namespace foxwing::scheduler
--- a/packages/scheduler/include/foxwing/scheduler/scheduler.h
+++ b/packages/scheduler/include/foxwing/scheduler/scheduler.h
@@ -7,10 +7,10 @@
    they can start and still be on time; those that can no longer be on time come last.
 
     No two runs of a task overlap: a task is started again only after the end of its last run was
-    reported, or after the agent it was sent to has certainly stopped it (see certainSilence).
+    reported, or after the agent it was sent to has certainly stopped it (see lostRunTimeout).
 
         SchedulerState scheduler = makeScheduler(settings);
-        SchedulerActions actions = submit(scheduler, spec, terms, now, &number);
+        SchedulerActions actions = submit(scheduler, spec, options, now, &number);
         ... send actions.sends to agents, give actions.answers to callers ...
 
     [SECTION] Settings
@@ -35,7 +35,7 @@
 #include <foxwing/eventlog/eventlog.h>
 #include <foxwing/forecast/forecast.h>
 #include <foxwing/jobs/messages.h>
-#include <foxwing/scheduler/runtimes.h>
+#include <foxwing/scheduler/runtimemodel.h>
 #include <foxwing/shares/shares.h>
 
 namespace foxwing::scheduler {
@@ -54,10 +54,10 @@
 // Which waiting job goes next. Jobs that have begun go first, except with FirstCome.
 enum class Order {
     // By the latest start time; jobs that can't be on time last
-    LatestBegin,
+    LatestStart,
 
     // Newest first among jobs that can be on time; jobs that can't last
-    Newest,
+    NewestFirst,
     FirstCome,
 
     // By the queue's priority, then by the latest start time; jobs that can't be on time last
@@ -79,11 +79,11 @@
 };
 
 const char *toString(Placement placement);
-std::optional<Placement> placementNamed(const std::string &name);
+std::optional<Placement> parsePlacement(const std::string &name);
 const char *toString(Order order);
 const char *toString(WaitingQueues queues);
-std::optional<WaitingQueues> waitingQueuesNamed(const std::string &name);
-std::optional<Order> orderNamed(const std::string &name);
+std::optional<WaitingQueues> parseWaitingQueues(const std::string &name);
+std::optional<Order> parseOrder(const std::string &name);
 
 struct SchedulerSettings
 {
@@ -97,13 +97,13 @@
     // Cost of an endpoint in another data centre, in percent of a task that runs as long as
     // estimated. Higher than the cost of a fully loaded local endpoint, so that work leaves the
     // data centre only if the local endpoints are full, slow or gone.
-    std::uint32_t awayPercent = 30;
+    std::uint32_t remotePercent = 30;
 
     // Slowdown of a task that runs outside the rack of its data.
-    double farFactor = 1.5;
+    double offRackFactor = 1.5;
 
     // A heartbeat is sent to an agent after this long without other messages to it.
-    Milliseconds beatInterval { 100 };
+    Milliseconds heartbeatInterval { 100 };
 
     // After work did not fit, agents are asked for fresh updates for this long: several times the
     // shortest task, so that a busy period costs one request and not one for each job.
@@ -111,20 +111,20 @@
 
     // An agent that was silent for this long is given up. More than three heartbeats, and less than
     // the agent waits for its entry.
-    Milliseconds agentSilence { 400 };
+    Milliseconds agentTimeout { 400 };
 
     // An agent that was silent for this long gets work only if no other fits: twice the time
     // between its heartbeat answers, plus one turn of the event loop. It may be cut off, and then
-    // its tasks would be in an unknown state for certainSilence.
-    Milliseconds quietAfter { 220 };
+    // its tasks would be in an unknown state for lostRunTimeout.
+    Milliseconds suspectAfter { 220 };
 
     // This long after the last message to a lost agent, its runs have certainly stopped: the agent
     // stops them if it does not hear from the entry (450 ms) or its endpoint's lease ends (400 ms
     // plus 2 percent), and stopping takes up to 50 ms.
-    Milliseconds certainSilence { 950 };
+    Milliseconds lostRunTimeout { 950 };
 
     // A placement pass ends once this many jobs could not be placed.
-    std::size_t mostPassedOver = 16;
+    std::size_t maxUnplaced = 16;
 
     // A job counts as late this long before its latest start, in percent of its expected time.
     // Expected times are off by about a third, and jobs placed at the last moment are late half of
@@ -134,7 +134,7 @@
     // If a task fits nowhere, a start of the most urgent queue may wait at an agent that lacks up
     // to this part of its endpoint's capacity, in percent. Zero: starts are sent only where
     // capacity is known to be free, and freed capacity goes to the entry that learns of it first.
-    std::int64_t waitPercent = 15;
+    std::int64_t maxShortfallPercent = 15;
 
     WaitingQueues waitingQueues = WaitingQueues::MostUrgent;
 
@@ -166,13 +166,13 @@
     Milliseconds longestJob { 15000 };
 
     // A job whose expected wait is over this many objectives is refused at once.
-    double refuseAbove = 2.0;
+    double maxWaitFactor = 2.0;
 
     // A job is also refused at once if, at the rate at which capacity was freed lately, it would
     // wait longer than this percentage of the time until it counts as late. Zero: it waits until it
     // is late. 200, since the rate seen by one entry is too low: a lower limit refuses jobs that
     // would be served.
-    std::uint32_t refuseAtArrivalPercent = 200;
+    std::uint32_t maxWaitPercent = 200;
 
     // Averaging window of the rate at which capacity is freed: several times the shortest task, and
     // shorter than a burst.
@@ -230,7 +230,7 @@
 // [SECTION] Jobs
 
 // A job's queue, priority, objective and deadlines.
-struct JobTerms
+struct JobOptions
 {
     std::string queue;
     std::string service;
@@ -241,16 +241,16 @@
 
     // When the call arrived, if it was held before it was submitted: the objective counts from
     // then.
-    std::optional<Time> cameAt;
+    std::optional<Time> receivedAt;
 
     // The job is given up if it has not begun by then.
-    Time beginBy {};
+    Time startDeadline {};
 
     // The caller waits until then, if it gave a deadline.
-    std::optional<Time> patienceUntil;
+    std::optional<Time> callerDeadline;
 
     // Suitable endpoints are known to exist, though this entry has no session with them yet.
-    bool suitableElsewhere = false;
+    bool suitableUnconnected = false;
 };
 
 enum class TaskState {
@@ -300,7 +300,7 @@
 {
     std::uint64_t number = 0;
     jobs::JobSpec spec;
-    JobTerms terms;
+    JobOptions options;
     Time arrivedAt {};
 
     // Critical path by the caller's estimates, and as corrected by the queue's past jobs
@@ -361,10 +361,10 @@
     bool welcomed = false;
 
     // Last message to and from it
-    Time sentAt {};
-    Time heardAt {};
+    Time lastSentAt {};
+    Time lastReceivedAt {};
     std::uint64_t beat = 0;
-    bool toldWantsRoom = false;
+    bool reportedNeed = false;
 
     // Starts sent in this session, and how many of them the agent's report of its free capacity
     // includes
@@ -410,14 +410,14 @@
 };
 
 // A queue's priority compared to the others of its service.
-struct QueueStanding
+struct QueueStatus
 {
     std::string service;
     std::uint32_t priority = 0;
 
     // Its own priority, or a more urgent one while it is below its guaranteed share
     std::uint32_t effective = 0;
-    bool belowFloor = false;
+    bool belowGuarantee = false;
 
     // A less urgent queue is below its guaranteed share and this one is not: its starts do not wait
     // at agents, where they would take all freed capacity.
@@ -499,7 +499,7 @@
     bool untried = false;
 
     // Work did not fit lately; agents are asked for fresh updates until then.
-    Time wantsRoomUntil {};
+    Time needsCapacityUntil {};
     std::map<std::string, Agent> agents;
 
     // Data centres whose endpoints get nothing new
@@ -521,14 +521,14 @@
 
     // What was recently served of each queue's requests, and the resulting priorities by queue
     shares::ShareState shares;
-    std::map<std::string, QueueStanding> standings;
+    std::map<std::string, QueueStatus> queueStatuses;
 
     // Priorities of the jobs that came since the declared queues last changed
     std::uint32_t mostUrgent = std::numeric_limits<std::uint32_t>::max();
     std::uint32_t leastUrgent = 0;
 
     // Entries that share the endpoints, including this one
-    std::uint32_t entries = 1;
+    std::uint32_t entryCount = 1;
     SchedulerCounters counters;
 };
 
@@ -579,15 +579,15 @@
 
 // Submits a job, to be answered later by its number. If one with the same id is still open, joins
 // it and returns its number.
-SchedulerActions submit(SchedulerState &scheduler, const jobs::JobSpec &spec, const JobTerms &terms,
-                        Time now, std::uint64_t *number);
+SchedulerActions submit(SchedulerState &scheduler, const jobs::JobSpec &spec,
+                        const JobOptions &options, Time now, std::uint64_t *number);
 
 // Nobody waits for the answer any more: the job's runs are stopped.
 SchedulerActions abandon(SchedulerState &scheduler, std::uint64_t number, Time now);
 
 // Connection and handshake with an agent; starts are sent only after the handshake.
 SchedulerActions agentConnected(SchedulerState &scheduler, const std::string &agent, Time now);
-SchedulerActions agentWelcomed(SchedulerState &scheduler, const std::string &agent,
+SchedulerActions agentAccepted(SchedulerState &scheduler, const std::string &agent,
                                const jobs::Welcome &welcome, Time now);
 SchedulerActions agentUpdated(SchedulerState &scheduler, const std::string &agent,
                               const jobs::AgentUpdate &update, Time now);
@@ -601,14 +601,14 @@
 
 // For use after a pause of this process: agents have stopped its runs and callers may have retried
 // elsewhere, so every open job is given up.
-SchedulerActions giveUpAll(SchedulerState &scheduler, const std::string &why, Time now);
+SchedulerActions closeAllJobs(SchedulerState &scheduler, const std::string &why, Time now);
 
 // The declared queues changed: forgets what was learned about those that are gone, and which
 // priorities are in use.
-void keepQueues(SchedulerState &scheduler, const std::set<std::string> &declared);
+void retainQueues(SchedulerState &scheduler, const std::set<std::string> &declared);
 
 // The cordoned data centres changed: nothing more is sent to them, and waiting work is placed anew.
-SchedulerActions takeCordons(SchedulerState &scheduler, const catalog::Cordons &cordons, Time now);
+SchedulerActions applyCordons(SchedulerState &scheduler, const catalog::Cordons &cordons, Time now);
 
 // The priority that the job is ordered by, here and at agents: its queue's, or a more urgent one
 // while the queue is below its guaranteed share.
@@ -623,7 +623,7 @@
                 Time now);
 
 // The forecast in short, for operators.
-struct Outlook
+struct ForecastStatus
 {
     // Expected wait of a one-core job that arrives now and goes last, in the service where that is
     // longest. Nothing if no capacity was freed lately.
@@ -636,7 +636,7 @@
     std::size_t waitingLate = 0;
 };
 
-Outlook outlook(const SchedulerState &scheduler, Time now);
+ForecastStatus forecastStatus(const SchedulerState &scheduler, Time now);
 
 // Jobs that are not answered yet.
 std::size_t openJobs(const SchedulerState &scheduler);
--- a/packages/scheduler/src/admission.cpp
+++ b/packages/scheduler/src/admission.cpp
@@ -38,28 +38,29 @@
 }
 
 // Leaves out the tasks: a caller may ask for millions, and a refused job never needs them.
-Job makeJob(const SchedulerState &scheduler, const jobs::JobSpec &spec, const JobTerms &terms,
+Job makeJob(const SchedulerState &scheduler, const jobs::JobSpec &spec, const JobOptions &options,
             Time now)
 {
     const SchedulerSettings &settings = scheduler.settings;
     Job job;
     job.spec = spec;
-    job.terms = terms;
-    job.arrivedAt = terms.cameAt.value_or(now);
+    job.options = options;
+    job.arrivedAt = options.receivedAt.value_or(now);
     job.guessed = longestChain(spec, guesses(spec));
-    const auto times = scheduler.runTimes.find(terms.queue);
+    const auto times = scheduler.runTimes.find(options.queue);
     const bool learned = settings.learnRunTimes && times != scheduler.runTimes.end();
     job.expected = learned ? expectedRunTime(times->second, job.guessed) : job.guessed;
     const Milliseconds chain = job.expected;
-    job.objectiveAt = job.arrivedAt + scaled(chain, terms.stretch) + terms.targetLatency;
+    job.objectiveAt = job.arrivedAt + scaled(chain, options.stretch) + options.targetLatency;
     job.latestBegin = job.objectiveAt - chain;
     job.onTimeUntil = std::max(now, job.latestBegin - chain * settings.marginPercent / 100);
     const auto objective = std::chrono::duration_cast<Milliseconds>(job.objectiveAt
                                                                     - job.arrivedAt);
     job.worthUntil = job.arrivedAt + scaled(objective, settings.lateFactor) - chain;
-    const Time callerGone = terms.patienceUntil.value_or(Time::max());
+    const Time callerGone = options.callerDeadline.value_or(Time::max());
     job.lateUntil = std::max(job.onTimeUntil,
-                             std::min({ callerGone - chain, terms.beginBy, job.worthUntil }));
+                             std::min({ callerGone - chain, options.startDeadline,
+                                        job.worthUntil }));
     return job;
 }
 
@@ -95,7 +96,7 @@
     for (const QueueKey &key : scheduler.queue) {
         const Job &job = scheduler.jobs.at(key.number);
         if (key.group > Rank::OnTime || job.latestBegin > wanted.latestBegin
-            || job.terms.service != wanted.terms.service)
+            || job.options.service != wanted.options.service)
             continue;
         const jobs::StepSpec &step = job.spec.steps.front();
         waiting += static_cast<double>(job.waiting) * static_cast<double>(step.room.milliCores)
@@ -103,7 +104,7 @@
     }
     double room = 0;
     for (const auto &[name, agent] : scheduler.agents) {
-        if (agent.welcomed && agent.endpoint.service == wanted.terms.service
+        if (agent.welcomed && agent.endpoint.service == wanted.options.service
             && agent.endpoint.mostStarts > 0 && !isCordoned(scheduler, agent))
             room += static_cast<double>(agent.endpoint.capacity.milliCores);
     }
@@ -111,21 +112,22 @@
         return Microseconds(0);
     // Declared capacities are not validated; beyond an hour the value makes no difference.
     constexpr double MostMilliseconds = 3.6e6;
-    return scaled(Milliseconds(1), std::min(MostMilliseconds, waiting * scheduler.entries / room));
+    return scaled(Milliseconds(1),
+                  std::min(MostMilliseconds, waiting * scheduler.entryCount / room));
 }
 
 // Whether the work that goes before this job here takes, at the rate at which capacity was recently
 // freed here, longer than the job has until it counts as late.
 bool waitsTooLong(const SchedulerState &scheduler, const Job &wanted, Time now)
 {
-    const auto freed = scheduler.freed.find(wanted.terms.service);
-    if (freed == scheduler.freed.end() || scheduler.settings.refuseAtArrivalPercent == 0)
+    const auto freed = scheduler.freed.find(wanted.options.service);
+    if (freed == scheduler.freed.end() || scheduler.settings.maxWaitPercent == 0)
         return false;
     const std::uint32_t priority = effectivePriority(scheduler, wanted);
     double waiting = 0;
     for (const QueueKey &key : scheduler.queue) {
         const Job &job = scheduler.jobs.at(key.number);
-        if (key.group > Rank::OnTime || job.terms.service != wanted.terms.service
+        if (key.group > Rank::OnTime || job.options.service != wanted.options.service
             || (key.group == Rank::OnTime && job.queuedPriority > priority))
             continue;
         waiting += static_cast<double>(job.waiting)
@@ -133,8 +135,8 @@
     }
     const double perMillisecond = freedPerMillisecond(scheduler, freed->second, now);
     const auto slack = std::chrono::duration_cast<Milliseconds>(wanted.onTimeUntil - now);
-    const double most = static_cast<double>(slack.count())
-            * scheduler.settings.refuseAtArrivalPercent / 100;
+    const double most = static_cast<double>(slack.count()) * scheduler.settings.maxWaitPercent
+            / 100;
     return waiting > 0 && waiting > perMillisecond * most;
 }
 
@@ -144,9 +146,9 @@
     const SchedulerSettings &settings = scheduler.settings;
     const auto within = [&](std::optional<Milliseconds> wait, Time until) {
         const auto slack = std::chrono::duration_cast<Milliseconds>(until - now);
-        return wait && *wait * 100 <= slack * settings.refuseAtArrivalPercent;
+        return wait && *wait * 100 <= slack * settings.maxWaitPercent;
     };
-    if (!usesForecast(scheduler) || settings.refuseAtArrivalPercent == 0)
+    if (!usesForecast(scheduler) || settings.maxWaitPercent == 0)
         return std::nullopt;
     const std::optional<Milliseconds> wait = waitOnTime(scheduler, wanted, now);
     if (!wait)
@@ -161,7 +163,7 @@
 {
     bool any = false;
     for (const auto &[name, agent] : scheduler.agents) {
-        if (!agent.welcomed || agent.endpoint.service != job.terms.service)
+        if (!agent.welcomed || agent.endpoint.service != job.options.service)
             continue;
         any = true;
         if (suits(agent, job, step))
@@ -174,7 +176,7 @@
 bool isPossible(const SchedulerState &scheduler, const Job &job)
 {
     const std::vector<jobs::StepSpec> &steps = job.spec.steps;
-    return job.terms.suitableElsewhere
+    return job.options.suitableUnconnected
             || std::all_of(steps.begin(), steps.end(), [&](const jobs::StepSpec &step) {
                    return anySuits(scheduler, job, step);
                });
@@ -185,7 +187,7 @@
 // other.
 bool heldTooLong(const Job &job, Time now)
 {
-    return job.terms.cameAt && job.latestBegin > job.arrivedAt && now > job.latestBegin;
+    return job.options.receivedAt && job.latestBegin > job.arrivedAt && now > job.latestBegin;
 }
 
 // Whether the work before the job takes longer than it may wait.
@@ -195,7 +197,7 @@
         return *tooLong;
     const auto objective = std::chrono::duration_cast<Milliseconds>(job.objectiveAt
                                                                     - job.arrivedAt);
-    return expectedWait(scheduler, job) > scaled(objective, scheduler.settings.refuseAbove)
+    return expectedWait(scheduler, job) > scaled(objective, scheduler.settings.maxWaitFactor)
             || waitsTooLong(scheduler, job, now);
 }
 
@@ -247,8 +249,8 @@
     return !job.mayHaveBegun && job.outstanding == 0;
 }
 
-SchedulerActions submit(SchedulerState &scheduler, const jobs::JobSpec &spec, const JobTerms &terms,
-                        Time now, std::uint64_t *number)
+SchedulerActions submit(SchedulerState &scheduler, const jobs::JobSpec &spec,
+                        const JobOptions &options, Time now, std::uint64_t *number)
 {
     SchedulerActions actions;
     const auto known = scheduler.byId.find(spec.id);
@@ -258,9 +260,9 @@
         return actions;
     }
     ++scheduler.counters.submitted;
-    scheduler.mostUrgent = std::min(scheduler.mostUrgent, terms.priority);
-    scheduler.leastUrgent = std::max(scheduler.leastUrgent, terms.priority);
-    Job job = makeJob(scheduler, spec, terms, now);
+    scheduler.mostUrgent = std::min(scheduler.mostUrgent, options.priority);
+    scheduler.leastUrgent = std::max(scheduler.leastUrgent, options.priority);
+    Job job = makeJob(scheduler, spec, options, now);
     job.number = ++scheduler.lastNumber;
     *number = job.number;
     if (isCrashing(scheduler, spec.id, now)) {
--- a/packages/scheduler/src/callerwatch.cpp
+++ b/packages/scheduler/src/callerprobe.cpp
@@ -3,7 +3,7 @@
 
     [SECTION] Functions
 */
-#include <foxwing/scheduler/callerwatch.h>
+#include <foxwing/scheduler/callerprobe.h>
 
 #include <algorithm>
 
@@ -24,9 +24,9 @@
 
 } // namespace
 
-void noteSessionLost(CallerWatch &watch, Time now)
+void recordSessionLost(CallerProbeState &watch, Time now)
 {
-    watch.until = now + watch.settings.watchFor;
+    watch.until = now + watch.settings.probeWindow;
     // Losses in quick succession make one probe due, not one each.
     if (now < watch.lossAt + watch.settings.trustFor)
         return;
@@ -34,8 +34,8 @@
     watch.lookedAt = {};
 }
 
-std::vector<std::uint64_t> callersToSee(CallerWatch &watch, const SchedulerState &scheduler,
-                                        Time now)
+std::vector<std::uint64_t> callersToProbe(CallerProbeState &watch, const SchedulerState &scheduler,
+                                          Time now)
 {
     std::vector<std::uint64_t> numbers;
     if (now >= watch.until || now < watch.lookedAt + watch.settings.trustFor)
--- a/packages/scheduler/src/ending.cpp
+++ b/packages/scheduler/src/completion.cpp
@@ -59,7 +59,7 @@
         failures += task.failures;
     Event event("job-answered");
     event.with("request", job.spec.id)
-            .with("queue", job.terms.queue)
+            .with("queue", job.options.queue)
             .with("outcome", toString(outcome))
             .with("tasks", static_cast<std::uint64_t>(job.tasks.size()))
             .with("done", job.done)
@@ -69,8 +69,8 @@
             .with("objective_ms", job.objectiveAt - job.arrivedAt)
             .with("guessed_ms", job.guessed)
             .with("expected_ms", job.expected);
-    if (job.terms.patienceUntil)
-        event.with("patience_ms", *job.terms.patienceUntil - job.arrivedAt);
+    if (job.options.callerDeadline)
+        event.with("patience_ms", *job.options.callerDeadline - job.arrivedAt);
     if (job.firstPlacedAt != Time {})
         event.with("waited_ms", job.firstPlacedAt - job.arrivedAt);
     if (job.allPlacedAt != Time {})
@@ -82,7 +82,7 @@
 
 void addForecast(const SchedulerState &scheduler, const Job &job, Time now, Event &event)
 {
-    event.with("picture_age_ms", pictureOf(scheduler, job.terms.service, now).age);
+    event.with("picture_age_ms", pictureOf(scheduler, job.options.service, now).age);
     if (const auto wait = waitOnTime(scheduler, job, now))
         event.with("expected_wait_ms", *wait);
 }
@@ -96,13 +96,13 @@
     Time oldest = now;
     for (const auto &[name, agent] : scheduler.agents) {
         if (!agent.welcomed || agent.endpoint.leaving || agent.endpoint.mostStarts == 0
-            || agent.endpoint.service != job.terms.service || isCordoned(scheduler, agent))
+            || agent.endpoint.service != job.options.service || isCordoned(scheduler, agent))
             continue;
         const jobs::Room room = roomAt(agent);
         ++endpoints;
         free += room.milliCores;
         mostFree = std::max(mostFree, room.milliCores);
-        oldest = std::min(oldest, agent.heardAt);
+        oldest = std::min(oldest, agent.lastReceivedAt);
     }
     event.with("endpoints", endpoints)
             .with("free_millicores", free)
@@ -234,11 +234,11 @@
 void noteFreed(SchedulerState &scheduler, const Job &job, const jobs::Room &room, RunEnd end,
                Time now)
 {
-    FreedRoom &freed = scheduler.freed[job.terms.service];
+    FreedRoom &freed = scheduler.freed[job.options.service];
     const auto milliCores = static_cast<double>(room.milliCores);
     addTo(freed.ofLate, scheduler.settings.freedSpan, milliCores, now);
     if (end == RunEnd::Done || end == RunEnd::Stopped)
-        addTo(freed.own[job.terms.priority], scheduler.settings.shareSpan, milliCores, now);
+        addTo(freed.own[job.options.priority], scheduler.settings.shareSpan, milliCores, now);
 }
 
 void scaleFreed(SchedulerState &scheduler, const std::string &service, double part)
@@ -270,7 +270,7 @@
         scheduler.untried = true;
     if (job.done < job.tasks.size())
         return;
-    noteRunTime(scheduler.runTimes[job.terms.queue], job.guessed,
+    noteRunTime(scheduler.runTimes[job.options.queue], job.guessed,
                 longestChain(job.spec, job.longestRun));
     answerJob(scheduler, job, JobOutcome::Completed, "", now, actions);
 }
@@ -292,7 +292,7 @@
     task.avoid.push_back(task.agent);
     const std::string agent = task.agent;
     freeTask(scheduler, job, task);
-    if (task.failures >= job.terms.attempts)
+    if (task.failures >= job.options.attempts)
         answerJob(scheduler, job, JobOutcome::Failed,
                   "task " + std::to_string(task.step) + "." + std::to_string(task.index)
                           + " failed " + std::to_string(task.failures) + " times, last at " + agent,
--- a/packages/scheduler/src/floors.cpp
+++ b/packages/scheduler/src/guarantees.cpp
@@ -38,19 +38,19 @@
 
 void noteAskedJob(SchedulerState &scheduler, const Job &job, Time now)
 {
-    const JobTerms &terms = job.terms;
-    const auto [found, fresh] = scheduler.standings.try_emplace(terms.queue);
-    QueueStanding &standing = found->second;
-    if (fresh || standing.priority != terms.priority)
-        standing.effective = terms.priority;
-    standing.service = terms.service;
-    standing.priority = terms.priority;
-    shares::noteAsked(scheduler.shares, terms.queue, workOf(job.spec), now);
+    const JobOptions &options = job.options;
+    const auto [found, fresh] = scheduler.queueStatuses.try_emplace(options.queue);
+    QueueStatus &standing = found->second;
+    if (fresh || standing.priority != options.priority)
+        standing.effective = options.priority;
+    standing.service = options.service;
+    standing.priority = options.priority;
+    shares::noteAsked(scheduler.shares, options.queue, workOf(job.spec), now);
 }
 
 void noteRefusedJob(SchedulerState &scheduler, const Job &job, Time now)
 {
-    shares::noteRefused(scheduler.shares, job.terms.queue, workOf(job.spec), now);
+    shares::noteRefused(scheduler.shares, job.options.queue, workOf(job.spec), now);
 }
 
 // [SECTION] Standings
@@ -59,15 +59,16 @@
 
 // Whether the queue may yield: it is of the same service, and neither the most urgent nor below its
 // own guaranteed share.
-bool canYield(const QueueStanding &standing, const std::string &service, std::uint32_t mostUrgent)
+bool canYield(const QueueStatus &standing, const std::string &service, std::uint32_t mostUrgent)
 {
-    return standing.service == service && standing.priority > mostUrgent && !standing.belowFloor;
+    return standing.service == service && standing.priority > mostUrgent
+            && !standing.belowGuarantee;
 }
 
 std::uint32_t mostUrgentOf(const SchedulerState &scheduler, const std::string &service)
 {
     std::uint32_t most = std::numeric_limits<std::uint32_t>::max();
-    for (const auto &[name, standing] : scheduler.standings) {
+    for (const auto &[name, standing] : scheduler.queueStatuses) {
         if (standing.service == service)
             most = std::min(most, standing.priority);
     }
@@ -76,11 +77,11 @@
 
 // Raises the queue to just before the least urgent of the more urgent queues that may yield, and
 // marks all of these as yielding. If there are none, the queue keeps its priority.
-void raise(SchedulerState &scheduler, QueueStanding &raised)
+void raise(SchedulerState &scheduler, QueueStatus &raised)
 {
     const std::uint32_t most = mostUrgentOf(scheduler, raised.service);
     std::uint32_t beside = most;
-    for (auto &[name, standing] : scheduler.standings) {
+    for (auto &[name, standing] : scheduler.queueStatuses) {
         if (standing.priority >= raised.priority || !canYield(standing, raised.service, most))
             continue;
         standing.yields = true;
@@ -91,10 +92,10 @@
 }
 
 void logChange(const SchedulerState &scheduler, const std::string &queue,
-               const QueueStanding &standing, Time now, SchedulerActions &actions)
+               const QueueStatus &standing, Time now, SchedulerActions &actions)
 {
     actions.events.push_back(
-            change(standing.belowFloor ? "queue-below-floor" : "queue-above-floor")
+            change(standing.belowGuarantee ? "queue-below-floor" : "queue-above-floor")
                     .with("queue", queue)
                     .with("served_percent", shares::servedPercent(scheduler.shares, queue, now))
                     .with("floor_percent", scheduler.shares.settings.floorPercent));
@@ -104,36 +105,36 @@
 
 void updateStandings(SchedulerState &scheduler, Time now, SchedulerActions &actions)
 {
-    for (auto &[queue, standing] : scheduler.standings) {
+    for (auto &[queue, standing] : scheduler.queueStatuses) {
         const bool below = shares::isBelowFloor(scheduler.shares, queue, now);
-        if (below == standing.belowFloor)
+        if (below == standing.belowGuarantee)
             continue;
-        standing.belowFloor = below;
+        standing.belowGuarantee = below;
         logChange(scheduler, queue, standing, now, actions);
     }
-    for (auto &[queue, standing] : scheduler.standings) {
+    for (auto &[queue, standing] : scheduler.queueStatuses) {
         standing.effective = standing.priority;
         standing.yields = false;
     }
-    for (auto &[queue, standing] : scheduler.standings) {
-        if (standing.belowFloor)
+    for (auto &[queue, standing] : scheduler.queueStatuses) {
+        if (standing.belowGuarantee)
             raise(scheduler, standing);
     }
 }
 
 bool yields(const SchedulerState &scheduler, const Job &job)
 {
-    const auto found = scheduler.standings.find(job.terms.queue);
-    return found != scheduler.standings.end() && found->second.yields;
+    const auto found = scheduler.queueStatuses.find(job.options.queue);
+    return found != scheduler.queueStatuses.end() && found->second.yields;
 }
 
 std::uint32_t effectivePriority(const SchedulerState &scheduler, const Job &job)
 {
     // A job that waited while its queue was redeclared keeps the priority that it came with.
-    const auto found = scheduler.standings.find(job.terms.queue);
-    const bool known = found != scheduler.standings.end()
-            && found->second.priority == job.terms.priority;
-    return known ? found->second.effective : job.terms.priority;
+    const auto found = scheduler.queueStatuses.find(job.options.queue);
+    const bool known = found != scheduler.queueStatuses.end()
+            && found->second.priority == job.options.priority;
+    return known ? found->second.effective : job.options.priority;
 }
 
 } // namespace foxwing::scheduler
--- a/packages/scheduler/src/order.cpp
+++ b/packages/scheduler/src/order.cpp
@@ -37,16 +37,16 @@
     case Order::FirstCome:
         key.rank = arrived;
         break;
-    case Order::Newest:
+    case Order::NewestFirst:
         key.group = job.group;
         key.rank = job.group == Rank::Begun ? latestBegin : -arrived;
         break;
     case Order::LeastWork:
     case Order::Priority:
         key.priority = job.queuedPriority;
-        key.raised = job.queuedPriority < job.terms.priority;
+        key.raised = job.queuedPriority < job.options.priority;
         [[fallthrough]];
-    case Order::LatestBegin:
+    case Order::LatestStart:
         key.group = job.group;
         // Late jobs go newest first: the oldest are the next to be of no use.
         key.rank = job.group == Rank::Late ? -arrived : latestBegin;
--- a/packages/scheduler/src/placing.cpp
+++ b/packages/scheduler/src/placement.cpp
@@ -51,7 +51,7 @@
 
 bool isQuiet(const SchedulerState &scheduler, const Agent &agent, Time now)
 {
-    return now >= agent.heardAt + scheduler.settings.quietAfter;
+    return now >= agent.lastReceivedAt + scheduler.settings.suspectAfter;
 }
 
 bool belowStepLimit(const Job &job, std::uint32_t step, std::uint32_t most,
@@ -75,7 +75,7 @@
 // Added cost of an endpoint in another data centre, on the scale of its pace.
 double awayCost(const SchedulerState &scheduler, const Agent &agent)
 {
-    return isAway(scheduler, agent) ? scheduler.settings.awayPercent / 100.0 : 0;
+    return isAway(scheduler, agent) ? scheduler.settings.remotePercent / 100.0 : 0;
 }
 
 // Smaller is better. Speed and the own data centre come first. Load counts a little, since other
@@ -96,7 +96,7 @@
     if (scheduler.settings.placement == Placement::MostRoom || task.crashes > 0)
         return load;
     const double pace = static_cast<double>(agent.endpoint.paceMille) / 1000;
-    const double far = hasLabel(agent, step.rack) ? 1 : scheduler.settings.farFactor;
+    const double far = hasLabel(agent, step.rack) ? 1 : scheduler.settings.offRackFactor;
     return pace * far * (1 + LoadWeight * load) + awayCost(scheduler, agent)
             + ChanceWeight * chance(scheduler.random);
 }
@@ -130,7 +130,7 @@
 Agent *chooseWait(SchedulerState &scheduler, const AgentRange &agents, const Job &job,
                   const Task &task, Time now, std::string *name)
 {
-    const std::int64_t most = scheduler.settings.waitPercent;
+    const std::int64_t most = scheduler.settings.maxShortfallPercent;
     constexpr double LackWeight = 5;
     const jobs::StepSpec &step = job.spec.steps[task.step];
     Agent *best = nullptr;
@@ -181,7 +181,7 @@
 
 bool suits(const Agent &agent, const Job &job, const jobs::StepSpec &step)
 {
-    return agent.endpoint.service == job.terms.service && hasLabel(agent, step.label)
+    return agent.endpoint.service == job.options.service && hasLabel(agent, step.label)
             && jobs::fits(step.room, agent.endpoint.capacity);
 }
 
@@ -189,7 +189,7 @@
 
 bool isUnwanted(const Job &job, Time now)
 {
-    return job.terms.patienceUntil && now >= *job.terms.patienceUntil;
+    return job.options.callerDeadline && now >= *job.options.callerDeadline;
 }
 
 namespace {
@@ -226,13 +226,13 @@
 Milliseconds waitFor(const SchedulerState &scheduler, const Job &job, Time now)
 {
     const bool all = scheduler.settings.waitingQueues == WaitingQueues::AllButLeast;
-    const bool first = job.terms.priority < scheduler.leastUrgent
-            && (all || job.terms.priority <= scheduler.mostUrgent);
+    const bool first = job.options.priority < scheduler.leastUrgent
+            && (all || job.options.priority <= scheduler.mostUrgent);
     // A late job that has not begun is refused at the next tick, or waits behind all others.
     const bool late = scheduler.settings.refuseLate && now > job.onTimeUntil
             && certainlyNotBegun(job);
     const bool beganLate = scheduler.settings.serveLate && job.firstPlacedAt > job.onTimeUntil;
-    if (scheduler.settings.waitPercent <= 0 || !first || late || beganLate
+    if (scheduler.settings.maxShortfallPercent <= 0 || !first || late || beganLate
         || yields(scheduler, job))
         return Milliseconds(0);
     constexpr Milliseconds Least { 10 };
@@ -254,7 +254,7 @@
     ++job.runs;
     ++scheduler.counters.starts;
     agent.pending.push_back({ ++agent.startsSent, job.spec.steps[task.step].room });
-    agent.sentAt = now;
+    agent.lastSentAt = now;
 }
 
 // Starts as many of the job's tasks as fit; true if no ready task is left waiting.
@@ -301,9 +301,9 @@
 // Work did not fit: asks agents that don't know of it yet for fresh updates.
 void wantRoom(SchedulerState &scheduler, Time now, SchedulerActions &actions)
 {
-    scheduler.wantsRoomUntil = now + scheduler.settings.wantRoomFor;
+    scheduler.needsCapacityUntil = now + scheduler.settings.wantRoomFor;
     for (auto &[name, agent] : scheduler.agents) {
-        if (agent.welcomed && !agent.toldWantsRoom)
+        if (agent.welcomed && !agent.reportedNeed)
             beatAgent(scheduler, name, agent, now, actions);
     }
 }
@@ -322,7 +322,7 @@
 bool isKeptBack(const SchedulerState &scheduler, const Job &job, const PassedOver &passedOver,
                 Time now)
 {
-    return passedOver.others > 0 || passedOver.late >= scheduler.settings.mostPassedOver
+    return passedOver.others > 0 || passedOver.late >= scheduler.settings.maxUnplaced
             || !fitsWhole(scheduler, job, now);
 }
 
@@ -336,7 +336,7 @@
 {
     PassedOver passedOver;
     for (const QueueKey &key : sortOut(scheduler, now)) {
-        if (passedOver.others >= scheduler.settings.mostPassedOver)
+        if (passedOver.others >= scheduler.settings.maxUnplaced)
             break;
         Job &job = scheduler.jobs.at(key.number);
         if (isUnwanted(job, now) || !hasReadyTask(job))
--- a/packages/scheduler/src/runtimes.cpp
+++ b/packages/scheduler/src/runtimemodel.cpp
@@ -3,7 +3,7 @@
 
     [SECTION] Functions
 */
-#include <foxwing/scheduler/runtimes.h>
+#include <foxwing/scheduler/runtimemodel.h>
 
 #include <algorithm>
 #include <cmath>
--- a/packages/scheduler/src/scheduler.cpp
+++ b/packages/scheduler/src/scheduler.cpp
@@ -1,6 +1,6 @@
 /*
     The scheduler's events, except for jobs that come and go (admission.cpp) and ends of runs
-    (ending.cpp).
+    (completion.cpp).
 
     [SECTION] Names
     [SECTION] Agents
@@ -47,7 +47,7 @@
     return "fastest";
 }
 
-std::optional<Placement> placementNamed(const std::string &name)
+std::optional<Placement> parsePlacement(const std::string &name)
 {
     for (const Placement placement :
          { Placement::Fastest, Placement::Random, Placement::MostRoom }) {
@@ -60,9 +60,9 @@
 const char *toString(Order order)
 {
     switch (order) {
-    case Order::LatestBegin:
+    case Order::LatestStart:
         return "latest-begin";
-    case Order::Newest:
+    case Order::NewestFirst:
         return "newest";
     case Order::FirstCome:
         return "first-come";
@@ -74,10 +74,10 @@
     return "priority";
 }
 
-std::optional<Order> orderNamed(const std::string &name)
+std::optional<Order> parseOrder(const std::string &name)
 {
-    for (const Order order : { Order::LatestBegin, Order::Newest, Order::FirstCome, Order::Priority,
-                               Order::LeastWork }) {
+    for (const Order order : { Order::LatestStart, Order::NewestFirst, Order::FirstCome,
+                               Order::Priority, Order::LeastWork }) {
         if (name == toString(order))
             return order;
     }
@@ -89,7 +89,7 @@
     return queues == WaitingQueues::MostUrgent ? "most-urgent" : "all-but-least";
 }
 
-std::optional<WaitingQueues> waitingQueuesNamed(const std::string &name)
+std::optional<WaitingQueues> parseWaitingQueues(const std::string &name)
 {
     for (const WaitingQueues queues : { WaitingQueues::MostUrgent, WaitingQueues::AllButLeast }) {
         if (name == toString(queues))
@@ -112,29 +112,29 @@
 void beatAgent(const SchedulerState &scheduler, const std::string &name, Agent &agent, Time now,
                SchedulerActions &actions)
 {
-    agent.sentAt = now;
-    agent.toldWantsRoom = now < scheduler.wantsRoomUntil;
-    actions.sends.push_back({ name, jobs::SessionBeat { ++agent.beat, agent.toldWantsRoom } });
+    agent.lastSentAt = now;
+    agent.reportedNeed = now < scheduler.needsCapacityUntil;
+    actions.sends.push_back({ name, jobs::SessionBeat { ++agent.beat, agent.reportedNeed } });
 }
 
 SchedulerActions agentConnected(SchedulerState &scheduler, const std::string &agent, Time now)
 {
     SchedulerActions actions;
     Agent fresh;
-    fresh.sentAt = now;
-    fresh.heardAt = now;
+    fresh.lastSentAt = now;
+    fresh.lastReceivedAt = now;
     scheduler.agents[agent] = fresh;
     return actions;
 }
 
-SchedulerActions agentWelcomed(SchedulerState &scheduler, const std::string &name,
+SchedulerActions agentAccepted(SchedulerState &scheduler, const std::string &name,
                                const jobs::Welcome &welcome, Time now)
 {
     SchedulerActions actions;
     Agent &agent = scheduler.agents[name];
     agent.endpoint = welcome.endpoint;
     agent.welcomed = true;
-    agent.heardAt = now;
+    agent.lastReceivedAt = now;
     actions.events.push_back(change("agent-welcomed")
                                      .with("agent", name)
                                      .with("incarnation", welcome.incarnation)
@@ -207,7 +207,7 @@
     if (found == scheduler.agents.end() || !found->second.welcomed)
         return actions;
     Agent &agent = found->second;
-    agent.heardAt = now;
+    agent.lastReceivedAt = now;
     const jobs::Room roomBefore = roomAt(agent);
     const std::uint32_t startsBefore = agent.endpoint.mostStarts;
     takeRoom(agent, update);
@@ -232,7 +232,7 @@
     const auto found = scheduler.agents.find(name);
     if (found == scheduler.agents.end())
         return actions;
-    const Time certainAt = found->second.sentAt + scheduler.settings.certainSilence;
+    const Time certainAt = found->second.lastSentAt + scheduler.settings.lostRunTimeout;
     std::uint64_t runs = 0;
     for (auto &[number, job] : scheduler.jobs) {
         for (Task &task : job.tasks) {
@@ -246,7 +246,7 @@
     scheduler.counters.runsLost += runs;
     actions.events.push_back(change("agent-lost")
                                      .with("agent", name)
-                                     .with("heard_ms_ago", now - found->second.heardAt)
+                                     .with("heard_ms_ago", now - found->second.lastReceivedAt)
                                      .with("runs_uncertain", runs));
     scheduler.agents.erase(found);
     return actions;
@@ -282,7 +282,7 @@
 
 } // namespace
 
-SchedulerActions takeCordons(SchedulerState &scheduler, const catalog::Cordons &cordons, Time now)
+SchedulerActions applyCordons(SchedulerState &scheduler, const catalog::Cordons &cordons, Time now)
 {
     SchedulerActions actions;
     if (cordons.revision <= scheduler.cordons.revision)
@@ -307,11 +307,11 @@
 void beatAgents(SchedulerState &scheduler, Time now, SchedulerActions &actions)
 {
     for (auto &[name, agent] : scheduler.agents) {
-        if (now >= agent.heardAt + scheduler.settings.agentSilence && agent.welcomed) {
+        if (now >= agent.lastReceivedAt + scheduler.settings.agentTimeout && agent.welcomed) {
             actions.closes.push_back(name);
             continue;
         }
-        if (now < agent.sentAt + scheduler.settings.beatInterval)
+        if (now < agent.lastSentAt + scheduler.settings.heartbeatInterval)
             continue;
         beatAgent(scheduler, name, agent, now, actions);
     }
@@ -339,8 +339,8 @@
 // When the caller stops waiting, whether or not the job has begun.
 Time endOfJob(const SchedulerState &scheduler, const Job &job)
 {
-    if (job.terms.patienceUntil)
-        return *job.terms.patienceUntil;
+    if (job.options.callerDeadline)
+        return *job.options.callerDeadline;
     const auto objective = std::chrono::duration_cast<Milliseconds>(job.objectiveAt
                                                                     - job.arrivedAt);
     return job.arrivedAt
@@ -356,7 +356,7 @@
     for (const auto &[number, job] : scheduler.jobs) {
         const Time worth = scheduler.settings.refuseLate ? job.onTimeUntil : job.worthUntil;
         const bool late = now > worth && waitOn.count(number) == 0;
-        const bool unbegun = certainlyNotBegun(job) && (late || now >= job.terms.beginBy);
+        const bool unbegun = certainlyNotBegun(job) && (late || now >= job.options.startDeadline);
         const bool unwanted = now >= endOfJob(scheduler, job);
         if (!job.over && (unbegun || unwanted))
             over.push_back(number);
@@ -385,7 +385,7 @@
     return actions;
 }
 
-SchedulerActions giveUpAll(SchedulerState &scheduler, const std::string &why, Time now)
+SchedulerActions closeAllJobs(SchedulerState &scheduler, const std::string &why, Time now)
 {
     SchedulerActions actions;
     std::vector<std::uint64_t> open;
@@ -402,13 +402,14 @@
     return actions;
 }
 
-void keepQueues(SchedulerState &scheduler, const std::set<std::string> &declared)
+void retainQueues(SchedulerState &scheduler, const std::set<std::string> &declared)
 {
     for (auto item = scheduler.runTimes.begin(); item != scheduler.runTimes.end();)
         item = declared.count(item->first) == 0 ? scheduler.runTimes.erase(item) : std::next(item);
-    shares::keepQueues(scheduler.shares, declared);
-    for (auto item = scheduler.standings.begin(); item != scheduler.standings.end();)
-        item = declared.count(item->first) == 0 ? scheduler.standings.erase(item) : std::next(item);
+    shares::retainQueues(scheduler.shares, declared);
+    for (auto item = scheduler.queueStatuses.begin(); item != scheduler.queueStatuses.end();)
+        item = declared.count(item->first) == 0 ? scheduler.queueStatuses.erase(item)
+                                                : std::next(item);
     scheduler.mostUrgent = std::numeric_limits<std::uint32_t>::max();
     scheduler.leastUrgent = 0;
 }
--- a/packages/scheduler/src/outlook.cpp
+++ b/packages/scheduler/src/waitestimate.cpp
@@ -37,7 +37,7 @@
         if (takesWork(scheduler, agent, service))
             forecast::addAgent(picture,
                                { roomAt(agent).milliCores, agent.waiting, agent.freedPerSecond,
-                                 agent.heardAt },
+                                 agent.lastReceivedAt },
                                now);
     }
     return picture;
@@ -88,7 +88,7 @@
 double shareFor(const SchedulerState &scheduler, const std::string &service, std::uint32_t priority,
                 Time now)
 {
-    const double alike = 1.0 / std::max(1U, scheduler.entries);
+    const double alike = 1.0 / std::max(1U, scheduler.entryCount);
     const auto freed = scheduler.freed.find(service);
     const auto all = scheduler.told.find(service);
     if (freed == scheduler.freed.end() || all == scheduler.told.end())
@@ -130,7 +130,8 @@
 
 forecast::Wanted wantedBy(const Job &job, std::int64_t before)
 {
-    return { job.terms.priority, job.spec.steps.front().room.milliCores, roomWanted(job), before };
+    return { job.options.priority, job.spec.steps.front().room.milliCores, roomWanted(job),
+             before };
 }
 
 std::int64_t workBefore(const SchedulerState &scheduler, const Job &wanted, const QueueKey &place)
@@ -140,7 +141,7 @@
         if (!(key < place))
             break;
         const Job &job = scheduler.jobs.at(key.number);
-        if (job.terms.service == wanted.terms.service)
+        if (job.options.service == wanted.options.service)
             work += roomWanted(job);
     }
     return work;
@@ -152,8 +153,8 @@
 {
     if (job.spec.steps.empty())
         return std::nullopt;
-    forecast::Picture picture = pictureOf(scheduler, job.terms.service, now);
-    picture.share = shareFor(scheduler, job.terms.service, job.terms.priority, now);
+    forecast::Picture picture = pictureOf(scheduler, job.options.service, now);
+    picture.share = shareFor(scheduler, job.options.service, job.options.priority, now);
     const forecast::Wanted wanted = wantedBy(job,
                                              workBefore(scheduler, job, keyOf(scheduler, job)));
     // The first job in line is tried whatever its size.
@@ -166,8 +167,8 @@
 {
     if (job.spec.steps.empty())
         return std::nullopt;
-    forecast::Picture picture = pictureOf(scheduler, job.terms.service, now);
-    picture.share = wholeShare(scheduler, job.terms.service, now);
+    forecast::Picture picture = pictureOf(scheduler, job.options.service, now);
+    picture.share = wholeShare(scheduler, job.options.service, now);
     QueueKey place = keyOf(scheduler, job);
     place.group = Rank::Late;
     place.rank = job.lateUntil.time_since_epoch().count();
@@ -180,23 +181,23 @@
     const double drawn = chance(scheduler.random);
     if (job.spec.steps.empty())
         return forecast::LeastComeBack;
-    forecast::Picture picture = pictureOf(scheduler, job.terms.service, now);
-    picture.share = shareFor(scheduler, job.terms.service, job.terms.priority, now);
+    forecast::Picture picture = pictureOf(scheduler, job.options.service, now);
+    picture.share = shareFor(scheduler, job.options.service, job.options.priority, now);
     const std::int64_t before = workBefore(scheduler, job, keyOf(scheduler, job));
     return forecast::comeBackAfter(picture, wantedBy(job, before), drawn);
 }
 
-Outlook outlook(const SchedulerState &scheduler, Time now)
+ForecastStatus forecastStatus(const SchedulerState &scheduler, Time now)
 {
     constexpr std::int64_t OneCore = 1000;
-    Outlook all;
+    ForecastStatus all;
     for (const std::string &service : services(scheduler)) {
         forecast::Picture picture = pictureOf(scheduler, service, now);
         picture.share = wholeShare(scheduler, service, now);
         forecast::Wanted wanted { scheduler.leastUrgent, OneCore, OneCore, 0 };
         for (const QueueKey &key : scheduler.queue) {
             const Job &job = scheduler.jobs.at(key.number);
-            wanted.beforeIt += job.terms.service == service ? roomWanted(job) : 0;
+            wanted.beforeIt += job.options.service == service ? roomWanted(job) : 0;
         }
         all.age = std::max(all.age, picture.age);
         const auto wait = forecast::expectedWait(picture, wanted);
@@ -253,7 +254,7 @@
 // Whether a late job may wait behind those before it.
 bool joinsLate(SchedulerState &scheduler, Line &line, const Job &job, Time now)
 {
-    const LateSpell &spell = noteLateWaits(scheduler, job.terms.service, now);
+    const LateSpell &spell = noteLateWaits(scheduler, job.options.service, now);
     if (!beginsInTime(line, job, now) || !lateRoomAllows(scheduler.settings, spell, line, job, now))
         return false;
     ++line.late;
@@ -271,7 +272,7 @@
     std::map<std::string, Line> lines;
     for (const QueueKey &key : sortOut(scheduler, now)) {
         const Job &job = scheduler.jobs.at(key.number);
-        const std::string &service = job.terms.service;
+        const std::string &service = job.options.service;
         const auto [line, isNew] = lines.try_emplace(service);
         if (isNew) {
             line->second.picture = pictureOf(scheduler, service, now);
@@ -290,7 +291,7 @@
 void noteLateStart(SchedulerState &scheduler, const Job &job, std::int64_t milliCores, Time now)
 {
     if (scheduler.settings.serveLate && job.firstPlacedAt > job.onTimeUntil)
-        addTo(scheduler.lateSpells[job.terms.service].taken, scheduler.settings.lateSpan,
+        addTo(scheduler.lateSpells[job.options.service].taken, scheduler.settings.lateSpan,
               static_cast<double>(milliCores), now);
 }
 
@@ -299,7 +300,7 @@
 // What the job needs to begin: the steps that depend on no other.
 forecast::Wanted wantedToBegin(const Job &job)
 {
-    forecast::Wanted wanted { job.terms.priority, 0, 0, 0 };
+    forecast::Wanted wanted { job.options.priority, 0, 0, 0 };
     for (const jobs::StepSpec &step : job.spec.steps) {
         if (!step.after.empty())
             continue;
@@ -315,9 +316,12 @@
 {
     forecast::Picture picture;
     for (const auto &[name, agent] : scheduler.agents) {
-        if (takesWork(scheduler, agent, job.terms.service))
+        if (takesWork(scheduler, agent, job.options.service))
             forecast::addAgent(picture,
-                               { roomFor(scheduler, agent, job).milliCores, {}, 0, agent.heardAt },
+                               { roomFor(scheduler, agent, job).milliCores,
+                                 {},
+                                 0,
+                                 agent.lastReceivedAt },
                                now);
     }
     return forecast::expectedWait(picture, wantedToBegin(job)) == Milliseconds(0);
--- a/packages/scheduler/tests/admission_test.cpp
+++ b/packages/scheduler/tests/admission_test.cpp
@@ -85,7 +85,7 @@
 TEST_P(Arrivals, AreRefusedAtOnceIfTheRoomThatComesFreeIsTooLittle)
 {
     SchedulerSettings settings;
-    settings.refuseAtArrivalPercent = GetParam().percent;
+    settings.maxWaitPercent = GetParam().percent;
     Bench bench({ 3000 }, settings);
     bench.priority = 1;
     bench.submit("running", 3);
@@ -186,7 +186,7 @@
                          [](const auto &tested) { return tested.param.name; });
 
 // A job of one task of 100 ms.
-SchedulerActions submitOne(Bench &bench, const JobTerms &terms)
+SchedulerActions submitOne(Bench &bench, const JobOptions &options)
 {
     jobs::JobSpec spec;
     spec.id = "job";
@@ -196,7 +196,7 @@
     step.room = { 1000, 10, 0 };
     step.estimate = Milliseconds(100);
     spec.steps = { step };
-    return submit(bench.scheduler, spec, terms, bench.now, &bench.number);
+    return submit(bench.scheduler, spec, options, bench.now, &bench.number);
 }
 
 // Capacity is freed before the next tick, for a waiting job whose caller waits for 100 ms.
@@ -219,9 +219,9 @@
 {
     Bench bench({ 1000 });
     bench.submit("first", 1);
-    JobTerms terms = bench.terms();
-    terms.patienceUntil = bench.now + Milliseconds(100);
-    EXPECT_EQ(startsIn(submitOne(bench, terms)), 0U);
+    JobOptions options = bench.options();
+    options.callerDeadline = bench.now + Milliseconds(100);
+    EXPECT_EQ(startsIn(submitOne(bench, options)), 0U);
     bench.now += GetParam().after;
     const SchedulerActions freed = bench.report("agent-0", { endOf("first", 0, 1, RunEnd::Done) });
     EXPECT_EQ(startsIn(freed), GetParam().starts);
@@ -247,9 +247,9 @@
 TEST_P(Held, JobsCountFromTheirCall)
 {
     Bench bench({ 4000 });
-    JobTerms terms = bench.terms();
-    terms.cameAt = bench.now - GetParam().held;
-    const SchedulerActions actions = submitOne(bench, terms);
+    JobOptions options = bench.options();
+    options.receivedAt = bench.now - GetParam().held;
+    const SchedulerActions actions = submitOne(bench, options);
     EXPECT_EQ(startsIn(actions), GetParam().starts ? 1U : 0U);
     ASSERT_EQ(actions.answers.size(), GetParam().starts ? 0U : 1U);
     if (!GetParam().starts) {
@@ -268,11 +268,11 @@
 TEST(HeldJob, OfAQueueWithoutSlackIsTried)
 {
     Bench bench({ 4000 });
-    JobTerms terms = bench.terms();
-    terms.stretch = 1.0;
-    terms.targetLatency = Milliseconds(0);
-    terms.cameAt = bench.now - Milliseconds(1);
-    EXPECT_EQ(startsIn(submitOne(bench, terms)), 1U);
+    JobOptions options = bench.options();
+    options.stretch = 1.0;
+    options.targetLatency = Milliseconds(0);
+    options.receivedAt = bench.now - Milliseconds(1);
+    EXPECT_EQ(startsIn(submitOne(bench, options)), 1U);
 }
 
 } // namespace
--- a/packages/scheduler/tests/bench.h
+++ b/packages/scheduler/tests/bench.h
@@ -46,7 +46,7 @@
         agentConnected(scheduler, name, now);
         jobs::Welcome message;
         message.endpoint = view;
-        return agentWelcomed(scheduler, name, message, now);
+        return agentAccepted(scheduler, name, message, now);
     }
 
     // A job of one step, whose tasks take 1000 millicores and 100 ms.
@@ -65,20 +65,20 @@
         spec.id = id;
         spec.steps = steps;
         spec.traits = traits;
-        return scheduler::submit(scheduler, spec, terms(), now, &number);
+        return scheduler::submit(scheduler, spec, options(), now, &number);
     }
 
-    JobTerms terms() const
+    JobOptions options() const
     {
-        JobTerms terms;
-        terms.queue = "queue";
-        terms.service = "align";
-        terms.attempts = 2;
-        terms.stretch = 1.6;
-        terms.priority = priority;
-        terms.targetLatency = Milliseconds(60);
-        terms.beginBy = now + Milliseconds(1500);
-        return terms;
+        JobOptions options;
+        options.queue = "queue";
+        options.service = "align";
+        options.attempts = 2;
+        options.stretch = 1.6;
+        options.priority = priority;
+        options.targetLatency = Milliseconds(60);
+        options.startDeadline = now + Milliseconds(1500);
+        return options;
     }
 
     // An update by the agent that includes all starts sent to it.
@@ -97,7 +97,7 @@
     {
         now += span;
         for (auto &[name, agent] : scheduler.agents)
-            agent.heardAt = now;
+            agent.lastReceivedAt = now;
         return tick(scheduler, now);
     }
 
--- a/packages/scheduler/tests/callerwatch_test.cpp
+++ b/packages/scheduler/tests/callerprobe_test.cpp
@@ -3,7 +3,7 @@
 
     [SECTION] Looks
 */
-#include <foxwing/scheduler/callerwatch.h>
+#include <foxwing/scheduler/callerprobe.h>
 
 #include "bench.h"
 
@@ -41,18 +41,18 @@
 TEST_P(Looks, AreAtWhatMayBePlaced)
 {
     Bench bench({ 4000 });
-    CallerWatch watch;
+    CallerProbeState watch;
     for (int i = 0; i < GetParam().jobs; ++i)
         bench.submit("job-" + std::to_string(i), 1);
     if (GetParam().agentLost)
         agentLost(bench.scheduler, "agent-0", bench.now);
     if (GetParam().after) {
-        noteSessionLost(watch, bench.now);
+        recordSessionLost(watch, bench.now);
         bench.now += *GetParam().after;
     }
     if (GetParam().lookedBefore)
-        callersToSee(watch, bench.scheduler, bench.now - *GetParam().lookedBefore);
-    EXPECT_EQ(callersToSee(watch, bench.scheduler, bench.now).size(), GetParam().toSee);
+        callersToProbe(watch, bench.scheduler, bench.now - *GetParam().lookedBefore);
+    EXPECT_EQ(callersToProbe(watch, bench.scheduler, bench.now).size(), GetParam().toSee);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -72,14 +72,14 @@
     Bench bench({ 1000 });
     bench.submit("placed", 1);
     bench.submit("waits", 1);
-    CallerWatch watch;
-    noteSessionLost(watch, bench.now);
-    EXPECT_EQ(callersToSee(watch, bench.scheduler, bench.now).size(), 1U);
-    noteSessionLost(watch, bench.now + Milliseconds(1));
-    EXPECT_EQ(callersToSee(watch, bench.scheduler, bench.now + Milliseconds(1)).size(), 0U);
-    EXPECT_EQ(callersToSee(watch, bench.scheduler, bench.now + Milliseconds(9)).size(), 1U);
-    noteSessionLost(watch, bench.now + Milliseconds(10));
-    EXPECT_EQ(callersToSee(watch, bench.scheduler, bench.now + Milliseconds(10)).size(), 1U);
+    CallerProbeState watch;
+    recordSessionLost(watch, bench.now);
+    EXPECT_EQ(callersToProbe(watch, bench.scheduler, bench.now).size(), 1U);
+    recordSessionLost(watch, bench.now + Milliseconds(1));
+    EXPECT_EQ(callersToProbe(watch, bench.scheduler, bench.now + Milliseconds(1)).size(), 0U);
+    EXPECT_EQ(callersToProbe(watch, bench.scheduler, bench.now + Milliseconds(9)).size(), 1U);
+    recordSessionLost(watch, bench.now + Milliseconds(10));
+    EXPECT_EQ(callersToProbe(watch, bench.scheduler, bench.now + Milliseconds(10)).size(), 1U);
 }
 
 } // namespace
--- a/packages/scheduler/tests/ending_test.cpp
+++ b/packages/scheduler/tests/completion_test.cpp
@@ -225,9 +225,9 @@
 TEST_P(EndlessJobs, AreGivenUpWhenNobodyWaitsAnyLonger)
 {
     Bench bench({ 4000 });
-    JobTerms terms = bench.terms();
+    JobOptions options = bench.options();
     if (GetParam().patience)
-        terms.patienceUntil = bench.now + *GetParam().patience;
+        options.callerDeadline = bench.now + *GetParam().patience;
     jobs::JobSpec spec;
     spec.id = "job";
     spec.traits = bench.traits;
@@ -235,7 +235,7 @@
     spec.steps[0].tasks = 1;
     spec.steps[0].room = { 1000, 10, 0 };
     spec.steps[0].estimate = GetParam().estimate;
-    ASSERT_EQ(startsIn(submit(bench.scheduler, spec, terms, bench.now, &bench.number)), 1U);
+    ASSERT_EQ(startsIn(submit(bench.scheduler, spec, options, bench.now, &bench.number)), 1U);
     const SchedulerActions actions = bench.pass(GetParam().after);
     ASSERT_EQ(actions.answers.size(), GetParam().over ? 1U : 0U);
     if (GetParam().over) {
@@ -278,7 +278,7 @@
     Bench bench({ 4000, 4000 });
     const std::string agent = bench.submit("job", 1).sends.at(0).agent;
     agentLost(bench.scheduler, agent, bench.now);
-    EXPECT_EQ(startsIn(bench.pass(bench.scheduler.settings.certainSilence - Milliseconds(1))), 0U);
+    EXPECT_EQ(startsIn(bench.pass(bench.scheduler.settings.lostRunTimeout - Milliseconds(1))), 0U);
     EXPECT_EQ(startsIn(bench.pass(Milliseconds(1))), 1U);
 }
 
@@ -306,7 +306,7 @@
 TEST(SchedulerLost, ASilentAgentIsClosed)
 {
     Bench bench({ 4000 });
-    bench.now += bench.scheduler.settings.agentSilence;
+    bench.now += bench.scheduler.settings.agentTimeout;
     EXPECT_EQ(tick(bench.scheduler, bench.now).closes, std::vector<std::string> { "agent-0" });
 }
 
--- a/packages/scheduler/tests/crashes_test.cpp
+++ b/packages/scheduler/tests/crashes_test.cpp
@@ -46,7 +46,7 @@
     update.free = { 4000, 10000, 0 };
     update.mostStarts = 1000;
     update.crashed = { report };
-    return welcome ? agentWelcomed(bench.scheduler, agent, opened, bench.now)
+    return welcome ? agentAccepted(bench.scheduler, agent, opened, bench.now)
                    : agentUpdated(bench.scheduler, agent, update, bench.now);
 }
 
--- a/packages/scheduler/tests/floors_test.cpp
+++ b/packages/scheduler/tests/guarantees_test.cpp
@@ -40,9 +40,9 @@
     spec.steps[0].estimate = Milliseconds(100);
     spec.traits = bench.traits;
     bench.priority = priority;
-    JobTerms terms = bench.terms();
-    terms.queue = "queue-" + std::to_string(priority);
-    return submit(bench.scheduler, spec, terms, bench.now, &bench.number);
+    JobOptions options = bench.options();
+    options.queue = "queue-" + std::to_string(priority);
+    return submit(bench.scheduler, spec, options, bench.now, &bench.number);
 }
 
 // Each of the queues requests work; those in below get all of it refused.
@@ -58,9 +58,9 @@
     bench.pass(Milliseconds(1));
 }
 
-const QueueStanding &standing(const Bench &bench, std::uint32_t priority)
+const QueueStatus &standing(const Bench &bench, std::uint32_t priority)
 {
-    return bench.scheduler.standings.at("queue-" + std::to_string(priority));
+    return bench.scheduler.queueStatuses.at("queue-" + std::to_string(priority));
 }
 
 // [SECTION] Standings
@@ -136,7 +136,7 @@
 {
     Bench bench({ 1000000 }, withFloor(Floor));
     setStandings(bench, { 0, 1, 2 }, {});
-    bench.scheduler.standings.at("queue-1").service = "other";
+    bench.scheduler.queueStatuses.at("queue-1").service = "other";
     shares::noteRefused(bench.scheduler.shares, "queue-2", 100000, bench.now);
     bench.pass(Milliseconds(1));
     EXPECT_EQ(standing(bench, 2).effective, 2U);
@@ -147,8 +147,8 @@
 {
     Bench bench({ 1000000 }, withFloor(Floor));
     setStandings(bench, { 0, 1, 2 }, { 2 });
-    keepQueues(bench.scheduler, { "queue-0", "queue-1" });
-    EXPECT_EQ(bench.scheduler.standings.count("queue-2"), 0U);
+    retainQueues(bench.scheduler, { "queue-0", "queue-1" });
+    EXPECT_EQ(bench.scheduler.queueStatuses.count("queue-2"), 0U);
     bench.pass(Milliseconds(1));
     EXPECT_FALSE(standing(bench, 1).yields);
 }
@@ -158,7 +158,7 @@
 {
     Bench bench({ 1000000 }, withFloor(Floor));
     setStandings(bench, { 0, 1, 2 }, { 2 });
-    bench.scheduler.standings.at("queue-2").priority = 7;
+    bench.scheduler.queueStatuses.at("queue-2").priority = 7;
     submitTo(bench, 2, "declared-anew");
     EXPECT_EQ(standing(bench, 2).effective, 2U);
 }
@@ -187,7 +187,7 @@
     setStandings(bench, { 0, 1, 2 }, {});
     for (const std::uint32_t priority : { 2, 1, 0 })
         submitTo(bench, priority, "job-" + std::to_string(priority));
-    bench.scheduler.settings.waitPercent = 0;
+    bench.scheduler.settings.maxShortfallPercent = 0;
     for (const std::uint32_t priority : GetParam().below)
         shares::noteRefused(bench.scheduler.shares, "queue-" + std::to_string(priority), 1000000,
                             bench.now);
@@ -324,7 +324,7 @@
                                       [](Bench &b) {
                                           b.submit("first", 1);
                                           b.submit("job", 1);
-                                          giveUpAll(b.scheduler, "this entry was paused", b.now);
+                                          closeAllJobs(b.scheduler, "this entry was paused", b.now);
                                       },
                                       2, 0 }),
         [](const auto &tested) { return tested.param.name; });
--- a/packages/scheduler/tests/order_test.cpp
+++ b/packages/scheduler/tests/order_test.cpp
@@ -42,8 +42,8 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Scheduler, Orders,
-                         testing::Values(OrderCase { "LatestBegin", Order::LatestBegin, "urgent" },
-                                         OrderCase { "Newest", Order::Newest, "urgent" },
+                         testing::Values(OrderCase { "LatestBegin", Order::LatestStart, "urgent" },
+                                         OrderCase { "Newest", Order::NewestFirst, "urgent" },
                                          OrderCase { "Priority", Order::Priority, "urgent" },
                                          OrderCase { "LeastWork", Order::LeastWork, "urgent" },
                                          OrderCase { "FirstCome", Order::FirstCome, "patient" }),
@@ -82,13 +82,13 @@
 
 TEST(SchedulerOrder, NamesAreReadBack)
 {
-    for (const Order order :
-         { Order::LatestBegin, Order::Newest, Order::FirstCome, Order::Priority, Order::LeastWork })
-        EXPECT_EQ(orderNamed(toString(order)), order);
-    EXPECT_FALSE(orderNamed("sideways"));
+    for (const Order order : { Order::LatestStart, Order::NewestFirst, Order::FirstCome,
+                               Order::Priority, Order::LeastWork })
+        EXPECT_EQ(parseOrder(toString(order)), order);
+    EXPECT_FALSE(parseOrder("sideways"));
     for (const Placement placement : { Placement::Fastest, Placement::Random, Placement::MostRoom })
-        EXPECT_EQ(placementNamed(toString(placement)), placement);
-    EXPECT_FALSE(placementNamed("sideways"));
+        EXPECT_EQ(parsePlacement(toString(placement)), placement);
+    EXPECT_FALSE(parsePlacement("sideways"));
 }
 
 // Decisions must not depend on the names of queues, services, jobs and data centres.
@@ -116,7 +116,7 @@
         welcome.endpoint.dataCentre = names.dataCentre;
         welcome.endpoint.paceMille = 800 + 300 * static_cast<std::uint32_t>(i);
         agentConnected(scheduler, "agent-" + std::to_string(i), now);
-        agentWelcomed(scheduler, "agent-" + std::to_string(i), welcome, now);
+        agentAccepted(scheduler, "agent-" + std::to_string(i), welcome, now);
     }
     std::vector<std::string> decisions;
     const auto note = [&](const SchedulerActions &actions) {
@@ -138,18 +138,18 @@
         jobs::JobSpec spec;
         spec.id = names.job + std::to_string(i);
         spec.steps = { step };
-        JobTerms terms;
-        terms.queue = names.queue + std::to_string(i % 2);
-        terms.service = names.service;
-        terms.priority = static_cast<std::uint32_t>(i % 2);
-        terms.attempts = 2;
-        terms.stretch = 1.6;
-        terms.targetLatency = Milliseconds(60);
-        terms.beginBy = now + Milliseconds(1500);
+        JobOptions options;
+        options.queue = names.queue + std::to_string(i % 2);
+        options.service = names.service;
+        options.priority = static_cast<std::uint32_t>(i % 2);
+        options.attempts = 2;
+        options.stretch = 1.6;
+        options.targetLatency = Milliseconds(60);
+        options.startDeadline = now + Milliseconds(1500);
         std::uint64_t number = 0;
-        note(submit(scheduler, spec, terms, now, &number));
+        note(submit(scheduler, spec, options, now, &number));
         for (auto &[name, agent] : scheduler.agents)
-            agent.heardAt = now;
+            agent.lastReceivedAt = now;
         jobs::AgentUpdate update;
         const std::string name = "agent-" + std::to_string(i % 3);
         update.startsTaken = scheduler.agents.at(name).startsSent;
@@ -256,9 +256,9 @@
     jobs::RunReport report = endOf("job", 0, 1, RunEnd::Done);
     report.took = Milliseconds(200);
     bench.report("agent-0", { report });
-    keepQueues(bench.scheduler, { "queue" });
+    retainQueues(bench.scheduler, { "queue" });
     EXPECT_EQ(bench.scheduler.runTimes.size(), 1U);
-    keepQueues(bench.scheduler, { "another" });
+    retainQueues(bench.scheduler, { "another" });
     EXPECT_TRUE(bench.scheduler.runTimes.empty());
 }
 
--- a/packages/scheduler/tests/placing_test.cpp
+++ b/packages/scheduler/tests/placement_test.cpp
@@ -49,7 +49,7 @@
 TEST_P(Suits, OnlyEndpointsThatMay)
 {
     SchedulerSettings settings;
-    settings.waitPercent = 0;
+    settings.maxShortfallPercent = 0;
     Bench bench({}, settings);
     jobs::EndpointView view = makeView(4000);
     view.labels = { "b", "r1" };
@@ -91,7 +91,7 @@
 
     SchedulerActions cordon(std::uint64_t revision, const std::vector<std::string> &dataCentres)
     {
-        return takeCordons(scheduler, { revision, dataCentres }, now);
+        return applyCordons(scheduler, { revision, dataCentres }, now);
     }
 };
 
@@ -221,7 +221,7 @@
 {
     const char *name;
     const char *entryAt;
-    std::uint32_t awayPercent;
+    std::uint32_t remotePercent;
 
     // Time taken by work at the local endpoint, in thousandths of its estimates
     std::uint32_t homePace;
@@ -239,7 +239,7 @@
     const AwayCase &tested = GetParam();
     SchedulerSettings settings;
     settings.dataCentre = tested.entryAt;
-    settings.awayPercent = tested.awayPercent;
+    settings.remotePercent = tested.remotePercent;
     Bench bench({}, settings);
     for (const char *place : { "a-1", "b-1", "b-2", "b-3" }) {
         jobs::EndpointView view = makeView(4000);
@@ -314,7 +314,7 @@
 
     // Free millicores at the only endpoint, of 10000
     std::int64_t free;
-    std::int64_t waitPercent;
+    std::int64_t maxShortfallPercent;
     bool sent;
 };
 
@@ -325,7 +325,7 @@
 TEST_P(Waits, AtAnAgentOnlyWhatGoesFirstThere)
 {
     SchedulerSettings settings;
-    settings.waitPercent = GetParam().waitPercent;
+    settings.maxShortfallPercent = GetParam().maxShortfallPercent;
     Bench bench({ 10000 }, settings);
     bench.priority = GetParam().otherPriority;
     bench.submit("other", 1);
@@ -374,9 +374,9 @@
     spec.id = "large";
     spec.steps = { step };
     spec.traits = bench.traits;
-    JobTerms terms = bench.terms();
-    terms.suitableElsewhere = true;
-    const SchedulerActions waits = submit(bench.scheduler, spec, terms, bench.now, &bench.number);
+    JobOptions options = bench.options();
+    options.suitableUnconnected = true;
+    const SchedulerActions waits = submit(bench.scheduler, spec, options, bench.now, &bench.number);
     EXPECT_TRUE(waits.answers.empty());
     EXPECT_EQ(startsIn(bench.welcome("agent-1", makeView(20000))), 1U);
 }
@@ -389,7 +389,7 @@
         bench.priority = priority;
         bench.submit("before-" + std::to_string(priority), 1);
     }
-    keepQueues(bench.scheduler, {});
+    retainQueues(bench.scheduler, {});
     bench.priority = 2;
     bench.submit("after-2", 1);
     bench.report("agent-0", {}, 0);
--- a/packages/scheduler/tests/runtimes_test.cpp
+++ b/packages/scheduler/tests/runtimemodel_test.cpp
@@ -9,7 +9,7 @@
 #include <cmath>
 #include <random>
 
-#include <foxwing/scheduler/runtimes.h>
+#include <foxwing/scheduler/runtimemodel.h>
 
 namespace foxwing::scheduler {
 namespace {
--- a/packages/scheduler/tests/outlook_test.cpp
+++ b/packages/scheduler/tests/waitestimate_test.cpp
@@ -70,11 +70,11 @@
         spec.steps[0].tasks = tasks;
         spec.steps[0].room = { taskCores, 10, 0 };
         spec.steps[0].estimate = Milliseconds(100);
-        JobTerms its = terms();
+        JobOptions its = options();
         if (patience)
-            its.patienceUntil = now + *patience;
+            its.callerDeadline = now + *patience;
         if (timeout)
-            its.beginBy = now + *timeout;
+            its.startDeadline = now + *timeout;
         return scheduler::submit(scheduler, spec, its, now, &number);
     }
 
@@ -213,7 +213,7 @@
     if (GetParam().refused) {
         EXPECT_EQ(actions.answers[0].outcome, JobOutcome::NotRun);
     }
-    EXPECT_EQ(outlook(bench.scheduler, bench.now).waitingLate,
+    EXPECT_EQ(forecastStatus(bench.scheduler, bench.now).waitingLate,
               GetParam().refused || !GetParam().serveLate ? 0U : 1U);
 }
 
@@ -349,9 +349,9 @@
     spec.steps[0].room = spec.steps[1].room = { 1000, 10, 0 };
     spec.steps[0].estimate = spec.steps[1].estimate = Milliseconds(50);
     spec.steps[1].after = { 0 };
-    JobTerms terms = bench.terms();
-    terms.patienceUntil = bench.now + Milliseconds(1000);
-    submit(bench.scheduler, spec, terms, bench.now, &bench.number);
+    JobOptions options = bench.options();
+    options.callerDeadline = bench.now + Milliseconds(1000);
+    submit(bench.scheduler, spec, options, bench.now, &bench.number);
     ASSERT_TRUE(bench.wait(Milliseconds(200), 0).answers.empty());
     EXPECT_EQ(startsIn(bench.wait(Milliseconds(120), 1000)), 1U);
 }
@@ -360,7 +360,7 @@
 TEST(LateStart, DoesNotHoldUpWhatHasBegun)
 {
     SchedulerSettings settings = withForecast(true);
-    settings.mostPassedOver = 1;
+    settings.maxUnplaced = 1;
     BusyBench bench(settings);
     bench.freedPerSecond = 20000;
     bench.report("agent-0", { endOf("running", 0, 1, RunEnd::Done) }, 1000);
@@ -373,7 +373,7 @@
     bench.submitPatient("late", Milliseconds(9000), 2);
     bench.wait(Milliseconds(100), 0);
     ASSERT_EQ(bench.scheduler.queue.rbegin()->group, Rank::Hopeless);
-    EXPECT_EQ(outlook(bench.scheduler, bench.now).waitingLate, 1U);
+    EXPECT_EQ(forecastStatus(bench.scheduler, bench.now).waitingLate, 1U);
     EXPECT_EQ(startedIn(bench.wait(Milliseconds(20), 1000)), std::vector<std::string> { "begun" });
 }
 
@@ -427,7 +427,7 @@
     spell.seenAt = bench.now;
     spell.taken = { GetParam().taken, bench.now };
     bench.wait(Milliseconds(100), 0);
-    EXPECT_EQ(outlook(bench.scheduler, bench.now).waitingLate, GetParam().waiting);
+    EXPECT_EQ(forecastStatus(bench.scheduler, bench.now).waitingLate, GetParam().waiting);
 }
 
 INSTANTIATE_TEST_SUITE_P(
--- a/packages/settings/include/foxwing/settings/settings.h
+++ b/packages/settings/include/foxwing/settings/settings.h
@@ -78,7 +78,7 @@
     std::vector<Peer> control;
 
     // How often a node beats to control.
-    Milliseconds beatInterval { 1000 };
+    Milliseconds heartbeatInterval { 1000 };
 };
 
 struct EndpointSettings
--- a/packages/settings/src/settings.cpp
+++ b/packages/settings/src/settings.cpp
@@ -93,7 +93,7 @@
 void readCluster(TomlReader table, ClusterSettings &cluster)
 {
     table.text("secret", cluster.secret);
-    table.span("beat_interval", cluster.beatInterval);
+    table.span("beat_interval", cluster.heartbeatInterval);
     for (TomlReader &peer : table.tables("control")) {
         Peer host;
         peer.text("id", host.id);
--- a/packages/shares/include/foxwing/shares/shares.h
+++ b/packages/shares/include/foxwing/shares/shares.h
@@ -75,6 +75,6 @@
 bool isBelowFloor(const ShareState &shares, const std::string &queue, Time now);
 
 // Other queues are declared: forgets those that are gone.
-void keepQueues(ShareState &shares, const std::set<std::string> &declared);
+void retainQueues(ShareState &shares, const std::set<std::string> &declared);
 
 } // namespace foxwing::shares
--- a/packages/shares/src/shares.cpp
+++ b/packages/shares/src/shares.cpp
@@ -75,7 +75,7 @@
     return servedPercent(shares, queue, now) < shares.settings.floorPercent;
 }
 
-void keepQueues(ShareState &shares, const std::set<std::string> &declared)
+void retainQueues(ShareState &shares, const std::set<std::string> &declared)
 {
     for (auto item = shares.queues.begin(); item != shares.queues.end();)
         item = declared.count(item->first) == 0 ? shares.queues.erase(item) : std::next(item);
--- a/packages/shares/tests/shares_test.cpp
+++ b/packages/shares/tests/shares_test.cpp
@@ -132,7 +132,7 @@
         noteAsked(shares, queue, 100, Begin);
         noteRefused(shares, queue, 100, Begin);
     }
-    keepQueues(shares, { "kept", "new" });
+    retainQueues(shares, { "kept", "new" });
     EXPECT_EQ(servedPercent(shares, "kept", Begin), 0U);
     EXPECT_EQ(servedPercent(shares, "gone", Begin), 100U);
     EXPECT_EQ(shares.queues.size(), 1U);
--- a/packages/subset/include/foxwing/subset/subset.h
+++ b/packages/subset/include/foxwing/subset/subset.h
@@ -162,7 +162,7 @@
 
 // This control host is not kept as a peer any more: what only it lists is listed no more.
 void forgetControlHost(SubsetState &subset, const std::string &host);
-void takeCordons(SubsetState &subset, const catalog::Cordons &cordons);
+void applyCordons(SubsetState &subset, const catalog::Cordons &cordons);
 
 void connected(SubsetState &subset, const std::string &agent);
 void connectionLost(SubsetState &subset, const std::string &agent, Time now);
--- a/packages/subset/src/subset.cpp
+++ b/packages/subset/src/subset.cpp
@@ -80,7 +80,7 @@
     unlistAll(subset, host);
 }
 
-void takeCordons(SubsetState &subset, const catalog::Cordons &cordons)
+void applyCordons(SubsetState &subset, const catalog::Cordons &cordons)
 {
     if (cordons.revision <= subset.cordons.revision)
         return;
--- a/packages/subset/tests/subset_test.cpp
+++ b/packages/subset/tests/subset_test.cpp
@@ -263,7 +263,7 @@
 {
     Time now = Start;
     SubsetState subset = settledEntry(now);
-    takeCordons(subset, { 1, { "dc-0" } });
+    applyCordons(subset, { 1, { "dc-0" } });
     live(subset, now, Milliseconds(20));
     EXPECT_EQ(keptAgents(subset) - keptIn(subset, "dc-0"), 64U);
     live(subset, now, Seconds(6));
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -322,7 +322,7 @@
                             { Fault::CallsHeldUp } },
                 // A lost agent's runs are started again before it has stopped them.
                 GuardCase { "CertainSilence",
-                            [](WorldSettings &s) { s.scheduler.certainSilence = Milliseconds(50); },
+                            [](WorldSettings &s) { s.scheduler.lostRunTimeout = Milliseconds(50); },
                             { Fault::Cut } },
                 // An agent that starts before it knows the cordons, or does not look at them.
                 GuardCase { "Cordons",
--- a/tests/fleet/replay_test.cpp
+++ b/tests/fleet/replay_test.cpp
@@ -144,14 +144,14 @@
         const auto job = dialect.readJob(request, call.path.substr(queue->prefix.size()), &reason);
         if (!job)
             return write(dialect.writeRefusal(fleet::CallerRefusal::BadRequest, reason.message));
-        scheduler::JobTerms terms;
-        terms.queue = queue->name;
-        terms.service = queue->service;
-        terms.attempts = queue->attempts;
-        terms.stretch = queue->stretch;
-        terms.targetLatency = queue->targetLatency;
-        terms.beginBy = m_now + queue->timeout;
-        carryOut(scheduler::submit(m_entry, *job, terms, m_now, &m_number));
+        scheduler::JobOptions options;
+        options.queue = queue->name;
+        options.service = queue->service;
+        options.attempts = queue->attempts;
+        options.stretch = queue->stretch;
+        options.targetLatency = queue->targetLatency;
+        options.startDeadline = m_now + queue->timeout;
+        carryOut(scheduler::submit(m_entry, *job, options, m_now, &m_number));
     }
 
     void answerOrder(std::istringstream &words)
@@ -198,7 +198,7 @@
         if (actions.look)
             write(dialect.writeLook(*actions.look));
         for (const auto &[session, welcome] : actions.welcomes)
-            carryOut(scheduler::agentWelcomed(m_entry, TheAgent, welcome, m_now));
+            carryOut(scheduler::agentAccepted(m_entry, TheAgent, welcome, m_now));
         for (const auto &[session, update] : actions.updates)
             carryOut(scheduler::agentUpdated(m_entry, TheAgent, update, m_now));
     }
--- a/tests/fleet/size_test.cpp
+++ b/tests/fleet/size_test.cpp
@@ -125,7 +125,7 @@
     scheduler::SchedulerState entry = scheduler::makeScheduler(scheduler::SchedulerSettings());
     for (const std::string &agent : agents) {
         scheduler::agentConnected(entry, agent, Start);
-        scheduler::agentWelcomed(entry, agent, { 1, viewOfEndpoint(), {} }, Start);
+        scheduler::agentAccepted(entry, agent, { 1, viewOfEndpoint(), {} }, Start);
     }
     int jobs = 0;
     for (Time now = Start; now < Start + Span; now += Turn) {
@@ -139,13 +139,13 @@
         step.room = { 1600, 64, 0 };
         step.estimate = Milliseconds(60);
         spec.steps.push_back(step);
-        scheduler::JobTerms terms;
-        terms.service = "render";
-        terms.stretch = 1.6;
-        terms.targetLatency = Milliseconds(60);
-        terms.beginBy = now + Seconds(1);
+        scheduler::JobOptions options;
+        options.service = "render";
+        options.stretch = 1.6;
+        options.targetLatency = Milliseconds(60);
+        options.startDeadline = now + Seconds(1);
         std::uint64_t number = 0;
-        answerSends(entry, scheduler::submit(entry, spec, terms, now, &number), now, cost);
+        answerSends(entry, scheduler::submit(entry, spec, options, now, &number), now, cost);
     }
     cost.endpointsTried = entry.counters.endpointsTried;
     return cost;
@@ -156,7 +156,7 @@
 {
     HostCost cost;
     cost.sessions = sessions;
-    const Milliseconds beatInterval = scheduler::SchedulerSettings().beatInterval;
+    const Milliseconds heartbeatInterval = scheduler::SchedulerSettings().heartbeatInterval;
     runner::RunnerState agent = runner::makeRunner(runner::RunnerSettings(), 1, 1);
     agent.life.described = true;
     agent.life.clean = true;
@@ -173,7 +173,7 @@
         cost.sent += runner::tick(agent, now).updates.size();
         if (now < nextBeat)
             continue;
-        nextBeat += beatInterval;
+        nextBeat += heartbeatInterval;
         ++beat;
         for (std::uint64_t session = 1; session <= sessions; ++session) {
             ++cost.heard;
--- a/tests/fleet/world.cpp
+++ b/tests/fleet/world.cpp
@@ -152,18 +152,18 @@
     if (gone && !m_settings.callersNotSeen)
         return;
     seeCallers(number);
-    scheduler::JobTerms terms;
+    scheduler::JobOptions options;
     // By the job's number, so that it stays the same when it is sent again
-    terms.priority = static_cast<std::uint32_t>(std::stoul(spec.id.substr(spec.id.find('-') + 1)))
+    options.priority = static_cast<std::uint32_t>(std::stoul(spec.id.substr(spec.id.find('-') + 1)))
             % m_settings.priorities;
-    terms.queue = "queue-" + std::to_string(terms.priority);
-    terms.service = "service";
-    terms.attempts = 3;
-    terms.stretch = 1.6;
-    terms.targetLatency = Milliseconds(60);
-    terms.beginBy = clockOf(entry) + Milliseconds(1500);
+    options.queue = "queue-" + std::to_string(options.priority);
+    options.service = "service";
+    options.attempts = 3;
+    options.stretch = 1.6;
+    options.targetLatency = Milliseconds(60);
+    options.startDeadline = clockOf(entry) + Milliseconds(1500);
     std::uint64_t job = 0;
-    const auto actions = scheduler::submit(entry.state, spec, terms, clockOf(entry), &job);
+    const auto actions = scheduler::submit(entry.state, spec, options, clockOf(entry), &job);
     entry.calls[job] = call;
     if (gone)
         readEndLater(number, job, call);
@@ -253,7 +253,7 @@
     Entry &entry = *m_entries[static_cast<std::size_t>(number)];
     // As the daemon's shell does after a pause.
     if (clockOf(entry) - entry.lastTurn >= Milliseconds(400)) {
-        carryOut(number, scheduler::giveUpAll(entry.state, "stood still", clockOf(entry)));
+        carryOut(number, scheduler::closeAllJobs(entry.state, "stood still", clockOf(entry)));
         for (int agent = 0; agent < m_settings.agents; ++agent)
             disconnect(number, agent);
     }
@@ -306,7 +306,7 @@
     if (entry.up)
         on(entry, Milliseconds(0), [this, number, agentNumber] {
             Entry &told = *m_entries[static_cast<std::size_t>(number)];
-            scheduler::noteSessionLost(told.watch, clockOf(told));
+            scheduler::recordSessionLost(told.watch, clockOf(told));
             carryOut(number,
                      scheduler::agentLost(told.state, nameOf("agent", agentNumber), clockOf(told)));
         });
@@ -517,7 +517,7 @@
         return message;
     };
     for (const auto &[session, message] : actions.welcomes)
-        deliver(session, told(message), scheduler::agentWelcomed);
+        deliver(session, told(message), scheduler::agentAccepted);
     for (const auto &[session, message] : actions.updates)
         deliver(session, told(message), scheduler::agentUpdated);
     for (const std::uint64_t session : actions.closes) {
--- a/tests/fleet/world.h
+++ b/tests/fleet/world.h
@@ -16,7 +16,7 @@
 #include <random>
 #include <set>
 
-#include <foxwing/scheduler/callerwatch.h>
+#include <foxwing/scheduler/callerprobe.h>
 
 #include "endpoint.h"
 
--- a/tests/fleet/worldfaults.cpp
+++ b/tests/fleet/worldfaults.cpp
@@ -67,7 +67,7 @@
             return on(told, std::chrono::ceil<Milliseconds>(m_controlAwayUntil - m_now),
                       [this, number] { tellEntry(number); });
         told.knowsCordons = true;
-        carryOut(number, scheduler::takeCordons(told.state, m_cordons, clockOf(told)));
+        carryOut(number, scheduler::applyCordons(told.state, m_cordons, clockOf(told)));
     });
 }
 
@@ -343,7 +343,7 @@
     if (m_settings.callersNotSeen)
         return;
     for (const std::uint64_t job :
-         scheduler::callersToSee(entry.watch, entry.state, clockOf(entry))) {
+         scheduler::callersToProbe(entry.watch, entry.state, clockOf(entry))) {
         const auto call = entry.calls.find(job);
         if (call != entry.calls.end() && entry.endsUnread.count(call->second) != 0)
             readEnd(number, job, call->second);
--- a/tests/fleet/worldparts.h
+++ b/tests/fleet/worldparts.h
@@ -96,7 +96,7 @@
 
     // Calls whose callers are gone, which the entry has not read yet
     std::set<std::uint64_t> endsUnread;
-    scheduler::CallerWatch watch;
+    scheduler::CallerProbeState watch;
 };
 
 struct World::Agent : World::Process
--- a/tests/rig/main.cpp
+++ b/tests/rig/main.cpp
@@ -56,12 +56,12 @@
         { "forecast at 100 percent",
           [](RigSettings &s) {
               s.scheduler.forecast = true;
-              s.scheduler.refuseAtArrivalPercent = 100;
+              s.scheduler.maxWaitPercent = 100;
           } },
         { "forecast at 400 percent",
           [](RigSettings &s) {
               s.scheduler.forecast = true;
-              s.scheduler.refuseAtArrivalPercent = 400;
+              s.scheduler.maxWaitPercent = 400;
           } },
         { "late jobs are served behind the rest", serveLate },
         { "late jobs are served behind the rest, all but the least urgent queue wait at agents",
@@ -69,20 +69,20 @@
               serveLate(s);
               s.scheduler.waitingQueues = foxwing::scheduler::WaitingQueues::AllButLeast;
           } },
-        { "nothing waits at agents", [](RigSettings &s) { s.scheduler.waitPercent = 0; } },
+        { "nothing waits at agents", [](RigSettings &s) { s.scheduler.maxShortfallPercent = 0; } },
         { "endpoints are not judged", [](RigSettings &s) { s.runner.judgeEndpoint = false; } },
         { "any endpoint",
           [](RigSettings &s) { s.scheduler.placement = foxwing::scheduler::Placement::Random; } },
         { "order: first come", [](RigSettings &s) { s.scheduler.order = Order::FirstCome; } },
-        { "order: latest begin", [](RigSettings &s) { s.scheduler.order = Order::LatestBegin; } },
+        { "order: latest begin", [](RigSettings &s) { s.scheduler.order = Order::LatestStart; } },
         { "order: least work", [](RigSettings &s) { s.scheduler.order = Order::LeastWork; } },
         { "margin 30 percent", [](RigSettings &s) { s.scheduler.marginPercent = 30; } },
         { "margin 80 percent", [](RigSettings &s) { s.scheduler.marginPercent = 80; } },
         { "refused at arrival from 100 percent",
-          [](RigSettings &s) { s.scheduler.refuseAtArrivalPercent = 100; } },
+          [](RigSettings &s) { s.scheduler.maxWaitPercent = 100; } },
         { "room told every 5 ms",
           [](RigSettings &s) { s.runner.roomInterval = foxwing::Milliseconds(5); } },
-        { "64 jobs looked through", [](RigSettings &s) { s.scheduler.mostPassedOver = 64; } },
+        { "64 jobs looked through", [](RigSettings &s) { s.scheduler.maxUnplaced = 64; } },
         { "entries turn every 5 ms", [](RigSettings &s) { s.tick = foxwing::Milliseconds(5); } },
     };
 }
--- a/tests/rig/report.cpp
+++ b/tests/rig/report.cpp
@@ -34,8 +34,8 @@
 double wronglyRefusedPercent(const RigSettings &settings, const RigReport &report)
 {
     RigSettings other = settings;
-    other.scheduler.refuseAtArrivalPercent = 0;
-    other.scheduler.refuseAbove = 1e6;
+    other.scheduler.maxWaitPercent = 0;
+    other.scheduler.maxWaitFactor = 1e6;
     const std::set<std::string> completed = play(other).completed;
     const auto wrong = std::count_if(report.refusedAtOnce.begin(), report.refusedAtOnce.end(),
                                      [&](const std::string &id) {
--- a/tests/rig/rig.cpp
+++ b/tests/rig/rig.cpp
@@ -79,7 +79,7 @@
 {
     jobs::JobSpec spec;
     std::size_t queue = 0;
-    Time cameAt {};
+    Time receivedAt {};
 
     // By the work as it is, not as it was guessed
     Microseconds objective { 0 };
@@ -295,7 +295,7 @@
     const QueueLoad &load = m_settings.queues[queue];
     Call call;
     call.queue = queue;
-    call.cameAt = m_now;
+    call.receivedAt = m_now;
     const auto logNormal = [&](double spread) {
         return std::exp(normal(spread) - spread * spread / 2);
     };
@@ -355,19 +355,19 @@
         m_owed += credit(call);
     }
     m_tasks += call.work.size();
-    scheduler::JobTerms terms;
-    terms.queue = load.name;
-    terms.service = "service";
-    terms.priority = load.priority;
-    terms.attempts = load.attempts;
-    terms.stretch = Stretch;
-    terms.targetLatency = Latency;
-    terms.beginBy = m_now + Milliseconds(1500);
+    scheduler::JobOptions options;
+    options.queue = load.name;
+    options.service = "service";
+    options.priority = load.priority;
+    options.attempts = load.attempts;
+    options.stretch = Stretch;
+    options.targetLatency = Latency;
+    options.startDeadline = m_now + Milliseconds(1500);
     if (m_settings.patience)
-        terms.patienceUntil = m_now + call.objective + *m_settings.patience;
+        options.callerDeadline = m_now + call.objective + *m_settings.patience;
     std::uint64_t number = 0;
     scheduler::SchedulerActions actions = scheduler::submit(m_entries[entry].state, call.spec,
-                                                            terms, m_now, &number);
+                                                            options, m_now, &number);
     m_entries[entry].calls[number] = call.spec.id;
     carryOut(entry, std::move(actions));
 }
@@ -390,10 +390,10 @@
         return;
     const Call &call = m_calls.at(found->second);
     m_entries[entry].calls.erase(found);
-    if (call.cameAt < m_begin)
+    if (call.receivedAt < m_begin)
         return;
     QueueReport &report = m_report.queues[m_settings.queues[call.queue].name];
-    const Microseconds took = m_now - call.cameAt;
+    const Microseconds took = m_now - call.receivedAt;
     const bool onTime = took <= call.objective;
     switch (answer.outcome) {
     case scheduler::JobOutcome::Completed:
@@ -516,7 +516,7 @@
         });
     };
     for (const auto &[session, message] : actions.welcomes)
-        tell(session, message, scheduler::agentWelcomed);
+        tell(session, message, scheduler::agentAccepted);
     for (const auto &[session, message] : actions.updates)
         tell(session, message, scheduler::agentUpdated);
 }
@@ -629,7 +629,7 @@
         });
     for (std::size_t entry = 0; entry < m_entries.size(); ++entry)
         at(m_now + m_settings.farDelay, [this, entry, cordons = m_cordons] {
-            carryOut(entry, scheduler::takeCordons(m_entries[entry].state, cordons, m_now));
+            carryOut(entry, scheduler::applyCordons(m_entries[entry].state, cordons, m_now));
         });
 }
 
--- a/tests/rig/rig_test.cpp
+++ b/tests/rig/rig_test.cpp
@@ -75,19 +75,18 @@
 
 INSTANTIATE_TEST_SUITE_P(
         Rig, Mechanisms,
-        testing::Values(MechanismCase { "LateJobsAreRefused",
-                                        [](RigSettings &s) { s.scheduler.refuseLate = false; },
-                                        0.3 },
-                        MechanismCase { "TheMostUrgentWaitAtAgents",
-                                        [](RigSettings &s) { s.scheduler.waitPercent = 0; }, 0.4 },
-                        MechanismCase { "EndpointsAreJudged",
-                                        [](RigSettings &s) { s.runner.judgeEndpoint = false; },
-                                        7.0 },
-                        MechanismCase { "FasterEndpointsFirst",
-                                        [](RigSettings &s) {
-                                            s.scheduler.placement = scheduler::Placement::Random;
-                                        },
-                                        0.5 }),
+        testing::Values(
+                MechanismCase { "LateJobsAreRefused",
+                                [](RigSettings &s) { s.scheduler.refuseLate = false; }, 0.3 },
+                MechanismCase { "TheMostUrgentWaitAtAgents",
+                                [](RigSettings &s) { s.scheduler.maxShortfallPercent = 0; }, 0.4 },
+                MechanismCase { "EndpointsAreJudged",
+                                [](RigSettings &s) { s.runner.judgeEndpoint = false; }, 7.0 },
+                MechanismCase { "FasterEndpointsFirst",
+                                [](RigSettings &s) {
+                                    s.scheduler.placement = scheduler::Placement::Random;
+                                },
+                                0.5 }),
         [](const auto &tested) { return tested.param.name; });
 
 // [SECTION] Forecast
@@ -134,7 +133,7 @@
     const Sums without = sumsOf(GetParam().spell, asItStands);
     const Sums with = sumsOf(GetParam().spell, [](RigSettings &settings) {
         settings.scheduler.forecast = true;
-        settings.scheduler.refuseAtArrivalPercent = 100;
+        settings.scheduler.maxWaitPercent = 100;
     });
     EXPECT_GE(with.refusedAtOnce, 50);
     EXPECT_GT(with.served, without.served);
@@ -220,7 +219,9 @@
 
 TEST(RigFloor, LeavesTheMiddleQueueMoreThanWithoutWaitingAtAgents)
 {
-    const auto nothingWaits = [](RigSettings &settings) { settings.scheduler.waitPercent = 0; };
+    const auto nothingWaits = [](RigSettings &settings) {
+        settings.scheduler.maxShortfallPercent = 0;
+    };
     EXPECT_GE(servedOf("middle", floorOf(Floor)), servedOf("middle", nothingWaits) + 1);
 }
 
