--- a/packages/agent/include/foxwing/agent/agent.h
+++ b/packages/agent/include/foxwing/agent/agent.h
@@ -44,21 +44,21 @@
     std::uint32_t slots = 8;
 
     // An owner that has not answered an offer for this long loses the lease.
-    Milliseconds leaseSpan { 1500 };
+    Milliseconds leaseDuration { 1500 };
 
-    // Offers are renewed this often; must be well under leaseSpan.
+    // Offers are renewed this often; must be well under leaseDuration.
     Milliseconds offerInterval { 400 };
 
     // An unsettled result is sent again after this long, then with doubled waits.
     Milliseconds resendInterval { 500 };
-    Milliseconds longestResendInterval { 8000 };
+    Milliseconds maxResendInterval { 8000 };
 
     // A job is remembered for this long after its last task here ended. Must be at least as long as
     // entries keep claims, so that no forgotten start can be repeated.
     Seconds retention { 900 };
 
     // A settled result is kept this long, and within this many bytes, for an entry that takes over.
-    Seconds settledSpan { 30 };
+    Seconds settledRetention { 30 };
     std::size_t settledBytes = 16U << 20U;
 
     // Bytes of results whose owners have not settled them; above it nothing new is started.
@@ -66,7 +66,7 @@
 };
 
 // An entry that could own this agent's slots, as control last told.
-struct EntryHint
+struct OwnerCandidate
 {
     std::string id;
     std::uint64_t incarnation = 0;
@@ -100,7 +100,7 @@
     std::string body;
     bool bodyKept = true;
     Time nextSend {};
-    Milliseconds sendWait { 0 };
+    Milliseconds resendDelay { 0 };
 };
 
 struct JobRecord
@@ -126,7 +126,7 @@
     std::string owner;
     std::uint64_t ownerIncarnation = 0;
     std::uint64_t epoch = 0;
-    Time heldUntil {};
+    Time expiresAt {};
     Time nextOffer {};
 };
 
@@ -154,7 +154,7 @@
 
     // Ownership
     Lease lease;
-    std::vector<EntryHint> entries;
+    std::vector<OwnerCandidate> entries;
     bool leaving = false;
 
     // A configuration that could not be confirmed for too long: nothing new is started.
@@ -217,7 +217,7 @@
                           Time now);
 
 // Control's newest list of entries; a dead owner loses the lease at once.
-AgentActions setEntries(AgentState &agent, std::vector<EntryHint> entries, Time now);
+AgentActions setEntries(AgentState &agent, std::vector<OwnerCandidate> entries, Time now);
 
 // The endpoint leaves: nothing new starts from now on, what runs is finished.
 AgentActions leave(AgentState &agent, Time now);
@@ -231,7 +231,8 @@
 
 // The entry that should own an agent: the highest rendezvous weight among those of its own data
 // centre, or among all if there are none. Empty when there are no entries.
-const EntryHint *preferredOwner(const std::string &agentId, const std::string &dataCentre,
-                                const std::vector<EntryHint> &entries, const std::string &excluded);
+const OwnerCandidate *preferredOwner(const std::string &agentId, const std::string &dataCentre,
+                                     const std::vector<OwnerCandidate> &entries,
+                                     const std::string &excluded);
 
 } // namespace foxwing::agent
--- a/packages/agent/src/lease.h
+++ b/packages/agent/src/lease.h
@@ -12,7 +12,7 @@
 // [SECTION] Functions
 
 // Takes the owner's word that it holds the present epoch.
-void takeLeaseAnswer(AgentState &agent, const LeaseTaken &taken, Time now);
+void takeLeaseAnswer(AgentState &agent, const LeaseAccepted &taken, Time now);
 
 // Moves the lease away from an owner that is gone or silent, and offers it when due.
 void renewLease(AgentState &agent, Time now, AgentActions &actions);
@@ -21,7 +21,7 @@
 bool leaseCovers(const AgentState &agent, const Start &start);
 
 // Moves the lease to the entry that its owner names.
-void takeYield(AgentState &agent, const Yield &yield, Time now, AgentActions &actions);
+void takeYield(AgentState &agent, const TransferLease &yield, Time now, AgentActions &actions);
 
 // Makes the next renewLease() send an offer at once.
 void offerSoon(AgentState &agent, Time now);
--- a/packages/claims/include/foxwing/claims/claims.h
+++ b/packages/claims/include/foxwing/claims/claims.h
@@ -34,7 +34,7 @@
 
 struct ClaimSettings
 {
-    Replica self;
+    EntryIdentity self;
 
     // Records are kept this long; older ids are answered "unknown".
     Seconds retention { 300 };
@@ -44,7 +44,7 @@
 
     // A home that has not heard from control for this long grants nothing. Must be shorter than the
     // time after which control takes an entry for dead.
-    Milliseconds masterLease { 1500 };
+    Milliseconds controlLease { 1500 };
 
     // Unanswered copies and parts are sent again after this long.
     Milliseconds resendInterval { 150 };
@@ -89,7 +89,7 @@
 
     // The view in which this process holds every claim of the shard; 0 for none.
     std::uint64_t heldIn = 0;
-    std::int64_t floor = 0;
+    std::int64_t lossCutoff = 0;
 
     // At the home: other replicas that said they hold it in the present view.
     std::set<std::string> heldBy;
@@ -123,11 +123,11 @@
     std::vector<Shard> shards { ShardCount };
 
     // Replicas of each shard in the present view.
-    std::vector<std::vector<Replica>> replicas { ShardCount };
+    std::vector<std::vector<EntryIdentity>> replicas { ShardCount };
 
     // Control was heard from at this time.
-    Time masterHeardAt {};
-    bool masterHeard = false;
+    Time controlHeardAt {};
+    bool controlHeard = false;
 
     std::vector<std::string> uncommitted;
     std::vector<OutgoingPart> outgoing;
@@ -157,9 +157,9 @@
 ClaimActions setView(ClaimTable &table, const View &view, Time now);
 
 // Control answered at this time: renews the right to grant.
-void hearMaster(ClaimTable &table, Time now);
+void renewControlLease(ClaimTable &table, Time now);
 
-// A message about claims that is meant for a home or a replica: all but AskAnswer and Released,
+// A message about claims that is meant for a home or a replica: all but ClaimResponse and Released,
 // which belong to whoever asked.
 ClaimActions handle(ClaimTable &table, const ClaimMessage &message, Time now, WallTime wallNow);
 
@@ -167,7 +167,7 @@
 ClaimActions tick(ClaimTable &table, Time now, WallTime wallNow);
 
 // The home of a submission in the present view, or an empty id if there is no entry.
-Replica homeOf(const ClaimTable &table, const std::string &job);
+EntryIdentity primaryOf(const ClaimTable &table, const std::string &job);
 
 // Shards of which this entry is the home and that all their replicas hold, for control to put into
 // service.
--- a/packages/directory/include/foxwing/directory/directory.h
+++ b/packages/directory/include/foxwing/directory/directory.h
@@ -64,7 +64,7 @@
     // that changes later is not told anew; entries in touch with the agent hear of it there.
     std::string service;
     std::vector<std::string> labels;
-    jobs::Room capacity;
+    jobs::ResourceVector capacity;
 };
 template<class Fields>
 void describe(Fields &fields, NodeInfo &node)
@@ -81,7 +81,7 @@
 }
 
 // Whether both say the same of where the node is and of its endpoint.
-bool describesSame(const NodeInfo &left, const NodeInfo &right);
+bool sameAttributes(const NodeInfo &left, const NodeInfo &right);
 
 // [SECTION] Messages
 
@@ -97,12 +97,12 @@
 }
 
 // Keeps a connection known as alive, both ways.
-struct NodeBeat
+struct NodeHeartbeat
 {
     std::uint64_t number = 0;
 };
 template<class Fields>
-void describe(Fields &fields, NodeBeat &beat)
+void describe(Fields &fields, NodeHeartbeat &beat)
 {
     fields("number", beat.number);
 }
@@ -111,11 +111,11 @@
 {
     // Everything that the receiver needs to know; otherwise only what changed since it was told
     // last on this connection.
-    bool whole = true;
+    bool full = true;
     std::vector<NodeInfo> nodes;
 
     // Addresses that are listed no more
-    std::vector<std::string> gone;
+    std::vector<std::string> removed;
 
     // Entries that are there, for shares of the room
     std::uint32_t entries = 0;
@@ -123,9 +123,9 @@
 template<class Fields>
 void describe(Fields &fields, DirectoryUpdate &update)
 {
-    fields("whole", update.whole);
+    fields("whole", update.full);
     fields("nodes", update.nodes);
-    fields("gone", update.gone);
+    fields("gone", update.removed);
     fields("entries", update.entries);
 }
 
@@ -177,7 +177,7 @@
     std::uint64_t controlRevision = 0;
 
     // Oldest first
-    std::deque<GoneNode> gone;
+    std::deque<GoneNode> removed;
 
     // The newest of those that are no longer remembered
     std::uint64_t forgottenRevision = 0;
--- a/packages/dispatch/include/foxwing/dispatch/dispatcher.h
+++ b/packages/dispatch/include/foxwing/dispatch/dispatcher.h
@@ -43,7 +43,7 @@
     std::string dataCentre;
 
     // A worker that has not renewed its offer for this long gets nothing new.
-    Milliseconds leaseSpan { 1500 };
+    Milliseconds leaseDuration { 1500 };
 
     // A worker that has not been heard of for this long is lost, and so are the tasks on it.
     Milliseconds lostAfter { 4000 };
@@ -252,8 +252,9 @@
 
 // Gives the lease of one worker to another entry: an idle one if there is any, else, if the other
 // entry has none at all, one of several busy ones. What runs there is finished all the same.
-Actions yieldWorker(Dispatcher &dispatcher, const std::string &service, const std::string &heir,
-                    const std::string &heirDataCentre, bool heirHasNone);
+Actions yieldWorker(Dispatcher &dispatcher, const std::string &service,
+                    const std::string &successor, const std::string &successorDataCentre,
+                    bool successorStarved);
 
 // Jobs that have not ended.
 std::size_t activeJobs(const Dispatcher &dispatcher);
--- a/packages/dispatch/src/dispatcher.cpp
+++ b/packages/dispatch/src/dispatcher.cpp
@@ -275,7 +275,7 @@
         return;
     if (effect == OfferEffect::Restarted)
         loseTasksOn(dispatcher, offer.agent, offer.agentIncarnation, now, actions);
-    agent::LeaseTaken taken;
+    agent::LeaseAccepted taken;
     taken.owner = dispatcher.settings.id;
     taken.ownerIncarnation = dispatcher.settings.incarnation;
     taken.leaseEpoch = offer.leaseEpoch;
@@ -303,7 +303,7 @@
     unplaceWorker(pool, worker);
     if (worker.restUntil != Time {} && now >= worker.restUntil)
         worker.restUntil = Time {};
-    if (worker.leased && now >= worker.lastOffer + dispatcher.settings.leaseSpan)
+    if (worker.leased && now >= worker.lastOffer + dispatcher.settings.leaseDuration)
         endLease(pool, worker);
     endEjection(worker.health, now);
     placeWorker(pool, worker);
@@ -595,17 +595,18 @@
     return load;
 }
 
-Actions yieldWorker(Dispatcher &dispatcher, const std::string &serviceName, const std::string &heir,
-                    const std::string &heirDataCentre, bool heirHasNone)
+Actions yieldWorker(Dispatcher &dispatcher, const std::string &serviceName,
+                    const std::string &successor, const std::string &successorDataCentre,
+                    bool successorStarved)
 {
     Actions actions;
     WorkerPool &pool = serviceOf(dispatcher, serviceName).pool;
     Worker *chosen = nullptr;
     for (auto &entry : pool.workers) {
         Worker &worker = entry.second;
-        const bool near = worker.dataCentre == heirDataCentre
-                || worker.dataCentre != pool.dataCentre || heirHasNone;
-        const bool spare = worker.ours == 0 || heirHasNone;
+        const bool near = worker.dataCentre == successorDataCentre
+                || worker.dataCentre != pool.dataCentre || successorStarved;
+        const bool spare = worker.ours == 0 || successorStarved;
         const bool better = !chosen || worker.ours < chosen->ours;
         if (worker.leased && !worker.leaving && near && spare && better)
             chosen = &worker;
@@ -614,8 +615,8 @@
         return actions;
     endLease(pool, *chosen);
     ++dispatcher.counters.yields;
-    const agent::Yield yield { dispatcher.settings.id, heir, chosen->leaseEpoch,
-                               chosen->incarnation };
+    const agent::TransferLease yield { dispatcher.settings.id, successor, chosen->leaseEpoch,
+                                       chosen->incarnation };
     actions.sends.push_back({ chosen->id, yield });
     return actions;
 }
--- a/packages/entry/include/foxwing/entry/entry.h
+++ b/packages/entry/include/foxwing/entry/entry.h
@@ -39,7 +39,7 @@
 struct EntrySettings
 {
     // Identity
-    claims::Replica self;
+    claims::EntryIdentity self;
     std::string dataCentre;
 
     dispatch::DispatchSettings dispatch;
@@ -60,7 +60,7 @@
     Milliseconds configurationLease { 10000 };
 
     // Callers that may wait at the same time.
-    std::uint32_t mostWaiters = 100000;
+    std::uint32_t maxWaiters = 100000;
 };
 
 // [SECTION] Requests
@@ -120,7 +120,7 @@
 
     std::vector<WaiterId> waiters;
     std::vector<std::string> joinedBy;
-    claims::Replica owner;
+    claims::EntryIdentity owner;
     std::uint64_t nonce = 0;
     std::uint64_t epoch = 1;
     Time deadline {};
@@ -128,7 +128,7 @@
     Time releaseUntil {};
     Time grantedAt {};
     std::int64_t claimedAt = 0;
-    Milliseconds sendWait { 0 };
+    Milliseconds resendDelay { 0 };
 };
 
 // An agent that may have started tasks, as control last told.
@@ -147,7 +147,7 @@
     std::vector<KnownAgent> agents;
 
     // Agents that were lost before this date may be missing; milliseconds since 1970.
-    std::int64_t since = 0;
+    std::int64_t completeSince = 0;
 };
 
 // An ask that was given up before its answer came; a late grant must be given back.
@@ -172,7 +172,7 @@
 struct EntryState
 {
     EntrySettings settings;
-    Directory directory;
+    Registry registry;
     KnownAgents agents;
     dispatch::Dispatcher dispatcher;
     claims::ClaimTable claims;
@@ -195,7 +195,7 @@
     bool wasInService = false;
 
     // Control should be asked at once, since a takeover waits for its word.
-    bool beatWanted = false;
+    bool heartbeatRequested = false;
     std::uint64_t nextNonce = 1;
     std::uint64_t nextAnonymous = 1;
 
@@ -263,7 +263,7 @@
 bool ready(const EntryState &entry, Time now);
 
 // Whether control was heard from recently enough for the configuration to be believed.
-bool configured(const EntryState &entry, Time now);
+bool hasFreshConfiguration(const EntryState &entry, Time now);
 
 // Whether nothing is left to finish or to answer.
 bool drained(const EntryState &entry);
--- a/packages/entry/include/foxwing/entry/teams.h
+++ b/packages/entry/include/foxwing/entry/teams.h
@@ -43,7 +43,7 @@
     Milliseconds longestTime { 600000 };
 };
 
-struct Directory
+struct Registry
 {
     std::unordered_map<std::string, Team> teams;
     std::unordered_map<std::string, Service> services;
@@ -53,7 +53,7 @@
 
 // The team whose token this is, or nothing. Takes the same time for a wrong secret as for a right
 // one, and the same answer for an unknown team as for a wrong secret.
-std::optional<std::string> authenticate(const Directory &directory, const std::string &token,
+std::optional<std::string> authenticate(const Registry &registry, const std::string &token,
                                         Error *reason);
 
 // The salted hash under which a secret is kept.
--- a/packages/entry/src/admission.cpp
+++ b/packages/entry/src/admission.cpp
@@ -38,7 +38,7 @@
     if (entry.leaving)
         return Error { ErrorKind::Leaving, "this entry is stopping; send the same to another one",
                        outcome, Milliseconds { 100 } };
-    if (!configured(entry, now))
+    if (!hasFreshConfiguration(entry, now))
         return Error {
             ErrorKind::NotReady,
             "this entry could not confirm its configuration; send the same to another one", outcome,
@@ -103,8 +103,8 @@
 std::optional<Error> invalid(const EntryState &entry, const SubmitRequest &request,
                              WallTime wallNow)
 {
-    const auto found = entry.directory.services.find(request.service);
-    if (found == entry.directory.services.end())
+    const auto found = entry.registry.services.find(request.service);
+    if (found == entry.registry.services.end())
         return Error { ErrorKind::NotFound,
                        "there is no service \"" + request.service
                                + "\"; look at the services with: foxwing show service",
@@ -137,7 +137,7 @@
     pending.request = request;
     pending.deadline = deadline;
     pending.nonce = entry.nextNonce++;
-    pending.sendWait = entry.settings.askInterval;
+    pending.resendDelay = entry.settings.askInterval;
     return pending;
 }
 
--- a/packages/entry/tests/entry_test.cpp
+++ b/packages/entry/tests/entry_test.cpp
@@ -24,10 +24,9 @@
     EntrySettings settings;
     settings.self = { "entry-a", 1 };
     EntryState entry = makeEntry(settings);
-    entry.directory.services["svc"] = { "svc", 10, 100, Milliseconds(5000) };
-    entry.directory.teams["team"] = { "team", "salt-salt", hashSecret("salt-salt", "secret"), 1,
-                                      0 };
-    claims::hearMaster(entry.claims, Begin);
+    entry.registry.services["svc"] = { "svc", 10, 100, Milliseconds(5000) };
+    entry.registry.teams["team"] = { "team", "salt-salt", hashSecret("salt-salt", "secret"), 1, 0 };
+    claims::renewControlLease(entry.claims, Begin);
     return entry;
 }
 
@@ -118,7 +117,7 @@
                                 ErrorKind::BadRequest, "set the clock" },
                 BadSubmission { "NotConfigured",
                                 [](EntryState &entry, SubmitRequest &) {
-                                    entry.claims.masterHeard = false;
+                                    entry.claims.controlHeard = false;
                                 },
                                 ErrorKind::NotReady, "another one" },
                 BadSubmission { "Leaving",
@@ -132,7 +131,7 @@
     for (const bool leaving : { true, false }) {
         EntryState entry = configuredEntry();
         entry.leaving = leaving;
-        entry.claims.masterHeard = leaving;
+        entry.claims.controlHeard = leaving;
         SubmitRequest request = goodRequest();
         std::mt19937_64 random(1);
         request.submission = makeSubmissionId(Wall, random);
@@ -152,7 +151,7 @@
     view.members = { { { "entry-a", 1 }, "", "" } };
     view.bases.resize(claims::ShardCount);
     for (claims::ShardBase &base : view.bases)
-        base.activeIn = 1;
+        base.lastActiveView = 1;
     setView(entry, view, Begin);
     tick(entry, Begin, Wall);
     EXPECT_TRUE(ready(entry, Begin));
@@ -171,10 +170,10 @@
 TEST_P(Token, OfNobodyIsRefusedAlike)
 {
     Error reason;
-    EXPECT_FALSE(authenticate(configuredEntry().directory, GetParam(), &reason));
+    EXPECT_FALSE(authenticate(configuredEntry().registry, GetParam(), &reason));
     EXPECT_EQ(reason.kind, ErrorKind::Unauthenticated);
     Error unknownTeam;
-    authenticate(configuredEntry().directory, "nobody.secret", &unknownTeam);
+    authenticate(configuredEntry().registry, "nobody.secret", &unknownTeam);
     EXPECT_EQ(reason.message, unknownTeam.message) << "does not tell whether the team exists";
 }
 
@@ -187,10 +186,10 @@
 {
     Error reason;
     EntryState entry = configuredEntry();
-    EXPECT_EQ(authenticate(entry.directory, "team.secret", &reason), "team");
-    entry.directory.teams["team"].tokenHash = hashSecret("salt-salt", "newer");
-    EXPECT_FALSE(authenticate(entry.directory, "team.secret", &reason));
-    EXPECT_EQ(authenticate(entry.directory, "team.newer", &reason), "team");
+    EXPECT_EQ(authenticate(entry.registry, "team.secret", &reason), "team");
+    entry.registry.teams["team"].tokenHash = hashSecret("salt-salt", "newer");
+    EXPECT_FALSE(authenticate(entry.registry, "team.secret", &reason));
+    EXPECT_EQ(authenticate(entry.registry, "team.newer", &reason), "team");
 }
 
 // [SECTION] Placement
--- a/packages/fleet/src/entryshell.cpp
+++ b/packages/fleet/src/entryshell.cpp
@@ -13,7 +13,7 @@
 #include <foxwing/base/digest.h>
 #include <foxwing/fabric/httpserver.h>
 #include <foxwing/lag/lag.h>
-#include <foxwing/scheduler/callerwatch.h>
+#include <foxwing/scheduler/callerprobe.h>
 
 #include "agentlinks.h"
 #include "core.h"
@@ -66,7 +66,7 @@
     bool start(Error *reason) override;
     void tick(Time now) override;
     void reloaded() override { m_control.reloadSeeds(); }
-    void beginStop(Time now) override;
+    void beginShutdown(Time now) override;
     bool stopped(Time now) override;
     std::vector<metrics::Sample> samples() const override;
 
@@ -101,14 +101,15 @@
     ControlEvents controlEvents();
     void takeDirectory(const std::string &from, const directory::DirectoryUpdate &update);
     void takeCatalog(const catalog::Catalog &catalog);
-    void takeCordons(const catalog::Cordons &cordons);
+    void applyCordons(const catalog::Cordons &cordons);
 
     void carryOut(scheduler::SchedulerActions &&actions);
     void answer(const scheduler::JobAnswer &answer);
 
     // Lag
-    Time cameAt(const fabric::Exchange &exchange, std::optional<Time> heldSince, Time now) const;
-    void noteTurn(Time now);
+    Time receivedAt(const fabric::Exchange &exchange, std::optional<Time> heldSince,
+                    Time now) const;
+    void recordTurn(Time now);
     void tellStandingBack(Time now);
     void addLagSamples(std::vector<metrics::Sample> &samples) const;
 
@@ -138,7 +139,7 @@
     Time m_stopBegan {};
     std::uint64_t m_notFound = 0;
     std::uint64_t m_badRequests = 0;
-    scheduler::CallerWatch m_callerWatch;
+    scheduler::CallerProbeState m_callerWatch;
 
     // Callers that were found gone by a look
     std::uint64_t m_callersFoundGone = 0;
@@ -153,9 +154,9 @@
     if (!m_callers)
         return false;
     // Until a caller that lost its entry has sent again, and lost runs are certainly over
-    m_callerWatch.settings.watchFor = std::max(m_callerWatch.settings.watchFor,
-                                               m_core.settings.resendAfter
-                                                       + m_core.settings.scheduler.certainSilence);
+    m_callerWatch.settings.probeWindow =
+            std::max(m_callerWatch.settings.probeWindow,
+                     m_core.settings.resendAfter + m_core.settings.scheduler.lostRunTimeout);
     m_lastTurn = steadyNow();
     m_held.startedAt = m_lastTurn;
     if (m_core.settings.readiness.empty())
@@ -171,7 +172,7 @@
 bool EntryShell::ready() const
 {
     return !m_stopping && m_catalog.version > 0 && scheduler::reachesEndpoints(m_scheduler)
-            && !lag::standsBack(m_lag);
+            && !lag::isWithdrawn(m_lag);
 }
 
 void EntryShell::handleReadiness(const ExchangePtr &exchange)
@@ -217,10 +218,10 @@
         writeEvent(m_core.log,
                    change("held-calls-served")
                            .with("calls", std::uint64_t { calls.size() })
-                           .with("oldest_ms", steadyNow() - calls.front().cameAt));
+                           .with("oldest_ms", steadyNow() - calls.front().receivedAt));
     for (const HeldCall &call : calls) {
         if (call.exchange->callerIsThere())
-            serveCaller(call.exchange, call.cameAt);
+            serveCaller(call.exchange, call.receivedAt);
     }
 }
 
@@ -249,16 +250,16 @@
 
 namespace {
 
-scheduler::JobTerms makeTerms(const catalog::QueueDeclaration &queue)
+scheduler::JobOptions makeTerms(const catalog::QueueDeclaration &queue)
 {
-    scheduler::JobTerms terms;
-    terms.queue = queue.name;
-    terms.service = queue.service;
-    terms.priority = queue.priority;
-    terms.attempts = queue.attempts;
-    terms.stretch = std::clamp(queue.stretch, 0.0, MostStretch);
-    terms.targetLatency = queue.targetLatency;
-    return terms;
+    scheduler::JobOptions options;
+    options.queue = queue.name;
+    options.service = queue.service;
+    options.priority = queue.priority;
+    options.attempts = queue.attempts;
+    options.stretch = std::clamp(queue.stretch, 0.0, MostStretch);
+    options.targetLatency = queue.targetLatency;
+    return options;
 }
 
 } // namespace
@@ -278,17 +279,17 @@
         return;
     const Time now = steadyNow();
     seeCallers(now);
-    const Time came = cameAt(*exchange, heldSince, now);
-    scheduler::JobTerms terms = makeTerms(queue);
+    const Time came = receivedAt(*exchange, heldSince, now);
+    scheduler::JobOptions options = makeTerms(queue);
     if (came < now)
-        terms.cameAt = came;
-    terms.beginBy = came + queue.timeout;
+        options.receivedAt = came;
+    options.startDeadline = came + queue.timeout;
     if (call.patience)
-        terms.patienceUntil = came + *call.patience;
-    terms.suitableElsewhere = m_agents.reach(*spec, queue.service, now);
+        options.callerDeadline = came + *call.patience;
+    options.suitableUnconnected = m_agents.requireAgents(*spec, queue.service, now);
     keepAgents(now);
     std::uint64_t number = 0;
-    scheduler::SchedulerActions actions = scheduler::submit(m_scheduler, *spec, terms, now,
+    scheduler::SchedulerActions actions = scheduler::submit(m_scheduler, *spec, options, now,
                                                             &number);
     m_waiting[number].push_back(exchange);
     m_queueOf[number] = queue.name;
@@ -317,7 +318,7 @@
 
 void EntryShell::seeCallers(Time now)
 {
-    for (const std::uint64_t number : scheduler::callersToSee(m_callerWatch, m_scheduler, now))
+    for (const std::uint64_t number : scheduler::callersToProbe(m_callerWatch, m_scheduler, now))
         seeCallersOf(number);
 }
 
@@ -381,7 +382,7 @@
     };
     events.lost = [this](const std::string &address) {
         const Time now = steadyNow();
-        scheduler::noteSessionLost(m_callerWatch, now);
+        scheduler::recordSessionLost(m_callerWatch, now);
         carryOut(scheduler::agentLost(m_scheduler, address, now));
     };
     events.release = [this](const std::string &address) {
@@ -409,14 +410,14 @@
     seeCallers(now);
     if (const auto *update = std::get_if<jobs::AgentUpdate>(&*frame))
         carryOut(scheduler::agentUpdated(m_scheduler, address, *update, now));
-    else if (const auto *welcome = std::get_if<jobs::Welcome>(&*frame))
-        carryOut(scheduler::agentWelcomed(m_scheduler, address, *welcome, now));
+    else if (const auto *welcome = std::get_if<jobs::SessionAccepted>(&*frame))
+        carryOut(scheduler::agentAccepted(m_scheduler, address, *welcome, now));
 }
 
 void EntryShell::keepAgents(Time now)
 {
-    m_agents.keep(now < m_scheduler.wantsRoomUntil, now);
-    m_scheduler.entries = m_agents.subset().sharingEntries;
+    m_agents.keep(now < m_scheduler.needsCapacityUntil, now);
+    m_scheduler.entryCount = m_agents.subset().sharingEntries;
 }
 
 // [SECTION] Control
@@ -428,20 +429,20 @@
         takeDirectory(from, update);
     };
     events.agreed = [this](const AgreedPush &push) {
-        takeCordons(push.cordons);
+        applyCordons(push.cordons);
         takeCatalog(push.catalog);
     };
-    events.forgotten = [this](const std::string &host) { m_agents.forgetControlHost(host); };
+    events.forgotten = [this](const std::string &host) { m_agents.removeControlHost(host); };
     return events;
 }
 
 void EntryShell::takeDirectory(const std::string &from, const directory::DirectoryUpdate &update)
 {
-    m_agents.takeUpdate(from, update);
+    m_agents.applyUpdate(from, update);
     keepAgents(steadyNow());
 }
 
-void EntryShell::takeCordons(const catalog::Cordons &cordons)
+void EntryShell::applyCordons(const catalog::Cordons &cordons)
 {
     m_knowsCordons = true;
     if (cordons.revision <= m_scheduler.cordons.revision)
@@ -452,10 +453,10 @@
                        .with("before", m_scheduler.cordons.revision)
                        .with("data_centres", joinedNames(cordons)));
     const Time now = steadyNow();
-    m_agents.takeCordons(cordons);
+    m_agents.applyCordons(cordons);
     keepAgents(now);
     seeCallers(now);
-    carryOut(scheduler::takeCordons(m_scheduler, cordons, now));
+    carryOut(scheduler::applyCordons(m_scheduler, cordons, now));
 }
 
 void EntryShell::takeCatalog(const catalog::Catalog &catalog)
@@ -472,7 +473,7 @@
     std::set<std::string> queues;
     for (const catalog::QueueDeclaration &queue : catalog.queues)
         queues.insert(queue.name);
-    scheduler::keepQueues(m_scheduler, queues);
+    scheduler::retainQueues(m_scheduler, queues);
     fabric::HttpLimits limits;
     limits.headerBytes = catalog.limits.headerBytes;
     limits.bodyBytes = catalog.limits.bodyBytes;
@@ -485,45 +486,45 @@
 // [SECTION] Lag
 
 // A call that an entry reads while it is behind has lost part of its caller's time already.
-Time EntryShell::cameAt(const fabric::Exchange &exchange, std::optional<Time> heldSince,
-                        Time now) const
+Time EntryShell::receivedAt(const fabric::Exchange &exchange, std::optional<Time> heldSince,
+                            Time now) const
 {
     if (heldSince)
         return *heldSince;
-    return lag::isBehind(m_lag) ? now - exchange.sinceReceived() : now;
+    return lag::isLagging(m_lag) ? now - exchange.sinceReceived() : now;
 }
 
-void EntryShell::noteTurn(Time now)
+void EntryShell::recordTurn(Time now)
 {
-    if (lag::noteTurn(m_lag, m_turnDueAt, now))
+    if (lag::recordTurn(m_lag, m_turnDueAt, now))
         tellStandingBack(now);
     // From this turn's beginning, so that a long turn makes the next one late.
     m_turnDueAt = now + TickInterval;
-    m_callers->setCloseAfterAnswers(m_stopping || lag::sendsCallersAway(m_lag));
+    m_callers->setCloseAfterAnswers(m_stopping || lag::closesConnections(m_lag));
 }
 
 void EntryShell::tellStandingBack(Time now)
 {
-    if (lag::standsBack(m_lag))
+    if (lag::isWithdrawn(m_lag))
         writeEvent(m_core.log,
                    change("stands-back")
-                           .with("behind_ms", m_lag.behind)
+                           .with("behind_ms", m_lag.averageDelay)
                            .with("open_jobs", std::uint64_t { scheduler::openJobs(m_scheduler) }));
     else
         writeEvent(m_core.log,
                    change("takes-work-again")
-                           .with("for_ms", now - m_lag.backSince)
-                           .with("behind_ms", m_lag.behind));
+                           .with("for_ms", now - m_lag.withdrawnSince)
+                           .with("behind_ms", m_lag.averageDelay));
 }
 
 void EntryShell::addLagSamples(std::vector<metrics::Sample> &samples) const
 {
     samples.push_back({ "foxwing_stood_back_total", "Times this entry stood back for being behind",
-                        static_cast<double>(m_lag.timesBack) });
+                        static_cast<double>(m_lag.withdrawals) });
     samples.push_back({ "foxwing_standing_back", "1 while this entry stands back",
-                        lag::standsBack(m_lag) ? 1.0 : 0.0, true });
+                        lag::isWithdrawn(m_lag) ? 1.0 : 0.0, true });
     samples.push_back({ "foxwing_behind_ms", "How late turns of the loop were of late",
-                        toMilliseconds(m_lag.behind), true });
+                        toMilliseconds(m_lag.averageDelay), true });
 }
 
 // [SECTION] Time
@@ -535,14 +536,14 @@
     if (pause < PauseSpan)
         return;
     writeEvent(m_core.log, change("paused").with("for_ms", pause));
-    carryOut(scheduler::giveUpAll(m_scheduler, "this entry stood still", now));
+    carryOut(scheduler::closeAllJobs(m_scheduler, "this entry stood still", now));
     m_agents.closeAll();
 }
 
 void EntryShell::tick(Time now)
 {
     checkPause(now);
-    noteTurn(now);
+    recordTurn(now);
     refuseHeld(now);
     m_control.tick(now);
     keepAgents(now);
@@ -550,7 +551,7 @@
     carryOut(scheduler::tick(m_scheduler, now));
 }
 
-void EntryShell::beginStop(Time now)
+void EntryShell::beginShutdown(Time now)
 {
     m_stopping = true;
     m_stopBegan = now;
@@ -584,7 +585,7 @@
                      std::vector<metrics::Sample> &samples)
 {
     const auto add = [&](const char *name, const char *help, bool gauge, auto valueOf) {
-        for (const auto &[queue, standing] : scheduler.standings)
+        for (const auto &[queue, standing] : scheduler.queueStatuses)
             samples.push_back({ metrics::labelled(name, "queue", queue), help,
                                 static_cast<double>(valueOf(queue)), gauge });
     };
@@ -593,7 +594,7 @@
         return found == scheduler.shares.queues.end() ? shares::QueueShare {} : found->second;
     };
     add("foxwing_queue_asked_total", "Jobs that endpoints could serve, by queue", false,
-        [&](const std::string &queue) { return shareOf(queue).askedJobs; });
+        [&](const std::string &queue) { return shareOf(queue).requestedJobs; });
     add("foxwing_queue_refused_total", "Jobs refused for want of room, by queue", false,
         [&](const std::string &queue) { return shareOf(queue).refusedJobs; });
     add("foxwing_queue_served_percent", "Work not refused of what was asked of late, by queue",
@@ -601,7 +602,9 @@
             return shares::servedPercent(scheduler.shares, queue, now);
         });
     add("foxwing_queue_below_floor", "Queues that are below their floor", true,
-        [&](const std::string &queue) { return scheduler.standings.at(queue).belowFloor ? 1 : 0; });
+        [&](const std::string &queue) {
+            return scheduler.queueStatuses.at(queue).belowGuarantee ? 1 : 0;
+        });
 }
 
 std::vector<metrics::Sample> EntryShell::samples() const
@@ -639,18 +642,20 @@
     };
     gauge("foxwing_jobs_open", "Jobs not answered yet", scheduler::openJobs(m_scheduler));
     gauge("foxwing_jobs_waiting", "Jobs with tasks that wait", m_scheduler.queue.size());
-    const scheduler::Outlook outlook = scheduler::outlook(m_scheduler, steadyNow());
-    gauge("foxwing_jobs_waiting_late", "Jobs that wait and can't be on time", outlook.waitingLate);
-    if (outlook.wait)
+    const scheduler::ForecastStatus forecastStatus = scheduler::forecastStatus(m_scheduler,
+                                                                               steadyNow());
+    gauge("foxwing_jobs_waiting_late", "Jobs that wait and can't be on time",
+          forecastStatus.waitingLate);
+    if (forecastStatus.wait)
         gauge("foxwing_expected_wait_ms", "Wait of a job that comes now, behind all others",
-              static_cast<std::size_t>(outlook.wait->count()));
+              static_cast<std::size_t>(forecastStatus.wait->count()));
     samples.push_back({ "foxwing_picture_age_ms", "Age of the oldest news in the forecast",
-                        toMilliseconds(outlook.age), true });
+                        toMilliseconds(forecastStatus.age), true });
     gauge("foxwing_agents", "Agents in touch", m_scheduler.agents.size());
     gauge("foxwing_agents_listed", "Agents that control hosts list",
           m_agents.subset().agents.size());
     gauge("foxwing_agents_chosen", "Agents that sessions are kept with",
-          subset::keptAgents(m_agents.subset()));
+          subset::sessionCount(m_agents.subset()));
     gauge("foxwing_endpoints_without_queue", "Endpoints whose service no queue names",
           endpointsWithoutQueue());
     gauge("foxwing_control_hosts", "Control hosts in touch", m_control.connected());
--- a/packages/fleet/src/heldcalls.h
+++ b/packages/fleet/src/heldcalls.h
@@ -13,7 +13,7 @@
         if (!hold(held, exchange, now))
             ... refuse ...
         for (HeldCall &call : expired(held, now)) ... refuse ...
-        for (HeldCall &call : release(held)) ... go on as of call.cameAt ...
+        for (HeldCall &call : release(held)) ... go on as of call.receivedAt ...
 
     [SECTION] State
     [SECTION] Functions
@@ -37,7 +37,7 @@
 
     // From an entry's start; three of five control hosts that lost power together were back 0.3 s
     // after the first entry.
-    Milliseconds afterStart { 1000 };
+    Milliseconds startupGrace { 1000 };
 
     // More than come to one entry of the largest fleet within mostHold; each takes some kilobytes.
     std::size_t mostCalls = 1000;
@@ -46,7 +46,7 @@
 struct HeldCall
 {
     fabric::ExchangePtr exchange;
-    Time cameAt {};
+    Time receivedAt {};
 };
 
 struct HeldCalls
--- a/packages/fleet/src/peerbook.cpp
+++ b/packages/fleet/src/peerbook.cpp
@@ -24,13 +24,13 @@
     return true;
 }
 
-std::vector<std::string> takeUpdate(PeerBook &book, const std::string &from,
-                                    const directory::DirectoryUpdate &update, Time now)
+std::vector<std::string> applyUpdate(PeerBook &book, const std::string &from,
+                                     const directory::DirectoryUpdate &update, Time now)
 {
     std::set<std::string> &lists = book.peers[from].lists;
-    if (update.whole)
+    if (update.full)
         lists.clear();
-    for (const std::string &address : update.gone)
+    for (const std::string &address : update.removed)
         lists.erase(address);
     std::vector<std::string> added;
     for (const directory::NodeInfo &node : update.nodes) {
@@ -50,12 +50,12 @@
 {
     KnownPeer &peer = book.peers[address];
     peer.connected = true;
-    peer.heardAt = now;
+    peer.lastReceivedAt = now;
 }
 
 void heard(PeerBook &book, const std::string &address, Time now)
 {
-    book.peers[address].heardAt = now;
+    book.peers[address].lastReceivedAt = now;
 }
 
 void connectionLost(PeerBook &book, const std::string &address)
@@ -85,7 +85,7 @@
     for (const auto &[address, peer] : book.peers) {
         const Milliseconds span = book.settings.forgetAfter;
         if (!peer.connected && wanted.count(address) == 0 && now >= peer.listedAt + span
-            && now >= peer.heardAt + span)
+            && now >= peer.lastReceivedAt + span)
             changes.dropped.push_back(address);
     }
     for (const std::string &address : changes.dropped)
--- a/packages/forecast/include/foxwing/forecast/forecast.h
+++ b/packages/forecast/include/foxwing/forecast/forecast.h
@@ -30,16 +30,16 @@
 struct AgentNews
 {
     std::int64_t freeMilliCores = 0;
-    std::vector<jobs::WaitingRoom> waiting;
+    std::vector<jobs::PriorityBacklog> waiting;
     std::uint32_t freedPerSecond = 0;
-    Time heardAt {};
+    Time lastReceivedAt {};
 };
 
 // One service as a whole.
-struct Picture
+struct ServiceLoad
 {
     // By priority, most urgent first
-    std::vector<jobs::WaitingRoom> waiting;
+    std::vector<jobs::PriorityBacklog> waiting;
 
     // Thousandths of a core: free at each endpoint that has any, and coming free each second at all
     // of them
@@ -54,7 +54,7 @@
 };
 
 // A job as the forecast sees it.
-struct Wanted
+struct JobDemand
 {
     std::uint32_t priority = 0;
 
@@ -63,7 +63,7 @@
     std::int64_t milliCores = 0;
 
     // Work that waits at this entry and goes before it
-    std::int64_t beforeIt = 0;
+    std::int64_t queuedAhead = 0;
 };
 
 // [SECTION] Functions
@@ -74,21 +74,22 @@
 // A forecast says no more than this; sums of longer waits would overflow.
 constexpr Milliseconds LongestWait = std::chrono::hours(1);
 
-// What comeBackAfter() answers with.
-constexpr Milliseconds LeastComeBack { 100 };
-constexpr Milliseconds MostComeBack { 4000 };
+// What estimateRetryAfter() answers with.
+constexpr Milliseconds MinRetryAfter { 100 };
+constexpr Milliseconds MaxRetryAfter { 4000 };
 
-void addAgent(Picture &picture, const AgentNews &news, Time now);
+void addAgent(ServiceLoad &serviceLoad, const AgentNews &news, Time now);
 
 // Whether anything waits that goes before the job.
-bool hasWorkBefore(const Picture &picture, const Wanted &wanted);
+bool hasWorkAhead(const ServiceLoad &serviceLoad, const JobDemand &wanted);
 
 // Until what goes before it, and the job itself, have found room. Nothing is known, and nothing
 // returned, while no room came free of late and too little is free.
-std::optional<Milliseconds> expectedWait(const Picture &picture, const Wanted &wanted);
+std::optional<Milliseconds> expectedWait(const ServiceLoad &serviceLoad, const JobDemand &wanted);
 
 // When a caller that is refused now should come back: once what waits has found room, and up to as
 // long again by chance, from 0 to 1, so that not all come back together.
-Milliseconds comeBackAfter(const Picture &picture, const Wanted &wanted, double chance);
+Milliseconds estimateRetryAfter(const ServiceLoad &serviceLoad, const JobDemand &wanted,
+                                double chance);
 
 } // namespace foxwing::forecast
--- a/packages/jobs/include/foxwing/jobs/job.h
+++ b/packages/jobs/include/foxwing/jobs/job.h
@@ -22,7 +22,7 @@
 // [SECTION] Room
 
 // What a task takes of an endpoint, or what an endpoint has.
-struct Room
+struct ResourceVector
 {
     // Thousandths of a core
     std::int64_t milliCores = 0;
@@ -30,36 +30,36 @@
     std::int64_t accelerators = 0;
 };
 template<class Fields>
-void describe(Fields &fields, Room &room)
+void describe(Fields &fields, ResourceVector &demand)
 {
-    fields("milliCores", room.milliCores);
-    fields("megabytes", room.megabytes);
-    fields("accelerators", room.accelerators);
+    fields("milliCores", demand.milliCores);
+    fields("megabytes", demand.megabytes);
+    fields("accelerators", demand.accelerators);
 }
 
-inline bool fits(const Room &needed, const Room &free)
+inline bool fits(const ResourceVector &needed, const ResourceVector &free)
 {
     return needed.milliCores <= free.milliCores && needed.megabytes <= free.megabytes
             && needed.accelerators <= free.accelerators;
 }
 
-inline Room &operator+=(Room &room, const Room &other)
+inline ResourceVector &operator+=(ResourceVector &demand, const ResourceVector &other)
 {
-    room.milliCores += other.milliCores;
-    room.megabytes += other.megabytes;
-    room.accelerators += other.accelerators;
-    return room;
+    demand.milliCores += other.milliCores;
+    demand.megabytes += other.megabytes;
+    demand.accelerators += other.accelerators;
+    return demand;
 }
 
-inline Room &operator-=(Room &room, const Room &other)
+inline ResourceVector &operator-=(ResourceVector &demand, const ResourceVector &other)
 {
-    room.milliCores -= other.milliCores;
-    room.megabytes -= other.megabytes;
-    room.accelerators -= other.accelerators;
-    return room;
+    demand.milliCores -= other.milliCores;
+    demand.megabytes -= other.megabytes;
+    demand.accelerators -= other.accelerators;
+    return demand;
 }
 
-inline bool operator==(const Room &left, const Room &right)
+inline bool operator==(const ResourceVector &left, const ResourceVector &right)
 {
     return left.milliCores == right.milliCores && left.megabytes == right.megabytes
             && left.accelerators == right.accelerators;
@@ -121,7 +121,7 @@
 struct StepSpec
 {
     std::uint32_t tasks = 0;
-    Room room;
+    ResourceVector demand;
 
     // The caller's guess of one task's time; often far off.
     Milliseconds estimate { 0 };
@@ -136,23 +136,23 @@
     std::string rack;
 
     // Tasks of this step on one endpoint at the most; 0 for any number
-    std::uint32_t mostPerEndpoint = 0;
+    std::uint32_t maxPerEndpoint = 0;
 };
 
 // What makes a job more than tasks that run once and are answered.
 struct JobTraits
 {
     // The caller asks for the state later: the job must outlive this process.
-    bool kept = true;
+    bool durable = true;
 
     // Tasks of a step that only work together
     bool gang = false;
 
     // Tasks that run until the job is cancelled
-    bool lasting = false;
+    bool longRunning = false;
 
     // Steps that run again and again at set times
-    bool timed = false;
+    bool recurring = false;
 };
 
 struct JobSpec
--- a/packages/jobs/include/foxwing/jobs/messages.h
+++ b/packages/jobs/include/foxwing/jobs/messages.h
@@ -27,7 +27,7 @@
 
     // Handed to each task as it is
     std::string payload;
-    Room room;
+    ResourceVector demand;
     Milliseconds estimate { 0 };
 
     // Of the job's queue; smaller is more urgent
@@ -35,7 +35,7 @@
 
     // Where there is no room, a start may wait for it at the agent for this long; zero: it is
     // refused at once.
-    Milliseconds mayWait { 0 };
+    Milliseconds maxWait { 0 };
 
     struct Start
     {
@@ -57,10 +57,10 @@
     fields("repeat", message.repeat);
     fields("step", message.step);
     fields("payload", message.payload);
-    fields("room", message.room);
+    fields("room", message.demand);
     fields("estimate", message.estimate);
     fields("priority", message.priority);
-    fields("mayWait", message.mayWait);
+    fields("mayWait", message.maxWait);
     fields("starts", message.starts);
 }
 
@@ -75,24 +75,24 @@
 }
 
 // Keeps the session alive when there is nothing else to say.
-struct SessionBeat
+struct SessionHeartbeat
 {
     std::uint64_t number = 0;
 
     // Work waits at the entry for room: it needs fresh news of it.
-    bool wantsRoom = false;
+    bool needsCapacity = false;
 };
 template<class Fields>
-void describe(Fields &fields, SessionBeat &beat)
+void describe(Fields &fields, SessionHeartbeat &heartbeat)
 {
-    fields("number", beat.number);
-    fields("wantsRoom", beat.wantsRoom);
+    fields("number", heartbeat.number);
+    fields("wantsRoom", heartbeat.needsCapacity);
 }
 
 // [SECTION] From the agent
 
 // How a run ended.
-enum class RunEnd {
+enum class RunOutcome {
     Done,
 
     // By its own fault or the endpoint's
@@ -102,33 +102,33 @@
     Stopped,
 
     // Killed at the end of the endpoint's lease
-    Lapsed,
+    LeaseExpired,
 
     // Its endpoint is gone, as it had said.
     Lost,
 
     // Certainly never began.
-    NeverBegan,
+    NeverStarted,
 
     // Its endpoint is gone and had not said that it leaves.
     Crashed,
 };
-constexpr RunEnd lastOf(RunEnd)
+constexpr RunOutcome lastOf(RunOutcome)
 {
-    return RunEnd::Crashed;
+    return RunOutcome::Crashed;
 }
 
-const char *toString(RunEnd end);
+const char *toString(RunOutcome end);
 
 // Why an agent did not even try a start. The task certainly did not begin.
-enum class RefusedStart {
+enum class StartRefusal {
     None,
-    NoRoom,
+    NoCapacity,
     Leaving,
     NotReady,
 
     // A run with this number or a higher one was there before.
-    OldRun,
+    StaleRun,
 
     // The endpoint had no time left to begin it, or turned it down.
     Endpoint,
@@ -136,23 +136,23 @@
     // The data centre is cordoned.
     Cordoned,
 };
-constexpr RefusedStart lastOf(RefusedStart)
+constexpr StartRefusal lastOf(StartRefusal)
 {
-    return RefusedStart::Cordoned;
+    return StartRefusal::Cordoned;
 }
 
-const char *toString(RefusedStart why);
+const char *toString(StartRefusal why);
 
 struct RunReport
 {
     RunId id;
-    RunEnd end = RunEnd::Done;
+    RunOutcome end = RunOutcome::Done;
 
-    // NeverBegan only
-    RefusedStart refused = RefusedStart::None;
+    // NeverStarted only
+    StartRefusal refused = StartRefusal::None;
 
     // From the start's answer to the end, as the agent saw it
-    Milliseconds took { 0 };
+    Milliseconds duration { 0 };
 };
 template<class Fields>
 void describe(Fields &fields, RunReport &report)
@@ -160,28 +160,28 @@
     fields("id", report.id);
     fields("end", report.end);
     fields("refused", report.refused);
-    fields("took", report.took);
+    fields("took", report.duration);
 }
 
 // A run that is far behind what its estimate promises.
-struct LagReport
+struct StragglerReport
 {
     RunId id;
 
     // What is left at its present pace; zero if it stands still.
-    Milliseconds left { 0 };
-    bool standsStill = false;
+    Milliseconds remaining { 0 };
+    bool stalled = false;
 
     // Most of what runs beside it, of other jobs too, is behind: it is the endpoint, and not the
     // estimate.
     bool endpointSlow = false;
 };
 template<class Fields>
-void describe(Fields &fields, LagReport &report)
+void describe(Fields &fields, StragglerReport &report)
 {
     fields("id", report.id);
-    fields("left", report.left);
-    fields("standsStill", report.standsStill);
+    fields("left", report.remaining);
+    fields("standsStill", report.stalled);
     fields("endpointSlow", report.endpointSlow);
 }
 
@@ -189,42 +189,42 @@
 struct EndpointView
 {
     // One life of the endpoint; empty while none is known
-    std::string life;
+    std::string endpointIncarnation;
     std::string service;
     std::string dataCentre;
     std::vector<std::string> labels;
-    Room capacity;
-    Room free;
+    ResourceVector capacity;
+    ResourceVector free;
 
     // Starts that are taken at the most just now: fewer than fit while the endpoint is on trial
-    std::uint32_t mostStarts = 0;
+    std::uint32_t maxStarts = 0;
 
     // Time taken by work here against its estimates; smaller is faster. In thousandths
-    std::uint32_t paceMille = 1000;
+    std::uint32_t slowdownPermille = 1000;
     bool leaving = false;
 };
 template<class Fields>
 void describe(Fields &fields, EndpointView &view)
 {
-    fields("life", view.life);
+    fields("life", view.endpointIncarnation);
     fields("service", view.service);
     fields("dataCentre", view.dataCentre);
     fields("labels", view.labels);
     fields("capacity", view.capacity);
     fields("free", view.free);
-    fields("mostStarts", view.mostStarts);
-    fields("paceMille", view.paceMille);
+    fields("mostStarts", view.maxStarts);
+    fields("paceMille", view.slowdownPermille);
     fields("leaving", view.leaving);
 }
 
 // Starts that wait at an agent for room, of one priority.
-struct WaitingRoom
+struct PriorityBacklog
 {
     std::uint32_t priority = 0;
     std::int64_t milliCores = 0;
 };
 template<class Fields>
-void describe(Fields &fields, WaitingRoom &waiting)
+void describe(Fields &fields, PriorityBacklog &waiting)
 {
     fields("priority", waiting.priority);
     fields("milliCores", waiting.milliCores);
@@ -243,7 +243,7 @@
     fields("crashes", report.crashes);
 }
 
-struct Welcome
+struct SessionAccepted
 {
     // One life of the agent
     std::uint64_t incarnation = 0;
@@ -253,7 +253,7 @@
     std::vector<CrashReport> crashed;
 };
 template<class Fields>
-void describe(Fields &fields, Welcome &welcome)
+void describe(Fields &fields, SessionAccepted &welcome)
 {
     fields("incarnation", welcome.incarnation);
     fields("endpoint", welcome.endpoint);
@@ -264,22 +264,22 @@
 struct AgentUpdate
 {
     // The last beat that was heard
-    std::uint64_t beat = 0;
+    std::uint64_t heartbeat = 0;
 
     // Starts of this session that were dealt with so far; free has them in it.
-    std::uint64_t startsTaken = 0;
-    Room free;
-    std::uint32_t mostStarts = 0;
-    std::uint32_t paceMille = 1000;
+    std::uint64_t startsHandled = 0;
+    ResourceVector free;
+    std::uint32_t maxStarts = 0;
+    std::uint32_t slowdownPermille = 1000;
     bool leaving = false;
 
     // Starts of all entries that wait here, a row for each priority; most urgent first
-    std::vector<WaitingRoom> waiting;
+    std::vector<PriorityBacklog> waiting;
 
     // Room that runs of all entries gave back here of late, in thousandths of a core a second
     std::uint32_t freedPerSecond = 0;
     std::vector<RunReport> ended;
-    std::vector<LagReport> lagging;
+    std::vector<StragglerReport> stragglers;
 
     // Set if it changed since the last update.
     std::vector<EndpointView> endpoint;
@@ -290,16 +290,16 @@
 template<class Fields>
 void describe(Fields &fields, AgentUpdate &update)
 {
-    fields("beat", update.beat);
-    fields("startsTaken", update.startsTaken);
+    fields("beat", update.heartbeat);
+    fields("startsTaken", update.startsHandled);
     fields("free", update.free);
-    fields("mostStarts", update.mostStarts);
-    fields("paceMille", update.paceMille);
+    fields("mostStarts", update.maxStarts);
+    fields("paceMille", update.slowdownPermille);
     fields("leaving", update.leaving);
     fields("waiting", update.waiting);
     fields("freedPerSecond", update.freedPerSecond);
     fields("ended", update.ended);
-    fields("lagging", update.lagging);
+    fields("lagging", update.stragglers);
     fields("endpoint", update.endpoint);
     fields("crashed", update.crashed);
 }
--- a/packages/lag/include/foxwing/lag/lag.h
+++ b/packages/lag/include/foxwing/lag/lag.h
@@ -11,10 +11,10 @@
    time, and seldom.
 
         LagState lag = makeLag(settings);
-        if (noteTurn(lag, dueAt, now)) ... log the change ...
-        if (isBehind(lag)) ... take off a call's time what it has waited unread ...
-        if (standsBack(lag)) ... answer that it is not ready ...
-        if (sendsCallersAway(lag)) ... close connections after their answers ...
+        if (recordTurn(lag, dueAt, now)) ... log the change ...
+        if (isLagging(lag)) ... take off a call's time what it has waited unread ...
+        if (isWithdrawn(lag)) ... answer that it is not ready ...
+        if (closesConnections(lag)) ... close connections after their answers ...
 
     [SECTION] Settings
     [SECTION] State
@@ -37,7 +37,7 @@
     std::uint64_t seed = 1;
 
     // Behind by more than this, averaged over the span, the process stands back; zero: never.
-    Milliseconds standBackAbove { 0 };
+    Milliseconds withdrawAbove { 0 };
 
     // It is no longer behind below this, or below half of the bound above if that is less.
     Milliseconds takeAgainBelow { 5 };
@@ -46,10 +46,10 @@
     Milliseconds span { 500 };
 
     // No turn counts as later than this, so that the average falls in bounded time.
-    Milliseconds mostLate { 500 };
+    Milliseconds maxDelay { 500 };
 
     // What a process does first takes longer than usual; it must not delay its coming into use.
-    Milliseconds afterStart { 3000 };
+    Milliseconds startupGrace { 3000 };
 
     // It stands back for no shorter than this at a time: a balancer that asks every second and
     // wants two misses has then had no new connections sent here for a moment at least.
@@ -89,7 +89,7 @@
     std::size_t next = 0;
 
     // How late turns were of late, on average over time
-    Microseconds behind { 0 };
+    Microseconds averageDelay { 0 };
 
     // The last turn; unset before the first
     Time at {};
@@ -99,9 +99,9 @@
 
     // Whether it stands back, since when, and the earliest time for the next pause
     bool back = false;
-    Time backSince {};
+    Time withdrawnSince {};
     Time mayStandBackFrom {};
-    std::uint64_t timesBack = 0;
+    std::uint64_t withdrawals = 0;
 };
 
 // [SECTION] Functions
@@ -110,14 +110,14 @@
 
 // A turn that was due at dueAt began now; the first one only begins the measure. True if whether it
 // stands back has changed by it.
-bool noteTurn(LagState &lag, Time dueAt, Time now);
+bool recordTurn(LagState &lag, Time dueAt, Time now);
 
-bool standsBack(const LagState &lag);
+bool isWithdrawn(const LagState &lag);
 
 // Whether callers that were answered should go elsewhere with their next call.
-bool sendsCallersAway(const LagState &lag);
+bool closesConnections(const LagState &lag);
 
 // Whether calls lose much of their time before they are read, standing back or not.
-bool isBehind(const LagState &lag);
+bool isLagging(const LagState &lag);
 
 } // namespace foxwing::lag
--- a/packages/load/src/fleetcost.cpp
+++ b/packages/load/src/fleetcost.cpp
@@ -22,7 +22,8 @@
 {
     const subset::SubsetSettings &settings = shape.subset;
     const std::size_t shared = settings.entriesPerAgent * shape.agents;
-    const std::size_t size = std::max(settings.least, (shared + shape.entries - 1) / shape.entries);
+    const std::size_t size = std::max(settings.minSize,
+                                      (shared + shape.entries - 1) / shape.entries);
     const bool whole = shape.agents * 100 <= size * settings.wholePercent;
     return whole ? shape.agents : size;
 }
@@ -35,7 +36,7 @@
     const auto agents = static_cast<double>(shape.agents);
     const auto controlHosts = static_cast<double>(shape.controlHosts);
     // Each beat is answered.
-    const double perSession = 2 * perSecond(shape.scheduler.beatInterval);
+    const double perSession = 2 * perSecond(shape.scheduler.heartbeatInterval);
     const double perControlLink = 2 * perSecond(shape.controlBeat);
     FleetCost cost;
     cost.entry.sessions = static_cast<double>(sessionsOfEntry(shape));
--- a/packages/node/src/agentrole.cpp
+++ b/packages/node/src/agentrole.cpp
@@ -46,11 +46,11 @@
     carryOut(agent::handle(m_state, message, steadyNow()));
 }
 
-void AgentRole::takeUpdate(const control::Update &update)
+void AgentRole::applyUpdate(const control::Update &update)
 {
     if (update.view.number == 0)
         return;
-    std::vector<agent::EntryHint> entries;
+    std::vector<agent::OwnerCandidate> entries;
     for (const claims::Member &member : update.view.members)
         entries.push_back({ member.replica.id, member.replica.incarnation, member.dataCentre });
     carryOut(agent::setEntries(m_state, std::move(entries), steadyNow()));
--- a/packages/node/src/entryrole.h
+++ b/packages/node/src/entryrole.h
@@ -33,14 +33,14 @@
     void receive(const claims::ClaimMessage &message);
     void receive(const entry::EntryMessage &message);
     void sendFailed(const agent::ToAgent &message);
-    void takeUpdate(const control::Update &update, Time beatSentAt);
+    void applyUpdate(const control::Update &update, Time beatSentAt);
     void fillBeat(control::Beat &beat);
     void tick();
 
     void beginLeaving() { m_state.leaving = true; }
     bool ready() const;
     // Whether control should be asked at once. Asking resets it.
-    bool takeBeatWanted() { return std::exchange(m_state.beatWanted, false); }
+    bool takeHeartbeatRequest() { return std::exchange(m_state.heartbeatRequested, false); }
     bool allClaimsInService() const { return claims::allShardsActive(m_state.claims); }
     bool drained() const;
 
--- a/packages/node/src/node.cpp
+++ b/packages/node/src/node.cpp
@@ -96,7 +96,7 @@
     control::Beat identity() const;
     void receive(Message &&message);
     void takeFailure(Message &&message);
-    void takeUpdate(const control::Update &update);
+    void applyUpdate(const control::Update &update);
     void sendBeat(Time now);
     void tick();
     void tickStopping(Time now);
@@ -200,7 +200,7 @@
         if (m_control)
             m_control->receive(*group);
     } else if (const auto *update = std::get_if<control::Update>(&message)) {
-        takeUpdate(*update);
+        applyUpdate(*update);
     }
 }
 
@@ -214,7 +214,7 @@
 
 // [SECTION] Beats
 
-void Node::Impl::takeUpdate(const control::Update &update)
+void Node::Impl::applyUpdate(const control::Update &update)
 {
     const std::optional<Time> sentAt = control::acceptUpdate(m_reporter, update);
     if (!sentAt)
@@ -223,9 +223,9 @@
     for (const claims::Member &member : update.view.members)
         m_post.learnAddress(member.replica.id, member.address);
     if (m_entry)
-        m_entry->takeUpdate(update, *sentAt);
+        m_entry->applyUpdate(update, *sentAt);
     if (m_agent)
-        m_agent->takeUpdate(update);
+        m_agent->applyUpdate(update);
 }
 
 void Node::Impl::sendBeat(Time now)
@@ -235,9 +235,9 @@
     if (m_entry)
         m_entry->fillBeat(beat);
     const bool hurried = m_entry && !beat.leaving && !m_entry->allClaimsInService();
-    m_nextBeat = now + (hurried ? HurriedBeatInterval : m_settings.cluster.beatInterval);
+    m_nextBeat = now + (hurried ? HurriedBeatInterval : m_settings.cluster.heartbeatInterval);
     // The host that answered last is asked alone, as long as it answers.
-    const Milliseconds patience = 2 * m_settings.cluster.beatInterval;
+    const Milliseconds patience = 2 * m_settings.cluster.heartbeatInterval;
     const bool answered = m_reporter.confirmed && now < m_reporter.confirmedAt + patience;
     for (const settings::Peer &peer : m_settings.cluster.control) {
         if (!answered || peer.id == m_controlLeader)
@@ -259,7 +259,7 @@
         m_entry->tick();
     if (m_agent)
         m_agent->tick(configurationStale(now));
-    const bool wanted = m_entry && m_entry->takeBeatWanted();
+    const bool wanted = m_entry && m_entry->takeHeartbeatRequest();
     if (now >= m_nextBeat || wanted)
         sendBeat(now);
     m_http.dropOverdue();
--- a/packages/runner/include/foxwing/runner/runner.h
+++ b/packages/runner/include/foxwing/runner/runner.h
@@ -14,9 +14,9 @@
     knows the cordons: an entry may not know yet.
 
         RunnerState runner = makeRunner(settings, fence);
-        RunnerActions actions = endpointHeard(runner, report, now);
+        RunnerActions actions = handleHeartbeat(runner, report, now);
         ... carry out actions ...
-        actions = startAnswered(runner, id, answered, now);
+        actions = handleStartResult(runner, id, answered, now);
 
     [SECTION] Settings
     [SECTION] Orders
@@ -47,18 +47,19 @@
     // Runs of an entry that was not heard for this long are stopped. With the endpoint lease and
     // the time that a stop takes it must stay under the shortest time after which a caller that
     // lost its entry may send the same job again (1.3 s).
-    Milliseconds ownerSilence { 450 };
+    Milliseconds sessionTimeout { 450 };
 
     // How long the endpoint goes on without a word from here; renewed by every look. Long enough
-    // for an agent that gets no processor for half a second, see ownerSilence for the upper bound.
-    Milliseconds leaseSpan { 400 };
+    // for an agent that gets no processor for half a second, see sessionTimeout for the upper
+    // bound.
+    Milliseconds leaseDuration { 400 };
 
     // How long a look waits at the endpoint for an end. While something runs it also brings the
     // progress of each run, which is wanted within the time that the shortest tasks can spare.
     Milliseconds busyWait { 60 };
 
     // The same while nothing runs; a start that comes meanwhile lives on its own lease until the
-    // look returns, so well under leaseSpan.
+    // look returns, so well under leaseDuration.
     Milliseconds idleWait { 200 };
 
     // A start without an answer is ordered again, under the same number, until it is this old; then
@@ -88,12 +89,12 @@
 
     // Entries with work waiting learn of changed room at least this often, if they are not told at
     // once: well under the time of the shortest tasks, so that room does not stand idle.
-    Milliseconds roomInterval { 10 };
+    Milliseconds capacityUpdateInterval { 10 };
 
     // The same for entries where nothing waits for room, and the longest time until a beat is
     // answered: a quarter of the silence after which an entry gives an agent up, and seldom enough
     // that news to entries with nothing to place costs little.
-    Milliseconds calmInterval { 100 };
+    Milliseconds idleUpdateInterval { 100 };
 
     // A run is judged once it ran for this long: twice the time in which an answer can be late on
     // a busy host.
@@ -138,7 +139,7 @@
     std::uint32_t passedOverLines = 5;
 
     // Endpoints whose runs fail or lag are put on trial.
-    bool judgeEndpoint = true;
+    bool probationEnabled = true;
 
     // Each failure or lag takes an endpoint this much nearer to being on trial, each run that ends
     // on pace takes it back. On trial it gets one run at a time, and rests after a bad one.
@@ -150,7 +151,7 @@
 
 // [SECTION] Orders
 
-struct StartOrder
+struct StartCommand
 {
     jobs::RunId id;
     std::string payload;
@@ -158,104 +159,104 @@
     // On the endpoint's clock: it does not begin the run later, and the lease lasts until then.
     Milliseconds deadline { 0 };
     std::uint64_t fence = 0;
-    std::string life;
+    std::string endpointIncarnation;
 };
 
-struct StopOrder
+struct StopCommand
 {
     jobs::RunId id;
     std::uint64_t fence = 0;
-    std::string life;
+    std::string endpointIncarnation;
 };
 
 // Renews the lease, takes note of ends, and waits for the next.
-struct LookOrder
+struct PollCommand
 {
     std::uint64_t number = 0;
 
     // On the endpoint's clock; left out, the lease is not renewed.
     std::optional<Milliseconds> deadline;
     std::uint64_t fence = 0;
-    std::uint64_t lastSeen = 0;
+    std::uint64_t lastSeenEnd = 0;
     Milliseconds wait { 0 };
-    std::string life;
+    std::string endpointIncarnation;
 };
 
 // [SECTION] Answers
 
-enum class Answer {
+enum class CommandStatus {
     Ok,
 
     // Another agent, or an earlier life of this one, used a higher fence.
     Fenced,
-    OldRun,
+    StaleRun,
     TooLate,
-    NoRoom,
-    OtherLife,
+    NoCapacity,
+    OtherIncarnation,
 
     // The endpoint turned it down and did nothing.
     Busy,
     Invalid,
 
     // Nothing listens at the endpoint's address.
-    Unreachable,
+    ConnectionRefused,
 
     // Nothing came back: it may have been done, or may be done later.
     None,
 };
 
-const char *toString(Answer answer);
+const char *toString(CommandStatus status);
 
-struct Answered
+struct CommandResult
 {
-    Answer answer = Answer::None;
+    CommandStatus status = CommandStatus::None;
     std::optional<Milliseconds> endpointClock;
 };
 
-struct RunningRow
+struct RunProgress
 {
     jobs::RunId id;
     std::uint32_t percent = 0;
 };
 
-struct EndedRow
+struct EndedRun
 {
     std::uint64_t number = 0;
     jobs::RunId id;
-    jobs::RunEnd end = jobs::RunEnd::Done;
+    jobs::RunOutcome end = jobs::RunOutcome::Done;
 };
 
-struct Look
+struct PollResult
 {
-    Answered answered;
-    std::vector<RunningRow> running;
-    std::vector<EndedRow> ended;
+    CommandResult result;
+    std::vector<RunProgress> running;
+    std::vector<EndedRun> ended;
 
     // When the endpoint that answered began, by its own date
-    std::optional<WallTime> born;
+    std::optional<WallTime> startedAt;
 };
 
 // One life of an endpoint's process. The next one may come under the same id.
-struct LifeId
+struct IncarnationId
 {
     std::string id;
 
     // When it began, by its own date; left out where the platform does not tell it, and gives each
     // life an id of its own
-    std::optional<WallTime> born;
+    std::optional<WallTime> startedAt;
 };
 
-bool operator==(const LifeId &left, const LifeId &right);
-bool operator!=(const LifeId &left, const LifeId &right);
+bool operator==(const IncarnationId &left, const IncarnationId &right);
+bool operator!=(const IncarnationId &left, const IncarnationId &right);
 
 // What the endpoint says of itself in a heartbeat.
 struct EndpointReport
 {
-    LifeId life;
+    IncarnationId endpointIncarnation;
     std::string service;
     std::string dataCentre;
     std::vector<std::string> labels;
-    jobs::Room capacity;
+    jobs::ResourceVector capacity;
     bool leaving = false;
 
     // Least time until it is gone, while leaving
@@ -277,7 +278,7 @@
 {
     std::uint64_t session = 0;
     std::string payload;
-    jobs::Room room;
+    jobs::ResourceVector demand;
     Milliseconds estimate { 0 };
     RunState state = RunState::Ordered;
 
@@ -301,7 +302,7 @@
     bool ofFormerLife = false;
 
     // How it ended if it was lost with that life
-    jobs::RunEnd formerEnd = jobs::RunEnd::Lost;
+    jobs::RunOutcome formerEnd = jobs::RunOutcome::Lost;
 
     std::uint32_t percent = 0;
     Time progressAt {};
@@ -320,7 +321,7 @@
     jobs::RunId id;
     std::uint64_t session = 0;
     std::string payload;
-    jobs::Room room;
+    jobs::ResourceVector demand;
     Milliseconds estimate { 0 };
     std::uint32_t priority = 0;
     Time until {};
@@ -330,27 +331,27 @@
 struct Session
 {
     std::string owner;
-    Time heardAt {};
-    bool welcomed = false;
+    Time lastReceivedAt {};
+    bool accepted = false;
 
     // Ended: its runs are being stopped.
     bool over = false;
-    std::uint64_t beat = 0;
-    std::uint64_t startsTaken = 0;
+    std::uint64_t heartbeat = 0;
+    std::uint64_t startsHandled = 0;
     std::uint64_t toldBeat = 0;
     std::uint64_t toldStarts = 0;
     bool refusedRoom = false;
 
     // Work waits for room at the entry.
-    bool wantsRoom = false;
+    bool needsCapacity = false;
     bool dirty = false;
     Time toldAt {};
-    jobs::Room toldFree;
+    jobs::ResourceVector toldFree;
     std::uint32_t toldMostStarts = 0;
     bool toldLeaving = false;
     std::uint64_t toldView = 0;
     std::vector<jobs::RunReport> ended;
-    std::vector<jobs::LagReport> lagging;
+    std::vector<jobs::StragglerReport> stragglers;
 
     // The last crash under a task that it was told of
     std::uint64_t toldCrash = 0;
@@ -377,14 +378,14 @@
 
 // What is counted within one life of the endpoint. Another life begins with all of it anew: held
 // against the counts of the life before, its heartbeats look old and its ends are forgotten untold.
-struct LifeState
+struct IncarnationState
 {
     // Whether a heartbeat of this life has told what it is and how much room it has; until then
     // only a list of runs has shown that it is there.
     bool described = false;
 
     // Whether it has answered a look
-    bool answered = false;
+    bool result = false;
 
     // Nothing runs that this agent did not start: earlier lives' runs are stopped first.
     bool clean = false;
@@ -392,20 +393,20 @@
 
     // The endpoint's clock when it was last told, and when that was here
     std::optional<Milliseconds> clockSample;
-    Time clockAt {};
+    Time clockSampledAt {};
 
     // The latest time that any order may have prolonged the lease to, on the endpoint's clock
     Milliseconds leaseUntil { 0 };
 
     // The highest number of an end that was taken note of
-    std::uint64_t lastSeen = 0;
+    std::uint64_t lastSeenEnd = 0;
     std::uint32_t looksFailed = 0;
     std::optional<Time> lookFailedAt;
 
     // Judgement
-    double bad = 0;
+    double faultScore = 0;
     Time badAt {};
-    double pace = 1.0;
+    double slowdown = 1.0;
 };
 
 struct RunnerState
@@ -419,10 +420,10 @@
 
     // The endpoint; without a life nothing is known of it.
     EndpointReport endpoint;
-    LifeState life;
+    IncarnationState endpointIncarnation;
 
     // The lives before it, the last one at the end: what they still say comes late
-    std::deque<LifeId> formerLives;
+    std::deque<IncarnationId> previousIncarnations;
 
     // The newest heartbeat of another life, while the present one answers or is the younger by its
     // date: a late or stray one, or the next life's. The endpoint's answer to the next look tells
@@ -452,8 +453,8 @@
     FadingSum freed;
 
     // Looks
-    std::uint64_t lookNumber = 0;
-    std::uint64_t lookAnswered = 0;
+    std::uint64_t pollNumber = 0;
+    std::uint64_t handlePollResult = 0;
     bool lookUnderWay = false;
     Time nextLook {};
     bool wasOnTrial = false;
@@ -465,7 +466,7 @@
     std::uint64_t stopped = 0;
     std::uint64_t refused = 0;
     std::uint64_t unanswered = 0;
-    std::uint64_t heartbeatsPassedOver = 0;
+    std::uint64_t ignoredHeartbeats = 0;
 
     // Lines about them in the second that began then
     Time passedOverSecond {};
@@ -474,10 +475,10 @@
 
 struct RunnerActions
 {
-    std::vector<StartOrder> starts;
-    std::vector<StopOrder> stops;
-    std::optional<LookOrder> look;
-    std::vector<std::pair<std::uint64_t, jobs::Welcome>> welcomes;
+    std::vector<StartCommand> starts;
+    std::vector<StopCommand> stops;
+    std::optional<PollCommand> poll;
+    std::vector<std::pair<std::uint64_t, jobs::SessionAccepted>> acceptances;
     std::vector<std::pair<std::uint64_t, jobs::AgentUpdate>> updates;
 
     // Sessions whose connection is to be closed.
@@ -493,12 +494,13 @@
                        std::uint64_t fence);
 
 // The endpoint's heartbeat, or its word that it ends.
-RunnerActions endpointHeard(RunnerState &runner, const EndpointReport &report, Time now);
-RunnerActions endpointLeft(RunnerState &runner, const LifeId &life, Time now);
+RunnerActions handleHeartbeat(RunnerState &runner, const EndpointReport &report, Time now);
+RunnerActions handleDeregistration(RunnerState &runner, const IncarnationId &endpointIncarnation,
+                                   Time now);
 
 // What is cordoned. Older news than what is known here changes nothing.
-RunnerActions cordonsHeard(RunnerState &runner, const catalog::Cordons &cordons,
-                           CordonSource source, Time now);
+RunnerActions handleCordons(RunnerState &runner, const catalog::Cordons &cordons,
+                            CordonSource source, Time now);
 
 // Whether the endpoint's data centre is cordoned.
 bool isCordoned(const RunnerState &runner);
@@ -511,27 +513,28 @@
                          const jobs::StartTasks &message, Time now);
 RunnerActions stopRuns(RunnerState &runner, std::uint64_t session, const jobs::StopRuns &message,
                        Time now);
-RunnerActions sessionBeat(RunnerState &runner, std::uint64_t session,
-                          const jobs::SessionBeat &message, Time now);
+RunnerActions handleSessionHeartbeat(RunnerState &runner, std::uint64_t session,
+                                     const jobs::SessionHeartbeat &message, Time now);
 
 // Answers of the endpoint. Each order is answered exactly once, if only by None.
-RunnerActions startAnswered(RunnerState &runner, const jobs::RunId &id, const Answered &answered,
-                            Time now);
-RunnerActions stopAnswered(RunnerState &runner, const jobs::RunId &id, const Answered &answered,
-                           Time now);
-RunnerActions lookAnswered(RunnerState &runner, std::uint64_t number, const Look &look, Time now);
+RunnerActions handleStartResult(RunnerState &runner, const jobs::RunId &id,
+                                const CommandResult &result, Time now);
+RunnerActions handleStopResult(RunnerState &runner, const jobs::RunId &id,
+                               const CommandResult &result, Time now);
+RunnerActions handlePollResult(RunnerState &runner, std::uint64_t number, const PollResult &poll,
+                               Time now);
 
 RunnerActions tick(RunnerState &runner, Time now);
 
 // A planned stop: nothing new is taken. Done once finished() holds.
-RunnerActions beginStop(RunnerState &runner, Time now);
-RunnerActions stopAll(RunnerState &runner, Time now);
-bool finished(const RunnerState &runner);
+RunnerActions beginShutdown(RunnerState &runner, Time now);
+RunnerActions stopAllRuns(RunnerState &runner, Time now);
+bool isShutDown(const RunnerState &runner);
 
 // How long the run that was ordered first has been taking room; zero if none is.
-Microseconds oldestRun(const RunnerState &runner, Time now);
+Microseconds oldestRunAge(const RunnerState &runner, Time now);
 
 // What an entry may count on.
-jobs::EndpointView viewOf(const RunnerState &runner, Time now);
+jobs::EndpointView makeEndpointView(const RunnerState &runner, Time now);
 
 } // namespace foxwing::runner
--- a/packages/runner/src/offer.cpp
+++ b/packages/runner/src/offer.cpp
@@ -15,7 +15,7 @@
 
 bool isOutOfReach(const RunnerState &runner)
 {
-    return runner.life.looksFailed >= runner.settings.looksBeforeOutOfReach;
+    return runner.endpointIncarnation.looksFailed >= runner.settings.looksBeforeOutOfReach;
 }
 
 namespace {
@@ -25,9 +25,9 @@
 
 bool mayStart(const RunnerState &runner)
 {
-    return runner.life.described && !runner.endpoint.leaving && !runner.stopping
-            && runner.life.clean && runner.life.clockSample && !isOutOfReach(runner)
-            && runner.cordonsKnown && !isCordoned(runner);
+    return runner.endpointIncarnation.described && !runner.endpoint.leaving && !runner.stopping
+            && runner.endpointIncarnation.clean && runner.endpointIncarnation.clockSample
+            && !isOutOfReach(runner) && runner.cordonsKnown && !isCordoned(runner);
 }
 
 } // namespace
@@ -37,26 +37,26 @@
     return catalog::isCordoned(runner.cordons, runner.endpoint.dataCentre);
 }
 
-jobs::Room freeRoom(const RunnerState &runner)
+jobs::ResourceVector freeRoom(const RunnerState &runner)
 {
     if (!mayStart(runner))
         return {};
-    jobs::Room free = runner.endpoint.capacity;
+    jobs::ResourceVector free = runner.endpoint.capacity;
     for (const auto &[id, run] : runner.runs)
-        free -= run.room;
+        free -= run.demand;
     return free;
 }
 
 // Below zero while more waits than is free.
-static jobs::Room offeredRoom(const RunnerState &runner)
+static jobs::ResourceVector offeredRoom(const RunnerState &runner)
 {
-    jobs::Room free = freeRoom(runner);
+    jobs::ResourceVector free = freeRoom(runner);
     for (const WaitingStart &start : runner.waiting)
-        free -= start.room;
+        free -= start.demand;
     return free;
 }
 
-Microseconds oldestRun(const RunnerState &runner, Time now)
+Microseconds oldestRunAge(const RunnerState &runner, Time now)
 {
     Microseconds oldest { 0 };
     for (const auto &[id, run] : runner.runs)
@@ -64,7 +64,7 @@
     return oldest;
 }
 
-std::uint32_t mostStarts(const RunnerState &runner, Time now)
+std::uint32_t maxStarts(const RunnerState &runner, Time now)
 {
     // An entry must not be told of room while every start would be refused: it would send again
     // at once, and again.
@@ -72,21 +72,21 @@
         return 0;
     if (!onTrial(runner))
         return AnyNumber;
-    const bool rested = now >= runner.life.badAt + runner.settings.trialRest;
+    const bool rested = now >= runner.endpointIncarnation.badAt + runner.settings.trialRest;
     return runner.runs.empty() && rested ? 1 : 0;
 }
 
-jobs::EndpointView viewOf(const RunnerState &runner, Time now)
+jobs::EndpointView makeEndpointView(const RunnerState &runner, Time now)
 {
     jobs::EndpointView view;
-    view.life = runner.endpoint.life.id;
+    view.endpointIncarnation = runner.endpoint.endpointIncarnation.id;
     view.service = runner.endpoint.service;
     view.dataCentre = runner.endpoint.dataCentre;
     view.labels = runner.endpoint.labels;
     view.capacity = runner.endpoint.capacity;
     view.free = offeredRoom(runner);
-    view.mostStarts = mostStarts(runner, now);
-    view.paceMille = static_cast<std::uint32_t>(runner.life.pace * 1000);
+    view.maxStarts = maxStarts(runner, now);
+    view.slowdownPermille = static_cast<std::uint32_t>(runner.endpointIncarnation.slowdown * 1000);
     view.leaving = runner.endpoint.leaving || runner.stopping;
     return view;
 }
@@ -107,35 +107,35 @@
 void welcome(RunnerState &runner, std::uint64_t number, Session &session, Time now,
              RunnerActions &actions)
 {
-    if (!runner.life.clean || ownerHasOtherRuns(runner, number, session))
+    if (!runner.endpointIncarnation.clean || ownerHasOtherRuns(runner, number, session))
         return;
-    session.welcomed = true;
+    session.accepted = true;
     session.toldView = runner.viewNumber;
-    jobs::Welcome message;
+    jobs::SessionAccepted message;
     message.incarnation = runner.incarnation;
-    message.endpoint = viewOf(runner, now);
+    message.endpoint = makeEndpointView(runner, now);
     message.crashed = crashesAfter(runner, 0, now);
     session.toldCrash = runner.lastCrash;
     session.toldFree = message.endpoint.free;
-    session.toldMostStarts = message.endpoint.mostStarts;
+    session.toldMostStarts = message.endpoint.maxStarts;
     session.toldLeaving = message.endpoint.leaving;
     session.toldAt = now;
-    actions.welcomes.emplace_back(number, std::move(message));
+    actions.acceptances.emplace_back(number, std::move(message));
 }
 
 // How old an entry's picture of the room may be. Among entries that want room it grows with their
 // number, so that an agent's work for telling it does not.
 Microseconds tellInterval(const RunnerState &runner, const Session &session)
 {
-    if (!session.wantsRoom)
-        return runner.settings.calmInterval;
+    if (!session.needsCapacity)
+        return runner.settings.idleUpdateInterval;
     const auto wanting = std::count_if(runner.sessions.begin(), runner.sessions.end(),
-                                       [](const auto &item) { return item.second.wantsRoom; });
-    return runner.settings.roomInterval * std::max<std::ptrdiff_t>(1, wanting / 4);
+                                       [](const auto &item) { return item.second.needsCapacity; });
+    return runner.settings.capacityUpdateInterval * std::max<std::ptrdiff_t>(1, wanting / 4);
 }
 
 // At once for what concerns this entry alone: its ends and refusals.
-bool dueToTell(const RunnerState &runner, const Session &session, const jobs::Room &free,
+bool dueToTell(const RunnerState &runner, const Session &session, const jobs::ResourceVector &free,
                std::uint32_t most, Time now)
 {
     const bool leaving = runner.endpoint.leaving || runner.stopping;
@@ -145,34 +145,36 @@
         return true;
     if (session.refusedRoom && free.milliCores > session.toldFree.milliCores)
         return true;
-    if (session.beat != session.toldBeat && now >= session.toldAt + runner.settings.calmInterval)
+    if (session.heartbeat != session.toldBeat
+        && now >= session.toldAt + runner.settings.idleUpdateInterval)
         return true;
-    const bool changed = !(free == session.toldFree) || session.startsTaken != session.toldStarts;
+    const bool changed = !(free == session.toldFree) || session.startsHandled != session.toldStarts;
     return changed && now >= session.toldAt + tellInterval(runner, session);
 }
 
-void tell(RunnerState &runner, std::uint64_t number, Session &session, const jobs::Room &free,
-          std::uint32_t most, Time now, RunnerActions &actions)
+void tell(RunnerState &runner, std::uint64_t number, Session &session,
+          const jobs::ResourceVector &free, std::uint32_t most, Time now, RunnerActions &actions)
 {
     jobs::AgentUpdate update;
-    update.beat = session.beat;
-    update.startsTaken = session.startsTaken;
+    update.heartbeat = session.heartbeat;
+    update.startsHandled = session.startsHandled;
     update.free = free;
-    update.mostStarts = most;
-    update.paceMille = static_cast<std::uint32_t>(runner.life.pace * 1000);
+    update.maxStarts = most;
+    update.slowdownPermille = static_cast<std::uint32_t>(runner.endpointIncarnation.slowdown
+                                                         * 1000);
     update.leaving = runner.endpoint.leaving || runner.stopping;
     update.waiting = waitingRows(runner);
     update.freedPerSecond = static_cast<std::uint32_t>(
             std::lround(perSecond(runner.freed, runner.settings.freedSpan, now)));
     update.ended.swap(session.ended);
-    update.lagging.swap(session.lagging);
+    update.stragglers.swap(session.stragglers);
     if (session.toldView != runner.viewNumber)
-        update.endpoint.push_back(viewOf(runner, now));
+        update.endpoint.push_back(makeEndpointView(runner, now));
     update.crashed = crashesAfter(runner, session.toldCrash, now);
     session.toldCrash = runner.lastCrash;
     session.toldView = runner.viewNumber;
-    session.toldBeat = session.beat;
-    session.toldStarts = session.startsTaken;
+    session.toldBeat = session.heartbeat;
+    session.toldStarts = session.startsHandled;
     session.toldFree = free;
     session.toldMostStarts = most;
     session.toldLeaving = update.leaving;
@@ -203,39 +205,42 @@
 
 void orderLook(RunnerState &runner, Time now, RunnerActions &actions)
 {
-    if (runner.lookUnderWay || runner.endpoint.life.id.empty() || now < runner.nextLook)
+    if (runner.lookUnderWay || runner.endpoint.endpointIncarnation.id.empty()
+        || now < runner.nextLook)
         return;
     runner.lookUnderWay = true;
-    LookOrder look;
-    look.number = ++runner.lookNumber;
-    look.fence = runner.fence;
-    look.life = runner.endpoint.life.id;
-    look.lastSeen = runner.life.lastSeen;
-    const bool quick = !runner.life.clean || !runner.life.clockSample
-            || runner.life.looksFailed > 0;
+    PollCommand poll;
+    poll.number = ++runner.pollNumber;
+    poll.fence = runner.fence;
+    poll.endpointIncarnation = runner.endpoint.endpointIncarnation.id;
+    poll.lastSeenEnd = runner.endpointIncarnation.lastSeenEnd;
+    const bool quick = !runner.endpointIncarnation.clean || !runner.endpointIncarnation.clockSample
+            || runner.endpointIncarnation.looksFailed > 0;
     const bool busy = !runner.runs.empty();
-    const bool doubtful = runner.life.lookFailedAt
-            && now < *runner.life.lookFailedAt + runner.settings.doubtfulSpan;
-    look.wait = quick          ? Milliseconds(0)
+    const bool doubtful = runner.endpointIncarnation.lookFailedAt
+            && now < *runner.endpointIncarnation.lookFailedAt + runner.settings.doubtfulSpan;
+    poll.wait = quick          ? Milliseconds(0)
             : busy && doubtful ? runner.settings.doubtfulWait
             : busy             ? runner.settings.busyWait
                                : runner.settings.idleWait;
     // Not while the endpoint is out of reach: its lease must come to an end that is known here.
     if (busy && !isOutOfReach(runner))
-        look.deadline = leaseDeadline(runner, now);
-    if (look.deadline)
-        runner.life.leaseUntil = std::max(runner.life.leaseUntil, *look.deadline);
-    actions.look = look;
+        poll.deadline = leaseDeadline(runner, now);
+    if (poll.deadline)
+        runner.endpointIncarnation.leaseUntil = std::max(runner.endpointIncarnation.leaseUntil,
+                                                         *poll.deadline);
+    actions.poll = poll;
 }
 
 } // namespace
 
 std::optional<Milliseconds> leaseDeadline(const RunnerState &runner, Time now)
 {
-    if (!runner.life.clockSample || leaseIsLeftToEnd(runner, now))
+    if (!runner.endpointIncarnation.clockSample || leaseIsLeftToEnd(runner, now))
         return std::nullopt;
-    const auto elapsed = std::chrono::duration_cast<Milliseconds>(now - runner.life.clockAt);
-    return *runner.life.clockSample + elapsed + runner.settings.leaseSpan;
+    const auto elapsed = std::chrono::duration_cast<Milliseconds>(
+            now - runner.endpointIncarnation.clockSampledAt);
+    return *runner.endpointIncarnation.clockSample + elapsed + runner.settings.leaseDuration;
 }
 
 void finishEvent(RunnerState &runner, Time now, RunnerActions &actions)
@@ -246,17 +251,19 @@
         runner.wasOnTrial = onTrial(runner);
         actions.events.push_back(
                 eventlog::change(runner.wasOnTrial ? "endpoint-on-trial" : "endpoint-trusted")
-                        .with("life", runner.endpoint.life.id)
-                        .with("bad_percent", static_cast<int>(runner.life.bad * 100))
-                        .with("pace_percent", static_cast<int>(runner.life.pace * 100))
+                        .with("life", runner.endpoint.endpointIncarnation.id)
+                        .with("bad_percent",
+                              static_cast<int>(runner.endpointIncarnation.faultScore * 100))
+                        .with("pace_percent",
+                              static_cast<int>(runner.endpointIncarnation.slowdown * 100))
                         .with("runs", std::uint64_t { runner.runs.size() }));
     }
-    const jobs::Room free = offeredRoom(runner);
-    const std::uint32_t most = mostStarts(runner, now);
+    const jobs::ResourceVector free = offeredRoom(runner);
+    const std::uint32_t most = maxStarts(runner, now);
     for (auto &[number, session] : runner.sessions) {
         if (session.over)
             continue;
-        if (!session.welcomed)
+        if (!session.accepted)
             welcome(runner, number, session, now, actions);
         else if (dueToTell(runner, session, free, most, now))
             tell(runner, number, session, free, most, now, actions);
--- a/packages/runner/src/runner.cpp
+++ b/packages/runner/src/runner.cpp
@@ -17,34 +17,34 @@
 
 using eventlog::change;
 using eventlog::Event;
-using jobs::RefusedStart;
-using jobs::RunEnd;
 using jobs::RunId;
+using jobs::RunOutcome;
+using jobs::StartRefusal;
 
 // [SECTION] Names
 
-const char *toString(Answer answer)
+const char *toString(CommandStatus status)
 {
-    switch (answer) {
-    case Answer::Ok:
+    switch (status) {
+    case CommandStatus::Ok:
         return "ok";
-    case Answer::Fenced:
+    case CommandStatus::Fenced:
         return "fenced";
-    case Answer::OldRun:
+    case CommandStatus::StaleRun:
         return "old-run";
-    case Answer::TooLate:
+    case CommandStatus::TooLate:
         return "too-late";
-    case Answer::NoRoom:
+    case CommandStatus::NoCapacity:
         return "no-room";
-    case Answer::OtherLife:
+    case CommandStatus::OtherIncarnation:
         return "other-life";
-    case Answer::Busy:
+    case CommandStatus::Busy:
         return "busy";
-    case Answer::Invalid:
+    case CommandStatus::Invalid:
         return "invalid";
-    case Answer::Unreachable:
+    case CommandStatus::ConnectionRefused:
         return "unreachable";
-    case Answer::None:
+    case CommandStatus::None:
         break;
     }
     return "none";
@@ -73,13 +73,13 @@
 
 namespace {
 
-void countEnd(RunnerState &runner, RunEnd end)
+void countEnd(RunnerState &runner, RunOutcome end)
 {
-    if (end == RunEnd::Done)
+    if (end == RunOutcome::Done)
         ++runner.done;
-    else if (end == RunEnd::Failed)
+    else if (end == RunOutcome::Failed)
         ++runner.failed;
-    else if (end == RunEnd::NeverBegan)
+    else if (end == RunOutcome::NeverStarted)
         ++runner.refused;
     else
         ++runner.stopped;
@@ -89,14 +89,14 @@
 
 // Room of failed runs is left out: an endpoint that fails all that it starts would seem to give
 // back more room than any other.
-static void noteFreed(RunnerState &runner, const Run &run, RunEnd end, Time now)
+static void noteFreed(RunnerState &runner, const Run &run, RunOutcome end, Time now)
 {
-    if (end == RunEnd::Done || end == RunEnd::Stopped)
-        addTo(runner.freed, runner.settings.freedSpan, static_cast<double>(run.room.milliCores),
+    if (end == RunOutcome::Done || end == RunOutcome::Stopped)
+        addTo(runner.freed, runner.settings.freedSpan, static_cast<double>(run.demand.milliCores),
               now);
 }
 
-void endRun(RunnerState &runner, const RunId &id, RunEnd end, RefusedStart refused, Time now,
+void endRun(RunnerState &runner, const RunId &id, RunOutcome end, StartRefusal refused, Time now,
             RunnerActions &actions)
 {
     const auto found = runner.runs.find(id);
@@ -106,16 +106,16 @@
     runner.runs.erase(found);
     countEnd(runner, end);
     noteFreed(runner, run, end, now);
-    if (end == RunEnd::Crashed)
+    if (end == RunOutcome::Crashed)
         noteCrash(runner, id.task, now);
     const bool began = run.startedAt != Time {};
     const auto took = std::chrono::duration_cast<Milliseconds>(began ? now - run.startedAt
                                                                      : Microseconds(0));
-    if (end == RunEnd::Done)
+    if (end == RunOutcome::Done)
         noteGood(runner, run, took);
-    if (end == RunEnd::Failed)
+    if (end == RunOutcome::Failed)
         noteBad(runner, now);
-    if (end != RunEnd::Done)
+    if (end != RunOutcome::Done)
         actions.events.push_back(runEvent("run-ended", id)
                                          .with("end", jobs::toString(end))
                                          .with("refused", jobs::toString(refused))
@@ -131,7 +131,7 @@
 {
     run.stopOrderedAt = now;
     run.stopUnderWay = true;
-    actions.stops.push_back({ id, runner.fence, runner.endpoint.life.id });
+    actions.stops.push_back({ id, runner.fence, runner.endpoint.endpointIncarnation.id });
 }
 
 void beginStopping(RunnerState &runner, const RunId &id, Run &run, const char *why, Time now,
@@ -148,21 +148,22 @@
     orderStop(runner, id, run, now, actions);
 }
 
-void takeClock(RunnerState &runner, const Answered &answered, Time now)
+void takeClock(RunnerState &runner, const CommandResult &result, Time now)
 {
-    if (!answered.endpointClock)
+    if (!result.endpointClock)
         return;
     // Answers overtake each other: an older one must not set the clock back.
-    if (runner.life.clockSample && *answered.endpointClock < *runner.life.clockSample)
+    if (runner.endpointIncarnation.clockSample
+        && *result.endpointClock < *runner.endpointIncarnation.clockSample)
         return;
-    runner.life.clockSample = answered.endpointClock;
-    runner.life.clockAt = now;
+    runner.endpointIncarnation.clockSample = result.endpointClock;
+    runner.endpointIncarnation.clockSampledAt = now;
 }
 
 // [SECTION] Cordons
 
-RunnerActions cordonsHeard(RunnerState &runner, const catalog::Cordons &cordons,
-                           CordonSource source, Time now)
+RunnerActions handleCordons(RunnerState &runner, const catalog::Cordons &cordons,
+                            CordonSource source, Time now)
 {
     RunnerActions actions;
     const bool wasCordoned = isCordoned(runner);
@@ -209,10 +210,12 @@
     // other's clock.
     const bool leftOver = std::any_of(runner.runs.begin(), runner.runs.end(),
                                       [](const auto &item) { return item.second.ofFormerLife; });
-    if (!runner.life.clockSample || leftOver)
+    if (!runner.endpointIncarnation.clockSample || leftOver)
         return false;
-    const auto elapsed = std::chrono::duration_cast<Milliseconds>(now - runner.life.clockAt);
-    return *runner.life.clockSample + elapsed * SlowestClockPercent / 100 > runner.life.leaseUntil;
+    const auto elapsed = std::chrono::duration_cast<Milliseconds>(
+            now - runner.endpointIncarnation.clockSampledAt);
+    return *runner.endpointIncarnation.clockSample + elapsed * SlowestClockPercent / 100
+            > runner.endpointIncarnation.leaseUntil;
 }
 
 void repeatStops(RunnerState &runner, Time now, RunnerActions &actions)
@@ -228,7 +231,7 @@
 {
     std::vector<std::uint64_t> silent;
     for (const auto &[number, session] : runner.sessions) {
-        if (!session.over && now >= session.heardAt + runner.settings.ownerSilence)
+        if (!session.over && now >= session.lastReceivedAt + runner.settings.sessionTimeout)
             silent.push_back(number);
     }
     for (const std::uint64_t number : silent)
@@ -243,14 +246,15 @@
     takeEntrysWord(runner, now, actions);
     endSilentSessions(runner, now, actions);
     repeatStops(runner, now, actions);
-    if (!runner.runs.empty() && runner.life.looksFailed > 0 && leaseIsOver(runner, now))
-        endAll(runner, RunEnd::Lapsed, "the lease is over and the endpoint out of reach", now,
-               actions);
+    if (!runner.runs.empty() && runner.endpointIncarnation.looksFailed > 0
+        && leaseIsOver(runner, now))
+        endAll(runner, RunOutcome::LeaseExpired, "the lease is over and the endpoint out of reach",
+               now, actions);
     finishEvent(runner, now, actions);
     return actions;
 }
 
-RunnerActions beginStop(RunnerState &runner, Time now)
+RunnerActions beginShutdown(RunnerState &runner, Time now)
 {
     RunnerActions actions;
     runner.stopping = true;
@@ -258,7 +262,7 @@
     return actions;
 }
 
-RunnerActions stopAll(RunnerState &runner, Time now)
+RunnerActions stopAllRuns(RunnerState &runner, Time now)
 {
     RunnerActions actions;
     for (auto &[id, run] : runner.runs)
@@ -267,7 +271,7 @@
     return actions;
 }
 
-bool finished(const RunnerState &runner)
+bool isShutDown(const RunnerState &runner)
 {
     return runner.stopping && runner.runs.empty();
 }
--- a/packages/runner/tests/judgement_test.cpp
+++ b/packages/runner/tests/judgement_test.cpp
@@ -16,7 +16,7 @@
     std::uint32_t firstPercent;
     std::uint32_t secondPercent;
     std::uint32_t thirdPercent;
-    std::size_t lagging;
+    std::size_t stragglers;
     bool slow;
 };
 
@@ -29,25 +29,25 @@
     Bench bench;
     const std::uint32_t percents[] = { GetParam().firstPercent, GetParam().secondPercent,
                                        GetParam().thirdPercent };
-    Look look;
+    PollResult poll;
     for (std::uint32_t i = 0; i < 3; ++i) {
         jobs::StartTasks message;
         message.job = "job-" + std::to_string(i);
-        message.room = { 1000, 10, 0 };
+        message.demand = { 1000, 10, 0 };
         message.estimate = Milliseconds(100);
         message.starts = { { 0, 1 } };
         startTasks(bench.runner, Entry, message, bench.now);
         const RunId id { { message.job, 0, 0, 0 }, 1 };
-        startAnswered(bench.runner, id, { Answer::Ok, bench.clock() }, bench.now);
-        look.running.push_back({ id, percents[i] });
+        handleStartResult(bench.runner, id, { CommandStatus::Ok, bench.clock() }, bench.now);
+        poll.running.push_back({ id, percents[i] });
     }
     bench.pass(Milliseconds(100));
-    const RunnerActions actions = bench.answerLook(look);
-    std::vector<jobs::LagReport> lagging;
+    const RunnerActions actions = bench.answerLook(poll);
+    std::vector<jobs::StragglerReport> stragglers;
     for (const auto &[session, update] : actions.updates)
-        lagging.insert(lagging.end(), update.lagging.begin(), update.lagging.end());
-    ASSERT_EQ(lagging.size(), GetParam().lagging);
-    for (const jobs::LagReport &report : lagging)
+        stragglers.insert(stragglers.end(), update.stragglers.begin(), update.stragglers.end());
+    ASSERT_EQ(stragglers.size(), GetParam().stragglers);
+    for (const jobs::StragglerReport &report : stragglers)
         EXPECT_EQ(report.endpointSlow, GetParam().slow);
 }
 
@@ -63,23 +63,24 @@
 {
     Bench bench;
     std::uint32_t index = 0;
-    const auto runOne = [&](RunEnd end) {
+    const auto runOne = [&](RunOutcome end) {
         ++index;
         if (bench.start(index).starts.empty())
             return false;
-        startAnswered(bench.runner, runId(index), { Answer::Ok, bench.clock() }, bench.now);
-        Look look;
-        look.ended = { { index, runId(index), end } };
-        bench.answerLook(look);
+        handleStartResult(bench.runner, runId(index), { CommandStatus::Ok, bench.clock() },
+                          bench.now);
+        PollResult poll;
+        poll.ended = { { index, runId(index), end } };
+        bench.answerLook(poll);
         return true;
     };
-    while (runOne(RunEnd::Failed) && index < 20) { }
+    while (runOne(RunOutcome::Failed) && index < 20) { }
     EXPECT_LT(index, 6U);
-    EXPECT_EQ(viewOf(bench.runner, bench.now).mostStarts, 0U);
+    EXPECT_EQ(makeEndpointView(bench.runner, bench.now).maxStarts, 0U);
     bench.pass(bench.runner.settings.trialRest);
-    EXPECT_EQ(viewOf(bench.runner, bench.now).mostStarts, 1U);
-    EXPECT_TRUE(runOne(RunEnd::Done));
-    EXPECT_GT(viewOf(bench.runner, bench.now).mostStarts, 1U);
+    EXPECT_EQ(makeEndpointView(bench.runner, bench.now).maxStarts, 1U);
+    EXPECT_TRUE(runOne(RunOutcome::Done));
+    EXPECT_GT(makeEndpointView(bench.runner, bench.now).maxStarts, 1U);
 }
 
 } // namespace
--- a/packages/runner/tests/starting_test.cpp
+++ b/packages/runner/tests/starting_test.cpp
@@ -18,7 +18,7 @@
     const char *name;
     std::function<void(Bench &)> prepare;
     std::int64_t cores;
-    RefusedStart refused;
+    StartRefusal refused;
 };
 
 std::ostream &operator<<(std::ostream &out, const StartCase &tested)
@@ -34,12 +34,12 @@
     Bench bench;
     GetParam().prepare(bench);
     const RunnerActions actions = bench.start(7, GetParam().cores);
-    const bool taken = GetParam().refused == RefusedStart::None;
+    const bool taken = GetParam().refused == StartRefusal::None;
     EXPECT_EQ(actions.starts.size(), taken ? 1U : 0U);
     const auto ends = endsIn(actions);
     ASSERT_EQ(ends.size(), taken ? 0U : 1U);
     if (!taken) {
-        EXPECT_EQ(ends[0].end, RunEnd::NeverBegan);
+        EXPECT_EQ(ends[0].end, RunOutcome::NeverStarted);
         EXPECT_EQ(ends[0].refused, GetParam().refused);
     }
 }
@@ -47,23 +47,24 @@
 INSTANTIATE_TEST_SUITE_P(
         Runner, Starts,
         testing::Values(
-                StartCase { "Empty", [](Bench &) {}, 4000, RefusedStart::None },
-                StartCase { "TooLarge", [](Bench &) {}, 4001, RefusedStart::NoRoom },
-                StartCase { "Full", [](Bench &b) { b.start(1, 3500); }, 600, RefusedStart::NoRoom },
-                StartCase { "Beside", [](Bench &b) { b.start(1, 3500); }, 500, RefusedStart::None },
+                StartCase { "Empty", [](Bench &) {}, 4000, StartRefusal::None },
+                StartCase { "TooLarge", [](Bench &) {}, 4001, StartRefusal::NoCapacity },
+                StartCase { "Full", [](Bench &b) { b.start(1, 3500); }, 600,
+                            StartRefusal::NoCapacity },
+                StartCase { "Beside", [](Bench &b) { b.start(1, 3500); }, 500, StartRefusal::None },
                 StartCase { "SameTask", [](Bench &b) { b.start(7, 100); }, 100,
-                            RefusedStart::NotReady },
+                            StartRefusal::NotReady },
                 StartCase { "EndpointLeaving",
                             [](Bench &b) {
                                 EndpointReport report = makeReport("life-1", 2);
                                 report.leaving = true;
-                                endpointHeard(b.runner, report, b.now);
+                                handleHeartbeat(b.runner, report, b.now);
                             },
-                            100, RefusedStart::Leaving },
-                StartCase { "AgentStopping", [](Bench &b) { beginStop(b.runner, b.now); }, 100,
-                            RefusedStart::Leaving },
+                            100, StartRefusal::Leaving },
+                StartCase { "AgentStopping", [](Bench &b) { beginShutdown(b.runner, b.now); }, 100,
+                            StartRefusal::Leaving },
                 StartCase { "NotLookedAtYet", [](Bench &b) { b.replacedBy("life-2"); }, 100,
-                            RefusedStart::NotReady },
+                            StartRefusal::NotReady },
                 StartCase { "OutOfReach",
                             [](Bench &b) {
                                 b.failLook = true;
@@ -73,35 +74,35 @@
                                     b.pass(Milliseconds(100));
                                 }
                             },
-                            100, RefusedStart::NotReady }),
+                            100, StartRefusal::NotReady }),
         [](const auto &tested) { return tested.param.name; });
 
 TEST(RunnerStarts, RoomIsTakenUntilTheEndIsListed)
 {
     Bench bench;
     bench.start(1, 4000);
-    startAnswered(bench.runner, runId(1), { Answer::Ok, bench.clock() }, bench.now);
+    handleStartResult(bench.runner, runId(1), { CommandStatus::Ok, bench.clock() }, bench.now);
     stopRuns(bench.runner, Entry, { { runId(1) } }, bench.now);
-    stopAnswered(bench.runner, runId(1), { Answer::Ok, bench.clock() }, bench.now);
+    handleStopResult(bench.runner, runId(1), { CommandStatus::Ok, bench.clock() }, bench.now);
     EXPECT_EQ(bench.start(2).starts.size(), 0U);
-    Look still;
+    PollResult still;
     still.running = { { runId(1), 40 } };
     bench.answerLook(still);
     EXPECT_EQ(bench.start(3).starts.size(), 0U);
-    Look gone;
-    gone.ended = { { 1, runId(1), RunEnd::Stopped } };
+    PollResult gone;
+    gone.ended = { { 1, runId(1), RunOutcome::Stopped } };
     const auto ends = endsIn(bench.answerLook(gone));
     ASSERT_EQ(ends.size(), 1U);
-    EXPECT_EQ(ends[0].end, RunEnd::Stopped);
+    EXPECT_EQ(ends[0].end, RunOutcome::Stopped);
     EXPECT_EQ(bench.start(4).starts.size(), 1U);
-    EXPECT_EQ(bench.runner.life.lastSeen, 1U);
+    EXPECT_EQ(bench.runner.endpointIncarnation.lastSeenEnd, 1U);
 }
 
 struct RefusalCase
 {
     const char *name;
-    Answer answer;
-    RefusedStart refused;
+    CommandStatus status;
+    StartRefusal refused;
 };
 
 class Refusals : public testing::TestWithParam<RefusalCase>
@@ -112,21 +113,22 @@
     Bench bench;
     bench.start(1, 4000);
     const auto ends = endsIn(
-            startAnswered(bench.runner, runId(1), { GetParam().answer, {} }, bench.now));
+            handleStartResult(bench.runner, runId(1), { GetParam().status, {} }, bench.now));
     ASSERT_EQ(ends.size(), 1U);
-    EXPECT_EQ(ends[0].end, RunEnd::NeverBegan);
+    EXPECT_EQ(ends[0].end, RunOutcome::NeverStarted);
     EXPECT_EQ(ends[0].refused, GetParam().refused);
     EXPECT_TRUE(bench.runner.runs.empty());
 }
 
 INSTANTIATE_TEST_SUITE_P(
         Runner, Refusals,
-        testing::Values(RefusalCase { "Old", Answer::OldRun, RefusedStart::OldRun },
-                        RefusalCase { "Late", Answer::TooLate, RefusedStart::Endpoint },
-                        RefusalCase { "Room", Answer::NoRoom, RefusedStart::NoRoom },
-                        RefusalCase { "Busy", Answer::Busy, RefusedStart::Endpoint },
-                        RefusalCase { "Fenced", Answer::Fenced, RefusedStart::Endpoint },
-                        RefusalCase { "OtherLife", Answer::OtherLife, RefusedStart::Endpoint }),
+        testing::Values(RefusalCase { "Old", CommandStatus::StaleRun, StartRefusal::StaleRun },
+                        RefusalCase { "Late", CommandStatus::TooLate, StartRefusal::Endpoint },
+                        RefusalCase { "Room", CommandStatus::NoCapacity, StartRefusal::NoCapacity },
+                        RefusalCase { "Busy", CommandStatus::Busy, StartRefusal::Endpoint },
+                        RefusalCase { "Fenced", CommandStatus::Fenced, StartRefusal::Endpoint },
+                        RefusalCase { "OtherLife", CommandStatus::OtherIncarnation,
+                                      StartRefusal::Endpoint }),
         [](const auto &tested) { return tested.param.name; });
 
 TEST(RunnerStarts, AFenceThatIsTooLowIsRaised)
@@ -134,11 +136,11 @@
     Bench bench;
     bench.start(1);
     const std::uint64_t before = bench.runner.fence;
-    startAnswered(bench.runner, runId(1), { Answer::Fenced, {} }, bench.now);
+    handleStartResult(bench.runner, runId(1), { CommandStatus::Fenced, {} }, bench.now);
     const std::uint64_t once = bench.runner.fence;
     EXPECT_GT(once, before);
     bench.start(2);
-    startAnswered(bench.runner, runId(2), { Answer::Fenced, {} }, bench.now);
+    handleStartResult(bench.runner, runId(2), { CommandStatus::Fenced, {} }, bench.now);
     EXPECT_GT(bench.runner.fence - once, once - before);
 }
 
@@ -191,7 +193,7 @@
 {
     const char *name;
     std::function<RunnerActions(Bench &)> happens;
-    std::optional<RefusedStart> told;
+    std::optional<StartRefusal> told;
 };
 
 std::ostream &operator<<(std::ostream &out, const WaitingEndCase &tested)
@@ -211,11 +213,11 @@
     const RunnerActions actions = GetParam().happens(bench);
     EXPECT_TRUE(actions.starts.empty());
     EXPECT_TRUE(bench.runner.waiting.empty());
-    std::optional<RefusedStart> told;
+    std::optional<StartRefusal> told;
     for (const jobs::RunReport &report : endsIn(actions)) {
         if (report.id.task.index != 11)
             continue;
-        EXPECT_EQ(report.end, RunEnd::NeverBegan);
+        EXPECT_EQ(report.end, RunOutcome::NeverStarted);
         told = report.refused;
     }
     EXPECT_EQ(told, GetParam().told);
@@ -226,21 +228,21 @@
         Runner, WaitingEnds,
         testing::Values(
                 WaitingEndCase { "TooLong", [](Bench &b) { return b.pass(Milliseconds(100)); },
-                                 RefusedStart::NoRoom },
+                                 StartRefusal::NoCapacity },
                 WaitingEndCase { "Stopped",
                                  [](Bench &b) {
                                      return stopRuns(b.runner, Entry, { { runId(11) } }, b.now);
                                  },
-                                 RefusedStart::NoRoom },
+                                 StartRefusal::NoCapacity },
                 WaitingEndCase { "EndpointLeaves",
                                  [](Bench &b) {
                                      EndpointReport report = makeReport("life-1", 2);
                                      report.leaving = true;
-                                     return endpointHeard(b.runner, report, b.now);
+                                     return handleHeartbeat(b.runner, report, b.now);
                                  },
-                                 RefusedStart::Leaving },
+                                 StartRefusal::Leaving },
                 WaitingEndCase { "AnotherLife", [](Bench &b) { return b.replacedBy("life-2"); },
-                                 RefusedStart::NotReady },
+                                 StartRefusal::NotReady },
                 WaitingEndCase { "EntryGone",
                                  [](Bench &b) { return closeSession(b.runner, Entry, b.now); },
                                  {} }),
@@ -274,7 +276,7 @@
     bench.start(1);
     EndpointReport report = makeReport("life-1", 2);
     report.capacity.milliCores = GetParam().milliCores;
-    const RunnerActions told = endpointHeard(bench.runner, report, bench.now);
+    const RunnerActions told = handleHeartbeat(bench.runner, report, bench.now);
     EXPECT_TRUE(told.stops.empty());
     // Its entries hear at once.
     ASSERT_EQ(told.updates.size(), GetParam().milliCores == 4000 ? 0U : 1U);
@@ -301,8 +303,8 @@
     bench.start(1);
     EndpointReport report = makeReport("life-1", 2);
     report.capacity.milliCores = 1000;
-    endpointHeard(bench.runner, report, bench.now);
-    const RunnerActions actions = startAnswered(bench.runner, runId(1), {}, bench.now);
+    handleHeartbeat(bench.runner, report, bench.now);
+    const RunnerActions actions = handleStartResult(bench.runner, runId(1), {}, bench.now);
     EXPECT_TRUE(actions.starts.empty());
     ASSERT_EQ(actions.stops.size(), 1U);
     EXPECT_EQ(actions.stops[0].id, runId(1));
@@ -316,10 +318,10 @@
     ASSERT_TRUE(startedIn(bench.startOrWait(1, 3000)).empty());
     EndpointReport report = makeReport("life-1", 2);
     report.capacity.milliCores = 2000;
-    const auto ends = endsIn(endpointHeard(bench.runner, report, bench.now));
+    const auto ends = endsIn(handleHeartbeat(bench.runner, report, bench.now));
     ASSERT_EQ(ends.size(), 1U);
-    EXPECT_EQ(ends[0].end, RunEnd::NeverBegan);
-    EXPECT_EQ(ends[0].refused, RefusedStart::NoRoom);
+    EXPECT_EQ(ends[0].end, RunOutcome::NeverStarted);
+    EXPECT_EQ(ends[0].refused, StartRefusal::NoCapacity);
 }
 
 TEST(RunnerWaiting, RoomIsKeptForWhatWaits)
@@ -330,8 +332,8 @@
     const RunnerActions later = bench.start(2, 300);
     EXPECT_TRUE(later.starts.empty());
     ASSERT_EQ(endsIn(later).size(), 1U);
-    EXPECT_EQ(endsIn(later)[0].refused, RefusedStart::NoRoom);
-    EXPECT_EQ(viewOf(bench.runner, bench.now).free.milliCores, -200);
+    EXPECT_EQ(endsIn(later)[0].refused, StartRefusal::NoCapacity);
+    EXPECT_EQ(makeEndpointView(bench.runner, bench.now).free.milliCores, -200);
 }
 
 TEST(RunnerWaiting, TheSameTaskDoesNotWaitTwice)
@@ -341,7 +343,7 @@
     bench.startOrWait(11, 600);
     const auto ends = endsIn(bench.startOrWait(11, 600));
     ASSERT_EQ(ends.size(), 1U);
-    EXPECT_EQ(ends[0].refused, RefusedStart::NotReady);
+    EXPECT_EQ(ends[0].refused, StartRefusal::NotReady);
 }
 
 // An agent that stood still finds its waiting starts long after their entry has started them
@@ -383,20 +385,20 @@
     tick(runner, now);
     EndpointReport report = makeReport("life-1", 1);
     report.dataCentre = "north";
-    endpointHeard(runner, report, now);
-    Look look;
-    look.answered = { Answer::Ok, Milliseconds(50000) };
-    lookAnswered(runner, runner.lookNumber, look, now);
+    handleHeartbeat(runner, report, now);
+    PollResult poll;
+    poll.result = { CommandStatus::Ok, Milliseconds(50000) };
+    handlePollResult(runner, runner.pollNumber, poll, now);
     for (const auto &[cordons, source] : GetParam().heard)
-        cordonsHeard(runner, cordons, source, now);
+        handleCordons(runner, cordons, source, now);
     now += GetParam().after;
     openSession(runner, Entry, "entry-1", now);
     tick(runner, now);
-    EXPECT_EQ(viewOf(runner, now).mostStarts > 0, GetParam().takesStarts);
-    EXPECT_EQ(viewOf(runner, now).free.milliCores > 0, GetParam().takesStarts);
+    EXPECT_EQ(makeEndpointView(runner, now).maxStarts > 0, GetParam().takesStarts);
+    EXPECT_EQ(makeEndpointView(runner, now).free.milliCores > 0, GetParam().takesStarts);
     jobs::StartTasks message;
     message.job = "job";
-    message.room = { 1000, 10, 0 };
+    message.demand = { 1000, 10, 0 };
     message.estimate = Milliseconds(100);
     message.starts = { { 0, 1 } };
     EXPECT_EQ(startTasks(runner, Entry, message, now).starts.size(),
@@ -448,12 +450,12 @@
     bench.runner.endpoint.dataCentre = "north";
     bench.start(1, 4000);
     bench.startOrWait(11, 600);
-    const RunnerActions actions = cordonsHeard(bench.runner, NorthCordoned, CordonSource::Control,
-                                               bench.now);
+    const RunnerActions actions = handleCordons(bench.runner, NorthCordoned, CordonSource::Control,
+                                                bench.now);
     const std::vector<jobs::RunReport> ends = endsIn(actions);
     ASSERT_EQ(ends.size(), 1U);
     EXPECT_EQ(ends[0].id, runId(11));
-    EXPECT_EQ(ends[0].refused, RefusedStart::Cordoned);
+    EXPECT_EQ(ends[0].refused, StartRefusal::Cordoned);
     EXPECT_TRUE(actions.stops.empty());
     EXPECT_EQ(bench.runner.runs.count(runId(1)), 1U);
 }
--- a/packages/scheduler/src/callerwatch.cpp
+++ b/packages/scheduler/src/callerprobe.cpp
@@ -1,9 +1,9 @@
 /*
-    Whose callers are to be looked at before their jobs are placed.
+    Decides when callers are probed before their jobs are placed.
 
     [SECTION] Functions
 */
-#include <foxwing/scheduler/callerwatch.h>
+#include <foxwing/scheduler/callerprobe.h>
 
 #include <algorithm>
 
@@ -24,18 +24,18 @@
 
 } // namespace
 
-void noteSessionLost(CallerWatch &watch, Time now)
+void recordSessionLost(CallerProbeState &watch, Time now)
 {
-    watch.until = now + watch.settings.watchFor;
-    // Losses that follow one another closely make one look due, not one each.
+    watch.until = now + watch.settings.probeWindow;
+    // Losses in quick succession make one probe due, not one each.
     if (now < watch.lossAt + watch.settings.trustFor)
         return;
     watch.lossAt = now;
     watch.lookedAt = {};
 }
 
-std::vector<std::uint64_t> callersToSee(CallerWatch &watch, const SchedulerState &scheduler,
-                                        Time now)
+std::vector<std::uint64_t> callersToProbe(CallerProbeState &watch, const SchedulerState &scheduler,
+                                          Time now)
 {
     std::vector<std::uint64_t> numbers;
     if (now >= watch.until || now < watch.lookedAt + watch.settings.trustFor)
--- a/packages/scheduler/src/ending.cpp
+++ b/packages/scheduler/src/completion.cpp
@@ -13,8 +13,8 @@
 namespace foxwing::scheduler {
 
 using eventlog::Event;
-using jobs::RefusedStart;
-using jobs::RunEnd;
+using jobs::RunOutcome;
+using jobs::StartRefusal;
 
 // [SECTION] Jobs
 
@@ -51,7 +51,7 @@
     }
 }
 
-// One line a job: what it was, how long each part took, and how it ended.
+// Logged once for each job: what it was, how long each part took, and how it ended.
 Event answerEvent(const Job &job, JobOutcome outcome, const std::string &reason, Time now)
 {
     std::uint32_t failures = 0;
@@ -59,7 +59,7 @@
         failures += task.failures;
     Event event("job-answered");
     event.with("request", job.spec.id)
-            .with("queue", job.terms.queue)
+            .with("queue", job.options.queue)
             .with("outcome", toString(outcome))
             .with("tasks", static_cast<std::uint64_t>(job.tasks.size()))
             .with("done", job.done)
@@ -69,8 +69,8 @@
             .with("objective_ms", job.objectiveAt - job.arrivedAt)
             .with("guessed_ms", job.guessed)
             .with("expected_ms", job.expected);
-    if (job.terms.patienceUntil)
-        event.with("patience_ms", *job.terms.patienceUntil - job.arrivedAt);
+    if (job.options.callerDeadline)
+        event.with("patience_ms", *job.options.callerDeadline - job.arrivedAt);
     if (job.firstPlacedAt != Time {})
         event.with("waited_ms", job.firstPlacedAt - job.arrivedAt);
     if (job.allPlacedAt != Time {})
@@ -82,12 +82,12 @@
 
 void addForecast(const SchedulerState &scheduler, const Job &job, Time now, Event &event)
 {
-    event.with("picture_age_ms", pictureOf(scheduler, job.terms.service, now).age);
+    event.with("picture_age_ms", pictureOf(scheduler, job.options.service, now).age);
     if (const auto wait = waitOnTime(scheduler, job, now))
         event.with("expected_wait_ms", *wait);
 }
 
-// What a refusal was decided on: how much room this entry knew of.
+// What a refusal was based on: the free capacity that this entry knew of.
 void addRoom(const SchedulerState &scheduler, const Job &job, Time now, Event &event)
 {
     std::uint64_t endpoints = 0;
@@ -95,14 +95,14 @@
     std::int64_t mostFree = 0;
     Time oldest = now;
     for (const auto &[name, agent] : scheduler.agents) {
-        if (!agent.welcomed || agent.endpoint.leaving || agent.endpoint.mostStarts == 0
-            || agent.endpoint.service != job.terms.service || isCordoned(scheduler, agent))
+        if (!agent.accepted || agent.endpoint.leaving || agent.endpoint.maxStarts == 0
+            || agent.endpoint.service != job.options.service || isCordoned(scheduler, agent))
             continue;
-        const jobs::Room room = roomAt(agent);
+        const jobs::ResourceVector available = roomAt(agent);
         ++endpoints;
-        free += room.milliCores;
-        mostFree = std::max(mostFree, room.milliCores);
-        oldest = std::min(oldest, agent.heardAt);
+        free += available.milliCores;
+        mostFree = std::max(mostFree, available.milliCores);
+        oldest = std::min(oldest, agent.lastReceivedAt);
     }
     event.with("endpoints", endpoints)
             .with("free_millicores", free)
@@ -110,16 +110,16 @@
             .with("room_age_ms", now - oldest)
             .with("jobs_waiting", std::uint64_t { scheduler.queue.size() });
     if (!job.spec.steps.empty())
-        event.with("needs_millicores", job.spec.steps.front().room.milliCores);
+        event.with("needs_millicores", job.spec.steps.front().demand.milliCores);
     if (usesForecast(scheduler))
         addForecast(scheduler, job, now, event);
 }
 
-// Time for the room to take what waits now, at least a tenth of a second.
+// Time for the waiting jobs to be placed, at least 100 ms.
 Milliseconds retryAfter(SchedulerState &scheduler, const Job &job, Time now)
 {
     if (usesForecast(scheduler))
-        return comeBackAfter(scheduler, job, now);
+        return estimateRetryAfter(scheduler, job, now);
     constexpr Milliseconds Least { 100 };
     constexpr Milliseconds Most { 2000 };
     constexpr Milliseconds PerWaitingJob { 10 };
@@ -162,8 +162,8 @@
     const std::string id = found->second.spec.id;
     const auto newest = scheduler.byId.find(id);
     const bool isNewest = newest != scheduler.byId.end() && newest->second == number;
-    // A job that never began may go before the one that it waited for: whoever comes next under the
-    // id waits for that one, or two jobs of the id would run at once.
+    // A job that never began may be removed before the one that it waited for. The next job with
+    // the id then waits for that one, or two jobs of the id would run at once.
     const std::uint64_t older = found->second.waitsFor;
     scheduler.jobs.erase(found);
     if (isNewest && older != 0)
@@ -182,8 +182,8 @@
 
 Task *findTask(SchedulerState &scheduler, const jobs::RunId &id, Job **job)
 {
-    // More than one job can have the id only while the older one's runs end; the run then belongs
-    // to the older, since the newer has not begun.
+    // Several jobs can have the id only while the runs of the oldest end; the run then belongs to
+    // the oldest, since the others have not begun.
     const auto newest = scheduler.byId.find(id.task.job);
     if (newest == scheduler.byId.end())
         return nullptr;
@@ -231,14 +231,14 @@
 
 // [SECTION] Freed room
 
-void noteFreed(SchedulerState &scheduler, const Job &job, const jobs::Room &room, RunEnd end,
-               Time now)
+void noteFreed(SchedulerState &scheduler, const Job &job, const jobs::ResourceVector &demand,
+               RunOutcome end, Time now)
 {
-    FreedRoom &freed = scheduler.freed[job.terms.service];
-    const auto milliCores = static_cast<double>(room.milliCores);
+    FreedRoom &freed = scheduler.freed[job.options.service];
+    const auto milliCores = static_cast<double>(demand.milliCores);
     addTo(freed.ofLate, scheduler.settings.freedSpan, milliCores, now);
-    if (end == RunEnd::Done || end == RunEnd::Stopped)
-        addTo(freed.own[job.terms.priority], scheduler.settings.shareSpan, milliCores, now);
+    if (end == RunOutcome::Done || end == RunOutcome::Stopped)
+        addTo(freed.own[job.options.priority], scheduler.settings.shareSpan, milliCores, now);
 }
 
 void scaleFreed(SchedulerState &scheduler, const std::string &service, double part)
@@ -265,12 +265,12 @@
     --job.outstanding;
     --job.tasksLeft[task.step];
     ++job.done;
-    // A step that waited for this one may begin.
+    // A step that depends on this one may begin.
     if (job.tasksLeft[task.step] == 0 && job.waiting > 0)
         scheduler.untried = true;
     if (job.done < job.tasks.size())
         return;
-    noteRunTime(scheduler.runTimes[job.terms.queue], job.guessed,
+    noteRunTime(scheduler.runTimes[job.options.queue], job.guessed,
                 longestChain(job.spec, job.longestRun));
     answerJob(scheduler, job, JobOutcome::Completed, "", now, actions);
 }
@@ -292,15 +292,15 @@
     task.avoid.push_back(task.agent);
     const std::string agent = task.agent;
     freeTask(scheduler, job, task);
-    if (task.failures >= job.terms.attempts)
+    if (task.failures >= job.options.attempts)
         answerJob(scheduler, job, JobOutcome::Failed,
                   "task " + std::to_string(task.step) + "." + std::to_string(task.index)
                           + " failed " + std::to_string(task.failures) + " times, last at " + agent,
                   now, actions);
 }
 
-// The endpoint is gone with all that it ran: this task may be why, or one that ran beside it. It is
-// tried again where least runs, so that the next crash tells the two apart and takes few along.
+// The endpoint crashed with all its runs: this task may be the cause, or one that ran beside it. It
+// is retried where least runs, so that the next crash tells the two apart and affects few others.
 void taskCrashed(SchedulerState &scheduler, Job &job, Task &task, Time now,
                  SchedulerActions &actions)
 {
@@ -314,13 +314,13 @@
     giveUpIfCrashing(scheduler, job, task, agent, now, actions);
 }
 
-// Room that came free in a cordoned data centre is no room for what waits.
+// Capacity freed in a cordoned data centre is of no use to what waits.
 void noteRoomOf(SchedulerState &scheduler, const std::string &agent, const Job &job,
-                const Task &task, RunEnd end, Time now)
+                const Task &task, RunOutcome end, Time now)
 {
     const auto from = scheduler.agents.find(agent);
     if (from != scheduler.agents.end() && !isCordoned(scheduler, from->second))
-        noteFreed(scheduler, job, job.spec.steps[task.step].room, end, now);
+        noteFreed(scheduler, job, job.spec.steps[task.step].demand, end, now);
 }
 
 } // namespace
@@ -333,35 +333,36 @@
     if (!task || task->state != TaskState::Placed || task->agent != agent)
         return;
     const std::uint64_t number = job->number;
-    if (report.end == RunEnd::NeverBegan)
+    if (report.end == RunOutcome::NeverStarted)
         ++scheduler.counters.startsRefused;
     else
         job->mayHaveBegun = true;
-    if (report.end != RunEnd::NeverBegan)
+    if (report.end != RunOutcome::NeverStarted)
         noteRoomOf(scheduler, agent, *job, *task, report.end, now);
-    if (report.end == RunEnd::Done && !job->over) {
-        taskDone(scheduler, *job, *task, report.took, now, actions);
-    } else if (report.end == RunEnd::Failed && !job->over) {
-        actions.events.push_back(taskEvent("task-failed", *job, *task).with("ran_ms", report.took));
+    if (report.end == RunOutcome::Done && !job->over) {
+        taskDone(scheduler, *job, *task, report.duration, now, actions);
+    } else if (report.end == RunOutcome::Failed && !job->over) {
+        actions.events.push_back(
+                taskEvent("task-failed", *job, *task).with("ran_ms", report.duration));
         taskFailed(scheduler, *job, *task, now, actions);
-    } else if (report.end == RunEnd::Crashed && !job->over) {
+    } else if (report.end == RunOutcome::Crashed && !job->over) {
         taskCrashed(scheduler, *job, *task, now, actions);
     } else {
-        const bool surprise = !job->over && report.refused != RefusedStart::NoRoom;
+        const bool surprise = !job->over && report.refused != StartRefusal::NoCapacity;
         if (surprise)
             actions.events.push_back(taskEvent("task-again", *job, *task)
                                              .with("end", jobs::toString(report.end))
                                              .with("refused", jobs::toString(report.refused))
                                              .with("since_placed_ms", now - task->placedAt));
-        if (surprise && report.end != RunEnd::Stopped)
+        if (surprise && report.end != RunOutcome::Stopped)
             task->avoid.push_back(agent);
         freeTask(scheduler, *job, *task);
     }
     removeIfFinished(scheduler, number);
 }
 
-void runLags(SchedulerState &scheduler, const std::string &agent, const jobs::LagReport &report,
-             Time now, SchedulerActions &actions)
+void runLags(SchedulerState &scheduler, const std::string &agent,
+             const jobs::StragglerReport &report, Time now, SchedulerActions &actions)
 {
     Job *job = nullptr;
     Task *task = findTask(scheduler, report.id, &job);
@@ -370,29 +371,29 @@
         return;
     const jobs::StepSpec &step = job->spec.steps[task->step];
     const Milliseconds fresh = task->expected;
-    const bool quicker = report.standsStill
+    const bool quicker = report.stalled
             || (report.endpointSlow
-                && fresh < report.left * static_cast<int>(scheduler.settings.moveBelowPercent)
+                && fresh < report.remaining * static_cast<int>(scheduler.settings.moveBelowPercent)
                                 / 100);
     const bool hasRoom = std::any_of(scheduler.agents.begin(), scheduler.agents.end(),
                                      [&](const auto &other) {
-                                         return other.first != agent && other.second.welcomed
+                                         return other.first != agent && other.second.accepted
                                                  && suits(other.second, *job, step)
-                                                 && jobs::fits(step.room, roomAt(other.second));
+                                                 && jobs::fits(step.demand, roomAt(other.second));
                                      });
-    if (!scheduler.settings.moveRuns || !quicker || (!hasRoom && !report.standsStill))
+    if (!scheduler.settings.moveRuns || !quicker || (!hasRoom && !report.stalled))
         return;
     actions.events.push_back(taskEvent("task-moved", *job, *task)
-                                     .with("left_ms", report.left)
+                                     .with("left_ms", report.remaining)
                                      .with("fresh_ms", fresh)
-                                     .with("stands_still", report.standsStill ? 1 : 0)
+                                     .with("stands_still", report.stalled ? 1 : 0)
                                      .with("since_placed_ms", now - task->placedAt));
     ++scheduler.counters.runsMoved;
-    // It may be the estimate that is wrong: the next run is measured against what this one showed.
-    if (!report.standsStill)
+    // The estimate may be wrong: the next run is measured against what this one showed.
+    if (!report.stalled)
         task->expected = std::max(task->expected,
                                   std::chrono::duration_cast<Milliseconds>(now - task->placedAt)
-                                          + report.left);
+                                          + report.remaining);
     task->avoid.push_back(agent);
     stopTask(scheduler, *job, *task, actions);
 }
--- a/packages/scheduler/src/placing.cpp
+++ b/packages/scheduler/src/placement.cpp
@@ -1,5 +1,5 @@
 /*
-    Where waiting tasks start.
+    Placement of waiting tasks on endpoints.
 
     [SECTION] Endpoints
     [SECTION] Placing
@@ -13,22 +13,22 @@
 
 // [SECTION] Endpoints
 
-jobs::Room roomAt(const Agent &agent)
+jobs::ResourceVector roomAt(const Agent &agent)
 {
-    jobs::Room room = agent.endpoint.free;
+    jobs::ResourceVector free = agent.endpoint.free;
     for (const Agent::Pending &pending : agent.pending)
-        room -= pending.room;
-    return room;
+        free -= pending.demand;
+    return free;
 }
 
-jobs::Room roomFor(const SchedulerState &scheduler, const Agent &agent, const Job &job)
+jobs::ResourceVector roomFor(const SchedulerState &scheduler, const Agent &agent, const Job &job)
 {
-    jobs::Room room = roomAt(agent);
+    jobs::ResourceVector free = roomAt(agent);
     if (scheduler.settings.serveLate && job.group == Rank::Late) {
         const std::int64_t rested = std::min(agent.leastFree, agent.leastFreeBefore);
-        room.milliCores -= agent.endpoint.free.milliCores - rested;
+        free.milliCores -= agent.endpoint.free.milliCores - rested;
     }
-    return room;
+    return free;
 }
 
 bool isCordoned(const SchedulerState &scheduler, const Agent &agent)
@@ -51,7 +51,7 @@
 
 bool isQuiet(const SchedulerState &scheduler, const Agent &agent, Time now)
 {
-    return now >= agent.heardAt + scheduler.settings.quietAfter;
+    return now >= agent.lastReceivedAt + scheduler.settings.suspectAfter;
 }
 
 bool belowStepLimit(const Job &job, std::uint32_t step, std::uint32_t most,
@@ -72,16 +72,16 @@
     return !here.empty() && agent.endpoint.dataCentre != here;
 }
 
-// What speaks against an endpoint in another data centre, on the scale of paces.
+// Added cost of an endpoint in another data centre, on the scale of its pace.
 double awayCost(const SchedulerState &scheduler, const Agent &agent)
 {
-    return isAway(scheduler, agent) ? scheduler.settings.awayPercent / 100.0 : 0;
+    return isAway(scheduler, agent) ? scheduler.settings.remotePercent / 100.0 : 0;
 }
 
-// Smaller is better. Speed first, and the own data centre; then a little for endpoints that are
-// less full, since work of other entries goes where there is room too; and a little chance, so that
-// entries differ.
-double costOf(SchedulerState &scheduler, const Agent &agent, const jobs::Room &free,
+// Smaller is better. Speed and the own data centre come first. Load counts a little, since other
+// entries also send their work where there is capacity, and so does chance, so that entries make
+// different choices.
+double costOf(SchedulerState &scheduler, const Agent &agent, const jobs::ResourceVector &free,
               const jobs::StepSpec &step, const Task &task)
 {
     constexpr double LoadWeight = 0.3;
@@ -93,18 +93,18 @@
                                              static_cast<double>(
                                                      agent.endpoint.capacity.milliCores));
     const double load = 1 - static_cast<double>(free.milliCores) / capacity;
-    if (scheduler.settings.placement == Placement::MostRoom || task.crashes > 0)
+    if (scheduler.settings.placement == Placement::MostFree || task.crashes > 0)
         return load;
-    const double pace = static_cast<double>(agent.endpoint.paceMille) / 1000;
-    const double far = hasLabel(agent, step.rack) ? 1 : scheduler.settings.farFactor;
+    const double pace = static_cast<double>(agent.endpoint.slowdownPermille) / 1000;
+    const double far = hasLabel(agent, step.rack) ? 1 : scheduler.settings.offRackFactor;
     return pace * far * (1 + LoadWeight * load) + awayCost(scheduler, agent)
             + ChanceWeight * chance(scheduler.random);
 }
 
 bool mayTake(const SchedulerState &scheduler, const Agent &agent)
 {
-    return agent.welcomed && !agent.endpoint.leaving
-            && agent.pending.size() < agent.endpoint.mostStarts && !isCordoned(scheduler, agent);
+    return agent.accepted && !agent.endpoint.leaving
+            && agent.pending.size() < agent.endpoint.maxStarts && !isCordoned(scheduler, agent);
 }
 
 bool mayTakeTask(const SchedulerState &scheduler, const Agent &agent, const Job &job,
@@ -112,10 +112,10 @@
 {
     const jobs::StepSpec &step = job.spec.steps[task.step];
     return mayTake(scheduler, agent) && suits(agent, job, step)
-            && belowStepLimit(job, task.step, step.mostPerEndpoint, id);
+            && belowStepLimit(job, task.step, step.maxPerEndpoint, id);
 }
 
-// The agents that are looked at.
+// The agents to examine.
 struct AgentRange
 {
     std::map<std::string, Agent>::iterator from;
@@ -125,23 +125,23 @@
     std::map<std::string, Agent>::iterator end() const { return to; }
 };
 
-// Where its room comes free soonest: by what is lacking against all that the endpoint has, and by
-// pace. Nothing if too much is lacking everywhere.
+// The agent where capacity for the task is likely to be free soonest: by the lacking part of the
+// endpoint's capacity, and by pace. Nothing if too much is lacking everywhere.
 Agent *chooseWait(SchedulerState &scheduler, const AgentRange &agents, const Job &job,
                   const Task &task, Time now, std::string *name)
 {
-    const std::int64_t most = scheduler.settings.waitPercent;
+    const std::int64_t most = scheduler.settings.maxShortfallPercent;
     constexpr double LackWeight = 5;
     const jobs::StepSpec &step = job.spec.steps[task.step];
     Agent *best = nullptr;
     double bestCost = 0;
     for (auto &[id, agent] : agents) {
-        const std::int64_t lacks = step.room.milliCores - roomAt(agent).milliCores;
+        const std::int64_t lacks = step.demand.milliCores - roomAt(agent).milliCores;
         const std::int64_t capacity = agent.endpoint.capacity.milliCores;
         if (!mayTakeTask(scheduler, agent, job, task, id) || isAvoided(task, id)
             || isQuiet(scheduler, agent, now) || lacks * 100 > capacity * most)
             continue;
-        const double cost = static_cast<double>(agent.endpoint.paceMille) / 1000
+        const double cost = static_cast<double>(agent.endpoint.slowdownPermille) / 1000
                 + LackWeight * static_cast<double>(lacks)
                         / static_cast<double>(std::max<std::int64_t>(1, capacity));
         if (best && cost >= bestCost)
@@ -162,8 +162,8 @@
     bool bestAvoided = false;
     for (auto &[id, agent] : agents) {
         ++scheduler.counters.endpointsTried;
-        const jobs::Room free = roomFor(scheduler, agent, job);
-        if (!jobs::fits(step.room, free) || !mayTakeTask(scheduler, agent, job, task, id))
+        const jobs::ResourceVector free = roomFor(scheduler, agent, job);
+        if (!jobs::fits(step.demand, free) || !mayTakeTask(scheduler, agent, job, task, id))
             continue;
         const bool avoided = isAvoided(task, id) || isQuiet(scheduler, agent, now);
         const double cost = costOf(scheduler, agent, free, step, task);
@@ -181,15 +181,15 @@
 
 bool suits(const Agent &agent, const Job &job, const jobs::StepSpec &step)
 {
-    return agent.endpoint.service == job.terms.service && hasLabel(agent, step.label)
-            && jobs::fits(step.room, agent.endpoint.capacity);
+    return agent.endpoint.service == job.options.service && hasLabel(agent, step.label)
+            && jobs::fits(step.demand, agent.endpoint.capacity);
 }
 
 // [SECTION] Placing
 
 bool isUnwanted(const Job &job, Time now)
 {
-    return job.terms.patienceUntil && now >= *job.terms.patienceUntil;
+    return job.options.callerDeadline && now >= *job.options.callerDeadline;
 }
 
 namespace {
@@ -214,10 +214,10 @@
     message.job = job.spec.id;
     message.step = task.step;
     message.payload = job.spec.payload;
-    message.room = spec.room;
+    message.demand = spec.demand;
     message.estimate = task.expected;
     message.priority = job.queuedPriority;
-    message.mayWait = wait;
+    message.maxWait = wait;
     messages.emplace_back(agent, std::move(message));
     return messages.back().second;
 }
@@ -226,13 +226,13 @@
 Milliseconds waitFor(const SchedulerState &scheduler, const Job &job, Time now)
 {
     const bool all = scheduler.settings.waitingQueues == WaitingQueues::AllButLeast;
-    const bool first = job.terms.priority < scheduler.leastUrgent
-            && (all || job.terms.priority <= scheduler.mostUrgent);
-    // What is late and has not begun is refused at the next tick, or waits on behind the rest.
+    const bool first = job.options.priority < scheduler.leastUrgent
+            && (all || job.options.priority <= scheduler.mostUrgent);
+    // A late job that has not begun is refused at the next tick, or waits behind all others.
     const bool late = scheduler.settings.refuseLate && now > job.onTimeUntil
             && certainlyNotBegun(job);
     const bool beganLate = scheduler.settings.serveLate && job.firstPlacedAt > job.onTimeUntil;
-    if (scheduler.settings.waitPercent <= 0 || !first || late || beganLate
+    if (scheduler.settings.maxShortfallPercent <= 0 || !first || late || beganLate
         || yields(scheduler, job))
         return Milliseconds(0);
     constexpr Milliseconds Least { 10 };
@@ -240,7 +240,7 @@
     return std::clamp(slack, Least, scheduler.settings.mostWait);
 }
 
-// A run of the task is ordered at the agent.
+// A start of the task is sent to the agent.
 void notePlaced(SchedulerState &scheduler, Agent &agent, const std::string &name, Job &job,
                 Task &task, Time now)
 {
@@ -253,11 +253,11 @@
     ++job.outstanding;
     ++job.runs;
     ++scheduler.counters.starts;
-    agent.pending.push_back({ ++agent.startsSent, job.spec.steps[task.step].room });
-    agent.sentAt = now;
+    agent.pending.push_back({ ++agent.startsSent, job.spec.steps[task.step].demand });
+    agent.lastSentAt = now;
 }
 
-// Starts as many of the job's tasks as find room; true if none is left waiting.
+// Starts as many of the job's tasks as fit; true if no ready task is left waiting.
 bool placeJob(SchedulerState &scheduler, const AgentRange &agents, Job &job, Time now,
               SchedulerActions &actions)
 {
@@ -270,7 +270,7 @@
             continue;
         std::string name;
         Agent *agent = chooseAgent(scheduler, agents, job, task, now, &name);
-        // What may crash an endpoint is not put where all room is taken.
+        // A task that may crash endpoints is not queued at a full one.
         if (!agent && wait.count() > 0 && task.crashes == 0)
             agent = chooseWait(scheduler, agents, job, task, now, &name);
         if (!agent) {
@@ -278,7 +278,7 @@
             break;
         }
         notePlaced(scheduler, *agent, name, job, task, now);
-        milliCores += job.spec.steps[task.step].room.milliCores;
+        milliCores += job.spec.steps[task.step].demand.milliCores;
         messageFor(messages, name, job, task, wait).starts.push_back({ task.index, task.run });
     }
     if (!messages.empty() && job.firstPlacedAt == Time {})
@@ -298,31 +298,31 @@
     });
 }
 
-// Work has found no room: agents that think otherwise are asked for news of theirs.
+// Work did not fit: asks agents that don't know of it yet for fresh updates.
 void wantRoom(SchedulerState &scheduler, Time now, SchedulerActions &actions)
 {
-    scheduler.wantsRoomUntil = now + scheduler.settings.wantRoomFor;
+    scheduler.needsCapacityUntil = now + scheduler.settings.wantRoomFor;
     for (auto &[name, agent] : scheduler.agents) {
-        if (agent.welcomed && !agent.toldWantsRoom)
+        if (agent.accepted && !agent.reportedNeed)
             beatAgent(scheduler, name, agent, now, actions);
     }
 }
 
-// Jobs that found no room while work was placed.
+// Jobs that did not fit in this pass.
 struct PassedOver
 {
     std::size_t others = 0;
 
-    // Late jobs that wait on
+    // Late jobs that keep waiting
     std::size_t late = 0;
 };
 
-// A late job that waits on takes no room while others wait for it that can be on time, and begins
-// only as a whole: begun in part, it would go before them.
+// A late job gets nothing while jobs that can be on time wait for capacity, and begins only as a
+// whole: once begun in part, it would go before them.
 bool isKeptBack(const SchedulerState &scheduler, const Job &job, const PassedOver &passedOver,
                 Time now)
 {
-    return passedOver.others > 0 || passedOver.late >= scheduler.settings.mostPassedOver
+    return passedOver.others > 0 || passedOver.late >= scheduler.settings.maxUnplaced
             || !fitsWhole(scheduler, job, now);
 }
 
@@ -336,7 +336,7 @@
 {
     PassedOver passedOver;
     for (const QueueKey &key : sortOut(scheduler, now)) {
-        if (passedOver.others >= scheduler.settings.mostPassedOver)
+        if (passedOver.others >= scheduler.settings.maxUnplaced)
             break;
         Job &job = scheduler.jobs.at(key.number);
         if (isUnwanted(job, now) || !hasReadyTask(job))
--- a/packages/scheduler/src/scheduler.cpp
+++ b/packages/scheduler/src/scheduler.cpp
@@ -1,6 +1,6 @@
 /*
-    Events of the scheduler but for jobs that come and go (admission.cpp) and runs that end
-    (ending.cpp).
+    The scheduler's events, except for jobs that come and go (admission.cpp) and ends of runs
+    (completion.cpp).
 
     [SECTION] Names
     [SECTION] Agents
@@ -39,7 +39,7 @@
     switch (placement) {
     case Placement::Random:
         return "random";
-    case Placement::MostRoom:
+    case Placement::MostFree:
         return "most-room";
     case Placement::Fastest:
         break;
@@ -47,10 +47,10 @@
     return "fastest";
 }
 
-std::optional<Placement> placementNamed(const std::string &name)
+std::optional<Placement> parsePlacement(const std::string &name)
 {
     for (const Placement placement :
-         { Placement::Fastest, Placement::Random, Placement::MostRoom }) {
+         { Placement::Fastest, Placement::Random, Placement::MostFree }) {
         if (name == toString(placement))
             return placement;
     }
@@ -60,9 +60,9 @@
 const char *toString(Order order)
 {
     switch (order) {
-    case Order::LatestBegin:
+    case Order::LatestStart:
         return "latest-begin";
-    case Order::Newest:
+    case Order::NewestFirst:
         return "newest";
     case Order::FirstCome:
         return "first-come";
@@ -74,10 +74,10 @@
     return "priority";
 }
 
-std::optional<Order> orderNamed(const std::string &name)
+std::optional<Order> parseOrder(const std::string &name)
 {
-    for (const Order order : { Order::LatestBegin, Order::Newest, Order::FirstCome, Order::Priority,
-                               Order::LeastWork }) {
+    for (const Order order : { Order::LatestStart, Order::NewestFirst, Order::FirstCome,
+                               Order::Priority, Order::LeastWork }) {
         if (name == toString(order))
             return order;
     }
@@ -89,7 +89,7 @@
     return queues == WaitingQueues::MostUrgent ? "most-urgent" : "all-but-least";
 }
 
-std::optional<WaitingQueues> waitingQueuesNamed(const std::string &name)
+std::optional<WaitingQueues> parseWaitingQueues(const std::string &name)
 {
     for (const WaitingQueues queues : { WaitingQueues::MostUrgent, WaitingQueues::AllButLeast }) {
         if (name == toString(queues))
@@ -112,33 +112,34 @@
 void beatAgent(const SchedulerState &scheduler, const std::string &name, Agent &agent, Time now,
                SchedulerActions &actions)
 {
-    agent.sentAt = now;
-    agent.toldWantsRoom = now < scheduler.wantsRoomUntil;
-    actions.sends.push_back({ name, jobs::SessionBeat { ++agent.beat, agent.toldWantsRoom } });
+    agent.lastSentAt = now;
+    agent.reportedNeed = now < scheduler.needsCapacityUntil;
+    actions.sends.push_back(
+            { name, jobs::SessionHeartbeat { ++agent.heartbeat, agent.reportedNeed } });
 }
 
 SchedulerActions agentConnected(SchedulerState &scheduler, const std::string &agent, Time now)
 {
     SchedulerActions actions;
     Agent fresh;
-    fresh.sentAt = now;
-    fresh.heardAt = now;
+    fresh.lastSentAt = now;
+    fresh.lastReceivedAt = now;
     scheduler.agents[agent] = fresh;
     return actions;
 }
 
-SchedulerActions agentWelcomed(SchedulerState &scheduler, const std::string &name,
-                               const jobs::Welcome &welcome, Time now)
+SchedulerActions agentAccepted(SchedulerState &scheduler, const std::string &name,
+                               const jobs::SessionAccepted &welcome, Time now)
 {
     SchedulerActions actions;
     Agent &agent = scheduler.agents[name];
     agent.endpoint = welcome.endpoint;
-    agent.welcomed = true;
-    agent.heardAt = now;
+    agent.accepted = true;
+    agent.lastReceivedAt = now;
     actions.events.push_back(change("agent-welcomed")
                                      .with("agent", name)
                                      .with("incarnation", welcome.incarnation)
-                                     .with("life", welcome.endpoint.life));
+                                     .with("life", welcome.endpoint.endpointIncarnation));
     takeCrashes(scheduler, name, welcome.crashed, now, actions);
     // Nothing of an earlier session runs there any more.
     for (auto &[number, job] : scheduler.jobs) {
@@ -171,30 +172,30 @@
     agent.leastFree = std::min(agent.leastFree, free);
 }
 
-// Takes over what the agent tells of its room.
+// Takes over what the agent reports of its capacity.
 void takeRoom(Agent &agent, const jobs::AgentUpdate &update)
 {
     if (!update.endpoint.empty())
         agent.endpoint = update.endpoint.front();
     agent.endpoint.free = update.free;
-    agent.endpoint.mostStarts = update.mostStarts;
-    agent.endpoint.paceMille = update.paceMille;
+    agent.endpoint.maxStarts = update.maxStarts;
+    agent.endpoint.slowdownPermille = update.slowdownPermille;
     agent.endpoint.leaving = update.leaving;
     agent.waiting = update.waiting;
     agent.freedPerSecond = update.freedPerSecond;
-    agent.startsTaken = std::max(agent.startsTaken, update.startsTaken);
+    agent.startsHandled = std::max(agent.startsHandled, update.startsHandled);
     const auto taken = [&](const Agent::Pending &pending) {
-        return pending.number <= agent.startsTaken;
+        return pending.number <= agent.startsHandled;
     };
     agent.pending.erase(std::remove_if(agent.pending.begin(), agent.pending.end(), taken),
                         agent.pending.end());
 }
 
-// Whether a start that found no room may find some now.
-bool grew(const jobs::Room &before, const jobs::Room &room)
+// Whether a start that did not fit before may fit now.
+bool grew(const jobs::ResourceVector &before, const jobs::ResourceVector &after)
 {
-    return room.milliCores > before.milliCores || room.megabytes > before.megabytes
-            || room.accelerators > before.accelerators;
+    return after.milliCores > before.milliCores || after.megabytes > before.megabytes
+            || after.accelerators > before.accelerators;
 }
 
 } // namespace
@@ -204,25 +205,24 @@
 {
     SchedulerActions actions;
     const auto found = scheduler.agents.find(name);
-    if (found == scheduler.agents.end() || !found->second.welcomed)
+    if (found == scheduler.agents.end() || !found->second.accepted)
         return actions;
     Agent &agent = found->second;
-    agent.heardAt = now;
-    const jobs::Room roomBefore = roomAt(agent);
-    const std::uint32_t startsBefore = agent.endpoint.mostStarts;
+    agent.lastReceivedAt = now;
+    const jobs::ResourceVector roomBefore = roomAt(agent);
+    const std::uint32_t startsBefore = agent.endpoint.maxStarts;
     takeRoom(agent, update);
     noteLeastFree(scheduler.settings, agent, now);
     for (const jobs::RunReport &report : update.ended)
         runEnded(scheduler, name, report, now, actions);
     takeCrashes(scheduler, name, update.crashed, now, actions);
-    for (const jobs::LagReport &report : update.lagging)
+    for (const jobs::StragglerReport &report : update.stragglers)
         runLags(scheduler, name, report, now, actions);
-    // Most news tells of less room. With sixteen jobs that wait and eighty endpoints, one piece of
-    // news had 1,280 endpoints looked at; now none if there is less room, and sixteen if there is
-    // more.
+    // Most updates report less free capacity, and then nothing that waits can start: trying every
+    // waiting job at every endpoint for each of them would be far too much work.
     if (scheduler.untried || !update.endpoint.empty())
         place(scheduler, now, actions);
-    else if (grew(roomBefore, roomAt(agent)) || agent.endpoint.mostStarts > startsBefore)
+    else if (grew(roomBefore, roomAt(agent)) || agent.endpoint.maxStarts > startsBefore)
         placeAt(scheduler, name, now, actions);
     return actions;
 }
@@ -233,7 +233,7 @@
     const auto found = scheduler.agents.find(name);
     if (found == scheduler.agents.end())
         return actions;
-    const Time certainAt = found->second.sentAt + scheduler.settings.certainSilence;
+    const Time certainAt = found->second.lastSentAt + scheduler.settings.lostRunTimeout;
     std::uint64_t runs = 0;
     for (auto &[number, job] : scheduler.jobs) {
         for (Task &task : job.tasks) {
@@ -247,7 +247,7 @@
     scheduler.counters.runsLost += runs;
     actions.events.push_back(change("agent-lost")
                                      .with("agent", name)
-                                     .with("heard_ms_ago", now - found->second.heardAt)
+                                     .with("heard_ms_ago", now - found->second.lastReceivedAt)
                                      .with("runs_uncertain", runs));
     scheduler.agents.erase(found);
     return actions;
@@ -270,20 +270,21 @@
 
 namespace {
 
-// Room of the endpoints that may take work, by service.
+// Capacity of the endpoints that may take work, by service.
 std::map<std::string, double> usableRoom(const SchedulerState &scheduler)
 {
-    std::map<std::string, double> room;
+    std::map<std::string, double> capacity;
     for (const auto &[name, agent] : scheduler.agents) {
-        if (agent.welcomed && !isCordoned(scheduler, agent))
-            room[agent.endpoint.service] += static_cast<double>(agent.endpoint.capacity.milliCores);
+        if (agent.accepted && !isCordoned(scheduler, agent))
+            capacity[agent.endpoint.service] += static_cast<double>(
+                    agent.endpoint.capacity.milliCores);
     }
-    return room;
+    return capacity;
 }
 
 } // namespace
 
-SchedulerActions takeCordons(SchedulerState &scheduler, const catalog::Cordons &cordons, Time now)
+SchedulerActions applyCordons(SchedulerState &scheduler, const catalog::Cordons &cordons, Time now)
 {
     SchedulerActions actions;
     if (cordons.revision <= scheduler.cordons.revision)
@@ -291,11 +292,11 @@
     const std::map<std::string, double> before = usableRoom(scheduler);
     scheduler.cordons = cordons;
     std::map<std::string, double> after = usableRoom(scheduler);
-    // Jobs that can't be served by what is left are refused at once, and not after the pace at
-    // which room comes free has been learned anew.
-    for (const auto &[service, room] : before) {
-        if (after[service] < room)
-            scaleFreed(scheduler, service, after[service] / room);
+    // Jobs that the remaining endpoints can't serve are refused at once, not only after the rate at
+    // which capacity is freed has been measured anew.
+    for (const auto &[service, capacity] : before) {
+        if (after[service] < capacity)
+            scaleFreed(scheduler, service, after[service] / capacity);
     }
     place(scheduler, now, actions);
     return actions;
@@ -308,11 +309,11 @@
 void beatAgents(SchedulerState &scheduler, Time now, SchedulerActions &actions)
 {
     for (auto &[name, agent] : scheduler.agents) {
-        if (now >= agent.heardAt + scheduler.settings.agentSilence && agent.welcomed) {
+        if (now >= agent.lastReceivedAt + scheduler.settings.agentTimeout && agent.accepted) {
             actions.closes.push_back(name);
             continue;
         }
-        if (now < agent.sentAt + scheduler.settings.beatInterval)
+        if (now < agent.lastSentAt + scheduler.settings.heartbeatInterval)
             continue;
         beatAgent(scheduler, name, agent, now, actions);
     }
@@ -337,11 +338,11 @@
         removeIfFinished(scheduler, number);
 }
 
-// When nobody waits for the job any longer, begun or not.
+// When the caller stops waiting, whether or not the job has begun.
 Time endOfJob(const SchedulerState &scheduler, const Job &job)
 {
-    if (job.terms.patienceUntil)
-        return *job.terms.patienceUntil;
+    if (job.options.callerDeadline)
+        return *job.options.callerDeadline;
     const auto objective = std::chrono::duration_cast<Milliseconds>(job.objectiveAt
                                                                     - job.arrivedAt);
     return job.arrivedAt
@@ -349,7 +350,7 @@
                                      scaled(objective, scheduler.settings.lateFactor));
 }
 
-// Jobs that nobody waits for any longer, and those that have not begun and are worth nothing.
+// Gives up jobs whose callers no longer wait, and late or expired ones that have not begun.
 void giveUpLate(SchedulerState &scheduler, Time now, SchedulerActions &actions)
 {
     std::vector<std::uint64_t> over;
@@ -357,7 +358,7 @@
     for (const auto &[number, job] : scheduler.jobs) {
         const Time worth = scheduler.settings.refuseLate ? job.onTimeUntil : job.worthUntil;
         const bool late = now > worth && waitOn.count(number) == 0;
-        const bool unbegun = certainlyNotBegun(job) && (late || now >= job.terms.beginBy);
+        const bool unbegun = certainlyNotBegun(job) && (late || now >= job.options.startDeadline);
         const bool unwanted = now >= endOfJob(scheduler, job);
         if (!job.over && (unbegun || unwanted))
             over.push_back(number);
@@ -368,7 +369,7 @@
         if (notRun)
             noteRefusedJob(scheduler, job, now);
         answerJob(scheduler, job, notRun ? JobOutcome::NotRun : JobOutcome::TimedOut,
-                  notRun ? "no room came free in time" : "its time is over", now, actions);
+                  notRun ? "no room came free in time" : "deadline exceeded", now, actions);
     }
 }
 
@@ -386,7 +387,7 @@
     return actions;
 }
 
-SchedulerActions giveUpAll(SchedulerState &scheduler, const std::string &why, Time now)
+SchedulerActions closeAllJobs(SchedulerState &scheduler, const std::string &why, Time now)
 {
     SchedulerActions actions;
     std::vector<std::uint64_t> open;
@@ -403,13 +404,14 @@
     return actions;
 }
 
-void keepQueues(SchedulerState &scheduler, const std::set<std::string> &declared)
+void retainQueues(SchedulerState &scheduler, const std::set<std::string> &declared)
 {
     for (auto item = scheduler.runTimes.begin(); item != scheduler.runTimes.end();)
         item = declared.count(item->first) == 0 ? scheduler.runTimes.erase(item) : std::next(item);
-    shares::keepQueues(scheduler.shares, declared);
-    for (auto item = scheduler.standings.begin(); item != scheduler.standings.end();)
-        item = declared.count(item->first) == 0 ? scheduler.standings.erase(item) : std::next(item);
+    shares::retainQueues(scheduler.shares, declared);
+    for (auto item = scheduler.queueStatuses.begin(); item != scheduler.queueStatuses.end();)
+        item = declared.count(item->first) == 0 ? scheduler.queueStatuses.erase(item)
+                                                : std::next(item);
     scheduler.mostUrgent = std::numeric_limits<std::uint32_t>::max();
     scheduler.leastUrgent = 0;
 }
@@ -417,7 +419,7 @@
 bool reachesEndpoints(const SchedulerState &scheduler)
 {
     return std::any_of(scheduler.agents.begin(), scheduler.agents.end(), [](const auto &item) {
-        return item.second.welcomed && !item.second.endpoint.life.empty();
+        return item.second.accepted && !item.second.endpoint.endpointIncarnation.empty();
     });
 }
 
--- a/packages/scheduler/src/outlook.cpp
+++ b/packages/scheduler/src/waitestimate.cpp
@@ -1,6 +1,6 @@
 /*
-    What the entry knows of the forecast: the picture of a service, the part of it that is this
-    entry's, and what follows for its jobs.
+    Use of the forecast: its input for a service, this entry's share of freed capacity, and the
+   waits of its jobs that follow.
 
     [SECTION] Picture
     [SECTION] Share
@@ -24,37 +24,38 @@
 
 bool takesWork(const SchedulerState &scheduler, const Agent &agent, const std::string &service)
 {
-    return agent.welcomed && !agent.endpoint.leaving && agent.endpoint.mostStarts > 0
+    return agent.accepted && !agent.endpoint.leaving && agent.endpoint.maxStarts > 0
             && agent.endpoint.service == service && !isCordoned(scheduler, agent);
 }
 
 } // namespace
 
-forecast::Picture pictureOf(const SchedulerState &scheduler, const std::string &service, Time now)
+forecast::ServiceLoad pictureOf(const SchedulerState &scheduler, const std::string &service,
+                                Time now)
 {
-    forecast::Picture picture;
+    forecast::ServiceLoad serviceLoad;
     for (const auto &[name, agent] : scheduler.agents) {
         if (takesWork(scheduler, agent, service))
-            forecast::addAgent(picture,
+            forecast::addAgent(serviceLoad,
                                { roomAt(agent).milliCores, agent.waiting, agent.freedPerSecond,
-                                 agent.heardAt },
+                                 agent.lastReceivedAt },
                                now);
     }
-    return picture;
+    return serviceLoad;
 }
 
 // [SECTION] Share
 
 namespace {
 
-// Never taken for less, so that a queue of which nothing ran of late is tried again.
+// Lower bound, so that a queue of which nothing ran lately is tried again.
 constexpr double LeastShare = 0.01;
 
 std::set<std::string> services(const SchedulerState &scheduler)
 {
     std::set<std::string> names;
     for (const auto &[name, agent] : scheduler.agents) {
-        if (agent.welcomed)
+        if (agent.accepted)
             names.insert(agent.endpoint.service);
     }
     return names;
@@ -75,7 +76,7 @@
     if (!usesForecast(scheduler) || span < settings.shareInterval)
         return;
     scheduler.toldAddedAt = now;
-    // After a pause of this process the pace of the time between is not known.
+    // After a pause of this process, the rate in between is not known.
     if (span > 2 * settings.shareInterval)
         return;
     for (const std::string &service : services(scheduler)) {
@@ -88,7 +89,7 @@
 double shareFor(const SchedulerState &scheduler, const std::string &service, std::uint32_t priority,
                 Time now)
 {
-    const double alike = 1.0 / std::max(1U, scheduler.entries);
+    const double alike = 1.0 / std::max(1U, scheduler.entryCount);
     const auto freed = scheduler.freed.find(service);
     const auto all = scheduler.told.find(service);
     if (freed == scheduler.freed.end() || all == scheduler.told.end())
@@ -112,25 +113,26 @@
 
 namespace {
 
-// Declared rooms can be absurd: sums of such ones must not overflow.
+// Declared capacities are not validated, and sums of them must not overflow.
 constexpr double MostMilliCores = 1e12;
 
 std::int64_t roomOf(const jobs::StepSpec &step, std::uint32_t tasks)
 {
-    const double milliCores = static_cast<double>(step.room.milliCores) * tasks;
+    const double milliCores = static_cast<double>(step.demand.milliCores) * tasks;
     return static_cast<std::int64_t>(std::min(MostMilliCores, milliCores));
 }
 
 std::int64_t roomWanted(const Job &job)
 {
-    // A job that comes has no tasks yet.
+    // A job that is being admitted has no tasks yet.
     const jobs::StepSpec &step = job.spec.steps.front();
     return roomOf(step, job.tasks.empty() ? step.tasks : job.waiting);
 }
 
-forecast::Wanted wantedBy(const Job &job, std::int64_t before)
+forecast::JobDemand wantedBy(const Job &job, std::int64_t before)
 {
-    return { job.terms.priority, job.spec.steps.front().room.milliCores, roomWanted(job), before };
+    return { job.options.priority, job.spec.steps.front().demand.milliCores, roomWanted(job),
+             before };
 }
 
 std::int64_t workBefore(const SchedulerState &scheduler, const Job &wanted, const QueueKey &place)
@@ -140,7 +142,7 @@
         if (!(key < place))
             break;
         const Job &job = scheduler.jobs.at(key.number);
-        if (job.terms.service == wanted.terms.service)
+        if (job.options.service == wanted.options.service)
             work += roomWanted(job);
     }
     return work;
@@ -152,54 +154,54 @@
 {
     if (job.spec.steps.empty())
         return std::nullopt;
-    forecast::Picture picture = pictureOf(scheduler, job.terms.service, now);
-    picture.share = shareFor(scheduler, job.terms.service, job.terms.priority, now);
-    const forecast::Wanted wanted = wantedBy(job,
-                                             workBefore(scheduler, job, keyOf(scheduler, job)));
-    // The next in turn is tried whatever its own size.
-    if (!forecast::hasWorkBefore(picture, wanted))
+    forecast::ServiceLoad serviceLoad = pictureOf(scheduler, job.options.service, now);
+    serviceLoad.share = shareFor(scheduler, job.options.service, job.options.priority, now);
+    const forecast::JobDemand wanted = wantedBy(job,
+                                                workBefore(scheduler, job, keyOf(scheduler, job)));
+    // The first job in line is tried whatever its size.
+    if (!forecast::hasWorkAhead(serviceLoad, wanted))
         return Milliseconds(0);
-    return forecast::expectedWait(picture, wanted);
+    return forecast::expectedWait(serviceLoad, wanted);
 }
 
 std::optional<Milliseconds> waitLate(const SchedulerState &scheduler, const Job &job, Time now)
 {
     if (job.spec.steps.empty())
         return std::nullopt;
-    forecast::Picture picture = pictureOf(scheduler, job.terms.service, now);
-    picture.share = wholeShare(scheduler, job.terms.service, now);
+    forecast::ServiceLoad serviceLoad = pictureOf(scheduler, job.options.service, now);
+    serviceLoad.share = wholeShare(scheduler, job.options.service, now);
     QueueKey place = keyOf(scheduler, job);
     place.group = Rank::Late;
     place.rank = job.lateUntil.time_since_epoch().count();
-    return forecast::expectedWait(picture, wantedBy(job, workBefore(scheduler, job, place)));
+    return forecast::expectedWait(serviceLoad, wantedBy(job, workBefore(scheduler, job, place)));
 }
 
-Milliseconds comeBackAfter(SchedulerState &scheduler, const Job &job, Time now)
+Milliseconds estimateRetryAfter(SchedulerState &scheduler, const Job &job, Time now)
 {
     std::uniform_real_distribution<double> chance(0, 1);
     const double drawn = chance(scheduler.random);
     if (job.spec.steps.empty())
-        return forecast::LeastComeBack;
-    forecast::Picture picture = pictureOf(scheduler, job.terms.service, now);
-    picture.share = shareFor(scheduler, job.terms.service, job.terms.priority, now);
+        return forecast::MinRetryAfter;
+    forecast::ServiceLoad serviceLoad = pictureOf(scheduler, job.options.service, now);
+    serviceLoad.share = shareFor(scheduler, job.options.service, job.options.priority, now);
     const std::int64_t before = workBefore(scheduler, job, keyOf(scheduler, job));
-    return forecast::comeBackAfter(picture, wantedBy(job, before), drawn);
+    return forecast::estimateRetryAfter(serviceLoad, wantedBy(job, before), drawn);
 }
 
-Outlook outlook(const SchedulerState &scheduler, Time now)
+ForecastStatus forecastStatus(const SchedulerState &scheduler, Time now)
 {
     constexpr std::int64_t OneCore = 1000;
-    Outlook all;
+    ForecastStatus all;
     for (const std::string &service : services(scheduler)) {
-        forecast::Picture picture = pictureOf(scheduler, service, now);
-        picture.share = wholeShare(scheduler, service, now);
-        forecast::Wanted wanted { scheduler.leastUrgent, OneCore, OneCore, 0 };
+        forecast::ServiceLoad serviceLoad = pictureOf(scheduler, service, now);
+        serviceLoad.share = wholeShare(scheduler, service, now);
+        forecast::JobDemand wanted { scheduler.leastUrgent, OneCore, OneCore, 0 };
         for (const QueueKey &key : scheduler.queue) {
             const Job &job = scheduler.jobs.at(key.number);
-            wanted.beforeIt += job.terms.service == service ? roomWanted(job) : 0;
+            wanted.queuedAhead += job.options.service == service ? roomWanted(job) : 0;
         }
-        all.age = std::max(all.age, picture.age);
-        const auto wait = forecast::expectedWait(picture, wanted);
+        all.age = std::max(all.age, serviceLoad.age);
+        const auto wait = forecast::expectedWait(serviceLoad, wanted);
         all.wait = wait ? std::max(*wait, all.wait.value_or(Milliseconds(0))) : all.wait;
     }
     all.waitingLate = static_cast<std::size_t>(
@@ -212,24 +214,24 @@
 
 namespace {
 
-// One service, with the work that goes before the job that is looked at.
+// The waiting work of one service that goes before the job being examined.
 struct Line
 {
-    forecast::Picture picture;
+    forecast::ServiceLoad serviceLoad;
     std::int64_t before = 0;
 
-    // Late jobs that are let wait, and what they want
+    // Late jobs that may wait, and what they need
     std::size_t late = 0;
     std::int64_t lateBefore = 0;
 };
 
 bool beginsInTime(const Line &line, const Job &job, Time now)
 {
-    const auto wait = forecast::expectedWait(line.picture, wantedBy(job, line.before));
+    const auto wait = forecast::expectedWait(line.serviceLoad, wantedBy(job, line.before));
     return wait && now + *wait <= job.lateUntil;
 }
 
-// A late job waits: a spell begins, or goes on.
+// A late job waits: starts a period of waiting or extends it.
 LateSpell &noteLateWaits(SchedulerState &scheduler, const std::string &service, Time now)
 {
     LateSpell &spell = scheduler.lateSpells[service];
@@ -239,21 +241,21 @@
     return spell;
 }
 
-// Whether what late jobs got of late lets this one wait, too.
+// Whether the capacity recently given to late jobs allows this one to wait, too.
 bool lateRoomAllows(const SchedulerSettings &settings, const LateSpell &spell, const Line &line,
                     const Job &job, Time now)
 {
     if (now < spell.since + settings.lateSpan || line.late < settings.lateProbes)
         return true;
     const double left = std::chrono::duration<double>(job.lateUntil - now).count();
-    const double room = perSecond(spell.taken, settings.lateSpan, now) * left;
-    return static_cast<double>(line.lateBefore + roomWanted(job)) <= room;
+    const double capacity = perSecond(spell.taken, settings.lateSpan, now) * left;
+    return static_cast<double>(line.lateBefore + roomWanted(job)) <= capacity;
 }
 
-// Whether a late job may wait behind those before it in the line.
+// Whether a late job may wait behind those before it.
 bool joinsLate(SchedulerState &scheduler, Line &line, const Job &job, Time now)
 {
-    const LateSpell &spell = noteLateWaits(scheduler, job.terms.service, now);
+    const LateSpell &spell = noteLateWaits(scheduler, job.options.service, now);
     if (!beginsInTime(line, job, now) || !lateRoomAllows(scheduler.settings, spell, line, job, now))
         return false;
     ++line.late;
@@ -271,11 +273,11 @@
     std::map<std::string, Line> lines;
     for (const QueueKey &key : sortOut(scheduler, now)) {
         const Job &job = scheduler.jobs.at(key.number);
-        const std::string &service = job.terms.service;
+        const std::string &service = job.options.service;
         const auto [line, isNew] = lines.try_emplace(service);
         if (isNew) {
-            line->second.picture = pictureOf(scheduler, service, now);
-            line->second.picture.share = wholeShare(scheduler, service, now);
+            line->second.serviceLoad = pictureOf(scheduler, service, now);
+            line->second.serviceLoad.share = wholeShare(scheduler, service, now);
         }
         const bool late = key.group == Rank::Late;
         if (late && !joinsLate(scheduler, line->second, job, now))
@@ -290,20 +292,20 @@
 void noteLateStart(SchedulerState &scheduler, const Job &job, std::int64_t milliCores, Time now)
 {
     if (scheduler.settings.serveLate && job.firstPlacedAt > job.onTimeUntil)
-        addTo(scheduler.lateSpells[job.terms.service].taken, scheduler.settings.lateSpan,
+        addTo(scheduler.lateSpells[job.options.service].taken, scheduler.settings.lateSpan,
               static_cast<double>(milliCores), now);
 }
 
 namespace {
 
-// What the job takes when it begins: the steps that wait for no other.
-forecast::Wanted wantedToBegin(const Job &job)
+// What the job needs to begin: the steps that depend on no other.
+forecast::JobDemand wantedToBegin(const Job &job)
 {
-    forecast::Wanted wanted { job.terms.priority, 0, 0, 0 };
+    forecast::JobDemand wanted { job.options.priority, 0, 0, 0 };
     for (const jobs::StepSpec &step : job.spec.steps) {
         if (!step.after.empty())
             continue;
-        wanted.taskMilliCores = std::max(wanted.taskMilliCores, step.room.milliCores);
+        wanted.taskMilliCores = std::max(wanted.taskMilliCores, step.demand.milliCores);
         wanted.milliCores += roomOf(step, step.tasks);
     }
     return wanted;
@@ -313,14 +315,17 @@
 
 bool fitsWhole(const SchedulerState &scheduler, const Job &job, Time now)
 {
-    forecast::Picture picture;
+    forecast::ServiceLoad serviceLoad;
     for (const auto &[name, agent] : scheduler.agents) {
-        if (takesWork(scheduler, agent, job.terms.service))
-            forecast::addAgent(picture,
-                               { roomFor(scheduler, agent, job).milliCores, {}, 0, agent.heardAt },
+        if (takesWork(scheduler, agent, job.options.service))
+            forecast::addAgent(serviceLoad,
+                               { roomFor(scheduler, agent, job).milliCores,
+                                 {},
+                                 0,
+                                 agent.lastReceivedAt },
                                now);
     }
-    return forecast::expectedWait(picture, wantedToBegin(job)) == Milliseconds(0);
+    return forecast::expectedWait(serviceLoad, wantedToBegin(job)) == Milliseconds(0);
 }
 
 } // namespace foxwing::scheduler
--- a/packages/scheduler/tests/admission_test.cpp
+++ b/packages/scheduler/tests/admission_test.cpp
@@ -1,5 +1,5 @@
 /*
-    Which jobs are taken in, and which are refused at once.
+    Which jobs are admitted, and which are refused at once.
 
     [SECTION] Admission
 */
@@ -27,7 +27,7 @@
     bench.traits = GetParam().traits;
     jobs::StepSpec step;
     step.tasks = 1;
-    step.room = { GetParam().taskCores, 10, 0 };
+    step.demand = { GetParam().taskCores, 10, 0 };
     step.estimate = Milliseconds(100);
     const SchedulerActions actions = bench.submit("job", { step });
     ASSERT_EQ(actions.answers.size(), GetParam().outcome ? 1U : 0U);
@@ -80,18 +80,18 @@
 class Arrivals : public testing::TestWithParam<ArrivalCase>
 { };
 
-// Of late 2500 thousandths of a core came free within 300 ms, and a job has 70 ms until it counts
-// as late: in twice that time room for one task comes free, and not for two.
+// 2500 millicores were freed in the last 300 ms, and a job has 70 ms until it counts as late: in
+// twice that time, capacity for one task is freed and not for two.
 TEST_P(Arrivals, AreRefusedAtOnceIfTheRoomThatComesFreeIsTooLittle)
 {
     SchedulerSettings settings;
-    settings.refuseAtArrivalPercent = GetParam().percent;
+    settings.maxWaitPercent = GetParam().percent;
     Bench bench({ 3000 }, settings);
     bench.priority = 1;
     bench.submit("running", 3);
-    bench.report("agent-0", { endOf("running", 0, 1, RunEnd::Done) }, 0);
-    bench.report("agent-0", { endOf("running", 1, 1, RunEnd::Done) }, 0);
-    bench.report("agent-0", { endOf("running", 2, 1, RunEnd::Done) }, 0);
+    bench.report("agent-0", { endOf("running", 0, 1, RunOutcome::Done) }, 0);
+    bench.report("agent-0", { endOf("running", 1, 1, RunOutcome::Done) }, 0);
+    bench.report("agent-0", { endOf("running", 2, 1, RunOutcome::Done) }, 0);
     bench.now += Milliseconds(55);
     for (int i = 0; i < GetParam().waiting; ++i)
         bench.submit("waiting-" + std::to_string(i), 1);
@@ -118,7 +118,7 @@
     Bench bench({ 4000 });
     jobs::StepSpec step;
     step.tasks = 100000;
-    step.room = { 1000, 10, 0 };
+    step.demand = { 1000, 10, 0 };
     step.estimate = Milliseconds(100);
     const SchedulerActions actions = bench.submit("job", std::vector<jobs::StepSpec>(10000, step));
     ASSERT_EQ(actions.answers.size(), 1U);
@@ -140,16 +140,16 @@
     bench.submit("job", 1);
     EXPECT_EQ(stopsIn(abandon(bench.scheduler, bench.number, bench.now)), 1U);
     EXPECT_EQ(startsIn(bench.submit("job", 1)), 0U);
-    EXPECT_EQ(startsIn(bench.report("agent-0", { endOf("job", 0, 1, RunEnd::Stopped) })), 1U);
+    EXPECT_EQ(startsIn(bench.report("agent-0", { endOf("job", 0, 1, RunOutcome::Stopped) })), 1U);
 }
 
-// A chain of jobs of one id: the first is abandoned with its run on, each of the others goes before
-// that run is over.
+// Jobs of one id: the first is abandoned while its run goes on, and all but the last of the others
+// before that run is over.
 struct ChainCase
 {
     const char *name;
 
-    // Callers that come and go while the first job's run is on
+    // Jobs submitted and abandoned during the first job's run
     int gone;
 };
 
@@ -172,9 +172,10 @@
     }
     EXPECT_EQ(startsIn(bench.submit("job", 1)), 0U);
     EXPECT_EQ(startsIn(bench.pass(Milliseconds(20))), 0U);
-    const SchedulerActions ended = bench.report("agent-0", { endOf("job", 0, 1, RunEnd::Stopped) });
+    const SchedulerActions ended = bench.report("agent-0",
+                                                { endOf("job", 0, 1, RunOutcome::Stopped) });
     EXPECT_EQ(startsIn(ended), 1U);
-    bench.report("agent-0", { endOf("job", 0, 1, RunEnd::Done) });
+    bench.report("agent-0", { endOf("job", 0, 1, RunOutcome::Done) });
     EXPECT_TRUE(bench.scheduler.jobs.empty());
     EXPECT_TRUE(bench.scheduler.byId.empty());
 }
@@ -185,22 +186,21 @@
                                          ChainCase { "ThreeBetween", 3 }),
                          [](const auto &tested) { return tested.param.name; });
 
-// A job of one task of 100 ms under these terms.
-SchedulerActions submitOne(Bench &bench, const JobTerms &terms)
+// A job of one task of 100 ms.
+SchedulerActions submitOne(Bench &bench, const JobOptions &options)
 {
     jobs::JobSpec spec;
     spec.id = "job";
     spec.traits = bench.traits;
     jobs::StepSpec step;
     step.tasks = 1;
-    step.room = { 1000, 10, 0 };
+    step.demand = { 1000, 10, 0 };
     step.estimate = Milliseconds(100);
     spec.steps = { step };
-    return submit(bench.scheduler, spec, terms, bench.now, &bench.number);
+    return submit(bench.scheduler, spec, options, bench.now, &bench.number);
 }
 
-// Room that comes free before the next tick, for a job that waits and whose caller waits for 100
-// ms.
+// Capacity is freed before the next tick, for a waiting job whose caller waits for 100 ms.
 struct PatienceCase
 {
     const char *name;
@@ -220,11 +220,12 @@
 {
     Bench bench({ 1000 });
     bench.submit("first", 1);
-    JobTerms terms = bench.terms();
-    terms.patienceUntil = bench.now + Milliseconds(100);
-    EXPECT_EQ(startsIn(submitOne(bench, terms)), 0U);
+    JobOptions options = bench.options();
+    options.callerDeadline = bench.now + Milliseconds(100);
+    EXPECT_EQ(startsIn(submitOne(bench, options)), 0U);
     bench.now += GetParam().after;
-    const SchedulerActions freed = bench.report("agent-0", { endOf("first", 0, 1, RunEnd::Done) });
+    const SchedulerActions freed = bench.report("agent-0",
+                                                { endOf("first", 0, 1, RunOutcome::Done) });
     EXPECT_EQ(startsIn(freed), GetParam().starts);
 }
 
@@ -233,7 +234,7 @@
                                          PatienceCase { "Over", Milliseconds(100), 0 }),
                          [](const auto &tested) { return tested.param.name; });
 
-// Calls that came while an entry did not know its queues yet. A job of 100 ms work has to begin
+// Calls that were held while an entry did not know its queues yet. A job of 100 ms has to begin
 // within 120 ms of its call.
 struct HeldCase
 {
@@ -248,9 +249,9 @@
 TEST_P(Held, JobsCountFromTheirCall)
 {
     Bench bench({ 4000 });
-    JobTerms terms = bench.terms();
-    terms.cameAt = bench.now - GetParam().held;
-    const SchedulerActions actions = submitOne(bench, terms);
+    JobOptions options = bench.options();
+    options.receivedAt = bench.now - GetParam().held;
+    const SchedulerActions actions = submitOne(bench, options);
     EXPECT_EQ(startsIn(actions), GetParam().starts ? 1U : 0U);
     ASSERT_EQ(actions.answers.size(), GetParam().starts ? 0U : 1U);
     if (!GetParam().starts) {
@@ -264,16 +265,16 @@
                                          HeldCase { "TooLong", Milliseconds(121), false }),
                          [](const auto &tested) { return tested.param.name; });
 
-// A queue that allows its jobs no more than their work: each is late from its first moment. It is
-// tried all the same, and a call that was on its way for a millisecond is not a held one.
+// A queue whose objective is the run time itself, so that each job is late from the start: jobs are
+// tried all the same, also after a millisecond on the way.
 TEST(HeldJob, OfAQueueWithoutSlackIsTried)
 {
     Bench bench({ 4000 });
-    JobTerms terms = bench.terms();
-    terms.stretch = 1.0;
-    terms.targetLatency = Milliseconds(0);
-    terms.cameAt = bench.now - Milliseconds(1);
-    EXPECT_EQ(startsIn(submitOne(bench, terms)), 1U);
+    JobOptions options = bench.options();
+    options.stretch = 1.0;
+    options.targetLatency = Milliseconds(0);
+    options.receivedAt = bench.now - Milliseconds(1);
+    EXPECT_EQ(startsIn(submitOne(bench, options)), 1U);
 }
 
 } // namespace
--- a/packages/scheduler/tests/bench.h
+++ b/packages/scheduler/tests/bench.h
@@ -1,5 +1,5 @@
 /*
-    What the scheduler's tests share: a scheduler with agents, a clock, and what its actions hold.
+    Test fixture of the scheduler: a scheduler with agents and a clock, and queries on its actions.
 
         Bench bench({ 4000, 4000 });
         const SchedulerActions actions = bench.submit("job", 3);
@@ -16,19 +16,19 @@
 
 namespace foxwing::scheduler {
 
-using jobs::RefusedStart;
-using jobs::RunEnd;
+using jobs::RunOutcome;
+using jobs::StartRefusal;
 
 // [SECTION] Bench
 
 inline jobs::EndpointView makeView(std::int64_t cores)
 {
     jobs::EndpointView view;
-    view.life = "life";
+    view.endpointIncarnation = "life";
     view.service = "align";
     view.capacity = { cores, 10000, 0 };
     view.free = view.capacity;
-    view.mostStarts = 1000;
+    view.maxStarts = 1000;
     return view;
 }
 
@@ -44,17 +44,17 @@
     SchedulerActions welcome(const std::string &name, const jobs::EndpointView &view)
     {
         agentConnected(scheduler, name, now);
-        jobs::Welcome message;
+        jobs::SessionAccepted message;
         message.endpoint = view;
-        return agentWelcomed(scheduler, name, message, now);
+        return agentAccepted(scheduler, name, message, now);
     }
 
-    // A job of one step of tasks that take 1000 thousandths of a core and 100 ms.
+    // A job of one step, whose tasks take 1000 millicores and 100 ms.
     SchedulerActions submit(const std::string &id, std::uint32_t tasks)
     {
         jobs::StepSpec step;
         step.tasks = tasks;
-        step.room = { 1000, 10, 0 };
+        step.demand = { 1000, 10, 0 };
         step.estimate = Milliseconds(100);
         return submit(id, { step });
     }
@@ -65,30 +65,30 @@
         spec.id = id;
         spec.steps = steps;
         spec.traits = traits;
-        return scheduler::submit(scheduler, spec, terms(), now, &number);
+        return scheduler::submit(scheduler, spec, options(), now, &number);
     }
 
-    JobTerms terms() const
+    JobOptions options() const
     {
-        JobTerms terms;
-        terms.queue = "queue";
-        terms.service = "align";
-        terms.attempts = 2;
-        terms.stretch = 1.6;
-        terms.priority = priority;
-        terms.targetLatency = Milliseconds(60);
-        terms.beginBy = now + Milliseconds(1500);
-        return terms;
+        JobOptions options;
+        options.queue = "queue";
+        options.service = "align";
+        options.attempts = 2;
+        options.stretch = 1.6;
+        options.priority = priority;
+        options.targetLatency = Milliseconds(60);
+        options.startDeadline = now + Milliseconds(1500);
+        return options;
     }
 
-    // The agent has dealt with all starts, and tells this.
+    // An update by the agent that includes all starts sent to it.
     SchedulerActions report(const std::string &agent, const std::vector<jobs::RunReport> &ended,
                             std::int64_t free = 100000)
     {
         jobs::AgentUpdate update;
-        update.startsTaken = scheduler.agents.at(agent).startsSent;
+        update.startsHandled = scheduler.agents.at(agent).startsSent;
         update.free = { free, 10000, 0 };
-        update.mostStarts = 1000;
+        update.maxStarts = 1000;
         update.ended = ended;
         return agentUpdated(scheduler, agent, update, now);
     }
@@ -97,7 +97,7 @@
     {
         now += span;
         for (auto &[name, agent] : scheduler.agents)
-            agent.heardAt = now;
+            agent.lastReceivedAt = now;
         return tick(scheduler, now);
     }
 
@@ -131,7 +131,7 @@
 }
 
 inline jobs::RunReport endOf(const std::string &job, std::uint32_t index, std::uint32_t run,
-                             RunEnd end, RefusedStart refused = RefusedStart::None)
+                             RunOutcome end, StartRefusal refused = StartRefusal::None)
 {
     return { { { job, 0, 0, index }, run }, end, refused, Milliseconds(100) };
 }
--- a/packages/scheduler/tests/crashes_test.cpp
+++ b/packages/scheduler/tests/crashes_test.cpp
@@ -1,5 +1,5 @@
 /*
-    What agents tell of tasks under which their endpoints crashed, here or for other entries.
+    Crashes of endpoints under tasks as reported by agents, for runs of any entry.
 
     [SECTION] Told
     [SECTION] Memory
@@ -15,13 +15,13 @@
 {
     const char *name;
 
-    // Told one after the other: by which agent, and how often its endpoint crashed under the task
+    // Reports in order: the agent, and its number of crashes under the task
     std::vector<std::pair<std::string, std::uint32_t>> told;
 
-    // The job came before all of it was told, or after.
+    // Whether the job arrived before the reports or after them
     bool cameBefore;
 
-    // The news came in a welcome, or in an update.
+    // Whether reports come in the handshake or in an update
     bool welcome;
     bool givenUp;
 };
@@ -39,14 +39,14 @@
 SchedulerActions tellCrash(Bench &bench, const std::string &agent, const jobs::CrashReport &report,
                            bool welcome)
 {
-    jobs::Welcome opened;
+    jobs::SessionAccepted opened;
     opened.endpoint = makeView(4000);
     opened.crashed = { report };
     jobs::AgentUpdate update;
     update.free = { 4000, 10000, 0 };
-    update.mostStarts = 1000;
+    update.maxStarts = 1000;
     update.crashed = { report };
-    return welcome ? agentWelcomed(bench.scheduler, agent, opened, bench.now)
+    return welcome ? agentAccepted(bench.scheduler, agent, opened, bench.now)
                    : agentUpdated(bench.scheduler, agent, update, bench.now);
 }
 
@@ -101,7 +101,7 @@
                            true }),
         [](const auto &tested) { return tested.param.name; });
 
-// Two crashes elsewhere and one here end it.
+// Two crashes elsewhere and one here.
 TEST(SchedulerCrashes, UnderAFormerTryCountWithThoseHere)
 {
     Bench bench({ 4000, 4000, 4000 });
@@ -110,7 +110,8 @@
     const SchedulerActions actions = bench.submit("job", 1);
     ASSERT_EQ(startsIn(actions), 1U);
     const SchedulerActions crashed = bench.report(actions.sends.at(0).agent,
-                                                  { endOf("job", 0, 1, RunEnd::Crashed) }, 4000);
+                                                  { endOf("job", 0, 1, RunOutcome::Crashed) },
+                                                  4000);
     ASSERT_EQ(crashed.answers.size(), 1U);
     EXPECT_EQ(crashed.answers[0].outcome, JobOutcome::TimedOut);
 }
--- a/packages/scheduler/tests/floors_test.cpp
+++ b/packages/scheduler/tests/guarantees_test.cpp
@@ -1,6 +1,6 @@
 /*
-    Queues below their floor: what their jobs go by, whose starts wait at agents, and what counts as
-    asked and refused.
+    Queues below their guaranteed share: their effective priority, whose starts wait at agents, and
+   what counts as requested and refused.
 
     [SECTION] Helpers
     [SECTION] Standings
@@ -25,42 +25,42 @@
 {
     SchedulerSettings settings;
     settings.waitingQueues = WaitingQueues::AllButLeast;
-    settings.shares.floorPercent = percent;
+    settings.shares.guaranteedPercent = percent;
     return settings;
 }
 
-// A job of one task of the queue that has this priority.
+// A job of one task, in the queue of this priority.
 SchedulerActions submitTo(Bench &bench, std::uint32_t priority, const std::string &id)
 {
     jobs::JobSpec spec;
     spec.id = id;
     spec.steps = { {} };
     spec.steps[0].tasks = 1;
-    spec.steps[0].room = { 1000, 10, 0 };
+    spec.steps[0].demand = { 1000, 10, 0 };
     spec.steps[0].estimate = Milliseconds(100);
     spec.traits = bench.traits;
     bench.priority = priority;
-    JobTerms terms = bench.terms();
-    terms.queue = "queue-" + std::to_string(priority);
-    return submit(bench.scheduler, spec, terms, bench.now, &bench.number);
+    JobOptions options = bench.options();
+    options.queue = "queue-" + std::to_string(priority);
+    return submit(bench.scheduler, spec, options, bench.now, &bench.number);
 }
 
-// Each queue of the list has asked for work; those below their floor were refused all of it.
+// Each of the queues requests work; those in below get all of it refused.
 void setStandings(Bench &bench, const std::vector<std::uint32_t> &queues,
                   const std::set<std::uint32_t> &below)
 {
     for (const std::uint32_t priority : queues) {
         submitTo(bench, priority, "first-" + std::to_string(priority));
         if (below.count(priority) > 0)
-            shares::noteRefused(bench.scheduler.shares, "queue-" + std::to_string(priority), 100000,
-                                bench.now);
+            shares::recordRefused(bench.scheduler.shares, "queue-" + std::to_string(priority),
+                                  100000, bench.now);
     }
     bench.pass(Milliseconds(1));
 }
 
-const QueueStanding &standing(const Bench &bench, std::uint32_t priority)
+const QueueStatus &standing(const Bench &bench, std::uint32_t priority)
 {
-    return bench.scheduler.standings.at("queue-" + std::to_string(priority));
+    return bench.scheduler.queueStatuses.at("queue-" + std::to_string(priority));
 }
 
 // [SECTION] Standings
@@ -72,7 +72,7 @@
     std::vector<std::uint32_t> queues;
     std::set<std::uint32_t> below;
 
-    // In the order of the queues
+    // In the order of queues
     std::vector<std::uint32_t> effective;
     std::set<std::uint32_t> yielding;
 };
@@ -108,10 +108,10 @@
                 StandingCase { "TheLeastUrgent", Floor, { 0, 1, 2 }, { 2 }, { 0, 1, 1 }, { 1 } },
                 StandingCase { "TheMiddleOne", Floor, { 0, 1, 2 }, { 1 }, { 0, 1, 2 }, {} },
                 StandingCase { "TheMostUrgent", Floor, { 0, 1, 2 }, { 0 }, { 0, 1, 2 }, {} },
-                // Where floors can't be met, priorities decide.
+                // If shares can't be met, priorities decide.
                 StandingCase { "AllBelow", Floor, { 0, 1, 2 }, { 0, 1, 2 }, { 0, 1, 2 }, {} },
                 StandingCase { "BothButFirst", Floor, { 0, 1, 2 }, { 1, 2 }, { 0, 1, 2 }, {} },
-                // Nothing stands between them, and the most urgent one never gives way.
+                // There is no queue in between, and the most urgent one never yields.
                 StandingCase { "TwoQueues", Floor, { 0, 5 }, { 5 }, { 0, 5 }, {} },
                 StandingCase { "Four", Floor, { 0, 1, 2, 3 }, { 3 }, { 0, 1, 2, 2 }, { 1, 2 } },
                 StandingCase {
@@ -131,13 +131,13 @@
     EXPECT_FALSE(standing(bench, 1).yields);
 }
 
-// A queue of another service has no part in the room.
+// Queues of different services don't share capacity.
 TEST(Floors, HoldWithinAService)
 {
     Bench bench({ 1000000 }, withFloor(Floor));
     setStandings(bench, { 0, 1, 2 }, {});
-    bench.scheduler.standings.at("queue-1").service = "other";
-    shares::noteRefused(bench.scheduler.shares, "queue-2", 100000, bench.now);
+    bench.scheduler.queueStatuses.at("queue-1").service = "other";
+    shares::recordRefused(bench.scheduler.shares, "queue-2", 100000, bench.now);
     bench.pass(Milliseconds(1));
     EXPECT_EQ(standing(bench, 2).effective, 2U);
     EXPECT_FALSE(standing(bench, 1).yields);
@@ -147,18 +147,18 @@
 {
     Bench bench({ 1000000 }, withFloor(Floor));
     setStandings(bench, { 0, 1, 2 }, { 2 });
-    keepQueues(bench.scheduler, { "queue-0", "queue-1" });
-    EXPECT_EQ(bench.scheduler.standings.count("queue-2"), 0U);
+    retainQueues(bench.scheduler, { "queue-0", "queue-1" });
+    EXPECT_EQ(bench.scheduler.queueStatuses.count("queue-2"), 0U);
     bench.pass(Milliseconds(1));
     EXPECT_FALSE(standing(bench, 1).yields);
 }
 
-// A queue that is declared anew with another priority goes by it at once.
+// A queue that is redeclared with another priority follows it at once.
 TEST(Floors, FollowAQueueOfAnotherPriority)
 {
     Bench bench({ 1000000 }, withFloor(Floor));
     setStandings(bench, { 0, 1, 2 }, { 2 });
-    bench.scheduler.standings.at("queue-2").priority = 7;
+    bench.scheduler.queueStatuses.at("queue-2").priority = 7;
     submitTo(bench, 2, "declared-anew");
     EXPECT_EQ(standing(bench, 2).effective, 2U);
 }
@@ -180,17 +180,17 @@
 class FloorOrder : public testing::TestWithParam<OrderCase>
 { };
 
-// Jobs that wait already change their place, and leave it as they were queued.
+// Waiting jobs move in the queue, and can still be removed from it.
 TEST_P(FloorOrder, ChangesWithTheStanding)
 {
     Bench bench({ 3000 }, withFloor(Floor));
     setStandings(bench, { 0, 1, 2 }, {});
     for (const std::uint32_t priority : { 2, 1, 0 })
         submitTo(bench, priority, "job-" + std::to_string(priority));
-    bench.scheduler.settings.waitPercent = 0;
+    bench.scheduler.settings.maxShortfallPercent = 0;
     for (const std::uint32_t priority : GetParam().below)
-        shares::noteRefused(bench.scheduler.shares, "queue-" + std::to_string(priority), 1000000,
-                            bench.now);
+        shares::recordRefused(bench.scheduler.shares, "queue-" + std::to_string(priority), 1000000,
+                              bench.now);
     bench.pass(Milliseconds(1));
     std::vector<std::string> order;
     for (const QueueKey &key : bench.scheduler.queue)
@@ -244,7 +244,7 @@
                                          WaitCase { "MiddleWhileBothBelow", { 1, 2 }, 1, true }),
                          [](const auto &tested) { return tested.param.name; });
 
-// The start goes by the priority that its queue was raised to, at agents too.
+// Starts carry the raised priority, so that agents follow it too.
 TEST(Floors, AreToldToAgents)
 {
     Bench bench({ 1000000 }, withFloor(Floor));
@@ -277,7 +277,7 @@
     Bench bench({ 1000 });
     GetParam().happens(bench);
     const shares::QueueShare share = bench.scheduler.shares.queues["queue"];
-    EXPECT_EQ(share.askedJobs, GetParam().asked);
+    EXPECT_EQ(share.requestedJobs, GetParam().asked);
     EXPECT_EQ(share.refusedJobs, GetParam().refused);
 }
 
@@ -285,50 +285,49 @@
 {
     jobs::StepSpec step;
     step.tasks = 1;
-    step.room = { 2000, 10, 0 };
+    step.demand = { 2000, 10, 0 };
     step.estimate = Milliseconds(100);
     bench.submit("too-large", { step });
 }
 
-INSTANTIATE_TEST_SUITE_P(Floors, Counted,
-                         testing::Values(CountedCase { "Placed",
-                                                       [](Bench &b) { b.submit("job", 1); }, 1, 0 },
-                                         CountedCase { "SentAgainWhileAtWork",
-                                                       [](Bench &b) {
-                                                           b.submit("job", 1);
-                                                           b.submit("job", 1);
-                                                       },
-                                                       1, 0 },
-                                         CountedCase { "NoRoomInTime",
-                                                       [](Bench &b) {
-                                                           b.submit("first", 1);
-                                                           b.submit("job", 1);
-                                                           b.pass(Milliseconds(1600));
-                                                       },
-                                                       2, 1 },
-                                         CountedCase { "RefusedAtOnce",
-                                                       [](Bench &b) {
-                                                           b.submit("first", 1);
-                                                           b.submit("before", 100);
-                                                           b.submit("job", 1);
-                                                       },
-                                                       3, 1 },
-                                         CountedCase { "NotServed",
-                                                       [](Bench &b) {
-                                                           b.traits.gang = true;
-                                                           b.submit("job", 1);
-                                                       },
-                                                       0, 0 },
-                                         CountedCase { "TooLargeForAll", submitUnsuited, 0, 0 },
-                                         CountedCase { "EntryStoodStill",
-                                                       [](Bench &b) {
-                                                           b.submit("first", 1);
-                                                           b.submit("job", 1);
-                                                           giveUpAll(b.scheduler, "it stood still",
-                                                                     b.now);
-                                                       },
-                                                       2, 0 }),
-                         [](const auto &tested) { return tested.param.name; });
+INSTANTIATE_TEST_SUITE_P(
+        Floors, Counted,
+        testing::Values(CountedCase { "Placed", [](Bench &b) { b.submit("job", 1); }, 1, 0 },
+                        CountedCase { "SentAgainWhileAtWork",
+                                      [](Bench &b) {
+                                          b.submit("job", 1);
+                                          b.submit("job", 1);
+                                      },
+                                      1, 0 },
+                        CountedCase { "NoRoomInTime",
+                                      [](Bench &b) {
+                                          b.submit("first", 1);
+                                          b.submit("job", 1);
+                                          b.pass(Milliseconds(1600));
+                                      },
+                                      2, 1 },
+                        CountedCase { "RefusedAtOnce",
+                                      [](Bench &b) {
+                                          b.submit("first", 1);
+                                          b.submit("before", 100);
+                                          b.submit("job", 1);
+                                      },
+                                      3, 1 },
+                        CountedCase { "NotServed",
+                                      [](Bench &b) {
+                                          b.traits.gang = true;
+                                          b.submit("job", 1);
+                                      },
+                                      0, 0 },
+                        CountedCase { "TooLargeForAll", submitUnsuited, 0, 0 },
+                        CountedCase { "EntryStoodStill",
+                                      [](Bench &b) {
+                                          b.submit("first", 1);
+                                          b.submit("job", 1);
+                                          closeAllJobs(b.scheduler, "this entry was paused", b.now);
+                                      },
+                                      2, 0 }),
+        [](const auto &tested) { return tested.param.name; });
 
 // [SECTION] Log
 
@@ -343,7 +342,7 @@
 {
     Bench bench({ 1000000 }, withFloor(Floor));
     setStandings(bench, { 0, 1, 2 }, {});
-    shares::noteRefused(bench.scheduler.shares, "queue-2", 100000, bench.now);
+    shares::recordRefused(bench.scheduler.shares, "queue-2", 100000, bench.now);
     EXPECT_EQ(countOf(bench.pass(Milliseconds(1)), "queue-below-floor"), 1U);
     EXPECT_EQ(countOf(bench.pass(Milliseconds(1)), "queue-below-floor"), 0U);
     EXPECT_EQ(countOf(bench.pass(Milliseconds(7000)), "queue-above-floor"), 1U);
