--- a/packages/scheduler/tests/order_test.cpp
+++ b/packages/scheduler/tests/order_test.cpp
@@ -1,5 +1,5 @@
 /*
-    Which waiting job goes next, and what decisions do not depend on.
+    Which waiting job goes next, and what decisions must not depend on.
 
     [SECTION] Order
 */
@@ -20,7 +20,7 @@
 class Orders : public testing::TestWithParam<OrderCase>
 { };
 
-// An early job with much time, and a later one with little.
+// An earlier job with much slack, and a later one with little.
 TEST_P(Orders, DecideWhichJobGoesNext)
 {
     SchedulerSettings settings;
@@ -29,21 +29,22 @@
     bench.submit("running", 1);
     jobs::StepSpec step;
     step.tasks = 1;
-    step.room = { 1000, 10, 0 };
+    step.demand = { 1000, 10, 0 };
     step.estimate = Milliseconds(200);
     bench.submit("patient", { step });
     bench.now += Milliseconds(5);
     step.estimate = Milliseconds(50);
     bench.submit("urgent", { step });
     const SchedulerActions actions = bench.report("agent-0",
-                                                  { endOf("running", 0, 1, RunEnd::Done) }, 1000);
+                                                  { endOf("running", 0, 1, RunOutcome::Done) },
+                                                  1000);
     ASSERT_EQ(startsIn(actions), 1U);
     EXPECT_EQ(std::get<jobs::StartTasks>(actions.sends.at(0).message).job, GetParam().first);
 }
 
 INSTANTIATE_TEST_SUITE_P(Scheduler, Orders,
-                         testing::Values(OrderCase { "LatestBegin", Order::LatestBegin, "urgent" },
-                                         OrderCase { "Newest", Order::Newest, "urgent" },
+                         testing::Values(OrderCase { "LatestBegin", Order::LatestStart, "urgent" },
+                                         OrderCase { "Newest", Order::NewestFirst, "urgent" },
                                          OrderCase { "Priority", Order::Priority, "urgent" },
                                          OrderCase { "LeastWork", Order::LeastWork, "urgent" },
                                          OrderCase { "FirstCome", Order::FirstCome, "patient" }),
@@ -59,7 +60,7 @@
 class Widths : public testing::TestWithParam<WidthCase>
 { };
 
-// A wide job came first, a narrow one with as much time after it; only one task finds room.
+// A wide job, and after it a narrow one with the same slack; only one task fits.
 TEST_P(Widths, CountWhereLeastWorkGoesFirst)
 {
     SchedulerSettings settings;
@@ -70,7 +71,8 @@
     bench.now += Milliseconds(1);
     bench.submit("narrow", 1);
     const SchedulerActions actions = bench.report("agent-0",
-                                                  { endOf("running", 0, 1, RunEnd::Done) }, 1000);
+                                                  { endOf("running", 0, 1, RunOutcome::Done) },
+                                                  1000);
     ASSERT_EQ(startsIn(actions), 1U);
     EXPECT_EQ(std::get<jobs::StartTasks>(actions.sends.at(0).message).job, GetParam().first);
 }
@@ -82,16 +84,16 @@
 
 TEST(SchedulerOrder, NamesAreReadBack)
 {
-    for (const Order order :
-         { Order::LatestBegin, Order::Newest, Order::FirstCome, Order::Priority, Order::LeastWork })
-        EXPECT_EQ(orderNamed(toString(order)), order);
-    EXPECT_FALSE(orderNamed("sideways"));
-    for (const Placement placement : { Placement::Fastest, Placement::Random, Placement::MostRoom })
-        EXPECT_EQ(placementNamed(toString(placement)), placement);
-    EXPECT_FALSE(placementNamed("sideways"));
+    for (const Order order : { Order::LatestStart, Order::NewestFirst, Order::FirstCome,
+                               Order::Priority, Order::LeastWork })
+        EXPECT_EQ(parseOrder(toString(order)), order);
+    EXPECT_FALSE(parseOrder("sideways"));
+    for (const Placement placement : { Placement::Fastest, Placement::Random, Placement::MostFree })
+        EXPECT_EQ(parsePlacement(toString(placement)), placement);
+    EXPECT_FALSE(parsePlacement("sideways"));
 }
 
-// What a decision depends on: not on what queues, services, jobs and data centres are called.
+// Decisions must not depend on the names of queues, services, jobs and data centres.
 struct Names
 {
     const char *queue;
@@ -103,20 +105,20 @@
 class RenamedWorlds : public testing::TestWithParam<Names>
 { };
 
-// A busy second of two queues on three endpoints that differ in pace: all starts, stops and
-// answers.
+// All starts, stops and answers in a second of load by two queues on three endpoints of different
+// speed.
 std::vector<std::string> decisionsUnder(const Names &names)
 {
     SchedulerState scheduler = makeScheduler({});
     Time now(Seconds(100));
     for (int i = 0; i < 3; ++i) {
-        jobs::Welcome welcome;
+        jobs::SessionAccepted welcome;
         welcome.endpoint = makeView(4000);
         welcome.endpoint.service = names.service;
         welcome.endpoint.dataCentre = names.dataCentre;
-        welcome.endpoint.paceMille = 800 + 300 * static_cast<std::uint32_t>(i);
+        welcome.endpoint.slowdownPermille = 800 + 300 * static_cast<std::uint32_t>(i);
         agentConnected(scheduler, "agent-" + std::to_string(i), now);
-        agentWelcomed(scheduler, "agent-" + std::to_string(i), welcome, now);
+        agentAccepted(scheduler, "agent-" + std::to_string(i), welcome, now);
     }
     std::vector<std::string> decisions;
     const auto note = [&](const SchedulerActions &actions) {
@@ -133,28 +135,28 @@
         now += Milliseconds(10);
         jobs::StepSpec step;
         step.tasks = 1 + static_cast<std::uint32_t>(i % 5);
-        step.room = { 700, 10, 0 };
+        step.demand = { 700, 10, 0 };
         step.estimate = Milliseconds(50 + 17 * (i % 7));
         jobs::JobSpec spec;
         spec.id = names.job + std::to_string(i);
         spec.steps = { step };
-        JobTerms terms;
-        terms.queue = names.queue + std::to_string(i % 2);
-        terms.service = names.service;
-        terms.priority = static_cast<std::uint32_t>(i % 2);
-        terms.attempts = 2;
-        terms.stretch = 1.6;
-        terms.targetLatency = Milliseconds(60);
-        terms.beginBy = now + Milliseconds(1500);
+        JobOptions options;
+        options.queue = names.queue + std::to_string(i % 2);
+        options.service = names.service;
+        options.priority = static_cast<std::uint32_t>(i % 2);
+        options.attempts = 2;
+        options.stretch = 1.6;
+        options.targetLatency = Milliseconds(60);
+        options.startDeadline = now + Milliseconds(1500);
         std::uint64_t number = 0;
-        note(submit(scheduler, spec, terms, now, &number));
+        note(submit(scheduler, spec, options, now, &number));
         for (auto &[name, agent] : scheduler.agents)
-            agent.heardAt = now;
+            agent.lastReceivedAt = now;
         jobs::AgentUpdate update;
         const std::string name = "agent-" + std::to_string(i % 3);
-        update.startsTaken = scheduler.agents.at(name).startsSent;
+        update.startsHandled = scheduler.agents.at(name).startsSent;
         update.free = { std::int64_t { 700 } * (i % 4), 10000, 0 };
-        update.mostStarts = 1000;
+        update.maxStarts = 1000;
         note(agentUpdated(scheduler, name, update, now));
         note(tick(scheduler, now));
     }
@@ -174,14 +176,14 @@
                                          Names { "queue", "align", "9f", "north" },
                                          Names { "queue", "align", "job", "a-very-long-name" }));
 
-// A queue's priority goes before how little time a job of another queue has.
+// A more urgent priority comes before less slack.
 TEST(SchedulerOrder, PriorityGoesBeforeTheLatestBegin)
 {
     Bench bench({ 1000 });
     bench.submit("running", 1);
     jobs::StepSpec step;
     step.tasks = 1;
-    step.room = { 1000, 10, 0 };
+    step.demand = { 1000, 10, 0 };
     step.estimate = Milliseconds(50);
     bench.priority = 2;
     bench.submit("pressing", { step });
@@ -189,7 +191,8 @@
     bench.priority = 0;
     bench.submit("first-class", { step });
     const SchedulerActions actions = bench.report("agent-0",
-                                                  { endOf("running", 0, 1, RunEnd::Done) }, 1000);
+                                                  { endOf("running", 0, 1, RunOutcome::Done) },
+                                                  1000);
     ASSERT_EQ(startsIn(actions), 1U);
     EXPECT_EQ(std::get<jobs::StartTasks>(actions.sends.at(0).message).job, "first-class");
 }
@@ -199,8 +202,8 @@
     const char *name;
     bool refuseLate;
 
-    // After the job came: 100 ms of work within 220 ms, so a latest begin at 120 ms and 50 ms of
-    // margin
+    // Since the job's arrival: 100 ms of work due within 220 ms, so a latest start at 120 ms, and a
+    // margin of 50 ms
     Milliseconds waited;
     bool refused;
 };
@@ -231,15 +234,15 @@
                                                     false }),
                          [](const auto &tested) { return tested.param.name; });
 
-// Jobs of a queue that take twice what callers guess have half of the time that the guess leaves.
+// If a queue's jobs take twice their estimates, the expected time follows and leaves less slack.
 TEST(SchedulerOrder, ObjectivesFollowWhatTheQueuesJobsShowed)
 {
     Bench bench({ 100000 });
     for (int i = 0; i < 300; ++i) {
         const std::string id = "past-" + std::to_string(i);
         bench.submit(id, 1);
-        jobs::RunReport report = endOf(id, 0, 1, RunEnd::Done);
-        report.took = Milliseconds(200);
+        jobs::RunReport report = endOf(id, 0, 1, RunOutcome::Done);
+        report.duration = Milliseconds(200);
         bench.report("agent-0", { report });
     }
     bench.submit("next", 1);
@@ -253,12 +256,12 @@
 {
     Bench bench({ 100000 });
     bench.submit("job", 1);
-    jobs::RunReport report = endOf("job", 0, 1, RunEnd::Done);
-    report.took = Milliseconds(200);
+    jobs::RunReport report = endOf("job", 0, 1, RunOutcome::Done);
+    report.duration = Milliseconds(200);
     bench.report("agent-0", { report });
-    keepQueues(bench.scheduler, { "queue" });
+    retainQueues(bench.scheduler, { "queue" });
     EXPECT_EQ(bench.scheduler.runTimes.size(), 1U);
-    keepQueues(bench.scheduler, { "another" });
+    retainQueues(bench.scheduler, { "another" });
     EXPECT_TRUE(bench.scheduler.runTimes.empty());
 }
 
@@ -267,13 +270,13 @@
     Bench bench({ 1000 });
     jobs::StepSpec step;
     step.tasks = 2;
-    step.room = { 1000, 10, 0 };
+    step.demand = { 1000, 10, 0 };
     step.estimate = Milliseconds(200);
     bench.submit("begun", { step });
     step.estimate = Milliseconds(20);
     bench.submit("urgent", { step });
-    const SchedulerActions actions = bench.report("agent-0", { endOf("begun", 0, 1, RunEnd::Done) },
-                                                  1000);
+    const SchedulerActions actions = bench.report("agent-0",
+                                                  { endOf("begun", 0, 1, RunOutcome::Done) }, 1000);
     ASSERT_EQ(startsIn(actions), 1U);
     EXPECT_EQ(std::get<jobs::StartTasks>(actions.sends.at(0).message).job, "begun");
 }
--- a/packages/scheduler/tests/placing_test.cpp
+++ b/packages/scheduler/tests/placement_test.cpp
@@ -1,5 +1,5 @@
 /*
-    What starts where.
+    Placement of tasks on endpoints.
 
     [SECTION] Placing
 */
@@ -14,7 +14,7 @@
 {
     Bench bench({ 2000, 1000 });
     EXPECT_EQ(startsIn(bench.submit("job", 5)), 3U);
-    // Nothing is known of room that starts on their way will take.
+    // Free capacity already promised to starts on the way is not used again.
     EXPECT_EQ(startsIn(bench.pass(Milliseconds(20))), 0U);
     EXPECT_EQ(startsIn(bench.report("agent-0", {}, 1000)), 1U);
 }
@@ -23,7 +23,7 @@
 {
     Bench bench({});
     jobs::EndpointView slow = makeView(4000);
-    slow.paceMille = 1500;
+    slow.slowdownPermille = 1500;
     bench.welcome("agent-slow", slow);
     bench.welcome("agent-fast", makeView(4000));
     const SchedulerActions actions = bench.submit("job", 2);
@@ -49,7 +49,7 @@
 TEST_P(Suits, OnlyEndpointsThatMay)
 {
     SchedulerSettings settings;
-    settings.waitPercent = 0;
+    settings.maxShortfallPercent = 0;
     Bench bench({}, settings);
     jobs::EndpointView view = makeView(4000);
     view.labels = { "b", "r1" };
@@ -57,7 +57,7 @@
     bench.welcome("agent-0", view);
     jobs::StepSpec step;
     step.tasks = 1;
-    step.room = { 1000, 10, 0 };
+    step.demand = { 1000, 10, 0 };
     step.estimate = Milliseconds(100);
     step.label = "b";
     EXPECT_EQ(startsIn(bench.submit("job", { step })), GetParam().starts ? 1U : 0U);
@@ -71,11 +71,11 @@
                            false },
                 SuitCase { "NoLabel", [](jobs::EndpointView &v) { v.labels = { "a" }; }, false },
                 SuitCase { "Leaving", [](jobs::EndpointView &v) { v.leaving = true; }, false },
-                SuitCase { "OnTrial", [](jobs::EndpointView &v) { v.mostStarts = 0; }, false },
+                SuitCase { "OnTrial", [](jobs::EndpointView &v) { v.maxStarts = 0; }, false },
                 SuitCase { "Full", [](jobs::EndpointView &v) { v.free.milliCores = 999; }, false }),
         [](const auto &tested) { return tested.param.name; });
 
-// Two endpoints in "north" and one in "south", each with room for four tasks.
+// Two endpoints in "north" and one in "south", each with capacity for four tasks.
 struct CordonedBench : Bench
 {
     CordonedBench()
@@ -91,7 +91,7 @@
 
     SchedulerActions cordon(std::uint64_t revision, const std::vector<std::string> &dataCentres)
     {
-        return takeCordons(scheduler, { revision, dataCentres }, now);
+        return applyCordons(scheduler, { revision, dataCentres }, now);
     }
 };
 
@@ -114,19 +114,19 @@
     bench.cordon(1, { "north" });
     bench.submit("job", 6);
     EXPECT_EQ(startsIn(bench.cordon(2, {})), 2U);
-    // Older news that comes late
+    // An older revision that arrives late
     bench.cordon(1, { "north" });
     EXPECT_TRUE(bench.scheduler.cordons.dataCentres.empty());
 }
 
-// A third of the room stays: what came free in the other two is nothing that work can wait for.
+// A third of the capacity stays: what was freed in the other two thirds no longer counts.
 TEST(SchedulerCordon, CountsOnlyRoomThatStays)
 {
     CordonedBench bench;
     bench.submit("job", 12);
     for (std::uint32_t index = 0; index < 12; ++index) {
         const std::string agent = bench.scheduler.jobs.begin()->second.tasks[index].agent;
-        bench.report(agent, { endOf("job", index, 1, RunEnd::Done) });
+        bench.report(agent, { endOf("job", index, 1, RunOutcome::Done) });
     }
     const double before = bench.scheduler.freed.begin()->second.ofLate.amount;
     bench.cordon(1, { "north" });
@@ -138,9 +138,9 @@
     Bench bench({ 8000, 8000 });
     jobs::StepSpec step;
     step.tasks = 6;
-    step.room = { 1000, 10, 0 };
+    step.demand = { 1000, 10, 0 };
     step.estimate = Milliseconds(100);
-    step.mostPerEndpoint = 2;
+    step.maxPerEndpoint = 2;
     EXPECT_EQ(startsIn(bench.submit("job", { step })), 4U);
 }
 
@@ -149,17 +149,17 @@
     Bench bench({ 8000 });
     jobs::StepSpec first;
     first.tasks = 2;
-    first.room = { 1000, 10, 0 };
+    first.demand = { 1000, 10, 0 };
     first.estimate = Milliseconds(100);
     jobs::StepSpec second = first;
     second.tasks = 3;
     second.after = { 0 };
     EXPECT_EQ(startsIn(bench.submit("job", { first, second })), 2U);
-    EXPECT_EQ(startsIn(bench.report("agent-0", { endOf("job", 0, 1, RunEnd::Done) })), 0U);
-    EXPECT_EQ(startsIn(bench.report("agent-0", { endOf("job", 1, 1, RunEnd::Done) })), 3U);
+    EXPECT_EQ(startsIn(bench.report("agent-0", { endOf("job", 0, 1, RunOutcome::Done) })), 0U);
+    EXPECT_EQ(startsIn(bench.report("agent-0", { endOf("job", 1, 1, RunOutcome::Done) })), 3U);
 }
 
-// Eighty full endpoints, sixteen jobs that wait, and one endpoint that tells its room.
+// Eighty full endpoints, sixteen waiting jobs, and one endpoint that reports its free capacity.
 struct NewsCase
 {
     const char *name;
@@ -192,12 +192,12 @@
                                          NewsCase { "RoomForThree", 500, 3500, 32, 3 }),
                          [](const auto &tested) { return tested.param.name; });
 
-std::size_t wishesIn(const SchedulerActions &actions, bool wantsRoom)
+std::size_t wishesIn(const SchedulerActions &actions, bool needsCapacity)
 {
     return static_cast<std::size_t>(
             std::count_if(actions.sends.begin(), actions.sends.end(), [&](const AgentSend &send) {
-                const auto *beat = std::get_if<jobs::SessionBeat>(&send.message);
-                return beat && beat->wantsRoom == wantsRoom;
+                const auto *heartbeat = std::get_if<jobs::SessionHeartbeat>(&send.message);
+                return heartbeat && heartbeat->needsCapacity == needsCapacity;
             }));
 }
 
@@ -215,15 +215,15 @@
     EXPECT_EQ(wishesIn(actions, false), 3U);
 }
 
-// An entry of one data centre among endpoints of two, four cores each: how many of a job's tasks,
-// of a core each, start at the entry's own.
+// An entry of one data centre and endpoints of two, with four cores each: how many of a job's
+// one-core tasks start in the entry's own.
 struct AwayCase
 {
     const char *name;
     const char *entryAt;
-    std::uint32_t awayPercent;
+    std::uint32_t remotePercent;
 
-    // Time taken by the endpoint at home, in thousandths of what callers guess
+    // Time taken by work at the local endpoint, in thousandths of its estimates
     std::uint32_t homePace;
     bool homeLeaves;
     std::uint32_t tasks;
@@ -239,13 +239,13 @@
     const AwayCase &tested = GetParam();
     SchedulerSettings settings;
     settings.dataCentre = tested.entryAt;
-    settings.awayPercent = tested.awayPercent;
+    settings.remotePercent = tested.remotePercent;
     Bench bench({}, settings);
     for (const char *place : { "a-1", "b-1", "b-2", "b-3" }) {
         jobs::EndpointView view = makeView(4000);
         view.dataCentre = std::string(place).substr(0, 1);
         const bool home = view.dataCentre == "a";
-        view.paceMille = home ? tested.homePace : 1000;
+        view.slowdownPermille = home ? tested.homePace : 1000;
         view.leaving = home && tested.homeLeaves;
         bench.welcome(place, view);
     }
@@ -269,7 +269,7 @@
                                          AwayCase { "NotKnown", "", 50, 1000, false, 16, 4, 16 }),
                          [](const auto &tested) { return tested.param.name; });
 
-// Four endpoints of four cores, some of which were not heard of for a while: starts at those.
+// Four endpoints of four cores, some of them silent for a while: how many tasks start at those.
 struct QuietCase
 {
     const char *name;
@@ -308,24 +308,24 @@
 {
     const char *name;
 
-    // Of the job, and of one of another queue that came before
+    // Of the job, and of an earlier one of another queue
     std::uint32_t priority;
     std::uint32_t otherPriority;
 
-    // Free at the only endpoint, of 10000
+    // Free millicores at the only endpoint, of 10000
     std::int64_t free;
-    std::int64_t waitPercent;
+    std::int64_t maxShortfallPercent;
     bool sent;
 };
 
 class Waits : public testing::TestWithParam<WaitCase>
 { };
 
-// A task of 1000 where there is no room for it.
+// A task of 1000 millicores, with less than that free.
 TEST_P(Waits, AtAnAgentOnlyWhatGoesFirstThere)
 {
     SchedulerSettings settings;
-    settings.waitPercent = GetParam().waitPercent;
+    settings.maxShortfallPercent = GetParam().maxShortfallPercent;
     Bench bench({ 10000 }, settings);
     bench.priority = GetParam().otherPriority;
     bench.submit("other", 1);
@@ -337,7 +337,7 @@
         return;
     const auto &message = std::get<jobs::StartTasks>(actions.sends.at(0).message);
     EXPECT_EQ(message.priority, GetParam().priority);
-    EXPECT_EQ(message.mayWait, settings.mostWait);
+    EXPECT_EQ(message.maxWait, settings.mostWait);
 }
 
 INSTANTIATE_TEST_SUITE_P(Scheduler, Waits,
@@ -348,7 +348,7 @@
                                          WaitCase { "SwitchedOff", 0, 1, 0, 0, false }),
                          [](const auto &tested) { return tested.param.name; });
 
-// A session that a run needs is kept: its end would be told to nobody.
+// The end of a run is reported in its session.
 TEST(SchedulerPlacing, ASessionIsReleasedOnlyOnceNoRunNeedsIt)
 {
     Bench bench({ 10000, 10000 });
@@ -358,30 +358,30 @@
     EXPECT_FALSE(releaseAgent(bench.scheduler, busy));
     EXPECT_TRUE(releaseAgent(bench.scheduler, idle));
     EXPECT_EQ(bench.scheduler.agents.count(idle), 0U);
-    bench.report(busy, { endOf("job", 0, 1, RunEnd::Done) });
+    bench.report(busy, { endOf("job", 0, 1, RunOutcome::Done) });
     EXPECT_TRUE(releaseAgent(bench.scheduler, busy));
 }
 
-// An endpoint that suits is there and only has no session yet: the job is not given up for it.
+// A suitable endpoint exists but has no session yet: the job is not refused.
 TEST(SchedulerPlacing, AJobWaitsForAnEndpointThatIsKnownToSuit)
 {
     Bench bench({ 10000 });
     jobs::StepSpec step;
     step.tasks = 1;
-    step.room = { 20000, 10, 0 };
+    step.demand = { 20000, 10, 0 };
     step.estimate = Milliseconds(100);
     jobs::JobSpec spec;
     spec.id = "large";
     spec.steps = { step };
     spec.traits = bench.traits;
-    JobTerms terms = bench.terms();
-    terms.suitableElsewhere = true;
-    const SchedulerActions waits = submit(bench.scheduler, spec, terms, bench.now, &bench.number);
+    JobOptions options = bench.options();
+    options.suitableUnconnected = true;
+    const SchedulerActions waits = submit(bench.scheduler, spec, options, bench.now, &bench.number);
     EXPECT_TRUE(waits.answers.empty());
     EXPECT_EQ(startsIn(bench.welcome("agent-1", makeView(20000))), 1U);
 }
 
-// The most urgent queue is dropped: the next one takes its place at the agents.
+// The most urgent queue is removed: starts of the next one may wait at agents.
 TEST(SchedulerPlacing, WhatGoesFirstIsLearnedAnewWhenTheQueuesChange)
 {
     Bench bench({ 10000 });
@@ -389,7 +389,7 @@
         bench.priority = priority;
         bench.submit("before-" + std::to_string(priority), 1);
     }
-    keepQueues(bench.scheduler, {});
+    retainQueues(bench.scheduler, {});
     bench.priority = 2;
     bench.submit("after-2", 1);
     bench.report("agent-0", {}, 0);
@@ -397,7 +397,7 @@
     EXPECT_EQ(startsIn(bench.submit("after-1", 1)), 1U);
 }
 
-// A start that waits at an agent may still begin: nothing is said of it before the agent does.
+// A start that waits at an agent may still begin: the job is not answered before the agent reports.
 TEST(SchedulerPlacing, AJobThatWaitsAtAnAgentIsRefusedOnlyAfterTheAgentsWord)
 {
     Bench bench({ 10000 });
@@ -408,8 +408,8 @@
     bench.submit("job", 1);
     EXPECT_TRUE(bench.pass(Milliseconds(100)).answers.empty());
     const SchedulerActions actions = bench.report("agent-0",
-                                                  { endOf("job", 0, 1, RunEnd::NeverBegan,
-                                                          RefusedStart::NoRoom) },
+                                                  { endOf("job", 0, 1, RunOutcome::NeverStarted,
+                                                          StartRefusal::NoCapacity) },
                                                   0);
     const SchedulerActions next = bench.pass(Milliseconds(1));
     ASSERT_EQ(actions.answers.size() + next.answers.size(), 1U);
--- a/packages/scheduler/tests/outlook_test.cpp
+++ b/packages/scheduler/tests/waitestimate_test.cpp
@@ -1,6 +1,6 @@
 /*
-    What follows from the forecast: refusal at arrival, late jobs that wait on, and when callers
-    should come back.
+    Decisions by the forecast: refusal at arrival, late jobs that keep waiting, and when callers
+   retry.
 
     [SECTION] Helpers
     [SECTION] Arrivals
@@ -23,7 +23,7 @@
     return settings;
 }
 
-// One agent of 1000 thousandths of a core, all taken by a run of a job that came first.
+// One agent of 1000 millicores, all in use by an earlier job.
 struct BusyBench : Bench
 {
     explicit BusyBench(const SchedulerSettings &settings)
@@ -33,19 +33,19 @@
         tell(0);
     }
 
-    // The agent tells this as free, and the pace of the test.
+    // An update with this free capacity and the test's rate.
     SchedulerActions tell(std::int64_t free)
     {
         jobs::AgentUpdate update;
-        update.startsTaken = scheduler.agents.at("agent-0").startsSent;
+        update.startsHandled = scheduler.agents.at("agent-0").startsSent;
         update.free = { free, 10000, 0 };
-        update.mostStarts = 1000;
+        update.maxStarts = 1000;
         update.waiting = waiting;
         update.freedPerSecond = freedPerSecond;
         return agentUpdated(scheduler, "agent-0", update, now);
     }
 
-    // Time goes by in ticks, and the agent tells the same in each.
+    // Lets time pass in ticks, with the same update in each.
     SchedulerActions wait(Milliseconds span, std::int64_t free)
     {
         constexpr Milliseconds Turn { 20 };
@@ -68,17 +68,17 @@
         spec.traits = traits;
         spec.steps.resize(1);
         spec.steps[0].tasks = tasks;
-        spec.steps[0].room = { taskCores, 10, 0 };
+        spec.steps[0].demand = { taskCores, 10, 0 };
         spec.steps[0].estimate = Milliseconds(100);
-        JobTerms its = terms();
+        JobOptions its = options();
         if (patience)
-            its.patienceUntil = now + *patience;
+            its.callerDeadline = now + *patience;
         if (timeout)
-            its.beginBy = now + *timeout;
+            its.startDeadline = now + *timeout;
         return scheduler::submit(scheduler, spec, its, now, &number);
     }
 
-    std::vector<jobs::WaitingRoom> waiting;
+    std::vector<jobs::PriorityBacklog> waiting;
     std::uint32_t freedPerSecond = 0;
     std::optional<Milliseconds> timeout;
     std::int64_t taskCores = 1000;
@@ -102,11 +102,11 @@
     bool forecast;
     std::uint32_t freedPerSecond;
 
-    // Thousandths of a core that wait at the agent with priority 0
+    // Millicores that wait at the agent with priority 0
     std::int64_t waitingThere;
     std::uint32_t priority;
 
-    // Age of the agent's news
+    // Age of the agent's update
     Milliseconds age;
     bool refused;
 };
@@ -114,8 +114,8 @@
 class ForecastArrivals : public testing::TestWithParam<ForecastCase>
 { };
 
-// A job of 1000 thousandths of a core has 70 ms until it counts as late, and may wait for twice
-// that. Without a share of its own that is known, the entry counts on all that comes free.
+// A job of 1000 millicores has 70 ms until it counts as late, and may wait for twice that. While
+// its own share is not known, the entry counts on all freed capacity.
 TEST_P(ForecastArrivals, AreRefusedIfTheyCannotBeOnTime)
 {
     SchedulerSettings settings;
@@ -132,8 +132,8 @@
     if (!GetParam().refused)
         return;
     EXPECT_EQ(actions.answers[0].outcome, JobOutcome::NotRun);
-    EXPECT_GE(actions.answers[0].retryAfter, forecast::LeastComeBack);
-    EXPECT_LE(actions.answers[0].retryAfter, forecast::MostComeBack);
+    EXPECT_GE(actions.answers[0].retryAfter, forecast::MinRetryAfter);
+    EXPECT_LE(actions.answers[0].retryAfter, forecast::MaxRetryAfter);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -152,7 +152,7 @@
 {
     const char *name;
 
-    // Ends here of runs of priority 0 and 2, of 1000 thousandths of a core each
+    // Runs of priority 0 and 2 that end here, of 1000 millicores each
     std::uint32_t urgentEnds;
     std::uint32_t otherEnds;
     std::uint32_t priority;
@@ -162,7 +162,7 @@
 class Shares : public testing::TestWithParam<ShareCase>
 { };
 
-// Agents have told of four such ends: what more urgent jobs get does not come to the others.
+// Agents have reported four such ends. A queue does not get what more urgent jobs take.
 TEST_P(Shares, AreThePartOfFreedRoomThatComesToAPriority)
 {
     Bench bench({ 1000 }, withForecast(false));
@@ -192,7 +192,7 @@
     std::optional<Milliseconds> patience;
     std::optional<Milliseconds> timeout;
 
-    // After the job came
+    // Time since the job's arrival
     Milliseconds after;
     bool refused;
 };
@@ -200,7 +200,7 @@
 class WaitingOn : public testing::TestWithParam<WaitOnCase>
 { };
 
-// 100 ms of work within 220 ms, which counts as late after 70 ms.
+// 100 ms of work due within 220 ms, which counts as late after 70 ms.
 TEST_P(WaitingOn, LastsAsLongAsTheJobBeginsBeforeItsCallerIsGone)
 {
     BusyBench bench(withForecast(GetParam().serveLate));
@@ -213,7 +213,7 @@
     if (GetParam().refused) {
         EXPECT_EQ(actions.answers[0].outcome, JobOutcome::NotRun);
     }
-    EXPECT_EQ(outlook(bench.scheduler, bench.now).waitingLate,
+    EXPECT_EQ(forecastStatus(bench.scheduler, bench.now).waitingLate,
               GetParam().refused || !GetParam().serveLate ? 0U : 1U);
 }
 
@@ -282,13 +282,13 @@
 {
     const char *name;
 
-    // For how long the agent tells of free room
+    // For how long the agent reports free capacity
     Milliseconds rested;
     std::uint32_t tasks;
     std::int64_t taskCores;
     std::int64_t free;
 
-    // Another job of the size of the agent waits, and can be on time for 160 ms
+    // Whether a job of the agent's whole capacity waits that can be on time for 160 ms
     bool onTimeWaits;
     std::vector<std::string> started;
 };
@@ -296,7 +296,7 @@
 class LateStarts : public testing::TestWithParam<LateStartCase>
 { };
 
-// A late job that waits on, at an agent of one core.
+// A late job that keeps waiting, at an agent of one core.
 TEST_P(LateStarts, TakeOnlyRoomThatNobodyElseWants)
 {
     BusyBench bench(withForecast(true));
@@ -307,7 +307,7 @@
     ASSERT_TRUE(bench.wait(Milliseconds(200), 0).answers.empty());
     jobs::StepSpec step;
     step.tasks = 1;
-    step.room = { 1000, 10, 0 };
+    step.demand = { 1000, 10, 0 };
     step.estimate = Milliseconds(1000);
     if (GetParam().onTimeWaits)
         bench.submit("on-time", { step });
@@ -335,7 +335,7 @@
                 LateStartCase { "NotWhileOnTimeWaits", Milliseconds(120), 1, 500, 500, true, {} }),
         [](const auto &tested) { return tested.param.name; });
 
-// Its later steps need no room yet.
+// Later steps need no capacity yet.
 TEST(LateStart, NeedsRoomForItsFirstStepOnly)
 {
     BusyBench bench(withForecast(true));
@@ -346,12 +346,12 @@
     spec.traits = bench.traits;
     spec.steps.resize(2);
     spec.steps[0].tasks = spec.steps[1].tasks = 1;
-    spec.steps[0].room = spec.steps[1].room = { 1000, 10, 0 };
+    spec.steps[0].demand = spec.steps[1].demand = { 1000, 10, 0 };
     spec.steps[0].estimate = spec.steps[1].estimate = Milliseconds(50);
     spec.steps[1].after = { 0 };
-    JobTerms terms = bench.terms();
-    terms.patienceUntil = bench.now + Milliseconds(1000);
-    submit(bench.scheduler, spec, terms, bench.now, &bench.number);
+    JobOptions options = bench.options();
+    options.callerDeadline = bench.now + Milliseconds(1000);
+    submit(bench.scheduler, spec, options, bench.now, &bench.number);
     ASSERT_TRUE(bench.wait(Milliseconds(200), 0).answers.empty());
     EXPECT_EQ(startsIn(bench.wait(Milliseconds(120), 1000)), 1U);
 }
@@ -360,24 +360,24 @@
 TEST(LateStart, DoesNotHoldUpWhatHasBegun)
 {
     SchedulerSettings settings = withForecast(true);
-    settings.mostPassedOver = 1;
+    settings.maxUnplaced = 1;
     BusyBench bench(settings);
     bench.freedPerSecond = 20000;
-    bench.report("agent-0", { endOf("running", 0, 1, RunEnd::Done) }, 1000);
+    bench.report("agent-0", { endOf("running", 0, 1, RunOutcome::Done) }, 1000);
     bench.submit("begun", 2);
     bench.wait(Milliseconds(500), 0);
-    // All room that comes free is this entry's.
+    // This entry's share is all freed capacity.
     addTo(bench.scheduler.freed["align"].own[0], settings.shareSpan, 20000, bench.now);
     bench.taskCores = 600;
     bench.timeout = Milliseconds(9000);
     bench.submitPatient("late", Milliseconds(9000), 2);
     bench.wait(Milliseconds(100), 0);
     ASSERT_EQ(bench.scheduler.queue.rbegin()->group, Rank::Hopeless);
-    EXPECT_EQ(outlook(bench.scheduler, bench.now).waitingLate, 1U);
+    EXPECT_EQ(forecastStatus(bench.scheduler, bench.now).waitingLate, 1U);
     EXPECT_EQ(startedIn(bench.wait(Milliseconds(20), 1000)), std::vector<std::string> { "begun" });
 }
 
-// A start that waits at an agent holds room back from all that is on time.
+// A start that waits at an agent holds capacity back from jobs that are on time.
 TEST(LateStart, NeverWaitsAtAnAgent)
 {
     BusyBench bench(withForecast(true));
@@ -388,11 +388,11 @@
     bench.wait(Milliseconds(200), 0);
     for (const AgentSend &send : bench.wait(Milliseconds(120), 1000).sends) {
         if (const auto *start = std::get_if<jobs::StartTasks>(&send.message)) {
-            EXPECT_EQ(start->mayWait, Milliseconds(0));
+            EXPECT_EQ(start->maxWait, Milliseconds(0));
         }
     }
     EXPECT_EQ(bench.scheduler.counters.servedLate, 0U);
-    bench.report("agent-0", { endOf("late", 0, 1, RunEnd::Done) });
+    bench.report("agent-0", { endOf("late", 0, 1, RunOutcome::Done) });
     EXPECT_EQ(bench.scheduler.counters.servedLate, 1U);
 }
 
@@ -402,11 +402,11 @@
 {
     const char *name;
 
-    // Late jobs wait, and the spell of waiting has lasted so long
+    // Late jobs that wait, and how long there have been such
     std::size_t jobs;
     Milliseconds lasted;
 
-    // Thousandths of a core that late jobs got of late
+    // Millicores recently given to late jobs
     double taken;
     std::size_t waiting;
 };
@@ -414,7 +414,7 @@
 class LongSpells : public testing::TestWithParam<LongSpellCase>
 { };
 
-// Jobs of one core and 100 ms; all would begin in time by the forecast.
+// Jobs of one core and 100 ms; by the forecast all of them would begin in time.
 TEST_P(LongSpells, LetAsManyWaitAsLateJobsGotRoomFor)
 {
     BusyBench bench(withForecast(true));
@@ -427,7 +427,7 @@
     spell.seenAt = bench.now;
     spell.taken = { GetParam().taken, bench.now };
     bench.wait(Milliseconds(100), 0);
-    EXPECT_EQ(outlook(bench.scheduler, bench.now).waitingLate, GetParam().waiting);
+    EXPECT_EQ(forecastStatus(bench.scheduler, bench.now).waitingLate, GetParam().waiting);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -440,7 +440,7 @@
 
 // [SECTION] Coming back
 
-// Those who are turned away together come back spread over a while.
+// Callers refused together must not all retry together.
 TEST(ComingBack, IsSpreadOverThoseWhoAreRefusedTogether)
 {
     BusyBench bench(withForecast(false));
--- a/packages/shares/include/foxwing/shares/shares.h
+++ b/packages/shares/include/foxwing/shares/shares.h
@@ -7,9 +7,9 @@
     below it goes before others until it is above again.
 
         ShareState shares;
-        noteAsked(shares, "route-check", work, now);
-        noteRefused(shares, "route-check", work, now);
-        if (isBelowFloor(shares, "route-check", now)) ... let its next job go first ...
+        recordRequested(shares, "route-check", work, now);
+        recordRefused(shares, "route-check", work, now);
+        if (isBelowGuarantee(shares, "route-check", now)) ... let its next job go first ...
 
     [SECTION] Settings
     [SECTION] State
@@ -32,7 +32,7 @@
 {
     // Each queue is to be served at least this part of the work it asked for, in percent; zero:
     // there is no floor, and priorities alone decide.
-    std::uint32_t floorPercent = 0;
+    std::uint32_t guaranteedPercent = 0;
 
     // What was asked and refused counts for about this long: some jobs of each queue, and less than
     // an overload. It keeps a queue from changing its standing with each job.
@@ -50,7 +50,7 @@
     Time at {};
 
     // Jobs since the queue was declared
-    std::uint64_t askedJobs = 0;
+    std::uint64_t requestedJobs = 0;
     std::uint64_t refusedJobs = 0;
 };
 
@@ -63,18 +63,18 @@
 // [SECTION] Functions
 
 // A job of so much work has come.
-void noteAsked(ShareState &shares, const std::string &queue, std::int64_t work, Time now);
+void recordRequested(ShareState &shares, const std::string &queue, std::int64_t work, Time now);
 
 // Such a job was refused since room lacked.
-void noteRefused(ShareState &shares, const std::string &queue, std::int64_t work, Time now);
+void recordRefused(ShareState &shares, const std::string &queue, std::int64_t work, Time now);
 
 // What was not refused of what was asked of late, work that still waits included; 100 for a queue
 // that asked for nothing.
 std::uint32_t servedPercent(const ShareState &shares, const std::string &queue, Time now);
 
-bool isBelowFloor(const ShareState &shares, const std::string &queue, Time now);
+bool isBelowGuarantee(const ShareState &shares, const std::string &queue, Time now);
 
 // Other queues are declared: forgets those that are gone.
-void keepQueues(ShareState &shares, const std::set<std::string> &declared);
+void retainQueues(ShareState &shares, const std::set<std::string> &declared);
 
 } // namespace foxwing::shares
--- a/packages/subset/include/foxwing/subset/subset.h
+++ b/packages/subset/include/foxwing/subset/subset.h
@@ -12,7 +12,7 @@
     time.
 
         SubsetState subset = makeSubset(settings, "entry-7", "north");
-        takeUpdate(subset, controlHost, update);
+        applyUpdate(subset, controlHost, update);
         const SubsetChanges changes = choose(subset, now);
         ... dial changes.added, offer changes.spare to be dropped ...
 
@@ -38,7 +38,7 @@
 {
     // Agents of each service in the subset, where the fleet has more. One that is lost then takes
     // less than a fiftieth of the room in reach.
-    std::size_t least = 64;
+    std::size_t minSize = 64;
 
     // Entries that reach an agent on average. Where entries are few each works with more agents;
     // otherwise some agents would be in nobody's reach.
@@ -55,8 +55,8 @@
     // new sessions have time to show whether they were enough. After a restart of control hosts,
     // few entries may be known for a moment: the pause keeps that from having all agents dialled.
     std::size_t stepPercent = 50;
-    Milliseconds growPause { 200 };
-    Milliseconds shrinkPause { 10000 };
+    Milliseconds growInterval { 200 };
+    Milliseconds shrinkInterval { 10000 };
 
     // While work finds no room the subset grows to this many times its usual size at the most.
     std::size_t mostGrowth = 4;
@@ -92,7 +92,7 @@
     Time awaySince {};
 
     // Kept though it is not chosen any more, since then
-    bool spare = false;
+    bool surplus = false;
     Time spareSince {};
 
     // A job needs it.
@@ -136,7 +136,7 @@
     // Labels it must have; empty ones are met by every endpoint
     std::string label;
     std::string rack;
-    jobs::Room room;
+    jobs::ResourceVector demand;
 };
 
 struct SubsetChanges
@@ -145,10 +145,10 @@
     std::vector<std::string> added;
 
     // No longer needed: may be dropped once no run of this entry is left there. See dropped.
-    std::vector<std::string> spare;
+    std::vector<std::string> surplus;
 
     // Listed no more and not connected: gone.
-    std::vector<std::string> gone;
+    std::vector<std::string> removed;
 };
 
 // [SECTION] Functions
@@ -157,12 +157,12 @@
                        const std::string &dataCentre);
 
 // What a control host tells of agents and of the number of entries.
-void takeUpdate(SubsetState &subset, const std::string &from,
-                const directory::DirectoryUpdate &update);
+void applyUpdate(SubsetState &subset, const std::string &from,
+                 const directory::DirectoryUpdate &update);
 
 // This control host is not kept as a peer any more: what only it lists is listed no more.
-void forgetControlHost(SubsetState &subset, const std::string &host);
-void takeCordons(SubsetState &subset, const catalog::Cordons &cordons);
+void removeControlHost(SubsetState &subset, const std::string &host);
+void applyCordons(SubsetState &subset, const catalog::Cordons &cordons);
 
 void connected(SubsetState &subset, const std::string &agent);
 void connectionLost(SubsetState &subset, const std::string &agent, Time now);
@@ -171,11 +171,11 @@
 void dropped(SubsetState &subset, const std::string &agent);
 
 // Work has found no room in the subset.
-void wantMore(SubsetState &subset, Time now);
+void requestGrowth(SubsetState &subset, Time now);
 
 // A job needs this; false if no agent that is listed meets it. Where none of the subset does, a few
 // that do are added at the next choice.
-bool reach(SubsetState &subset, const Need &need, Time now);
+bool requireAgents(SubsetState &subset, const Need &need, Time now);
 
 // What has to change for the subset to be as it should. Cheap when nothing has changed.
 SubsetChanges choose(SubsetState &subset, Time now);
@@ -184,6 +184,6 @@
 bool goesFirst(const ListedAgent *left, const ListedAgent *right);
 
 // Agents that sessions are kept with, or being opened.
-std::size_t keptAgents(const SubsetState &subset);
+std::size_t sessionCount(const SubsetState &subset);
 
 } // namespace foxwing::subset
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -309,9 +309,10 @@
         Fleet, Guards,
         testing::Values(
                 // An agent that never counts its entry as silent runs on for a dead one.
-                GuardCase { "OwnerSilence",
-                            [](WorldSettings &s) { s.runner.ownerSilence = std::chrono::hours(1); },
-                            { Fault::EntryKill } },
+                GuardCase {
+                        "OwnerSilence",
+                        [](WorldSettings &s) { s.runner.sessionTimeout = std::chrono::hours(1); },
+                        { Fault::EntryKill } },
                 // An entry that has not read that its callers are gone places their jobs again.
                 GuardCase { "CallersSeen",
                             [](WorldSettings &s) { s.callersNotSeen = true; },
@@ -322,7 +323,7 @@
                             { Fault::CallsHeldUp } },
                 // A lost agent's runs are started again before it has stopped them.
                 GuardCase { "CertainSilence",
-                            [](WorldSettings &s) { s.scheduler.certainSilence = Milliseconds(50); },
+                            [](WorldSettings &s) { s.scheduler.lostRunTimeout = Milliseconds(50); },
                             { Fault::Cut } },
                 // An agent that starts before it knows the cordons, or does not look at them.
                 GuardCase { "Cordons",
@@ -338,7 +339,7 @@
                             { Fault::EndpointAgain, Fault::LateOrders } },
                 // A long lease outlives the agent that was killed.
                 GuardCase { "Lease",
-                            [](WorldSettings &s) { s.runner.leaseSpan = Milliseconds(5000); },
+                            [](WorldSettings &s) { s.runner.leaseDuration = Milliseconds(5000); },
                             { Fault::AgentKill } },
                 // A clock that stops while the host is suspended: an agent that comes back believes
                 // that it has just heard its entries, and its endpoint.
@@ -348,14 +349,14 @@
                 // The same where nobody sends the cancelled job again.
                 GuardCase { "LeaseAfterCancel",
                             [](WorldSettings &s) {
-                                s.runner.leaseSpan = Milliseconds(5000);
+                                s.runner.leaseDuration = Milliseconds(5000);
                                 s.mostFaults = 12;
                             },
                             { Fault::CallerCancels, Fault::AgentKill } },
                 // Starts of an earlier life of the agent are carried out late.
                 GuardCase { "Deadline",
                             [](WorldSettings &s) {
-                                s.runner.leaseSpan = std::chrono::minutes(1);
+                                s.runner.leaseDuration = std::chrono::minutes(1);
                                 s.fenceRises = false;
                             },
                             { Fault::LateOrders, Fault::AgentKill } }),
--- a/tests/fleet/world.cpp
+++ b/tests/fleet/world.cpp
@@ -60,15 +60,16 @@
 
 void World::on(Process &process, Milliseconds delay, std::function<void()> job)
 {
-    const std::uint64_t life = process.life;
-    at(m_now + delay, [this, &process, life, job = std::move(job)]() mutable {
-        if (!process.up || process.life != life)
+    const std::uint64_t endpointIncarnation = process.endpointIncarnation;
+    at(m_now + delay, [this, &process, endpointIncarnation, job = std::move(job)]() mutable {
+        if (!process.up || process.endpointIncarnation != endpointIncarnation)
             return;
         if (m_now < process.frozenUntil)
-            return at(process.frozenUntil, [this, &process, life, job = std::move(job)] {
-                if (process.up && process.life == life)
-                    on(process, Milliseconds(0), job);
-            });
+            return at(process.frozenUntil,
+                      [this, &process, endpointIncarnation, job = std::move(job)] {
+                          if (process.up && process.endpointIncarnation == endpointIncarnation)
+                              on(process, Milliseconds(0), job);
+                      });
         job();
     });
 }
@@ -106,7 +107,7 @@
     jobs::StepSpec step;
     step.tasks = static_cast<std::uint32_t>(tasks(m_random));
     step.estimate = Milliseconds(span(m_random));
-    step.room = { cores(m_random), 64, 0 };
+    step.demand = { cores(m_random), 64, 0 };
     spec.steps = { step };
     m_specs[spec.id] = spec;
     ++m_outcome.submitted;
@@ -152,18 +153,18 @@
     if (gone && !m_settings.callersNotSeen)
         return;
     seeCallers(number);
-    scheduler::JobTerms terms;
+    scheduler::JobOptions options;
     // By the job's number, so that it stays the same when it is sent again
-    terms.priority = static_cast<std::uint32_t>(std::stoul(spec.id.substr(spec.id.find('-') + 1)))
+    options.priority = static_cast<std::uint32_t>(std::stoul(spec.id.substr(spec.id.find('-') + 1)))
             % m_settings.priorities;
-    terms.queue = "queue-" + std::to_string(terms.priority);
-    terms.service = "service";
-    terms.attempts = 3;
-    terms.stretch = 1.6;
-    terms.targetLatency = Milliseconds(60);
-    terms.beginBy = clockOf(entry) + Milliseconds(1500);
+    options.queue = "queue-" + std::to_string(options.priority);
+    options.service = "service";
+    options.attempts = 3;
+    options.stretch = 1.6;
+    options.targetLatency = Milliseconds(60);
+    options.startDeadline = clockOf(entry) + Milliseconds(1500);
     std::uint64_t job = 0;
-    const auto actions = scheduler::submit(entry.state, spec, terms, clockOf(entry), &job);
+    const auto actions = scheduler::submit(entry.state, spec, options, clockOf(entry), &job);
     entry.calls[job] = call;
     if (gone)
         readEndLater(number, job, call);
@@ -231,7 +232,7 @@
     at(m_now + after, [this, number] {
         Entry &entry = *m_entries[static_cast<std::size_t>(number)];
         entry.up = true;
-        ++entry.life;
+        ++entry.endpointIncarnation;
         entry.lastTurn = clockOf(entry);
         scheduler::SchedulerSettings settings = m_settings.scheduler;
         settings.seed = m_random();
@@ -253,7 +254,7 @@
     Entry &entry = *m_entries[static_cast<std::size_t>(number)];
     // As the daemon's shell does after a pause.
     if (clockOf(entry) - entry.lastTurn >= Milliseconds(400)) {
-        carryOut(number, scheduler::giveUpAll(entry.state, "stood still", clockOf(entry)));
+        carryOut(number, scheduler::closeAllJobs(entry.state, "stood still", clockOf(entry)));
         for (int agent = 0; agent < m_settings.agents; ++agent)
             disconnect(number, agent);
     }
@@ -289,8 +290,8 @@
         Agent &opened = *m_agents[static_cast<std::size_t>(agentNumber)];
         if (known)
             carryOut(agentNumber,
-                     runner::cordonsHeard(opened.state, *known, runner::CordonSource::Entry,
-                                          clockOf(opened)));
+                     runner::handleCordons(opened.state, *known, runner::CordonSource::Entry,
+                                           clockOf(opened)));
         carryOut(agentNumber,
                  runner::openSession(opened.state, id, nameOf("entry", number), clockOf(opened)));
     });
@@ -306,7 +307,7 @@
     if (entry.up)
         on(entry, Milliseconds(0), [this, number, agentNumber] {
             Entry &told = *m_entries[static_cast<std::size_t>(number)];
-            scheduler::noteSessionLost(told.watch, clockOf(told));
+            scheduler::recordSessionLost(told.watch, clockOf(told));
             carryOut(number,
                      scheduler::agentLost(told.state, nameOf("agent", agentNumber), clockOf(told)));
         });
@@ -358,7 +359,9 @@
                carryOut(agentNumber, runner::stopRuns(state, id, *stop, now));
            else
                carryOut(agentNumber,
-                        runner::sessionBeat(state, id, std::get<jobs::SessionBeat>(message), now));
+                        runner::handleSessionHeartbeat(state, id,
+                                                       std::get<jobs::SessionHeartbeat>(message),
+                                                       now));
        });
 }
 
@@ -379,13 +382,13 @@
     at(m_now + after, [this, number] {
         Agent &agent = *m_agents[static_cast<std::size_t>(number)];
         agent.up = true;
-        ++agent.life;
+        ++agent.endpointIncarnation;
         // Without a disk a new life can only guess a higher fence; the endpoint corrects it.
         m_lastFence += m_settings.fenceRises ? 1000 : 0;
-        agent.state = runner::makeRunner(m_settings.runner, agent.life, m_lastFence);
+        agent.state = runner::makeRunner(m_settings.runner, agent.endpointIncarnation, m_lastFence);
         agent.toldLeavingAt.reset();
         tellAgent(number);
-        beat(number);
+        heartbeat(number);
         tickAgent(number);
     });
 }
@@ -397,10 +400,11 @@
     on(agent, TickInterval, [this, number] { tickAgent(number); });
 }
 
-void World::beat(int number)
+void World::heartbeat(int number)
 {
     report(number);
-    on(*m_agents[static_cast<std::size_t>(number)], BeatInterval, [this, number] { beat(number); });
+    on(*m_agents[static_cast<std::size_t>(number)], BeatInterval,
+       [this, number] { heartbeat(number); });
 }
 
 // One heartbeat, which the agent acknowledges.
@@ -411,16 +415,16 @@
     if (agent.dark)
         return;
     runner::EndpointReport report;
-    report.life.id = endpoint.life;
+    report.endpointIncarnation.id = endpoint.endpointIncarnation;
     if (endpoint.tellsBorn)
-        report.life.born = endpoint.born;
+        report.endpointIncarnation.startedAt = endpoint.startedAt;
     report.service = "service";
     report.dataCentre = m_settings.agentsIgnoreCordons ? "" : dataCentreOf(number);
     report.capacity = Capacity;
     report.sequence = ++endpoint.beats;
     report.clock = endpoint.clock(m_now);
     report.leaving = endpoint.leaving;
-    carryOut(number, runner::endpointHeard(agent.state, report, clockOf(agent)));
+    carryOut(number, runner::handleHeartbeat(agent.state, report, clockOf(agent)));
     if (endpoint.leaving && !agent.toldLeavingAt)
         agent.toldLeavingAt = m_now;
 }
@@ -452,47 +456,48 @@
 
 void World::carryOut(int number, const runner::RunnerActions &actions)
 {
-    for (const runner::StopOrder &stop : actions.stops)
+    for (const runner::StopCommand &stop : actions.stops)
         order(
                 number, stop, Milliseconds(0),
-                [this](FakeEndpoint &endpoint, const runner::StopOrder &wanted) {
+                [this](FakeEndpoint &endpoint, const runner::StopCommand &wanted) {
                     return endpoint.stop(wanted, m_now);
                 },
                 [this, number, id = stop.id](const runner::Answered &answered) {
                     Agent &agent = *m_agents[static_cast<std::size_t>(number)];
                     carryOut(number,
-                             runner::stopAnswered(agent.state, id, answered, clockOf(agent)));
+                             runner::handleStopResult(agent.state, id, answered, clockOf(agent)));
                 });
-    for (const runner::StartOrder &start : actions.starts)
+    for (const runner::StartCommand &start : actions.starts)
         order(
                 number, start, Milliseconds(0),
-                [this, number](FakeEndpoint &endpoint, const runner::StartOrder &wanted) {
+                [this, number](FakeEndpoint &endpoint, const runner::StartCommand &wanted) {
                     const Milliseconds work = m_specs.at(wanted.id.task.job).steps[0].estimate;
                     const bool wasThere = endpoint.runs().count(wanted.id) != 0;
                     const auto answered = endpoint.start(wanted, m_now, work);
-                    if (answered.answer == runner::Answer::Ok && !wasThere)
+                    if (answered.answer == runner::CommandStatus::Ok && !wasThere)
                         noteCrashing(number, wanted.id);
-                    if (answered.answer == runner::Answer::Ok)
+                    if (answered.answer == runner::CommandStatus::Ok)
                         m_began.insert(wanted.id.task.job);
-                    if (answered.answer == runner::Answer::Ok)
+                    if (answered.answer == runner::CommandStatus::Ok)
                         noteStart(number);
                     return answered;
                 },
                 [this, number, id = start.id](const runner::Answered &answered) {
                     Agent &agent = *m_agents[static_cast<std::size_t>(number)];
                     carryOut(number,
-                             runner::startAnswered(agent.state, id, answered, clockOf(agent)));
+                             runner::handleStartResult(agent.state, id, answered, clockOf(agent)));
                 });
-    if (actions.look) {
-        const runner::LookOrder &look = *actions.look;
+    if (actions.poll) {
+        const runner::PollCommand &poll = *actions.poll;
         order(
-                number, look, std::min(look.wait, Milliseconds(30)),
-                [this](FakeEndpoint &endpoint, const runner::LookOrder &wanted) {
-                    return endpoint.look(wanted, m_now);
+                number, poll, std::min(poll.wait, Milliseconds(30)),
+                [this](FakeEndpoint &endpoint, const runner::PollCommand &wanted) {
+                    return endpoint.poll(wanted, m_now);
                 },
-                [this, number, id = look.number](const runner::Look &seen) {
+                [this, number, id = poll.number](const runner::PollResult &seen) {
                     Agent &agent = *m_agents[static_cast<std::size_t>(number)];
-                    carryOut(number, runner::lookAnswered(agent.state, id, seen, clockOf(agent)));
+                    carryOut(number,
+                             runner::handlePollResult(agent.state, id, seen, clockOf(agent)));
                 });
     }
     const auto deliver = [&](std::uint64_t session, auto message, auto handle) {
@@ -516,8 +521,8 @@
             message.crashed.clear();
         return message;
     };
-    for (const auto &[session, message] : actions.welcomes)
-        deliver(session, told(message), scheduler::agentWelcomed);
+    for (const auto &[session, message] : actions.acceptances)
+        deliver(session, told(message), scheduler::agentAccepted);
     for (const auto &[session, message] : actions.updates)
         deliver(session, told(message), scheduler::agentUpdated);
     for (const std::uint64_t session : actions.closes) {
--- a/tests/fleet/worldfaults.cpp
+++ b/tests/fleet/worldfaults.cpp
@@ -52,8 +52,8 @@
             return on(told, std::chrono::ceil<Milliseconds>(reachable - m_now),
                       [this, number] { tellAgent(number); });
         carryOut(number,
-                 runner::cordonsHeard(told.state, m_cordons, runner::CordonSource::Control,
-                                      clockOf(told)));
+                 runner::handleCordons(told.state, m_cordons, runner::CordonSource::Control,
+                                       clockOf(told)));
     });
 }
 
@@ -67,7 +67,7 @@
             return on(told, std::chrono::ceil<Milliseconds>(m_controlAwayUntil - m_now),
                       [this, number] { tellEntry(number); });
         told.knowsCordons = true;
-        carryOut(number, scheduler::takeCordons(told.state, m_cordons, clockOf(told)));
+        carryOut(number, scheduler::applyCordons(told.state, m_cordons, clockOf(told)));
     });
 }
 
@@ -80,7 +80,8 @@
     const Agent &starter = *m_agents[static_cast<std::size_t>(agent)];
     if (starter.endpoint->leaving && starter.toldLeavingAt
         && m_now > *starter.toldLeavingAt + LeavingBound)
-        violate(m_outcome.startsLeaving, "a start at leaving " + starter.endpoint->life);
+        violate(m_outcome.startsLeaving,
+                "a start at leaving " + starter.endpoint->endpointIncarnation);
 }
 
 // [SECTION] Faults
@@ -343,7 +344,7 @@
     if (m_settings.callersNotSeen)
         return;
     for (const std::uint64_t job :
-         scheduler::callersToSee(entry.watch, entry.state, clockOf(entry))) {
+         scheduler::callersToProbe(entry.watch, entry.state, clockOf(entry))) {
         const auto call = entry.calls.find(job);
         if (call != entry.calls.end() && entry.endsUnread.count(call->second) != 0)
             readEnd(number, job, call->second);
@@ -365,9 +366,9 @@
     std::set<jobs::TaskId> running;
     for (const auto &agent : m_agents) {
         agent->endpoint->advance(m_now);
-        jobs::Room used;
+        jobs::ResourceVector used;
         for (const auto &[id, run] : agent->endpoint->runs()) {
-            used += m_specs.at(id.task.job).steps[id.task.step].room;
+            used += m_specs.at(id.task.job).steps[id.task.step].demand;
             if (!running.insert(id.task).second)
                 violate(m_outcome.runsOverlapped, "two runs of " + id.task.job);
             const std::string &job = id.task.job;
@@ -375,7 +376,8 @@
                 violate(m_outcome.runsUnwanted, "nobody waits for " + job);
         }
         if (!jobs::fits(used, Capacity))
-            violate(m_outcome.roomExceeded, "room exceeded at " + agent->endpoint->life);
+            violate(m_outcome.roomExceeded,
+                    "room exceeded at " + agent->endpoint->endpointIncarnation);
         checkHeldRuns(*agent);
     }
 }
--- a/tests/fleet/worldparts.h
+++ b/tests/fleet/worldparts.h
@@ -47,7 +47,7 @@
 
 // Within it an agent in reach of its endpoint learns that a run is over: looks come every 60 ms.
 constexpr Milliseconds LearnsOfEndBound { 2000 };
-inline const jobs::Room Capacity { 16000, 65536, 0 };
+inline const jobs::ResourceVector Capacity { 16000, 65536, 0 };
 
 // Starts of a task that crashes endpoints may be under way when the third has crashed.
 constexpr int CrashesEnough = 3;
@@ -68,7 +68,7 @@
 struct World::Process
 {
     bool up = false;
-    std::uint64_t life = 0;
+    std::uint64_t endpointIncarnation = 0;
     Time frozenUntil {};
 
     // Suspended time that its clock has left out
@@ -96,7 +96,7 @@
 
     // Calls whose callers are gone, which the entry has not read yet
     std::set<std::uint64_t> endsUnread;
-    scheduler::CallerWatch watch;
+    scheduler::CallerProbeState watch;
 };
 
 struct World::Agent : World::Process
--- a/tests/rig/rig.cpp
+++ b/tests/rig/rig.cpp
@@ -43,7 +43,7 @@
 
 struct Running
 {
-    jobs::Room room;
+    jobs::ResourceVector demand;
     Time startedAt {};
     Time doneAt {};
     bool stopping = false;
@@ -54,16 +54,16 @@
 {
     runner::RunnerState state;
     double speed = 1;
-    jobs::Room capacity;
+    jobs::ResourceVector capacity;
     int dataCentre = 0;
     bool fails = false;
     bool outOfReach = false;
     std::map<jobs::RunId, Running> runs;
-    std::vector<runner::EndedRow> ended;
+    std::vector<runner::EndedRun> ended;
     std::uint64_t lastEnd = 0;
 
     // A look that waits for an end
-    std::optional<runner::LookOrder> look;
+    std::optional<runner::PollCommand> poll;
     Time lookUntil {};
     std::uint64_t beats = 0;
 };
@@ -79,7 +79,7 @@
 {
     jobs::JobSpec spec;
     std::size_t queue = 0;
-    Time cameAt {};
+    Time receivedAt {};
 
     // By the work as it is, not as it was guessed
     Microseconds objective { 0 };
@@ -106,23 +106,23 @@
     double rateFactor(const std::string &queue) const;
     Call makeCall(std::size_t queue);
     void answered(std::size_t entry, const scheduler::JobAnswer &answer);
-    bool hasRoomSomewhere(const jobs::Room &room) const;
+    bool hasRoomSomewhere(const jobs::ResourceVector &demand) const;
 
     // Entries and agents
     Microseconds way(std::size_t entry, std::size_t host) const;
     void openSession(std::size_t entry, std::size_t host);
     void tickEntry(std::size_t entry);
     void tickHost(std::size_t host);
-    void beat(std::size_t host);
+    void heartbeat(std::size_t host);
     void carryOut(std::size_t entry, scheduler::SchedulerActions &&actions);
     void carryOut(std::size_t host, runner::RunnerActions &&actions);
     void deliver(std::size_t entry, std::size_t host, const scheduler::AgentSend &send);
 
     // Endpoints
     Milliseconds clock() const;
-    void start(std::size_t host, const runner::StartOrder &order);
-    void stop(std::size_t host, const runner::StopOrder &order);
-    void endRun(std::size_t host, const jobs::RunId &id, jobs::RunEnd how);
+    void start(std::size_t host, const runner::StartCommand &order);
+    void stop(std::size_t host, const runner::StopCommand &order);
+    void endRun(std::size_t host, const jobs::RunId &id, jobs::RunOutcome how);
     void answerLook(std::size_t host);
     void strike(const EndpointTrouble &trouble, bool begins);
     void cordon(const CordonSpan &span, bool begins);
@@ -225,9 +225,9 @@
         entry.state.entries = static_cast<std::uint32_t>(m_entries.size());
     for (std::size_t host = 0; host < m_hosts.size(); ++host) {
         carryOut(host,
-                 runner::cordonsHeard(m_hosts[host].state, {}, runner::CordonSource::Control,
-                                      m_now));
-        beat(host);
+                 runner::handleCordons(m_hosts[host].state, {}, runner::CordonSource::Control,
+                                       m_now));
+        heartbeat(host);
         tickHost(host);
         for (std::size_t entry = 0; entry < m_entries.size(); ++entry)
             openSession(entry, host);
@@ -295,14 +295,14 @@
     const QueueLoad &load = m_settings.queues[queue];
     Call call;
     call.queue = queue;
-    call.cameAt = m_now;
+    call.receivedAt = m_now;
     const auto logNormal = [&](double spread) {
         return std::exp(normal(spread) - spread * spread / 2);
     };
     const double width = std::round(load.width * logNormal(Spread));
     jobs::StepSpec step;
     step.tasks = std::clamp(static_cast<std::uint32_t>(std::max(1.0, width)), 1U, load.mostWidth);
-    step.room = { static_cast<std::int64_t>(load.milliCores * logNormal(RoomSpread)), 64, 0 };
+    step.demand = { static_cast<std::int64_t>(load.milliCores * logNormal(RoomSpread)), 64, 0 };
     const bool tail = load.tailPart > 0
             && std::uniform_real_distribution<double>(0, 1)(m_random) < load.tailPart;
     const double work = static_cast<double>(load.work.count()) * std::min(4.0, logNormal(Spread))
@@ -355,31 +355,31 @@
         m_owed += credit(call);
     }
     m_tasks += call.work.size();
-    scheduler::JobTerms terms;
-    terms.queue = load.name;
-    terms.service = "service";
-    terms.priority = load.priority;
-    terms.attempts = load.attempts;
-    terms.stretch = Stretch;
-    terms.targetLatency = Latency;
-    terms.beginBy = m_now + Milliseconds(1500);
+    scheduler::JobOptions options;
+    options.queue = load.name;
+    options.service = "service";
+    options.priority = load.priority;
+    options.attempts = load.attempts;
+    options.stretch = Stretch;
+    options.targetLatency = Latency;
+    options.startDeadline = m_now + Milliseconds(1500);
     if (m_settings.patience)
-        terms.patienceUntil = m_now + call.objective + *m_settings.patience;
+        options.callerDeadline = m_now + call.objective + *m_settings.patience;
     std::uint64_t number = 0;
     scheduler::SchedulerActions actions = scheduler::submit(m_entries[entry].state, call.spec,
-                                                            terms, m_now, &number);
+                                                            options, m_now, &number);
     m_entries[entry].calls[number] = call.spec.id;
     carryOut(entry, std::move(actions));
 }
 
-bool Rig::hasRoomSomewhere(const jobs::Room &room) const
+bool Rig::hasRoomSomewhere(const jobs::ResourceVector &demand) const
 {
     return std::any_of(m_hosts.begin(), m_hosts.end(), [&](const Host &host) {
-        jobs::Room free = host.capacity;
+        jobs::ResourceVector free = host.capacity;
         for (const auto &[id, run] : host.runs)
-            free -= run.room;
+            free -= run.demand;
         return !host.fails && !host.outOfReach && !runner::isCordoned(host.state)
-                && jobs::fits(room, free);
+                && jobs::fits(demand, free);
     });
 }
 
@@ -390,10 +390,10 @@
         return;
     const Call &call = m_calls.at(found->second);
     m_entries[entry].calls.erase(found);
-    if (call.cameAt < m_begin)
+    if (call.receivedAt < m_begin)
         return;
     QueueReport &report = m_report.queues[m_settings.queues[call.queue].name];
-    const Microseconds took = m_now - call.cameAt;
+    const Microseconds took = m_now - call.receivedAt;
     const bool onTime = took <= call.objective;
     switch (answer.outcome) {
     case scheduler::JobOutcome::Completed:
@@ -409,7 +409,7 @@
         report.refusedAfter.push_back(took);
         if (took <= AtOnce)
             m_report.refusedAtOnce.insert(call.spec.id);
-        m_report.refusedWithRoom += hasRoomSomewhere(call.spec.steps[0].room) ? 1 : 0;
+        m_report.refusedWithRoom += hasRoomSomewhere(call.spec.steps[0].demand) ? 1 : 0;
         break;
     case scheduler::JobOutcome::Failed:
     case scheduler::JobOutcome::TimedOut:
@@ -454,8 +454,9 @@
             carryOut(host, runner::stopRuns(state, entry + 1, *stop, m_now));
         else
             carryOut(host,
-                     runner::sessionBeat(state, entry + 1, std::get<jobs::SessionBeat>(message),
-                                         m_now));
+                     runner::handleSessionHeartbeat(state, entry + 1,
+                                                    std::get<jobs::SessionHeartbeat>(message),
+                                                    m_now));
     });
 }
 
@@ -477,32 +478,32 @@
     at(m_now + TickInterval, [this, host] { tickHost(host); });
 }
 
-void Rig::beat(std::size_t number)
+void Rig::heartbeat(std::size_t number)
 {
     Host &host = m_hosts[number];
     runner::EndpointReport report;
-    report.life.id = "life-" + std::to_string(number);
+    report.endpointIncarnation.id = "life-" + std::to_string(number);
     report.service = "service";
     report.dataCentre = centreName(host.dataCentre);
     report.capacity = host.capacity;
     report.sequence = ++host.beats;
     report.clock = clock();
-    carryOut(number, runner::endpointHeard(host.state, report, m_now));
-    at(m_now + BeatInterval, [this, number] { beat(number); });
+    carryOut(number, runner::handleHeartbeat(host.state, report, m_now));
+    at(m_now + BeatInterval, [this, number] { heartbeat(number); });
 }
 
 void Rig::carryOut(std::size_t number, runner::RunnerActions &&actions)
 {
     Host &host = m_hosts[number];
-    for (const runner::StopOrder &order : actions.stops)
+    for (const runner::StopCommand &order : actions.stops)
         at(m_now + OrderDelay, [this, number, order] { stop(number, order); });
-    for (const runner::StartOrder &order : actions.starts)
+    for (const runner::StartCommand &order : actions.starts)
         at(m_now + OrderDelay, [this, number, order] { start(number, order); });
-    if (actions.look) {
-        host.look = actions.look;
-        host.lookUntil = m_now + actions.look->wait;
-        at(host.lookUntil + OrderDelay, [this, number, look = actions.look->number] {
-            if (m_hosts[number].look && m_hosts[number].look->number == look)
+    if (actions.poll) {
+        host.poll = actions.poll;
+        host.lookUntil = m_now + actions.poll->wait;
+        at(host.lookUntil + OrderDelay, [this, number, poll = actions.poll->number] {
+            if (m_hosts[number].poll && m_hosts[number].poll->number == poll)
                 answerLook(number);
         });
         if (!host.ended.empty())
@@ -515,8 +516,8 @@
                 carryOut(entry, handle(m_entries[entry].state, nameOf(number), message, m_now));
         });
     };
-    for (const auto &[session, message] : actions.welcomes)
-        tell(session, message, scheduler::agentWelcomed);
+    for (const auto &[session, message] : actions.acceptances)
+        tell(session, message, scheduler::agentAccepted);
     for (const auto &[session, message] : actions.updates)
         tell(session, message, scheduler::agentUpdated);
 }
@@ -528,19 +529,19 @@
     return std::chrono::duration_cast<Milliseconds>(m_now.time_since_epoch());
 }
 
-void Rig::start(std::size_t number, const runner::StartOrder &order)
+void Rig::start(std::size_t number, const runner::StartCommand &order)
 {
     Host &host = m_hosts[number];
     const Call &call = m_calls.at(order.id.task.job);
     Running run;
-    run.room = call.spec.steps[0].room;
+    run.demand = call.spec.steps[0].demand;
     run.startedAt = m_now;
     run.fails = host.fails;
     const auto takes = std::chrono::duration_cast<Microseconds>(call.work[order.id.task.index]
                                                                 / host.speed);
     run.doneAt = m_now + (run.fails ? Microseconds(1000) : takes);
     host.runs[order.id] = run;
-    const auto how = run.fails ? jobs::RunEnd::Failed : jobs::RunEnd::Done;
+    const auto how = run.fails ? jobs::RunOutcome::Failed : jobs::RunOutcome::Done;
     at(run.doneAt, [this, number, id = order.id, how] {
         const auto found = m_hosts[number].runs.find(id);
         if (found != m_hosts[number].runs.end() && !found->second.stopping)
@@ -548,28 +549,28 @@
     });
     at(m_now + OrderDelay, [this, number, id = order.id] {
         carryOut(number,
-                 runner::startAnswered(m_hosts[number].state, id, { runner::Answer::Ok, clock() },
-                                       m_now));
+                 runner::handleStartResult(m_hosts[number].state, id,
+                                           { runner::CommandStatus::Ok, clock() }, m_now));
     });
 }
 
-void Rig::stop(std::size_t number, const runner::StopOrder &order)
+void Rig::stop(std::size_t number, const runner::StopCommand &order)
 {
     constexpr Milliseconds StopTakes { 50 };
     const auto found = m_hosts[number].runs.find(order.id);
     if (found != m_hosts[number].runs.end() && !found->second.stopping) {
         found->second.stopping = true;
         at(m_now + StopTakes,
-           [this, number, id = order.id] { endRun(number, id, jobs::RunEnd::Stopped); });
+           [this, number, id = order.id] { endRun(number, id, jobs::RunOutcome::Stopped); });
     }
     at(m_now + OrderDelay, [this, number, id = order.id] {
         carryOut(number,
-                 runner::stopAnswered(m_hosts[number].state, id, { runner::Answer::Ok, clock() },
-                                      m_now));
+                 runner::handleStopResult(m_hosts[number].state, id,
+                                          { runner::CommandStatus::Ok, clock() }, m_now));
     });
 }
 
-void Rig::endRun(std::size_t number, const jobs::RunId &id, jobs::RunEnd how)
+void Rig::endRun(std::size_t number, const jobs::RunId &id, jobs::RunOutcome how)
 {
     Host &host = m_hosts[number];
     host.runs.erase(id);
@@ -580,23 +581,23 @@
 void Rig::answerLook(std::size_t number)
 {
     Host &host = m_hosts[number];
-    if (!host.look)
+    if (!host.poll)
         return;
-    const runner::LookOrder order = *host.look;
-    host.look.reset();
-    const auto seen = [&](const runner::EndedRow &row) { return row.number <= order.lastSeen; };
+    const runner::PollCommand order = *host.poll;
+    host.poll.reset();
+    const auto seen = [&](const runner::EndedRun &row) { return row.number <= order.lastSeenEnd; };
     host.ended.erase(std::remove_if(host.ended.begin(), host.ended.end(), seen), host.ended.end());
-    runner::Look look;
-    look.answered = { runner::Answer::Ok, clock() };
+    runner::PollResult poll;
+    poll.answered = { runner::CommandStatus::Ok, clock() };
     for (const auto &[id, run] : host.runs) {
         const double whole = static_cast<double>((run.doneAt - run.startedAt).count());
         const double ran = static_cast<double>((m_now - run.startedAt).count());
-        look.running.push_back(
+        poll.running.push_back(
                 { id, static_cast<std::uint32_t>(100 * ran / std::max(1.0, whole)) });
     }
-    look.ended = host.ended;
-    at(m_now + OrderDelay, [this, number, look, order = order.number] {
-        carryOut(number, runner::lookAnswered(m_hosts[number].state, order, look, m_now));
+    poll.ended = host.ended;
+    at(m_now + OrderDelay, [this, number, poll, order = order.number] {
+        carryOut(number, runner::handlePollResult(m_hosts[number].state, order, poll, m_now));
     });
 }
 
@@ -624,12 +625,12 @@
     for (std::size_t host = 0; host < m_hosts.size(); ++host)
         at(m_now + m_settings.farDelay, [this, host, cordons = m_cordons] {
             carryOut(host,
-                     runner::cordonsHeard(m_hosts[host].state, cordons,
-                                          runner::CordonSource::Control, m_now));
+                     runner::handleCordons(m_hosts[host].state, cordons,
+                                           runner::CordonSource::Control, m_now));
         });
     for (std::size_t entry = 0; entry < m_entries.size(); ++entry)
         at(m_now + m_settings.farDelay, [this, entry, cordons = m_cordons] {
-            carryOut(entry, scheduler::takeCordons(m_entries[entry].state, cordons, m_now));
+            carryOut(entry, scheduler::applyCordons(m_entries[entry].state, cordons, m_now));
         });
 }
 
@@ -642,9 +643,9 @@
     for (const Host &host : m_hosts) {
         if (!waiting || host.fails || host.outOfReach || runner::isCordoned(host.state))
             continue;
-        jobs::Room free = host.capacity;
+        jobs::ResourceVector free = host.capacity;
         for (const auto &[id, run] : host.runs)
-            free -= run.room;
+            free -= run.demand;
         m_idle += static_cast<double>(free.milliCores);
         m_room += static_cast<double>(host.capacity.milliCores);
     }
--- a/tests/schedules/world.cpp
+++ b/tests/schedules/world.cpp
@@ -139,9 +139,9 @@
         world.proposals.push_back({ world.now + CommitDelay, std::move(command) });
 }
 
-entry::Directory directory()
+entry::Registry registry()
 {
-    entry::Directory made;
+    entry::Registry made;
     made.services[ServiceName] = entry::Service { ServiceName, 100, 1000, Milliseconds(60000) };
     return made;
 }
@@ -156,7 +156,7 @@
     settings.dispatch.dataCentre = process.id;
     settings.claims.self = settings.self;
     process.entry = std::make_unique<entry::EntryState>(entry::makeEntry(settings));
-    process.entry->directory = directory();
+    process.entry->registry = registry();
 }
 
 void startAgent(Process &process)
@@ -195,7 +195,7 @@
     process.reporter = control::makeReporter(identity);
 }
 
-void takeUpdate(World &world, Process &process, const control::Update &update)
+void applyUpdate(World &world, Process &process, const control::Update &update)
 {
     const std::optional<Time> sentAt = control::acceptUpdate(process.reporter, update);
     if (!sentAt)
@@ -203,13 +203,13 @@
     if (process.agent) {
         if (update.view.number == 0)
             return;
-        std::vector<agent::EntryHint> entries;
+        std::vector<agent::OwnerCandidate> entries;
         for (const claims::Member &member : update.view.members)
             entries.push_back({ member.replica.id, member.replica.incarnation, member.dataCentre });
         carryOut(world, process, agent::setEntries(*process.agent, entries, world.now));
         return;
     }
-    claims::hearMaster(process.entry->claims, *sentAt);
+    claims::renewControlLease(process.entry->claims, *sentAt);
     if (update.hasAgents) {
         process.entry->agents = { {}, update.agentsSince };
         for (const control::AgentHint &hint : update.agents)
@@ -238,13 +238,13 @@
     return std::holds_alternative<control::Beat>(message)
             || std::holds_alternative<control::Update>(message)
             || std::holds_alternative<agent::LeaseOffer>(message)
-            || std::holds_alternative<agent::LeaseTaken>(message)
-            || std::holds_alternative<agent::Yield>(message)
-            || std::holds_alternative<agent::Alive>(message)
+            || std::holds_alternative<agent::LeaseAccepted>(message)
+            || std::holds_alternative<agent::TransferLease>(message)
+            || std::holds_alternative<agent::KeepAlive>(message)
             || std::holds_alternative<entry::LoadReport>(message)
             || std::holds_alternative<claims::ShardPart>(message)
-            || std::holds_alternative<claims::ShardPartTaken>(message)
-            || std::holds_alternative<claims::ShardsHeld>(message);
+            || std::holds_alternative<claims::ShardPartAck>(message)
+            || std::holds_alternative<claims::ShardsReady>(message);
 }
 
 void record(World &world, const std::string &from, const std::string &to, const Message &message)
@@ -280,7 +280,7 @@
         carryOut(world, process, control::handleBeat(*process.control, *beat, world.now, wall));
     }
     if (const auto *update = std::get_if<control::Update>(&message); update && !process.control)
-        takeUpdate(world, process, *update);
+        applyUpdate(world, process, *update);
 }
 
 void tickProcess(World &world, Process &process)
@@ -292,7 +292,7 @@
         carryOut(world, process, entry::tick(*process.entry, world.now, wall));
     else
         carryOut(world, process, agent::tick(*process.agent, world.now));
-    const bool wanted = process.entry && std::exchange(process.entry->beatWanted, false);
+    const bool wanted = process.entry && std::exchange(process.entry->heartbeatRequested, false);
     if (world.now < process.nextBeat && !wanted)
         return;
     control::Beat beat = control::nextBeat(process.reporter, world.now);
