--- a/packages/runner/include/foxwing/runner/runner.h
+++ b/packages/runner/include/foxwing/runner/runner.h
@@ -1,26 +1,26 @@
 /*
-    The agent's decisions: what runs on its endpoint, for whom, and until when.
+    The agent's decisions: which runs its endpoint executes, for which entry, and until when.
 
-    The endpoint runs whatever it is told while its lease lasts; it does not keep its own room. So
-    the runner is the last guard: it starts only what fits, renews the lease, learns of ends by a
-    long call to the endpoint, and stops what belongs to an entry that it no longer hears.
+    The endpoint does not enforce its own capacity: while its lease lasts it starts whatever it is
+    told to. The runner therefore starts only what fits, renews the lease, learns of ended runs by
+    long polls, and stops the runs of entries that have gone silent.
 
-    Orders to the endpoint may stay unanswered and be carried out seconds later. A run counts as
-    taking its room until its end was listed, or until it certainly can't begin any more: a stop for
-    it was answered and a later look does not show it, the endpoint has another life, or the lease
-   is over on the slowest clock.
+    A command to the endpoint may get no reply and still take effect seconds later. A run therefore
+    holds its capacity until its end is listed, or until it certainly can't start any more: a stop
+    was acknowledged and a later poll doesn't list the run, the endpoint has a new incarnation, or
+    the lease has expired even on the slowest clock.
 
-    While its data centre is cordoned the endpoint gets nothing new, and neither before the agent
-    knows the cordons: an entry may not know yet.
+    The endpoint gets no new runs while its data centre is cordoned, nor before the agent knows the
+    cordons, since an entry may not know them yet.
 
-        RunnerState runner = makeRunner(settings, fence);
+        RunnerState runner = makeRunner(settings, incarnation, fence);
         RunnerActions actions = endpointHeard(runner, report, now);
-        ... carry out actions ...
+        ... execute the actions ...
         actions = startAnswered(runner, id, answered, now);
 
     [SECTION] Settings
-    [SECTION] Orders
-    [SECTION] Answers
+    [SECTION] Commands
+    [SECTION] Results
     [SECTION] State
     [SECTION] Functions
 */
@@ -44,118 +44,121 @@
 
 struct RunnerSettings
 {
-    // Runs of an entry that was not heard for this long are stopped. With the endpoint lease and
-    // the time that a stop takes it must stay under the shortest time after which a caller that
-    // lost its entry may send the same job again (1.3 s).
+    // Runs of an entry that has been silent for this long are stopped. Together with the endpoint
+    // lease and the time of a stop, this must stay below the shortest time after which a caller
+    // that lost its entry may resubmit its job (1.3 s).
     Milliseconds ownerSilence { 450 };
 
-    // How long the endpoint goes on without a word from here; renewed by every look. Long enough
-    // for an agent that gets no processor for half a second, see ownerSilence for the upper bound.
+    // Lease of the endpoint, renewed by every poll: how long its runs go on without contact to the
+    // agent. Covers an agent that gets no CPU for half a second; ownerSilence gives the upper
+    // bound.
     Milliseconds leaseSpan { 400 };
 
-    // How long a look waits at the endpoint for an end. While something runs it also brings the
-    // progress of each run, which is wanted within the time that the shortest tasks can spare.
+    // How long a poll waits at the endpoint for a run to end while something runs. Also bounds the
+    // age of the progress reports, which must stay well below the duration of the shortest tasks.
     Milliseconds busyWait { 60 };
 
-    // The same while nothing runs; a start that comes meanwhile lives on its own lease until the
-    // look returns, so well under leaseSpan.
+    // The same while nothing runs. Well below leaseSpan, since a run that starts meanwhile has only
+    // the lease of its start command until the poll returns.
     Milliseconds idleWait { 200 };
 
-    // A start without an answer is ordered again, under the same number, until it is this old; then
-    // the run is stopped. Some tries of 25 ms each, so that few are stopped even where half of all
-    // orders get lost.
+    // A start without a reply is repeated under the same run number for this long, then the run is
+    // stopped. Allows several attempts of 25 ms, so that few runs are stopped even if half of all
+    // commands get lost.
     Milliseconds startGivenUp { 150 };
 
-    // While a look has failed within this span, others wait at the endpoint for no longer than
-    // doubtfulWait: what an unanswered one would have brought comes so much later.
+    // For this long after a failed poll, polls wait at the endpoint no longer than doubtfulWait:
+    // a lost poll delays its reports by the time that it waits.
     Milliseconds doubtfulSpan { 1000 };
     Milliseconds doubtfulWait { 20 };
 
-    // Looks that fail in a row before the endpoint counts as out of reach. Until then each is
-    // followed by a quick one at once, which renews the lease as well; on days on which half of the
-    // orders get no answer, one of seven is answered but for one time in a hundred.
+    // Consecutive polls that fail before the endpoint counts as unreachable. Until then the next
+    // poll follows at once and doesn't wait, so it renews the lease as well. With half of the
+    // commands lost, seven in a row fail about once in a hundred times.
     std::uint32_t looksBeforeOutOfReach { 7 };
 
-    // Between looks at an endpoint that is out of reach, or whose earlier runs are being stopped.
+    // Between polls of an endpoint that is unreachable or still has runs of an earlier agent.
     Milliseconds lookPause { 40 };
 
-    // A stop that was not answered, or not followed by an end, is sent again. The endpoint takes
-    // up to 50 ms to stop.
+    // A stop is repeated after this long if the run's end isn't listed. The endpoint takes up to
+    // 50 ms to stop a run.
     Milliseconds stopRepeat { 70 };
 
-    // When a run can't be stopped for this long, the lease of the whole endpoint is left to end.
+    // When a run can't be stopped for this long, the lease of the whole endpoint is not renewed.
     Milliseconds stopGivenUp { 350 };
 
-    // Entries with work waiting learn of changed room at least this often, if they are not told at
-    // once: well under the time of the shortest tasks, so that room does not stand idle.
+    // Longest delay of capacity updates to entries with waiting work. Well below the duration of
+    // the shortest tasks, so that capacity doesn't stay idle.
     Milliseconds roomInterval { 10 };
 
-    // The same for entries where nothing waits for room, and the longest time until a beat is
-    // answered: a quarter of the silence after which an entry gives an agent up, and seldom enough
-    // that news to entries with nothing to place costs little.
+    // The same for entries without waiting work, and the longest time until a heartbeat is
+    // acknowledged. A quarter of the silence after which an entry considers an agent lost, and
+    // long enough to keep the number of updates small.
     Milliseconds calmInterval { 100 };
 
-    // A run is judged once it ran for this long: twice the time in which an answer can be late on
-    // a busy host.
+    // Progress is compared with the estimate after this run time: twice the delay that a reply can
+    // have on a busy host.
     Milliseconds judgeAfter { 40 };
 
-    // It is behind if it will take more than this many times its estimate, in percent. Estimates
+    // A run is behind if its projected duration exceeds this percentage of its estimate. Estimates
     // are off by 40 percent and endpoints differ in speed by 25.
     std::uint32_t behindPercent { 250 };
 
-    // A run that shows no progress for this long stands still, for estimates up to 1 s; a tenth of
-    // the estimate is added.
+    // A run without progress for this long, plus a tenth of its estimate, is stalled.
     Milliseconds stillAfter { 45 };
+
+    // How often a run that is behind is reported again.
     Milliseconds lagRepeat { 150 };
 
-    // Ends of runs count for the pace at which room comes free for about this long: some turns of
-    // the shortest tasks, and less than a burst.
+    // Averaging window of the rate at which ended runs free capacity: several of the shortest
+    // tasks, and less than a burst of work.
     Milliseconds freedSpan { 300 };
 
-    // Rows about waiting starts in one update. Those of the least urgent priorities beyond it go
-    // into the last row, so that an update stays small whatever queues are declared.
+    // Limit of the rows about waiting starts in an update. The last row sums up the least urgent
+    // priorities, so that updates stay small whatever queues are declared.
     std::size_t mostWaitingRows = 8;
 
-    // Starts of one priority and more urgent ones may wait for up to this part of the endpoint's
-    // room, in percent.
+    // Starts of one priority and of more urgent ones may wait for up to this percentage of the
+    // endpoint's capacity.
     std::int64_t waitingPercent = 15;
 
-    // An agent that has just started waits for so long for control to tell it the cordons; then it
-    // takes what an entry knows, since control may be down while the rest goes on. Links to control
-    // stand within 0.1 s of a start where control is there.
+    // A new agent waits this long for the cordons from control, then accepts those that an entry
+    // knows, since control may be down. With control up, links to it are established within 0.1 s.
     Milliseconds cordonWait { 1000 };
 
-    // Lives of the endpoint that are remembered as gone. More than crash within the time that a
-    // heartbeat can be held up on its way.
+    // Previous incarnations of the endpoint that are remembered: more than can crash within the
+    // longest delay of a heartbeat.
     std::size_t mostFormerLives = 16;
 
-    // Tasks under which the endpoint crashed are remembered for so long, and so many: above what
-    // entries remember of a job, and what runs in some crashes of a full endpoint.
+    // How long, and how many, tasks are remembered that ran when the endpoint crashed. Longer than
+    // entries remember a job, and enough for several crashes of a full endpoint.
     Milliseconds crashesRememberedFor { 60000 };
     std::size_t mostCrashedTasks = 256;
 
-    // Log lines a second about heartbeats that change nothing. Endpoints send one in 1.5 s.
+    // Limit of log lines per second about ignored heartbeats. Endpoints send one every 1.5 s.
     std::uint32_t passedOverLines = 5;
 
-    // Endpoints whose runs fail or lag are put on trial.
+    // Whether an endpoint whose runs fail or lag is put on probation: it then gets one run at a
+    // time, and a pause after each fault.
     bool judgeEndpoint = true;
 
-    // Each failure or lag takes an endpoint this much nearer to being on trial, each run that ends
-    // on pace takes it back. On trial it gets one run at a time, and rests after a bad one.
+    // The fault score rises by badStep with each failure or lag, and is multiplied by goodFactor
+    // with each run that ends on time. Probation lasts while it is at least trialAbove.
     double badStep = 0.25;
     double goodFactor = 0.7;
     double trialAbove = 0.7;
     Milliseconds trialRest { 400 };
 };
 
-// [SECTION] Orders
+// [SECTION] Commands
 
 struct StartOrder
 {
     jobs::RunId id;
     std::string payload;
 
-    // On the endpoint's clock: it does not begin the run later, and the lease lasts until then.
+    // On the endpoint's clock. The endpoint doesn't start the run later than this, and its lease
+    // lasts at least until then.
     Milliseconds deadline { 0 };
     std::uint64_t fence = 0;
     std::string life;
@@ -168,39 +171,47 @@
     std::string life;
 };
 
-// Renews the lease, takes note of ends, and waits for the next.
+// A long poll: renews the lease, acknowledges ended runs, and waits for the next one to end.
 struct LookOrder
 {
     std::uint64_t number = 0;
 
-    // On the endpoint's clock; left out, the lease is not renewed.
+    // New end of the lease, on the endpoint's clock; if not set, the lease isn't renewed.
     std::optional<Milliseconds> deadline;
     std::uint64_t fence = 0;
+
+    // Ended runs up to this number are acknowledged; the endpoint may forget them.
     std::uint64_t lastSeen = 0;
     Milliseconds wait { 0 };
     std::string life;
 };
 
-// [SECTION] Answers
+// [SECTION] Results
 
 enum class Answer {
     Ok,
 
-    // Another agent, or an earlier life of this one, used a higher fence.
+    // Another agent, or an earlier incarnation of this one, has used a higher fence.
     Fenced,
+
+    // The endpoint has seen this run or a later run of the task before.
     OldRun,
+
+    // The deadline has passed.
     TooLate,
     NoRoom,
+
+    // The command was for another incarnation of the endpoint.
     OtherLife,
 
-    // The endpoint turned it down and did nothing.
+    // Rejected without any effect.
     Busy,
     Invalid,
 
     // Nothing listens at the endpoint's address.
     Unreachable,
 
-    // Nothing came back: it may have been done, or may be done later.
+    // No reply: the command may have taken effect, or may do so later.
     None,
 };
 
@@ -231,24 +242,24 @@
     std::vector<RunningRow> running;
     std::vector<EndedRow> ended;
 
-    // When the endpoint that answered began, by its own date
+    // Start of the endpoint process that replied, by its own wall clock
     std::optional<WallTime> born;
 };
 
-// One life of an endpoint's process. The next one may come under the same id.
+// One incarnation of an endpoint's process. The next one may have the same id.
 struct LifeId
 {
     std::string id;
 
-    // When it began, by its own date; left out where the platform does not tell it, and gives each
-    // life an id of its own
+    // Start of the process, by its own wall clock. Not set on platforms that don't report it and
+    // give each incarnation its own id.
     std::optional<WallTime> born;
 };
 
 bool operator==(const LifeId &left, const LifeId &right);
 bool operator!=(const LifeId &left, const LifeId &right);
 
-// What the endpoint says of itself in a heartbeat.
+// The endpoint's description of itself, from a heartbeat.
 struct EndpointReport
 {
     LifeId life;
@@ -258,7 +269,7 @@
     jobs::Room capacity;
     bool leaving = false;
 
-    // Least time until it is gone, while leaving
+    // While leaving: time that is left at least
     Milliseconds remaining { 0 };
     std::uint64_t sequence = 0;
     std::optional<Milliseconds> clock;
@@ -267,7 +278,7 @@
 // [SECTION] State
 
 enum class RunState {
-    // A start was ordered and not answered yet.
+    // The start command has not been confirmed yet.
     Ordered,
     Running,
     Stopping,
@@ -281,26 +292,29 @@
     Milliseconds estimate { 0 };
     RunState state = RunState::Ordered;
 
-    // How often its start was ordered
+    // Number of start commands sent
     std::uint32_t tries = 0;
     Time orderedAt {};
     Time startedAt {};
 
-    // Whether the endpoint has confirmed or listed it.
+    // The endpoint has confirmed or listed it.
     bool seen = false;
 
     // Stopping
     Time stopSince {};
     Time stopOrderedAt {};
+
+    // A stop command has been sent and has no result yet.
     bool stopUnderWay = false;
 
-    // The first look ordered after a stop was answered, or in another life; 0 before
+    // Number of the first poll that proves the run gone if it doesn't list it: the first one after
+    // an acknowledged stop, a refusal as an old run, or a new incarnation. 0 if there is none.
     std::uint64_t goneIfMissingIn = 0;
 
-    // Ordered in a former life of the endpoint, and not seen in the present one yet
+    // Started in a previous incarnation of the endpoint and not yet listed by the current one
     bool ofFormerLife = false;
 
-    // How it ended if it was lost with that life
+    // How it ended if it was lost with that incarnation
     jobs::RunEnd formerEnd = jobs::RunEnd::Lost;
 
     std::uint32_t percent = 0;
@@ -308,13 +322,15 @@
     bool behind = false;
     bool still = false;
 
-    // At its present pace
+    // Remaining time at its current speed; zero if it is stalled
     Milliseconds left { 0 };
+
+    // When it was last reported as behind, and whether it ever was
     Time lagToldAt {};
     bool lagged = false;
 };
 
-// A start that waits at this agent for room. Nothing of it was ordered yet.
+// A start that waits at this agent for capacity. No command for it has been sent yet.
 struct WaitingStart
 {
     jobs::RunId id;
@@ -333,16 +349,20 @@
     Time heardAt {};
     bool welcomed = false;
 
-    // Ended: its runs are being stopped.
+    // Closed; kept until its runs have stopped.
     bool over = false;
     std::uint64_t beat = 0;
     std::uint64_t startsTaken = 0;
     std::uint64_t toldBeat = 0;
     std::uint64_t toldStarts = 0;
+
+    // A start was refused for lack of capacity: more of it is reported at once.
     bool refusedRoom = false;
 
-    // Work waits for room at the entry.
+    // Work waits for capacity at the entry.
     bool wantsRoom = false;
+
+    // There is something to report at once.
     bool dirty = false;
     Time toldAt {};
     jobs::Room toldFree;
@@ -352,7 +372,7 @@
     std::vector<jobs::RunReport> ended;
     std::vector<jobs::LagReport> lagging;
 
-    // The last crash under a task that it was told of
+    // The last crash that was reported to it
     std::uint64_t toldCrash = 0;
 };
 
@@ -362,47 +382,49 @@
     jobs::TaskId task;
     std::uint32_t crashes = 0;
 
-    // The last of them, and its place among all
+    // The last of these crashes, and its number in the order of all crashes
     Time at {};
     std::uint64_t number = 0;
 };
 
-// Who tells an agent of the cordons.
+// Where an agent gets the cordons from.
 enum class CordonSource {
     Control,
 
-    // Only as new as what it heard from control last
+    // May be out of date: an entry passes on the last cordons that it got from control.
     Entry,
 };
 
-// What is counted within one life of the endpoint. Another life begins with all of it anew: held
-// against the counts of the life before, its heartbeats look old and its ends are forgotten untold.
+// State within one incarnation of the endpoint, reset for the next one: heartbeat and end numbers
+// start anew, so comparing them across incarnations would drop heartbeats and lose ends.
 struct LifeState
 {
-    // Whether a heartbeat of this life has told what it is and how much room it has; until then
-    // only a list of runs has shown that it is there.
+    // A heartbeat has told its service and capacity; before that it is known only from a list of
+    // runs.
     bool described = false;
 
-    // Whether it has answered a look
+    // It has replied to a poll.
     bool answered = false;
 
-    // Nothing runs that this agent did not start: earlier lives' runs are stopped first.
+    // No runs of earlier agents are left; those are stopped before anything is started.
     bool clean = false;
     std::set<jobs::RunId> orphans;
 
-    // The endpoint's clock when it was last told, and when that was here
+    // Latest reading of the endpoint's clock, and when it arrived here
     std::optional<Milliseconds> clockSample;
     Time clockAt {};
 
-    // The latest time that any order may have prolonged the lease to, on the endpoint's clock
+    // Latest end of the lease that any command may have set, on the endpoint's clock
     Milliseconds leaseUntil { 0 };
 
-    // The highest number of an end that was taken note of
+    // Highest number of an ended run that has been handled
     std::uint64_t lastSeen = 0;
+
+    // Consecutive failed polls, and the last failure
     std::uint32_t looksFailed = 0;
     std::optional<Time> lookFailedAt;
 
-    // Judgement
+    // Health: fault score from 0 to 1, the last fault, and the mean of run time to estimate
     double bad = 0;
     Time badAt {};
     double pace = 1.0;
@@ -411,32 +433,35 @@
 struct RunnerState
 {
     RunnerSettings settings;
+    // Of this agent
     std::uint64_t incarnation = 0;
     std::uint64_t fence = 0;
 
-    // Fence refusals in a row; the next fence is raised by more each time.
+    // Consecutive rejections of the fence; each one doubles the next raise.
     std::uint32_t fencedOff = 0;
 
-    // The endpoint; without a life nothing is known of it.
+    // The endpoint; its id is empty while none is known.
     EndpointReport endpoint;
     LifeState life;
 
-    // The lives before it, the last one at the end: what they still say comes late
+    // Previous incarnations, the last one at the end; delayed heartbeats of theirs are ignored.
     std::deque<LifeId> formerLives;
 
-    // The newest heartbeat of another life, while the present one answers or is the younger by its
-    // date: a late or stray one, or the next life's. The endpoint's answer to the next look tells
-    // which; doubtfulLook is the last look that was ordered before it came.
+    // The newest heartbeat of another incarnation while the current one replies or is the younger
+    // one: a delayed or stray heartbeat, or the next incarnation's. The next poll tells which.
+    // doubtfulLook is the last poll that was sent before it arrived.
     std::optional<EndpointReport> doubtful;
     std::uint64_t doubtfulLook = 0;
+
+    // Version of the endpoint's description; entries get the description again when it changes.
     std::uint64_t viewNumber = 1;
     bool stopping = false;
 
-    // Tasks under which the endpoint crashed in any of its lives, the last one at the end
+    // Tasks that ran in a crash of any incarnation of the endpoint, the last one at the end
     std::deque<CrashedTask> crashed;
     std::uint64_t lastCrash = 0;
 
-    // Cordons, the newest that were heard; nothing starts before they are known.
+    // The newest known cordons; nothing is started before they are known.
     catalog::Cordons cordons;
     bool cordonsKnown = false;
     bool heardFromEntry = false;
@@ -445,20 +470,20 @@
     std::map<jobs::RunId, Run> runs;
     std::map<std::uint64_t, Session> sessions;
 
-    // The next to start first: by priority, then as they came
+    // By priority, then in the order of arrival
     std::vector<WaitingStart> waiting;
 
-    // Room that ended runs gave back, in thousandths of a core
+    // Capacity freed by ended runs, in thousandths of a core
     FadingSum freed;
 
-    // Looks
+    // Polls: number of the last one sent; results of polls up to lookAnswered are ignored.
     std::uint64_t lookNumber = 0;
     std::uint64_t lookAnswered = 0;
     bool lookUnderWay = false;
     Time nextLook {};
     bool wasOnTrial = false;
 
-    // Counters for the metrics
+    // Counters for metrics
     std::uint64_t started = 0;
     std::uint64_t done = 0;
     std::uint64_t failed = 0;
@@ -467,7 +492,7 @@
     std::uint64_t unanswered = 0;
     std::uint64_t heartbeatsPassedOver = 0;
 
-    // Lines about them in the second that began then
+    // Log lines about ignored heartbeats in the second that began at passedOverSecond
     Time passedOverSecond {};
     std::uint32_t passedOverLines = 0;
 };
@@ -480,30 +505,30 @@
     std::vector<std::pair<std::uint64_t, jobs::Welcome>> welcomes;
     std::vector<std::pair<std::uint64_t, jobs::AgentUpdate>> updates;
 
-    // Sessions whose connection is to be closed.
+    // Sessions whose connections are to be closed
     std::vector<std::uint64_t> closes;
     std::vector<eventlog::Event> events;
 };
 
 // [SECTION] Functions
 
-// The fence must be above those of this agent's earlier lives, as far as can be known; where it is
-// not, the endpoint refuses it and it is raised.
+// The fence should be above those of the agent's earlier incarnations; if it isn't, the endpoint
+// rejects it and it is raised.
 RunnerState makeRunner(const RunnerSettings &settings, std::uint64_t incarnation,
                        std::uint64_t fence);
 
-// The endpoint's heartbeat, or its word that it ends.
+// The endpoint's heartbeat, and its notice that it has shut down.
 RunnerActions endpointHeard(RunnerState &runner, const EndpointReport &report, Time now);
 RunnerActions endpointLeft(RunnerState &runner, const LifeId &life, Time now);
 
-// What is cordoned. Older news than what is known here changes nothing.
+// Older cordons than the known ones are ignored.
 RunnerActions cordonsHeard(RunnerState &runner, const catalog::Cordons &cordons,
                            CordonSource source, Time now);
 
 // Whether the endpoint's data centre is cordoned.
 bool isCordoned(const RunnerState &runner);
 
-// An entry's session. Numbers are never used twice.
+// Messages of entries. Session numbers are never reused.
 RunnerActions openSession(RunnerState &runner, std::uint64_t session, const std::string &owner,
                           Time now);
 RunnerActions closeSession(RunnerState &runner, std::uint64_t session, Time now);
@@ -514,7 +539,7 @@
 RunnerActions sessionBeat(RunnerState &runner, std::uint64_t session,
                           const jobs::SessionBeat &message, Time now);
 
-// Answers of the endpoint. Each order is answered exactly once, if only by None.
+// Results of commands. Each command gets exactly one result, which may be None.
 RunnerActions startAnswered(RunnerState &runner, const jobs::RunId &id, const Answered &answered,
                             Time now);
 RunnerActions stopAnswered(RunnerState &runner, const jobs::RunId &id, const Answered &answered,
@@ -523,15 +548,15 @@
 
 RunnerActions tick(RunnerState &runner, Time now);
 
-// A planned stop: nothing new is taken. Done once finished() holds.
+// Planned shutdown: no new starts are taken. Complete once finished() returns true.
 RunnerActions beginStop(RunnerState &runner, Time now);
 RunnerActions stopAll(RunnerState &runner, Time now);
 bool finished(const RunnerState &runner);
 
-// How long the run that was ordered first has been taking room; zero if none is.
+// Age of the oldest run that holds capacity; zero if there is none.
 Microseconds oldestRun(const RunnerState &runner, Time now);
 
-// What an entry may count on.
+// The endpoint as reported to entries.
 jobs::EndpointView viewOf(const RunnerState &runner, Time now);
 
 } // namespace foxwing::runner
--- a/packages/runner/src/answers.cpp
+++ b/packages/runner/src/answers.cpp
@@ -1,7 +1,8 @@
 /*
-    What the endpoint answers to starts, stops and looks.
+    Results of start, stop and poll commands.
 
-    [SECTION] Answers
+    [SECTION] Starts and stops
+    [SECTION] Polls
 */
 #include "internal.h"
 
@@ -14,7 +15,7 @@
 using jobs::RunEnd;
 using jobs::RunId;
 
-// [SECTION] Answers
+// [SECTION] Starts and stops
 
 namespace {
 
@@ -35,26 +36,25 @@
     run.progressAt = now;
 }
 
-// The order may have been lost, its answer may have been, or it is still to be carried out. The
-// same start again is safe: the endpoint takes a run once. After some tries the run is stopped, so
-// that it can't begin any more.
+// The command or its reply may have been lost, or the command may yet take effect. Repeating it is
+// safe, since the endpoint starts a run only once. After startGivenUp the run is stopped, so that
+// it can't start any more.
 void startUnanswered(RunnerState &runner, const RunId &id, Run &run, Time now,
                      RunnerActions &actions)
 {
     ++runner.unanswered;
     if (run.state != RunState::Ordered)
         return;
-    // The room may have shrunk since the first order: it then holds only what has begun already.
+    // Not if the capacity was reduced since the first attempt and is exceeded by now.
     const bool stillFits = jobs::fits({}, freeRoom(runner));
     if (now < run.orderedAt + runner.settings.startGivenUp && leaseDeadline(runner, now)
         && stillFits)
         return orderStart(runner, id, run, now, actions);
     noteBad(runner, now);
-    beginStopping(runner, id, run, "its start was not answered", now, actions);
+    beginStopping(runner, id, run, "no reply to its start command", now, actions);
 }
 
-// The endpoint will not start it. If it was ordered more than once, an earlier order may have been
-// carried out, or may be yet.
+// The endpoint refuses this attempt. An earlier attempt may have taken effect, or may do so yet.
 void startRefused(RunnerState &runner, const RunId &id, Run &run, Answer answer, Time now,
                   RunnerActions &actions)
 {
@@ -66,12 +66,12 @@
     if (run.tries <= 1 || answer == Answer::OtherLife) {
         endRun(runner, id, RunEnd::NeverBegan, refusedFor(answer), now, actions);
     } else if (answer == Answer::OldRun) {
-        // It has run, and its end is in a look that is on its way or in the next.
+        // It has run; its end is in the result of the pending poll or the next one.
         run.seen = true;
         run.goneIfMissingIn = runner.lookNumber + 1;
     } else {
-        beginStopping(runner, id, run, "its start was refused after an unanswered one", now,
-                      actions);
+        beginStopping(runner, id, run, "its start was refused after an attempt without a reply",
+                      now, actions);
     }
 }
 
@@ -79,8 +79,8 @@
 
 namespace {
 
-// An answer to an order of a former life tells neither the clock nor the fence of the present one;
-// what became of the run, the next list shows. The same for runs that are over.
+// Results from a previous incarnation say nothing about the clock and fence of the current one; the
+// next poll shows what became of the run. Results for ended runs are ignored as well.
 bool tellsOfThisLife(const RunnerState &runner, std::map<RunId, Run>::const_iterator run)
 {
     return run != runner.runs.end() && !run->second.ofFormerLife;
@@ -133,6 +133,8 @@
     return actions;
 }
 
+// [SECTION] Polls
+
 namespace {
 
 void takeEnds(RunnerState &runner, const Look &look, Time now, RunnerActions &actions)
@@ -144,7 +146,7 @@
     }
 }
 
-// Runs that another life of this agent has left behind.
+// Stops runs that another incarnation of this agent has left behind.
 void stopOrphans(RunnerState &runner, const std::set<RunId> &seen,
                  const std::optional<WallTime> &born, RunnerActions &actions)
 {
@@ -164,7 +166,7 @@
     runner.life.clean = clean;
 }
 
-// It runs in the present life, whichever it was ordered in.
+// A listed run belongs to the current incarnation, whichever one its start was sent to.
 void markListed(Run &run, Time now)
 {
     markStarted(run, now);
@@ -178,7 +180,7 @@
 
 RunEnd endWhenMissing(const Run &run)
 {
-    // It may have begun in the life that is over.
+    // It may have started in the previous incarnation.
     if (run.ofFormerLife)
         return run.formerEnd;
     return run.seen ? RunEnd::Stopped : RunEnd::NeverBegan;
@@ -211,7 +213,7 @@
     stopOrphans(runner, orphans, look.born, actions);
 }
 
-// The pause between failed looks grows up to this many times the first.
+// The pause between failed polls grows up to this multiple of lookPause.
 constexpr std::uint32_t MostPauses = 10;
 
 void lookFailed(RunnerState &runner, const Answered &answered, Time now, RunnerActions &actions)
@@ -228,8 +230,7 @@
         actions.events.push_back(change("endpoint-out-of-reach")
                                          .with("life", runner.endpoint.life.id)
                                          .with("answer", toString(answered.answer)));
-    // Nobody listens at its address, twice: the endpoint's process is gone, and what it ran with
-    // it.
+    // Nothing listens at its address, twice in a row: the process is gone, and its runs with it.
     const bool gone = answered.answer == Answer::Unreachable && runner.life.looksFailed > 1;
     if (gone || answered.answer == Answer::OtherLife)
         endAll(runner, endOfLife(runner), toString(answered.answer), now, actions);
@@ -248,13 +249,14 @@
 RunnerActions lookAnswered(RunnerState &runner, std::uint64_t number, const Look &look, Time now)
 {
     RunnerActions actions;
-    // Of another life, or overtaken by a newer one.
+    // For a previous incarnation, or superseded by a newer poll.
     if (number <= runner.lookAnswered)
         return actions;
     runner.lookAnswered = number;
     runner.lookUnderWay = false;
     if (isOfAnotherLife(runner, look)) {
-        // Its ends were asked for by the count of the life before: the next look asks anew.
+        // This poll acknowledged end numbers of the previous incarnation, so its list of ends may
+        // be incomplete; the next poll starts anew.
         lifeListed(runner, { runner.endpoint.life.id, look.born }, now, actions);
         finishEvent(runner, now, actions);
         return actions;
--- a/packages/runner/src/crashes.cpp
+++ b/packages/runner/src/crashes.cpp
@@ -1,5 +1,6 @@
 /*
-    Tasks under which the endpoint crashed, for all entries: a job may be sent to another one next.
+    Tasks that ran when the endpoint crashed. Reported to all entries, since the caller may send the
+    job to another entry next.
 
     [SECTION] Crashes
 */
--- a/packages/runner/src/internal.h
+++ b/packages/runner/src/internal.h
@@ -1,13 +1,13 @@
 /*
-    Inside the runner: what its files share.
+    Declarations shared by the runner's source files.
 
-    [SECTION] Offer
-    [SECTION] Waiting
+    [SECTION] Capacity and updates
+    [SECTION] Waiting starts
     [SECTION] Sessions
     [SECTION] Runs
     [SECTION] Crashes
-    [SECTION] Lives
-    [SECTION] Judgement
+    [SECTION] Incarnations
+    [SECTION] Health
 */
 #pragma once
 
@@ -15,59 +15,57 @@
 
 namespace foxwing::runner {
 
-// [SECTION] Offer
+// [SECTION] Capacity and updates
 
-// Room that is free for new runs; zero while nothing may start.
+// Capacity that is free for new runs; zero while nothing may start.
 jobs::Room freeRoom(const RunnerState &runner);
 std::uint32_t mostStarts(const RunnerState &runner, Time now);
 bool onTrial(const RunnerState &runner);
 bool isOutOfReach(const RunnerState &runner);
 
-// Puts what changed into messages for the entries, and orders the next look if one is due. The
-// last step of every event.
+// The last step of every event: sends updates to entries, and the next poll if it is due.
 void finishEvent(RunnerState &runner, Time now, RunnerActions &actions);
 
-// [SECTION] Waiting
+// [SECTION] Waiting starts
 
-// Room that waiting starts of this priority and of more urgent ones are to get.
+// Capacity for waiting starts of this priority and of more urgent ones.
 jobs::Room waitingRoom(const RunnerState &runner, std::uint32_t priority);
 
-// The starts that wait here as entries are told of them, most urgent first.
+// Waiting starts as reported to entries, most urgent first.
 std::vector<jobs::WaitingRoom> waitingRows(const RunnerState &runner);
 bool mayWaitHere(const RunnerState &runner, const jobs::StartTasks &message);
 bool isWaiting(const RunnerState &runner, const jobs::TaskId &task);
 void addWaiting(RunnerState &runner, WaitingStart start);
 
-// Starts what has room now; what has waited too long, or can't start here, is refused.
+// Starts what fits now; what has waited too long or can't start here is refused.
 void startWaiting(RunnerState &runner, Time now, RunnerActions &actions);
 
-// The entry wants it no more; false if no such start waits.
+// Removes a start that its entry has cancelled; false if no such start waits.
 bool dropWaiting(RunnerState &runner, const jobs::RunId &id);
 void dropWaitingOf(RunnerState &runner, std::uint64_t session);
 
 // [SECTION] Sessions
 
-// The entry is taken for gone: its runs are being stopped, and nothing more is told to it.
+// Closes the session and stops its runs; the entry gets no more updates.
 void endSession(RunnerState &runner, std::uint64_t number, const char *why, Time now,
                 RunnerActions &actions);
 
 // [SECTION] Runs
 
-// A log line about one run.
 eventlog::Event runEvent(const char *name, const jobs::RunId &id);
 
-// Orders the start once more, or for the first time. Needs a lease deadline.
+// Sends a start command, the first one or a repeated one. Needs a lease deadline.
 void orderStart(RunnerState &runner, const jobs::RunId &id, Run &run, Time now,
                 RunnerActions &actions);
 
-// Orders a run that was found to fit.
+// Starts a run that fits.
 void startRun(RunnerState &runner, const WaitingStart &start, Time now, RunnerActions &actions);
 
-// Tells the entry that the run certainly never began.
+// Reports to the entry that the run certainly never began.
 void refuseStart(RunnerState &runner, std::uint64_t session, const jobs::RunId &id,
                  jobs::RefusedStart why);
 
-// The run is over: its room is free and its entry is told.
+// Frees the run's capacity and reports its end to the entry.
 void endRun(RunnerState &runner, const jobs::RunId &id, jobs::RunEnd end,
             jobs::RefusedStart refused, Time now, RunnerActions &actions);
 void beginStopping(RunnerState &runner, const jobs::RunId &id, Run &run, const char *why, Time now,
@@ -75,52 +73,54 @@
 void orderStop(RunnerState &runner, const jobs::RunId &id, Run &run, Time now,
                RunnerActions &actions);
 
-// The latest lease may be prolonged to from now; nothing before the endpoint's clock is known, or
-// while the lease is left to end.
+// The lease's end if it is renewed now; nothing while the endpoint's clock is unknown, or while the
+// lease must not be renewed.
 std::optional<Milliseconds> leaseDeadline(const RunnerState &runner, Time now);
 void takeClock(RunnerState &runner, const Answered &answered, Time now);
 
 // [SECTION] Crashes
 
-// The endpoint crashed while it ran the task.
+// Counts a crash of the endpoint while it ran the task.
 void noteCrash(RunnerState &runner, const jobs::TaskId &task, Time now);
 
-// What is remembered of the crashes that came after this one.
+// Remembered crashes with a higher number.
 std::vector<jobs::CrashReport> crashesAfter(const RunnerState &runner, std::uint64_t number,
                                             Time now);
 
-// [SECTION] Lives
+// [SECTION] Incarnations
 
-// A life's date for a log line, in milliseconds since 1970; 0 if the endpoint did not say.
+// For log lines: milliseconds since 1970, or 0 if unknown.
 std::int64_t bornField(const std::optional<WallTime> &born);
 
-// Everything on the endpoint is certainly over.
+// Ends all runs; only when none of them can be running any more.
 void endAll(RunnerState &runner, jobs::RunEnd end, const char *why, Time now,
             RunnerActions &actions);
 
-// How runs ended that the present life has taken along.
+// How runs end that are lost with the current incarnation.
 jobs::RunEnd endOfLife(const RunnerState &runner);
 
-// A list of runs came from another life than the present one.
+// A list of runs came from another incarnation than the current one.
 void lifeListed(RunnerState &runner, const LifeId &life, Time now, RunnerActions &actions);
 
-// The present life has answered this look.
+// The current incarnation has replied to this poll.
 void lifeConfirmed(RunnerState &runner, std::uint64_t look);
 
-// The endpoint says that it is not the present life.
+// The endpoint replied that it is not the current incarnation.
 void lifeDisowned(RunnerState &runner, Time now, RunnerActions &actions);
 
-// The endpoint refuses orders because another agent, or an earlier life of this one, used a higher
-// fence.
+// The endpoint rejects commands because another agent, or an earlier incarnation of this one, has
+// used a higher fence.
 void raiseFence(RunnerState &runner, RunnerActions &actions);
 
-// [SECTION] Judgement
+// [SECTION] Health
 
 void noteGood(RunnerState &runner, const Run &run, Milliseconds took);
 void noteBad(RunnerState &runner, Time now);
 
-// What the endpoint said of a run's progress; then what follows from all runs together.
+// Updates a run from the endpoint's progress report.
 void noteProgress(RunnerState &runner, Run &run, std::uint32_t percent, Time now);
+
+// Reports runs that are behind; called once the progress of all runs is known.
 void judgeRuns(RunnerState &runner, Time now, RunnerActions &actions);
 
 } // namespace foxwing::runner
--- a/packages/runner/src/judgement.cpp
+++ b/packages/runner/src/judgement.cpp
@@ -1,8 +1,8 @@
 /*
-    Whether the endpoint is to be trusted: runs that fail, stand still or are behind speak against
-    it, runs that end on pace for it.
+    Health of the endpoint: runs that fail, stall or are behind raise its fault score, runs that
+    end on time lower it.
 
-    [SECTION] Judgement
+    [SECTION] Health
 */
 #include "internal.h"
 
@@ -10,7 +10,7 @@
 
 namespace foxwing::runner {
 
-// [SECTION] Judgement
+// [SECTION] Health
 
 bool onTrial(const RunnerState &runner)
 {
@@ -19,7 +19,7 @@
 
 void noteGood(RunnerState &runner, const Run &run, Milliseconds took)
 {
-    // One odd run moves the pace by a twentieth at the most five-fold.
+    // Moving average; the ratio is clamped, so that one outlier changes it only a little.
     constexpr double Weight = 0.05;
     constexpr double Least = 0.2;
     constexpr double Most = 5.0;
@@ -59,7 +59,8 @@
 
 namespace {
 
-// Whether most runs are behind, of more than one job: estimates are wrong for one job at a time.
+// Whether at least half of the runs are behind, and of more than one job: a wrong estimate affects
+// one job only.
 bool endpointIsSlow(const RunnerState &runner, Time now)
 {
     std::size_t judged = 0;
--- a/packages/runner/src/lives.cpp
+++ b/packages/runner/src/lives.cpp
@@ -1,13 +1,13 @@
 /*
-    Lives of the endpoint, and its heartbeats.
+    Incarnations of the endpoint, and its heartbeats.
 
-    A life is an id and the date at which it began. An id may come again: what the present life is,
-    its heartbeats and its lists of runs tell together, and the lists go first, since they answer a
-    question that was asked just now.
+    An incarnation is identified by an id and a start time, since ids may be reused. Heartbeats and
+    lists of runs both tell which incarnation is the current one; lists take precedence, since they
+    are replies to a recent poll, while a heartbeat may be delayed.
 
-    [SECTION] Names
+    [SECTION] Identity
     [SECTION] Fences
-    [SECTION] Lives
+    [SECTION] Incarnations
     [SECTION] Heartbeats
 */
 #include "internal.h"
@@ -22,7 +22,7 @@
 using jobs::RunEnd;
 using jobs::RunId;
 
-// [SECTION] Names
+// [SECTION] Identity
 
 bool operator==(const LifeId &left, const LifeId &right)
 {
@@ -43,8 +43,8 @@
 
 void raiseFence(RunnerState &runner, RunnerActions &actions)
 {
-    // The first step spans a clock that was a minute ahead, for fences made of milliseconds and ten
-    // more bits; each further one is twice as far.
+    // Fences are milliseconds shifted left by ten bits. The first step makes up for a clock that
+    // was a minute ahead; each further one is twice as large.
     constexpr std::uint64_t FirstStep = 60000ULL << 10U;
     constexpr std::uint32_t MostDoublings = 10;
     runner.fence += FirstStep << std::min(runner.fencedOff, MostDoublings);
@@ -52,15 +52,14 @@
     actions.events.push_back(change("fence-raised").with("fence", runner.fence));
 }
 
-// What was ordered until now and is carried out late must not begin in another life of the
-// endpoint, whose clock and run numbers do not keep it out: that life takes nothing with a lower
-// fence once it was looked at with this one.
+// Delayed start commands for one incarnation must not take effect in the next one, whose clock and
+// run numbers don't reject them. With a higher fence they are rejected after the next poll.
 static void fenceOffOrders(RunnerState &runner)
 {
     ++runner.fence;
 }
 
-// [SECTION] Lives
+// [SECTION] Incarnations
 
 void endAll(RunnerState &runner, RunEnd end, const char *why, Time now, RunnerActions &actions)
 {
@@ -83,9 +82,9 @@
 
 namespace {
 
-// Orders that were on their way when an endpoint began again under its id may have reached either
-// life. A run counts as lost once a list of the new life, asked for with a higher fence, does not
-// show it: told so before, its task could begin elsewhere beside it.
+// Commands in flight while an endpoint restarted with the same id may have reached either
+// incarnation. A run counts as lost only once the new incarnation, polled with a higher fence,
+// doesn't list it; reported earlier, its task could be started elsewhere while it still runs.
 void leaveRunsToNextList(RunnerState &runner)
 {
     for (auto &[id, run] : runner.runs) {
@@ -120,24 +119,24 @@
                                      .with("before_born_ms", bornField(runner.endpoint.life.born))
                                      .with("told_by", toldBy)
                                      .with("runs", runner.runs.size()));
-    // An order for another id is refused by the endpoint, so what it ran is lost for certain.
+    // The endpoint rejects commands for another id, so all runs are certainly lost.
     if (life.id == runner.endpoint.life.id)
         leaveRunsToNextList(runner);
     else
-        endAll(runner, endOfLife(runner), "another life of the endpoint", now, actions);
+        endAll(runner, endOfLife(runner), "the endpoint has a new incarnation", now, actions);
     rememberFormerLife(runner);
     runner.endpoint = EndpointReport();
     runner.endpoint.life = life;
     runner.life = LifeState();
     runner.doubtful.reset();
     ++runner.viewNumber;
-    // A look that is under way was for the other life; its answer is not waited for.
+    // A pending poll was for the previous incarnation; its result is ignored.
     runner.lookUnderWay = false;
     runner.lookAnswered = runner.lookNumber;
     runner.nextLook = now;
 }
 
-// Takes over what a heartbeat of the present life says.
+// Applies a heartbeat of the current incarnation.
 void describe(RunnerState &runner, const EndpointReport &report, Time now, RunnerActions &actions)
 {
     const EndpointReport before = std::exchange(runner.endpoint, report);
@@ -171,7 +170,7 @@
         describe(runner, *heard, now, actions);
 }
 
-// Called for each look that was answered; a report that came after the look was ordered stays.
+// A candidate that arrived after the poll was sent is kept.
 void lifeConfirmed(RunnerState &runner, std::uint64_t look)
 {
     runner.life.answered = true;
@@ -181,12 +180,13 @@
 
 void lifeDisowned(RunnerState &runner, Time now, RunnerActions &actions)
 {
-    // The endpoint's own word goes before the order in which heartbeats came.
+    // The endpoint's own reply outranks the order in which heartbeats arrived.
     runner.formerLives.clear();
     const std::optional<EndpointReport> heard = runner.doubtful;
     if (!heard || heard->life.id == runner.endpoint.life.id)
         return;
-    beginLife(runner, heard->life, "a heartbeat, after the other life was disowned", now, actions);
+    beginLife(runner, heard->life, "a heartbeat, after the endpoint rejected the previous id", now,
+              actions);
     describe(runner, *heard, now, actions);
 }
 
@@ -198,14 +198,14 @@
 {
     const EndpointReport &present = runner.endpoint;
     if (report.sequence < present.sequence)
-        return "older than the last one heard";
-    // One life serves one service, in one place. Taken over from another writer, the number of its
-    // heartbeat would have the endpoint's own ones passed over as well.
+        return "older than the last heartbeat received";
+    // An incarnation keeps its service and data centre. If a foreign heartbeat were accepted, its
+    // sequence number could make the endpoint's own heartbeats look outdated.
     const bool moved = report.service != present.service || report.dataCentre != present.dataCentre;
-    return runner.life.described && moved ? "a life keeps its service and data centre" : nullptr;
+    return runner.life.described && moved ? "it changes the service or data centre" : nullptr;
 }
 
-// Why a heartbeat changes nothing; null if it counts.
+// Why a heartbeat is ignored; null if it is accepted.
 const char *whyPassedOver(const RunnerState &runner, const EndpointReport &report)
 {
     const LifeId &present = runner.endpoint.life;
@@ -214,18 +214,18 @@
     if (report.life == present)
         return whyNotOfThisLife(runner, report);
     if (isFormerLife(runner, report.life))
-        return "of a former life";
+        return "from a previous incarnation";
     if (report.life.id == present.id && !report.life.born)
-        return "it does not say of which life";
+        return "it has no start time";
     if (report.life.born && present.born && *report.life.born < *present.born)
-        return "its life began before the present one";
-    // A report under another id, however whole, must not take out an endpoint that works.
+        return "its incarnation started before the current one";
+    // A valid heartbeat with another id must not displace an endpoint that works.
     if (report.life.id != present.id && runner.life.answered && runner.life.looksFailed == 0)
-        return "the present life answers";
+        return "the current incarnation is reachable";
     return nullptr;
 }
 
-// Leaves a trace, since the endpoint was answered that it had been heard; a few lines a second.
+// Logged, at a limited rate, since the sender gets a positive reply nevertheless.
 void logPassedOver(RunnerState &runner, const EndpointReport &report, const char *why, Time now,
                    RunnerActions &actions)
 {
@@ -248,7 +248,7 @@
                                      .with("total", runner.heartbeatsPassedOver));
 }
 
-// Keeps what the endpoint's answer to the next look may show to be the next life.
+// Keeps the heartbeat of a possible next incarnation until a poll confirms or rejects it.
 void keepDoubtful(RunnerState &runner, const EndpointReport &report)
 {
     if (report.life == runner.endpoint.life || isFormerLife(runner, report.life))
--- a/packages/runner/src/offer.cpp
+++ b/packages/runner/src/offer.cpp
@@ -1,8 +1,10 @@
 /*
-    What the runner offers to entries, and what it tells them.
+    Capacity of the endpoint, updates to entries, polls, and the end of each event.
 
-    [SECTION] Offer
-    [SECTION] Telling
+    [SECTION] Capacity
+    [SECTION] Updates
+    [SECTION] Polls
+    [SECTION] Events
 */
 #include "internal.h"
 
@@ -11,7 +13,7 @@
 
 namespace foxwing::runner {
 
-// [SECTION] Offer
+// [SECTION] Capacity
 
 bool isOutOfReach(const RunnerState &runner)
 {
@@ -20,7 +22,7 @@
 
 namespace {
 
-// More starts than any endpoint has room for.
+// More starts than fit on any endpoint.
 constexpr std::uint32_t AnyNumber = 10000;
 
 bool mayStart(const RunnerState &runner)
@@ -47,7 +49,7 @@
     return free;
 }
 
-// Below zero while more waits than is free.
+// Negative while waiting starts need more than is free.
 static jobs::Room offeredRoom(const RunnerState &runner)
 {
     jobs::Room free = freeRoom(runner);
@@ -66,8 +68,8 @@
 
 std::uint32_t mostStarts(const RunnerState &runner, Time now)
 {
-    // An entry must not be told of room while every start would be refused: it would send again
-    // at once, and again.
+    // While every start would be refused no capacity may be reported: the entry would retry at
+    // once, over and over.
     if (!mayStart(runner) || !leaseDeadline(runner, now))
         return 0;
     if (!onTrial(runner))
@@ -91,7 +93,7 @@
     return view;
 }
 
-// [SECTION] Telling
+// [SECTION] Updates
 
 namespace {
 
@@ -123,8 +125,8 @@
     actions.welcomes.emplace_back(number, std::move(message));
 }
 
-// How old an entry's picture of the room may be. Among entries that want room it grows with their
-// number, so that an agent's work for telling it does not.
+// Longest delay of a capacity update. Grows with the number of entries that need capacity, so that
+// the total number of updates doesn't.
 Microseconds tellInterval(const RunnerState &runner, const Session &session)
 {
     if (!session.wantsRoom)
@@ -134,7 +136,7 @@
     return runner.settings.roomInterval * std::max<std::ptrdiff_t>(1, wanting / 4);
 }
 
-// At once for what concerns this entry alone: its ends and refusals.
+// Ends and refusals of the entry's own starts are reported at once.
 bool dueToTell(const RunnerState &runner, const Session &session, const jobs::Room &free,
                std::uint32_t most, Time now)
 {
@@ -193,6 +195,8 @@
     }
 }
 
+// [SECTION] Polls
+
 bool leaseIsLeftToEnd(const RunnerState &runner, Time now)
 {
     return std::any_of(runner.runs.begin(), runner.runs.end(), [&](const auto &item) {
@@ -220,7 +224,7 @@
             : busy && doubtful ? runner.settings.doubtfulWait
             : busy             ? runner.settings.busyWait
                                : runner.settings.idleWait;
-    // Not while the endpoint is out of reach: its lease must come to an end that is known here.
+    // The lease isn't renewed while the endpoint is unreachable, so that its end is known here.
     if (busy && !isOutOfReach(runner))
         look.deadline = leaseDeadline(runner, now);
     if (look.deadline)
@@ -238,6 +242,8 @@
     return *runner.life.clockSample + elapsed + runner.settings.leaseSpan;
 }
 
+// [SECTION] Events
+
 void finishEvent(RunnerState &runner, Time now, RunnerActions &actions)
 {
     dropEndedSessions(runner);
--- a/packages/runner/src/runner.cpp
+++ b/packages/runner/src/runner.cpp
@@ -1,6 +1,6 @@
 /*
-    Runs, cordons and time. What entries ask for is in sessions.cpp, what the endpoint answers in
-    answers.cpp, its lives and heartbeats in lives.cpp.
+    Runs, cordons and timers. Messages of entries are in sessions.cpp, results of commands in
+    answers.cpp, incarnations of the endpoint and its heartbeats in lives.cpp.
 
     [SECTION] Names
     [SECTION] Runs
@@ -87,8 +87,8 @@
 
 } // namespace
 
-// Room of failed runs is left out: an endpoint that fails all that it starts would seem to give
-// back more room than any other.
+// Failed runs don't count: an endpoint where everything fails would seem to free the most
+// capacity.
 static void noteFreed(RunnerState &runner, const Run &run, RunEnd end, Time now)
 {
     if (end == RunEnd::Done || end == RunEnd::Stopped)
@@ -152,7 +152,7 @@
 {
     if (!answered.endpointClock)
         return;
-    // Answers overtake each other: an older one must not set the clock back.
+    // Results may arrive out of order: an older one must not set the clock back.
     if (runner.life.clockSample && *answered.endpointClock < *runner.life.clockSample)
         return;
     runner.life.clockSample = answered.endpointClock;
@@ -185,7 +185,7 @@
 
 namespace {
 
-// Without a word from control, what an entry knows counts after a while.
+// Falls back to the cordons from an entry if control has not sent any in time.
 void takeEntrysWord(RunnerState &runner, Time now, RunnerActions &actions)
 {
     if (runner.firstTick == Time {})
@@ -199,14 +199,14 @@
                                      .with("cordoned", isCordoned(runner) ? 1 : 0));
 }
 
-// Endpoint clocks run up to 2 percent slow: so much of the time that passed here certainly passed
-// there.
+// Endpoint clocks run up to 2 percent slow: at least this percentage of the time elapsed here has
+// elapsed there.
 constexpr int SlowestClockPercent = 98;
 
 bool leaseIsOver(const RunnerState &runner, Time now)
 {
-    // What was ordered for a former life may have been taken by this one, with a deadline of the
-    // other's clock.
+    // Commands for a previous incarnation may have reached the current one, with a deadline on the
+    // previous one's clock.
     const bool leftOver = std::any_of(runner.runs.begin(), runner.runs.end(),
                                       [](const auto &item) { return item.second.ofFormerLife; });
     if (!runner.life.clockSample || leftOver)
@@ -232,7 +232,7 @@
             silent.push_back(number);
     }
     for (const std::uint64_t number : silent)
-        endSession(runner, number, "its entry is silent", now, actions);
+        endSession(runner, number, "the entry has timed out", now, actions);
 }
 
 } // namespace
@@ -244,7 +244,7 @@
     endSilentSessions(runner, now, actions);
     repeatStops(runner, now, actions);
     if (!runner.runs.empty() && runner.life.looksFailed > 0 && leaseIsOver(runner, now))
-        endAll(runner, RunEnd::Lapsed, "the lease is over and the endpoint out of reach", now,
+        endAll(runner, RunEnd::Lapsed, "the lease has expired and the endpoint is unreachable", now,
                actions);
     finishEvent(runner, now, actions);
     return actions;
@@ -262,7 +262,7 @@
 {
     RunnerActions actions;
     for (auto &[id, run] : runner.runs)
-        beginStopping(runner, id, run, "the agent stops", now, actions);
+        beginStopping(runner, id, run, "the agent shuts down", now, actions);
     finishEvent(runner, now, actions);
     return actions;
 }
--- a/packages/runner/src/sessions.cpp
+++ b/packages/runner/src/sessions.cpp
@@ -1,5 +1,5 @@
 /*
-    What entries ask for: sessions, starts and stops.
+    Messages of entries: sessions, starts, stops and heartbeats.
 
     [SECTION] Sessions
 */
@@ -41,8 +41,8 @@
 
 namespace {
 
-// A session that is alive, noted as heard. One that was silent for too long is ended instead: after
-// a pause of this process, or a cut, what was sent long ago arrives as if it were new.
+// Finds an open session and notes that it was heard. A session that has timed out is closed
+// instead: after a pause of this process or a network partition, old messages arrive as if new.
 std::map<std::uint64_t, Session>::iterator hearSession(RunnerState &runner, std::uint64_t number,
                                                        Time now, RunnerActions &actions)
 {
@@ -50,7 +50,7 @@
     if (found == runner.sessions.end() || found->second.over)
         return runner.sessions.end();
     if (now >= found->second.heardAt + runner.settings.ownerSilence) {
-        endSession(runner, number, "its entry was silent", now, actions);
+        endSession(runner, number, "the entry had timed out", now, actions);
         return runner.sessions.end();
     }
     found->second.heardAt = now;
@@ -121,7 +121,7 @@
     RunnerActions actions;
     for (auto &[number, other] : runner.sessions) {
         if (other.owner == owner)
-            endSession(runner, number, "its entry has opened another session", now, actions);
+            endSession(runner, number, "the entry has opened another session", now, actions);
     }
     Session opened;
     opened.owner = owner;
@@ -135,7 +135,7 @@
 {
     RunnerActions actions;
     if (runner.sessions.count(session) != 0)
-        endSession(runner, session, "its connection is closed", now, actions);
+        endSession(runner, session, "the connection was closed", now, actions);
     finishEvent(runner, now, actions);
     return actions;
 }
@@ -179,7 +179,7 @@
             continue;
         const auto run = runner.runs.find(id);
         if (run != runner.runs.end() && run->second.session == session)
-            beginStopping(runner, id, run->second, "its entry asked", now, actions);
+            beginStopping(runner, id, run->second, "the entry asked for it", now, actions);
     }
     finishEvent(runner, now, actions);
     return actions;
--- a/packages/runner/src/waiting.cpp
+++ b/packages/runner/src/waiting.cpp
@@ -1,10 +1,10 @@
 /*
-    Starts that wait at the agent for the next free room.
+    Starts that wait at the agent for capacity.
 
-    Of several entries that want the same room the most urgent gets it, whichever entry learns of
-    it first; and room does not stand idle for the time that its news takes to an entry and back.
+    Freed capacity goes to the most urgent start of all entries, whichever entry hears of it first,
+    and isn't idle for a round trip to an entry.
 
-    [SECTION] Waiting
+    [SECTION] Waiting starts
 */
 #include "internal.h"
 
@@ -15,7 +15,7 @@
 using jobs::RefusedStart;
 using jobs::RunId;
 
-// [SECTION] Waiting
+// [SECTION] Waiting starts
 
 jobs::Room waitingRoom(const RunnerState &runner, std::uint32_t priority)
 {
@@ -74,14 +74,14 @@
         if (!mayStart || mostStarts(runner, now) == 0) {
             refuseStart(runner, start.session, start.id, never);
         } else if (now >= start.until || !jobs::fits(start.room, runner.endpoint.capacity)) {
-            // Too late also where room is free by now: after a pause of this process its entry may
-            // have started the task elsewhere long ago, and both would run. And where the room has
-            // shrunk below it, it would only hold up the others.
+            // An expired start is refused even if it fits now: after a pause of this process its
+            // entry may have started the task elsewhere, and both would run. One that exceeds a
+            // reduced total capacity would only block the others.
             refuseStart(runner, start.session, start.id, RefusedStart::NoRoom);
         } else if (!blocked && jobs::fits(start.room, freeRoom(runner))) {
             startRun(runner, start, now, actions);
         } else {
-            // What comes free is kept for it: smaller ones would take it away for ever.
+            // Freed capacity is reserved for it; otherwise smaller starts could starve it.
             blocked = true;
             runner.waiting.push_back(start);
         }
