--- a/packages/fleet/include/foxwing/fleet/dialect.h
+++ b/packages/fleet/include/foxwing/fleet/dialect.h
@@ -73,7 +73,7 @@
     EndpointWish wish = EndpointWish::Other;
 
     // Leave: which life of it has ended; Beat: what it says of itself
-    runner::LifeId life;
+    runner::IncarnationId endpointIncarnation;
     runner::EndpointReport report;
 };
 
@@ -104,11 +104,11 @@
     std::optional<EndpointCall> (*readEndpointCall)(const fabric::Request &request,
                                                     Error *reason) = nullptr;
     fabric::Response (*writeEndpointAnswer)(bool understood, const std::string &reason) = nullptr;
-    fabric::Request (*writeStart)(const runner::StartOrder &order) = nullptr;
-    fabric::Request (*writeStop)(const runner::StopOrder &order) = nullptr;
-    fabric::Request (*writeLook)(const runner::LookOrder &order) = nullptr;
-    runner::Answered (*readAnswer)(const fabric::Response &response) = nullptr;
-    runner::Look (*readLook)(const fabric::Response &response) = nullptr;
+    fabric::Request (*writeStart)(const runner::StartCommand &order) = nullptr;
+    fabric::Request (*writeStop)(const runner::StopCommand &order) = nullptr;
+    fabric::Request (*writePoll)(const runner::PollCommand &order) = nullptr;
+    runner::CommandResult (*readAnswer)(const fabric::Response &response) = nullptr;
+    runner::PollResult (*readPoll)(const fabric::Response &response) = nullptr;
 
     // Operators
     std::optional<OperatorRequest> (*readOperatorCall)(const fabric::Request &request,
--- a/packages/fleet/src/agentshell.cpp
+++ b/packages/fleet/src/agentshell.cpp
@@ -61,7 +61,7 @@
     bool start(Error *reason) override;
     void tick(Time now) override;
     void reloaded() override { m_control.reloadSeeds(); }
-    void beginStop(Time now) override;
+    void beginShutdown(Time now) override;
     bool stopped(Time now) override;
     std::vector<metrics::Sample> samples() const override;
 
@@ -77,10 +77,10 @@
     void handleEndpoint(const ExchangePtr &exchange);
     void announceEndpoint();
     void noteUnreadable(const std::string &reason, Time now);
-    void orderStart(const runner::StartOrder &order);
-    void orderStop(const runner::StopOrder &order);
-    void orderLook(const runner::LookOrder &order);
-    runner::Answered answeredBy(const fabric::CallResult &result) const;
+    void orderStart(const runner::StartCommand &order);
+    void orderStop(const runner::StopCommand &order);
+    void orderLook(const runner::PollCommand &order);
+    runner::CommandResult resultOf(const fabric::CallResult &result) const;
     void carryOut(runner::RunnerActions &&actions);
 
     Core &m_core;
@@ -114,8 +114,8 @@
     ControlEvents events;
     events.directory = [](const std::string &, const directory::DirectoryUpdate &) {};
     events.agreed = [this](const AgreedPush &push) {
-        carryOut(runner::cordonsHeard(m_runner, push.cordons, runner::CordonSource::Control,
-                                      steadyNow()));
+        carryOut(runner::handleCordons(m_runner, push.cordons, runner::CordonSource::Control,
+                                       steadyNow()));
     };
     return events;
 }
@@ -135,13 +135,13 @@
 {
     for (const eventlog::Event &event : actions.events)
         writeEvent(m_core.log, event);
-    for (const runner::StopOrder &order : actions.stops)
+    for (const runner::StopCommand &order : actions.stops)
         orderStop(order);
-    for (const runner::StartOrder &order : actions.starts)
+    for (const runner::StartCommand &order : actions.starts)
         orderStart(order);
-    if (actions.look)
-        orderLook(*actions.look);
-    for (auto &[session, welcome] : actions.welcomes)
+    if (actions.poll)
+        orderLook(*actions.poll);
+    for (auto &[session, welcome] : actions.acceptances)
         sendTo(session, Frame(std::move(welcome)));
     for (auto &[session, update] : actions.updates)
         sendTo(session, Frame(std::move(update)));
@@ -176,7 +176,7 @@
     else if (const auto *stop = std::get_if<jobs::StopRuns>(&*frame))
         carryOut(runner::stopRuns(m_runner, session, *stop, now));
     else if (const auto *beat = std::get_if<jobs::SessionBeat>(&*frame))
-        carryOut(runner::sessionBeat(m_runner, session, *beat, now));
+        carryOut(runner::handleSessionHeartbeat(m_runner, session, *beat, now));
     else if (const auto *open = std::get_if<OpenSession>(&*frame))
         openSession(session, *open, now);
 }
@@ -184,7 +184,7 @@
 void AgentShell::openSession(std::uint64_t session, const OpenSession &open, Time now)
 {
     for (const catalog::Cordons &cordons : open.cordons)
-        carryOut(runner::cordonsHeard(m_runner, cordons, runner::CordonSource::Entry, now));
+        carryOut(runner::handleCordons(m_runner, cordons, runner::CordonSource::Entry, now));
     carryOut(runner::openSession(m_runner, session, open.entry, now));
 }
 
@@ -213,7 +213,7 @@
 // Entries that have no session here know of the endpoint by what control lists.
 void AgentShell::announceEndpoint()
 {
-    if (!m_runner.life.described)
+    if (!m_runner.endpointIncarnation.described)
         return;
     directory::NodeInfo node = m_core.self;
     node.service = m_runner.endpoint.service;
@@ -235,50 +235,50 @@
         return exchange->answer(m_dialect.writeEndpointAnswer(false, reason.message));
     }
     if (call->wish == EndpointWish::Leave)
-        carryOut(runner::endpointLeft(m_runner, call->life, now));
+        carryOut(runner::handleDeregistration(m_runner, call->endpointIncarnation, now));
     else
-        carryOut(runner::endpointHeard(m_runner, call->report, now));
+        carryOut(runner::handleHeartbeat(m_runner, call->report, now));
     announceEndpoint();
     exchange->answer(m_dialect.writeEndpointAnswer(true, ""));
 }
 
-runner::Answered AgentShell::answeredBy(const fabric::CallResult &result) const
+runner::CommandResult AgentShell::resultOf(const fabric::CallResult &result) const
 {
     if (result.failure == fabric::CallFailure::Refused)
-        return { runner::Answer::Unreachable, std::nullopt };
+        return { runner::CommandStatus::ConnectionRefused, std::nullopt };
     if (result.failure == fabric::CallFailure::NoAnswer)
-        return { runner::Answer::None, std::nullopt };
+        return { runner::CommandStatus::None, std::nullopt };
     return m_dialect.readAnswer(*result.response);
 }
 
-void AgentShell::orderStart(const runner::StartOrder &order)
+void AgentShell::orderStart(const runner::StartCommand &order)
 {
     m_endpoint.call(m_dialect.writeStart(order), OrderTimeout,
                     [this, id = order.id](const fabric::CallResult &result) {
-                        carryOut(runner::startAnswered(m_runner, id, answeredBy(result),
-                                                       steadyNow()));
+                        carryOut(runner::handleStartResult(m_runner, id, resultOf(result),
+                                                           steadyNow()));
                     });
 }
 
-void AgentShell::orderStop(const runner::StopOrder &order)
+void AgentShell::orderStop(const runner::StopCommand &order)
 {
     m_endpoint.call(m_dialect.writeStop(order), OrderTimeout,
                     [this, id = order.id](const fabric::CallResult &result) {
-                        carryOut(runner::stopAnswered(m_runner, id, answeredBy(result),
-                                                      steadyNow()));
+                        carryOut(runner::handleStopResult(m_runner, id, resultOf(result),
+                                                          steadyNow()));
                     });
 }
 
-void AgentShell::orderLook(const runner::LookOrder &order)
+void AgentShell::orderLook(const runner::PollCommand &order)
 {
-    m_endpoint.call(m_dialect.writeLook(order), order.wait + LookTimeout,
+    m_endpoint.call(m_dialect.writePoll(order), order.wait + LookTimeout,
                     [this, number = order.number](const fabric::CallResult &result) {
-                        runner::Look look;
+                        runner::PollResult poll;
                         if (result.response)
-                            look = m_dialect.readLook(*result.response);
+                            poll = m_dialect.readPoll(*result.response);
                         else
-                            look.answered = answeredBy(result);
-                        carryOut(runner::lookAnswered(m_runner, number, look, steadyNow()));
+                            poll.result = resultOf(result);
+                        carryOut(runner::handlePollResult(m_runner, number, poll, steadyNow()));
                     });
 }
 
@@ -290,20 +290,20 @@
     carryOut(runner::tick(m_runner, now));
 }
 
-void AgentShell::beginStop(Time now)
+void AgentShell::beginShutdown(Time now)
 {
     m_stopBegan = now;
-    carryOut(runner::beginStop(m_runner, now));
+    carryOut(runner::beginShutdown(m_runner, now));
 }
 
 bool AgentShell::stopped(Time now)
 {
     const Milliseconds grace = m_core.settings.stopGrace;
     if (now >= m_stopBegan + grace - LastRuns)
-        carryOut(runner::stopAll(m_runner, now));
+        carryOut(runner::stopAllRuns(m_runner, now));
     // The last ends are on their way to the entries for a moment.
     const bool told = now >= m_stopBegan + LastWords;
-    return (told && runner::finished(m_runner)) || now >= m_stopBegan + grace - LastWords;
+    return (told && runner::isShutDown(m_runner)) || now >= m_stopBegan + grace - LastWords;
 }
 
 std::vector<metrics::Sample> AgentShell::samples() const
@@ -318,7 +318,7 @@
         { "foxwing_orders_unanswered_total", "Starts without an answer",
           count(m_runner.unanswered) },
         { "foxwing_heartbeats_passed_over_total", "Heartbeats that changed nothing",
-          count(m_runner.heartbeatsPassedOver) },
+          count(m_runner.ignoredHeartbeats) },
         { "foxwing_heartbeats_unreadable_total", "Calls of endpoints that were refused",
           count(m_unreadable) },
         { "foxwing_endpoint_connections_total", "Connections opened to the endpoint",
@@ -329,14 +329,16 @@
     };
     gauge("foxwing_runs", "Runs that take room", count(m_runner.runs.size()));
     gauge("foxwing_oldest_run_ms", "How long the run ordered first has been taking room",
-          toMilliseconds(runner::oldestRun(m_runner, steadyNow())));
+          toMilliseconds(runner::oldestRunAge(m_runner, steadyNow())));
     gauge("foxwing_last_end_noted", "Number of the endpoint's last end that was taken note of",
-          count(m_runner.life.lastSeen));
+          count(m_runner.endpointIncarnation.lastSeenEnd));
     gauge("foxwing_starts_waiting", "Starts that wait here for room",
           count(m_runner.waiting.size()));
     gauge("foxwing_sessions", "Entries in touch", count(m_runner.sessions.size()));
-    gauge("foxwing_endpoint_pace", "Time taken against estimates", m_runner.life.pace);
-    gauge("foxwing_endpoint_bad", "Evidence against the endpoint, 0 to 1", m_runner.life.bad);
+    gauge("foxwing_endpoint_pace", "Time taken against estimates",
+          m_runner.endpointIncarnation.pace);
+    gauge("foxwing_endpoint_bad", "Evidence against the endpoint, 0 to 1",
+          m_runner.endpointIncarnation.faultScore);
     gauge("foxwing_cordons_revision", "Cordons known here", count(m_runner.cordons.revision));
     gauge("foxwing_cordoned", "Whether the endpoint gets nothing new, by a cordon",
           runner::isCordoned(m_runner) ? 1 : 0);
--- a/packages/fleet/src/controlshell.cpp
+++ b/packages/fleet/src/controlshell.cpp
@@ -85,7 +85,7 @@
     bool start(Error *reason) override;
     void tick(Time now) override;
     void reloaded() override;
-    void beginStop(Time now) override { m_stopBegan = now; }
+    void beginShutdown(Time now) override { m_stopBegan = now; }
     bool stopped(Time now) override { return now >= m_stopBegan + StopSpan; }
     std::vector<metrics::Sample> samples() const override;
 
--- a/packages/fleet/src/core.h
+++ b/packages/fleet/src/core.h
@@ -60,7 +60,7 @@
     virtual void reloaded() = 0;
 
     // A planned stop begins; done once stopped() holds.
-    virtual void beginStop(Time now) = 0;
+    virtual void beginShutdown(Time now) = 0;
     virtual bool stopped(Time now) = 0;
     virtual std::vector<metrics::Sample> samples() const = 0;
 };
--- a/packages/fleet/src/entryshell.cpp
+++ b/packages/fleet/src/entryshell.cpp
@@ -66,7 +66,7 @@
     bool start(Error *reason) override;
     void tick(Time now) override;
     void reloaded() override { m_control.reloadSeeds(); }
-    void beginStop(Time now) override;
+    void beginShutdown(Time now) override;
     bool stopped(Time now) override;
     std::vector<metrics::Sample> samples() const override;
 
@@ -550,7 +550,7 @@
     carryOut(scheduler::tick(m_scheduler, now));
 }
 
-void EntryShell::beginStop(Time now)
+void EntryShell::beginShutdown(Time now)
 {
     m_stopping = true;
     m_stopBegan = now;
--- a/packages/fleet/src/node.cpp
+++ b/packages/fleet/src/node.cpp
@@ -50,7 +50,7 @@
     void turn();
     void reload(const char *why);
     void checkSettings(Time now);
-    void beginStop(const char *why);
+    void beginShutdown(const char *why);
     bool serveMetrics(Error *reason);
 
     Core core;
@@ -120,13 +120,13 @@
 
 // [SECTION] Signals and time
 
-void Node::State::beginStop(const char *why)
+void Node::State::beginShutdown(const char *why)
 {
     if (stopping)
         return;
     stopping = true;
     writeEvent(core.log, change("stopping").with("why", why));
-    role->beginStop(steadyNow());
+    role->beginShutdown(steadyNow());
 }
 
 void Node::State::watchSignals()
@@ -137,7 +137,7 @@
         if (number == SIGHUP && !settingsPath.empty())
             reload("SIGHUP");
         else if (number != SIGHUP)
-            beginStop("a stop signal");
+            beginShutdown("a stop signal");
         watchSignals();
     });
 }
--- a/packages/fleet/src/settings.cpp
+++ b/packages/fleet/src/settings.cpp
@@ -147,7 +147,7 @@
     table.whole("subset_size", settings.subset.least, 1, 100000);
     table.whole("entries_per_agent", settings.subset.entriesPerAgent, 1, 1000);
     readLag(table, settings);
-    table.flag("judge_endpoint", settings.runner.judgeEndpoint);
+    table.flag("judge_endpoint", settings.runner.probationEnabled);
     table.finish();
 }
 
@@ -168,9 +168,9 @@
     shrink(entry.agentSilence);
     shrink(entry.beatInterval);
     shrink(entry.quietAfter);
-    shrink(agent.ownerSilence);
+    shrink(agent.sessionTimeout);
     shrink(agent.leaseSpan);
-    shrink(agent.calmInterval);
+    shrink(agent.idleUpdateInterval);
 }
 
 } // namespace
--- a/packages/fleet/tests/entryshell_test.cpp
+++ b/packages/fleet/tests/entryshell_test.cpp
@@ -163,7 +163,7 @@
     jobs::Welcome welcome() const
     {
         jobs::Welcome welcome;
-        welcome.endpoint.life = "life";
+        welcome.endpoint.endpointIncarnation = "life";
         welcome.endpoint.service = "service";
         welcome.endpoint.capacity = Capacity;
         if (sessions > 0 || roomAtOnce)
--- a/packages/fleet/tests/settings_test.cpp
+++ b/packages/fleet/tests/settings_test.cpp
@@ -87,7 +87,7 @@
     EXPECT_FALSE(settings->scheduler.learnRunTimes);
     EXPECT_FALSE(settings->scheduler.moveRuns);
     EXPECT_EQ(settings->lag.standBackAbove, Milliseconds(40));
-    EXPECT_FALSE(settings->runner.judgeEndpoint);
+    EXPECT_FALSE(settings->runner.probationEnabled);
 }
 
 struct BadCase
@@ -160,12 +160,12 @@
     const auto &entry = settings->scheduler;
     const auto &agent = settings->runner;
     EXPECT_LT(entry.certainSilence, Milliseconds(GetParam().resendMilliseconds));
-    EXPECT_LT(agent.ownerSilence + agent.leaseSpan * 102 / 100, entry.certainSilence);
-    EXPECT_LT(entry.agentSilence, agent.ownerSilence);
-    EXPECT_LT(entry.beatInterval * 2, agent.ownerSilence);
+    EXPECT_LT(agent.sessionTimeout + agent.leaseSpan * 102 / 100, entry.certainSilence);
+    EXPECT_LT(entry.agentSilence, agent.sessionTimeout);
+    EXPECT_LT(entry.beatInterval * 2, agent.sessionTimeout);
 
     // An agent that is there is neither given up nor passed over between two pieces of news.
-    EXPECT_LT(agent.calmInterval * 2, entry.quietAfter);
+    EXPECT_LT(agent.idleUpdateInterval * 2, entry.quietAfter);
     EXPECT_LT(entry.quietAfter, entry.agentSilence);
 }
 
--- a/packages/jobs/include/foxwing/jobs/messages.h
+++ b/packages/jobs/include/foxwing/jobs/messages.h
@@ -189,7 +189,7 @@
 struct EndpointView
 {
     // One life of the endpoint; empty while none is known
-    std::string life;
+    std::string endpointIncarnation;
     std::string service;
     std::string dataCentre;
     std::vector<std::string> labels;
@@ -206,7 +206,7 @@
 template<class Fields>
 void describe(Fields &fields, EndpointView &view)
 {
-    fields("life", view.life);
+    fields("life", view.endpointIncarnation);
     fields("service", view.service);
     fields("dataCentre", view.dataCentre);
     fields("labels", view.labels);
--- a/packages/runner/include/foxwing/runner/runner.h
+++ b/packages/runner/include/foxwing/runner/runner.h
@@ -14,9 +14,9 @@
     cordons, since an entry may not know them yet.
 
         RunnerState runner = makeRunner(settings, incarnation, fence);
-        RunnerActions actions = endpointHeard(runner, report, now);
+        RunnerActions actions = handleHeartbeat(runner, report, now);
         ... execute the actions ...
-        actions = startAnswered(runner, id, answered, now);
+        actions = handleStartResult(runner, id, answered, now);
 
     [SECTION] Settings
     [SECTION] Commands
@@ -47,10 +47,10 @@
     // Runs of an entry that has been silent for this long are stopped. Together with the endpoint
     // lease and the time of a stop, this must stay below the shortest time after which a caller
     // that lost its entry may resubmit its job (1.3 s).
-    Milliseconds ownerSilence { 450 };
+    Milliseconds sessionTimeout { 450 };
 
     // Lease of the endpoint, renewed by every poll: how long its runs go on without contact to the
-    // agent. Covers an agent that gets no CPU for half a second; ownerSilence gives the upper
+    // agent. Covers an agent that gets no CPU for half a second; sessionTimeout gives the upper
     // bound.
     Milliseconds leaseSpan { 400 };
 
@@ -89,12 +89,12 @@
 
     // Longest delay of capacity updates to entries with waiting work. Well below the duration of
     // the shortest tasks, so that capacity doesn't stay idle.
-    Milliseconds roomInterval { 10 };
+    Milliseconds capacityUpdateInterval { 10 };
 
     // The same for entries without waiting work, and the longest time until a heartbeat is
     // acknowledged. A quarter of the silence after which an entry considers an agent lost, and
     // long enough to keep the number of updates small.
-    Milliseconds calmInterval { 100 };
+    Milliseconds idleUpdateInterval { 100 };
 
     // Progress is compared with the estimate after this run time: twice the delay that a reply can
     // have on a busy host.
@@ -140,7 +140,7 @@
 
     // Whether an endpoint whose runs fail or lag is put on probation: it then gets one run at a
     // time, and a pause after each fault.
-    bool judgeEndpoint = true;
+    bool probationEnabled = true;
 
     // The fault score rises by badStep with each failure or lag, and is multiplied by goodFactor
     // with each run that ends on time. Probation lasts while it is at least trialAbove.
@@ -152,7 +152,7 @@
 
 // [SECTION] Commands
 
-struct StartOrder
+struct StartCommand
 {
     jobs::RunId id;
     std::string payload;
@@ -161,18 +161,18 @@
     // lasts at least until then.
     Milliseconds deadline { 0 };
     std::uint64_t fence = 0;
-    std::string life;
+    std::string endpointIncarnation;
 };
 
-struct StopOrder
+struct StopCommand
 {
     jobs::RunId id;
     std::uint64_t fence = 0;
-    std::string life;
+    std::string endpointIncarnation;
 };
 
 // A long poll: renews the lease, acknowledges ended runs, and waits for the next one to end.
-struct LookOrder
+struct PollCommand
 {
     std::uint64_t number = 0;
 
@@ -181,14 +181,14 @@
     std::uint64_t fence = 0;
 
     // Ended runs up to this number are acknowledged; the endpoint may forget them.
-    std::uint64_t lastSeen = 0;
+    std::uint64_t lastSeenEnd = 0;
     Milliseconds wait { 0 };
-    std::string life;
+    std::string endpointIncarnation;
 };
 
 // [SECTION] Results
 
-enum class Answer {
+enum class CommandStatus {
     Ok,
 
     // Another agent, or an earlier incarnation of this one, has used a higher fence.
@@ -202,67 +202,67 @@
     NoRoom,
 
     // The command was for another incarnation of the endpoint.
-    OtherLife,
+    OtherIncarnation,
 
     // Rejected without any effect.
     Busy,
     Invalid,
 
     // Nothing listens at the endpoint's address.
-    Unreachable,
+    ConnectionRefused,
 
     // No reply: the command may have taken effect, or may do so later.
     None,
 };
 
-const char *toString(Answer answer);
+const char *toString(CommandStatus status);
 
-struct Answered
+struct CommandResult
 {
-    Answer answer = Answer::None;
+    CommandStatus status = CommandStatus::None;
     std::optional<Milliseconds> endpointClock;
 };
 
-struct RunningRow
+struct RunProgress
 {
     jobs::RunId id;
     std::uint32_t percent = 0;
 };
 
-struct EndedRow
+struct EndedRun
 {
     std::uint64_t number = 0;
     jobs::RunId id;
     jobs::RunEnd end = jobs::RunEnd::Done;
 };
 
-struct Look
+struct PollResult
 {
-    Answered answered;
-    std::vector<RunningRow> running;
-    std::vector<EndedRow> ended;
+    CommandResult result;
+    std::vector<RunProgress> running;
+    std::vector<EndedRun> ended;
 
     // Start of the endpoint process that replied, by its own wall clock
-    std::optional<WallTime> born;
+    std::optional<WallTime> startedAt;
 };
 
 // One incarnation of an endpoint's process. The next one may have the same id.
-struct LifeId
+struct IncarnationId
 {
     std::string id;
 
     // Start of the process, by its own wall clock. Not set on platforms that don't report it and
     // give each incarnation its own id.
-    std::optional<WallTime> born;
+    std::optional<WallTime> startedAt;
 };
 
-bool operator==(const LifeId &left, const LifeId &right);
-bool operator!=(const LifeId &left, const LifeId &right);
+bool operator==(const IncarnationId &left, const IncarnationId &right);
+bool operator!=(const IncarnationId &left, const IncarnationId &right);
 
 // The endpoint's description of itself, from a heartbeat.
 struct EndpointReport
 {
-    LifeId life;
+    IncarnationId endpointIncarnation;
     std::string service;
     std::string dataCentre;
     std::vector<std::string> labels;
@@ -397,14 +397,14 @@
 
 // State within one incarnation of the endpoint, reset for the next one: heartbeat and end numbers
 // start anew, so comparing them across incarnations would drop heartbeats and lose ends.
-struct LifeState
+struct IncarnationState
 {
     // A heartbeat has told its service and capacity; before that it is known only from a list of
     // runs.
     bool described = false;
 
     // It has replied to a poll.
-    bool answered = false;
+    bool responded = false;
 
     // No runs of earlier agents are left; those are stopped before anything is started.
     bool clean = false;
@@ -412,20 +412,20 @@
 
     // Latest reading of the endpoint's clock, and when it arrived here
     std::optional<Milliseconds> clockSample;
-    Time clockAt {};
+    Time clockSampledAt {};
 
     // Latest end of the lease that any command may have set, on the endpoint's clock
     Milliseconds leaseUntil { 0 };
 
     // Highest number of an ended run that has been handled
-    std::uint64_t lastSeen = 0;
+    std::uint64_t lastSeenEnd = 0;
 
     // Consecutive failed polls, and the last failure
     std::uint32_t looksFailed = 0;
     std::optional<Time> lookFailedAt;
 
     // Health: fault score from 0 to 1, the last fault, and the mean of run time to estimate
-    double bad = 0;
+    double faultScore = 0;
     Time badAt {};
     double pace = 1.0;
 };
@@ -442,10 +442,10 @@
 
     // The endpoint; its id is empty while none is known.
     EndpointReport endpoint;
-    LifeState life;
+    IncarnationState endpointIncarnation;
 
     // Previous incarnations, the last one at the end; delayed heartbeats of theirs are ignored.
-    std::deque<LifeId> formerLives;
+    std::deque<IncarnationId> previousIncarnations;
 
     // The newest heartbeat of another incarnation while the current one replies or is the younger
     // one: a delayed or stray heartbeat, or the next incarnation's. The next poll tells which.
@@ -476,9 +476,9 @@
     // Capacity freed by ended runs, in thousandths of a core
     FadingSum freed;
 
-    // Polls: number of the last one sent; results of polls up to lookAnswered are ignored.
-    std::uint64_t lookNumber = 0;
-    std::uint64_t lookAnswered = 0;
+    // Polls: number of the last one sent; results of polls up to lastAnsweredPoll are ignored.
+    std::uint64_t pollNumber = 0;
+    std::uint64_t lastAnsweredPoll = 0;
     bool lookUnderWay = false;
     Time nextLook {};
     bool wasOnTrial = false;
@@ -490,7 +490,7 @@
     std::uint64_t stopped = 0;
     std::uint64_t refused = 0;
     std::uint64_t unanswered = 0;
-    std::uint64_t heartbeatsPassedOver = 0;
+    std::uint64_t ignoredHeartbeats = 0;
 
     // Log lines about ignored heartbeats in the second that began at passedOverSecond
     Time passedOverSecond {};
@@ -499,10 +499,10 @@
 
 struct RunnerActions
 {
-    std::vector<StartOrder> starts;
-    std::vector<StopOrder> stops;
-    std::optional<LookOrder> look;
-    std::vector<std::pair<std::uint64_t, jobs::Welcome>> welcomes;
+    std::vector<StartCommand> starts;
+    std::vector<StopCommand> stops;
+    std::optional<PollCommand> poll;
+    std::vector<std::pair<std::uint64_t, jobs::Welcome>> acceptances;
     std::vector<std::pair<std::uint64_t, jobs::AgentUpdate>> updates;
 
     // Sessions whose connections are to be closed
@@ -518,12 +518,13 @@
                        std::uint64_t fence);
 
 // The endpoint's heartbeat, and its notice that it has shut down.
-RunnerActions endpointHeard(RunnerState &runner, const EndpointReport &report, Time now);
-RunnerActions endpointLeft(RunnerState &runner, const LifeId &life, Time now);
+RunnerActions handleHeartbeat(RunnerState &runner, const EndpointReport &report, Time now);
+RunnerActions handleDeregistration(RunnerState &runner, const IncarnationId &endpointIncarnation,
+                                   Time now);
 
 // Older cordons than the known ones are ignored.
-RunnerActions cordonsHeard(RunnerState &runner, const catalog::Cordons &cordons,
-                           CordonSource source, Time now);
+RunnerActions handleCordons(RunnerState &runner, const catalog::Cordons &cordons,
+                            CordonSource source, Time now);
 
 // Whether the endpoint's data centre is cordoned.
 bool isCordoned(const RunnerState &runner);
@@ -536,27 +537,28 @@
                          const jobs::StartTasks &message, Time now);
 RunnerActions stopRuns(RunnerState &runner, std::uint64_t session, const jobs::StopRuns &message,
                        Time now);
-RunnerActions sessionBeat(RunnerState &runner, std::uint64_t session,
-                          const jobs::SessionBeat &message, Time now);
+RunnerActions handleSessionHeartbeat(RunnerState &runner, std::uint64_t session,
+                                     const jobs::SessionBeat &message, Time now);
 
 // Results of commands. Each command gets exactly one result, which may be None.
-RunnerActions startAnswered(RunnerState &runner, const jobs::RunId &id, const Answered &answered,
-                            Time now);
-RunnerActions stopAnswered(RunnerState &runner, const jobs::RunId &id, const Answered &answered,
-                           Time now);
-RunnerActions lookAnswered(RunnerState &runner, std::uint64_t number, const Look &look, Time now);
+RunnerActions handleStartResult(RunnerState &runner, const jobs::RunId &id,
+                                const CommandResult &result, Time now);
+RunnerActions handleStopResult(RunnerState &runner, const jobs::RunId &id,
+                               const CommandResult &result, Time now);
+RunnerActions handlePollResult(RunnerState &runner, std::uint64_t number, const PollResult &poll,
+                               Time now);
 
 RunnerActions tick(RunnerState &runner, Time now);
 
 // Planned shutdown: no new starts are taken. Complete once finished() returns true.
-RunnerActions beginStop(RunnerState &runner, Time now);
-RunnerActions stopAll(RunnerState &runner, Time now);
-bool finished(const RunnerState &runner);
+RunnerActions beginShutdown(RunnerState &runner, Time now);
+RunnerActions stopAllRuns(RunnerState &runner, Time now);
+bool isShutDown(const RunnerState &runner);
 
 // Age of the oldest run that holds capacity; zero if there is none.
-Microseconds oldestRun(const RunnerState &runner, Time now);
+Microseconds oldestRunAge(const RunnerState &runner, Time now);
 
 // The endpoint as reported to entries.
-jobs::EndpointView viewOf(const RunnerState &runner, Time now);
+jobs::EndpointView makeEndpointView(const RunnerState &runner, Time now);
 
 } // namespace foxwing::runner
--- a/packages/runner/src/answers.cpp
+++ b/packages/runner/src/answers.cpp
@@ -19,11 +19,11 @@
 
 namespace {
 
-RefusedStart refusedFor(Answer answer)
+RefusedStart refusedFor(CommandStatus status)
 {
-    if (answer == Answer::OldRun)
+    if (status == CommandStatus::OldRun)
         return RefusedStart::OldRun;
-    return answer == Answer::NoRoom ? RefusedStart::NoRoom : RefusedStart::Endpoint;
+    return status == CommandStatus::NoRoom ? RefusedStart::NoRoom : RefusedStart::Endpoint;
 }
 
 void markStarted(Run &run, Time now)
@@ -55,20 +55,20 @@
 }
 
 // The endpoint refuses this attempt. An earlier attempt may have taken effect, or may do so yet.
-void startRefused(RunnerState &runner, const RunId &id, Run &run, Answer answer, Time now,
+void startRefused(RunnerState &runner, const RunId &id, Run &run, CommandStatus status, Time now,
                   RunnerActions &actions)
 {
     actions.events.push_back(runEvent("start-refused", id)
-                                     .with("answer", toString(answer))
+                                     .with("answer", toString(status))
                                      .with("tries", run.tries));
-    if (answer == Answer::Busy || answer == Answer::Unreachable)
+    if (status == CommandStatus::Busy || status == CommandStatus::ConnectionRefused)
         noteBad(runner, now);
-    if (run.tries <= 1 || answer == Answer::OtherLife) {
-        endRun(runner, id, RunEnd::NeverBegan, refusedFor(answer), now, actions);
-    } else if (answer == Answer::OldRun) {
+    if (run.tries <= 1 || status == CommandStatus::OtherIncarnation) {
+        endRun(runner, id, RunEnd::NeverBegan, refusedFor(status), now, actions);
+    } else if (status == CommandStatus::OldRun) {
         // It has run; its end is in the result of the pending poll or the next one.
         run.seen = true;
-        run.goneIfMissingIn = runner.lookNumber + 1;
+        run.goneIfMissingIn = runner.pollNumber + 1;
     } else {
         beginStopping(runner, id, run, "its start was refused after an attempt without a reply",
                       now, actions);
@@ -88,8 +88,8 @@
 
 } // namespace
 
-RunnerActions startAnswered(RunnerState &runner, const RunId &id, const Answered &answered,
-                            Time now)
+RunnerActions handleStartResult(RunnerState &runner, const RunId &id, const CommandResult &result,
+                                Time now)
 {
     RunnerActions actions;
     const auto found = runner.runs.find(id);
@@ -97,37 +97,38 @@
         finishEvent(runner, now, actions);
         return actions;
     }
-    takeClock(runner, answered, now);
-    if (answered.answer == Answer::Fenced)
+    takeClock(runner, result, now);
+    if (result.status == CommandStatus::Fenced)
         raiseFence(runner, actions);
-    switch (answered.answer) {
-    case Answer::Ok:
+    switch (result.status) {
+    case CommandStatus::Ok:
         markStarted(found->second, now);
         break;
-    case Answer::None:
+    case CommandStatus::None:
         if (!found->second.seen)
             startUnanswered(runner, id, found->second, now, actions);
         break;
     default:
-        startRefused(runner, id, found->second, answered.answer, now, actions);
+        startRefused(runner, id, found->second, result.status, now, actions);
         break;
     }
     finishEvent(runner, now, actions);
     return actions;
 }
 
-RunnerActions stopAnswered(RunnerState &runner, const RunId &id, const Answered &answered, Time now)
+RunnerActions handleStopResult(RunnerState &runner, const RunId &id, const CommandResult &result,
+                               Time now)
 {
     RunnerActions actions;
     const auto found = runner.runs.find(id);
     if (found != runner.runs.end())
         found->second.stopUnderWay = false;
     if (tellsOfThisLife(runner, found)) {
-        takeClock(runner, answered, now);
-        if (answered.answer == Answer::Fenced)
+        takeClock(runner, result, now);
+        if (result.status == CommandStatus::Fenced)
             raiseFence(runner, actions);
-        if (answered.answer == Answer::Ok)
-            found->second.goneIfMissingIn = runner.lookNumber + 1;
+        if (result.status == CommandStatus::Ok)
+            found->second.goneIfMissingIn = runner.pollNumber + 1;
     }
     finishEvent(runner, now, actions);
     return actions;
@@ -137,33 +138,34 @@
 
 namespace {
 
-void takeEnds(RunnerState &runner, const Look &look, Time now, RunnerActions &actions)
+void takeEnds(RunnerState &runner, const PollResult &poll, Time now, RunnerActions &actions)
 {
-    for (const EndedRow &row : look.ended) {
-        runner.life.lastSeen = std::max(runner.life.lastSeen, row.number);
-        runner.life.orphans.erase(row.id);
+    for (const EndedRun &row : poll.ended) {
+        runner.endpointIncarnation.lastSeenEnd = std::max(runner.endpointIncarnation.lastSeenEnd,
+                                                          row.number);
+        runner.endpointIncarnation.orphans.erase(row.id);
         endRun(runner, row.id, row.end, RefusedStart::None, now, actions);
     }
 }
 
 // Stops runs that another incarnation of this agent has left behind.
 void stopOrphans(RunnerState &runner, const std::set<RunId> &seen,
-                 const std::optional<WallTime> &born, RunnerActions &actions)
+                 const std::optional<WallTime> &startedAt, RunnerActions &actions)
 {
     for (const RunId &id : seen) {
-        if (runner.life.orphans.insert(id).second)
+        if (runner.endpointIncarnation.orphans.insert(id).second)
             actions.events.push_back(runEvent("orphan-stopping", id));
-        actions.stops.push_back({ id, runner.fence, runner.endpoint.life.id });
+        actions.stops.push_back({ id, runner.fence, runner.endpoint.endpointIncarnation.id });
     }
-    runner.life.orphans = seen;
+    runner.endpointIncarnation.orphans = seen;
     const bool clean = seen.empty();
-    if (clean && !runner.life.clean)
+    if (clean && !runner.endpointIncarnation.clean)
         actions.events.push_back(change("endpoint-clean")
-                                         .with("life", runner.endpoint.life.id)
-                                         .with("born_ms", bornField(born)));
-    if (clean != runner.life.clean)
+                                         .with("life", runner.endpoint.endpointIncarnation.id)
+                                         .with("born_ms", bornField(startedAt)));
+    if (clean != runner.endpointIncarnation.clean)
         ++runner.viewNumber;
-    runner.life.clean = clean;
+    runner.endpointIncarnation.clean = clean;
 }
 
 // A listed run belongs to the current incarnation, whichever one its start was sent to.
@@ -186,12 +188,12 @@
     return run.seen ? RunEnd::Stopped : RunEnd::NeverBegan;
 }
 
-void takeRunning(RunnerState &runner, std::uint64_t number, const Look &look, Time now,
+void takeRunning(RunnerState &runner, std::uint64_t number, const PollResult &poll, Time now,
                  RunnerActions &actions)
 {
     std::set<RunId> orphans;
     std::set<RunId> listed;
-    for (const RunningRow &row : look.running) {
+    for (const RunProgress &row : poll.running) {
         listed.insert(row.id);
         const auto found = runner.runs.find(row.id);
         if (found == runner.runs.end()) {
@@ -210,70 +212,74 @@
     }
     for (const auto &[id, end] : gone)
         endRun(runner, id, end, RefusedStart::Endpoint, now, actions);
-    stopOrphans(runner, orphans, look.born, actions);
+    stopOrphans(runner, orphans, poll.startedAt, actions);
 }
 
 // The pause between failed polls grows up to this multiple of lookPause.
 constexpr std::uint32_t MostPauses = 10;
 
-void lookFailed(RunnerState &runner, const Answered &answered, Time now, RunnerActions &actions)
+void lookFailed(RunnerState &runner, const CommandResult &result, Time now, RunnerActions &actions)
 {
-    ++runner.life.looksFailed;
-    runner.life.lookFailedAt = now;
+    ++runner.endpointIncarnation.looksFailed;
+    runner.endpointIncarnation.lookFailedAt = now;
     const std::uint32_t most = runner.settings.looksBeforeOutOfReach;
-    const std::uint32_t pauses = runner.life.looksFailed
-            - std::min(runner.life.looksFailed, most - 1);
+    const std::uint32_t pauses = runner.endpointIncarnation.looksFailed
+            - std::min(runner.endpointIncarnation.looksFailed, most - 1);
     runner.nextLook = now + runner.settings.lookPause * std::min(pauses, MostPauses);
-    if (answered.answer == Answer::Fenced)
+    if (result.status == CommandStatus::Fenced)
         raiseFence(runner, actions);
-    if (runner.life.looksFailed == most)
+    if (runner.endpointIncarnation.looksFailed == most)
         actions.events.push_back(change("endpoint-out-of-reach")
-                                         .with("life", runner.endpoint.life.id)
-                                         .with("answer", toString(answered.answer)));
+                                         .with("life", runner.endpoint.endpointIncarnation.id)
+                                         .with("answer", toString(result.status)));
     // Nothing listens at its address, twice in a row: the process is gone, and its runs with it.
-    const bool gone = answered.answer == Answer::Unreachable && runner.life.looksFailed > 1;
-    if (gone || answered.answer == Answer::OtherLife)
-        endAll(runner, endOfLife(runner), toString(answered.answer), now, actions);
-    if (answered.answer == Answer::OtherLife)
+    const bool gone = result.status == CommandStatus::ConnectionRefused
+            && runner.endpointIncarnation.looksFailed > 1;
+    if (gone || result.status == CommandStatus::OtherIncarnation)
+        endAll(runner, endOfLife(runner), toString(result.status), now, actions);
+    if (result.status == CommandStatus::OtherIncarnation)
         lifeDisowned(runner, now, actions);
 }
 
-bool isOfAnotherLife(const RunnerState &runner, const Look &look)
+bool isOfAnotherLife(const RunnerState &runner, const PollResult &poll)
 {
-    const std::optional<WallTime> &present = runner.endpoint.life.born;
-    return look.answered.answer == Answer::Ok && look.born && present && *look.born != *present;
+    const std::optional<WallTime> &present = runner.endpoint.endpointIncarnation.startedAt;
+    return poll.result.status == CommandStatus::Ok && poll.startedAt && present
+            && *poll.startedAt != *present;
 }
 
 } // namespace
 
-RunnerActions lookAnswered(RunnerState &runner, std::uint64_t number, const Look &look, Time now)
+RunnerActions handlePollResult(RunnerState &runner, std::uint64_t number, const PollResult &poll,
+                               Time now)
 {
     RunnerActions actions;
     // For a previous incarnation, or superseded by a newer poll.
-    if (number <= runner.lookAnswered)
+    if (number <= runner.lastAnsweredPoll)
         return actions;
-    runner.lookAnswered = number;
+    runner.lastAnsweredPoll = number;
     runner.lookUnderWay = false;
-    if (isOfAnotherLife(runner, look)) {
+    if (isOfAnotherLife(runner, poll)) {
         // This poll acknowledged end numbers of the previous incarnation, so its list of ends may
         // be incomplete; the next poll starts anew.
-        lifeListed(runner, { runner.endpoint.life.id, look.born }, now, actions);
+        lifeListed(runner, { runner.endpoint.endpointIncarnation.id, poll.startedAt }, now,
+                   actions);
         finishEvent(runner, now, actions);
         return actions;
     }
-    takeClock(runner, look.answered, now);
-    if (look.answered.answer == Answer::Ok) {
+    takeClock(runner, poll.result, now);
+    if (poll.result.status == CommandStatus::Ok) {
         if (isOutOfReach(runner))
-            actions.events.push_back(
-                    change("endpoint-in-reach").with("life", runner.endpoint.life.id));
-        runner.life.looksFailed = 0;
+            actions.events.push_back(change("endpoint-in-reach")
+                                             .with("life", runner.endpoint.endpointIncarnation.id));
+        runner.endpointIncarnation.looksFailed = 0;
         runner.fencedOff = 0;
         lifeConfirmed(runner, number);
-        runner.nextLook = runner.life.clean ? now : now + runner.settings.lookPause;
-        takeEnds(runner, look, now, actions);
-        takeRunning(runner, number, look, now, actions);
+        runner.nextLook = runner.endpointIncarnation.clean ? now : now + runner.settings.lookPause;
+        takeEnds(runner, poll, now, actions);
+        takeRunning(runner, number, poll, now, actions);
     } else {
-        lookFailed(runner, look.answered, now, actions);
+        lookFailed(runner, poll.result, now, actions);
     }
     finishEvent(runner, now, actions);
     return actions;
--- a/packages/runner/src/internal.h
+++ b/packages/runner/src/internal.h
@@ -76,7 +76,7 @@
 // The lease's end if it is renewed now; nothing while the endpoint's clock is unknown, or while the
 // lease must not be renewed.
 std::optional<Milliseconds> leaseDeadline(const RunnerState &runner, Time now);
-void takeClock(RunnerState &runner, const Answered &answered, Time now);
+void takeClock(RunnerState &runner, const CommandResult &result, Time now);
 
 // [SECTION] Crashes
 
@@ -90,7 +90,7 @@
 // [SECTION] Incarnations
 
 // For log lines: milliseconds since 1970, or 0 if unknown.
-std::int64_t bornField(const std::optional<WallTime> &born);
+std::int64_t bornField(const std::optional<WallTime> &startedAt);
 
 // Ends all runs; only when none of them can be running any more.
 void endAll(RunnerState &runner, jobs::RunEnd end, const char *why, Time now,
@@ -100,10 +100,11 @@
 jobs::RunEnd endOfLife(const RunnerState &runner);
 
 // A list of runs came from another incarnation than the current one.
-void lifeListed(RunnerState &runner, const LifeId &life, Time now, RunnerActions &actions);
+void lifeListed(RunnerState &runner, const IncarnationId &endpointIncarnation, Time now,
+                RunnerActions &actions);
 
 // The current incarnation has replied to this poll.
-void lifeConfirmed(RunnerState &runner, std::uint64_t look);
+void lifeConfirmed(RunnerState &runner, std::uint64_t poll);
 
 // The endpoint replied that it is not the current incarnation.
 void lifeDisowned(RunnerState &runner, Time now, RunnerActions &actions);
--- a/packages/runner/src/judgement.cpp
+++ b/packages/runner/src/judgement.cpp
@@ -14,7 +14,8 @@
 
 bool onTrial(const RunnerState &runner)
 {
-    return runner.settings.judgeEndpoint && runner.life.bad >= runner.settings.trialAbove;
+    return runner.settings.probationEnabled
+            && runner.endpointIncarnation.faultScore >= runner.settings.trialAbove;
 }
 
 void noteGood(RunnerState &runner, const Run &run, Milliseconds took)
@@ -24,18 +25,21 @@
     constexpr double Least = 0.2;
     constexpr double Most = 5.0;
     if (!run.lagged)
-        runner.life.bad *= runner.settings.goodFactor;
+        runner.endpointIncarnation.faultScore *= runner.settings.goodFactor;
     if (run.estimate.count() <= 0)
         return;
     const double ratio = static_cast<double>(took.count())
             / static_cast<double>(run.estimate.count());
-    runner.life.pace += Weight * (std::clamp(ratio, Least, Most) - runner.life.pace);
+    runner.endpointIncarnation.pace += Weight
+            * (std::clamp(ratio, Least, Most) - runner.endpointIncarnation.pace);
 }
 
 void noteBad(RunnerState &runner, Time now)
 {
-    runner.life.bad = std::min(1.0, runner.life.bad + runner.settings.badStep);
-    runner.life.badAt = now;
+    runner.endpointIncarnation.faultScore = std::min(1.0,
+                                                     runner.endpointIncarnation.faultScore
+                                                             + runner.settings.badStep);
+    runner.endpointIncarnation.badAt = now;
 }
 
 void noteProgress(RunnerState &runner, Run &run, std::uint32_t percent, Time now)
--- a/packages/runner/src/lives.cpp
+++ b/packages/runner/src/lives.cpp
@@ -24,19 +24,19 @@
 
 // [SECTION] Identity
 
-bool operator==(const LifeId &left, const LifeId &right)
+bool operator==(const IncarnationId &left, const IncarnationId &right)
 {
-    return left.id == right.id && left.born == right.born;
+    return left.id == right.id && left.startedAt == right.startedAt;
 }
 
-bool operator!=(const LifeId &left, const LifeId &right)
+bool operator!=(const IncarnationId &left, const IncarnationId &right)
 {
     return !(left == right);
 }
 
-std::int64_t bornField(const std::optional<WallTime> &born)
+std::int64_t bornField(const std::optional<WallTime> &startedAt)
 {
-    return born ? born->time_since_epoch().count() : 0;
+    return startedAt ? startedAt->time_since_epoch().count() : 0;
 }
 
 // [SECTION] Fences
@@ -63,7 +63,7 @@
 
 void endAll(RunnerState &runner, RunEnd end, const char *why, Time now, RunnerActions &actions)
 {
-    if (runner.runs.empty() && runner.life.orphans.empty())
+    if (runner.runs.empty() && runner.endpointIncarnation.orphans.empty())
         return;
     actions.events.push_back(
             change("all-runs-over").with("why", why).with("runs", runner.runs.size()));
@@ -72,7 +72,7 @@
         const RunId id = runner.runs.begin()->first;
         endRun(runner, id, end, RefusedStart::None, now, actions);
     }
-    runner.life.orphans.clear();
+    runner.endpointIncarnation.orphans.clear();
 }
 
 RunEnd endOfLife(const RunnerState &runner)
@@ -90,49 +90,50 @@
     for (auto &[id, run] : runner.runs) {
         run.ofFormerLife = true;
         run.formerEnd = endOfLife(runner);
-        run.goneIfMissingIn = runner.lookNumber + 1;
+        run.goneIfMissingIn = runner.pollNumber + 1;
     }
     fenceOffOrders(runner);
 }
 
 void rememberFormerLife(RunnerState &runner)
 {
-    if (!runner.endpoint.life.id.empty())
-        runner.formerLives.push_back(runner.endpoint.life);
-    if (runner.formerLives.size() > runner.settings.mostFormerLives)
-        runner.formerLives.pop_front();
+    if (!runner.endpoint.endpointIncarnation.id.empty())
+        runner.previousIncarnations.push_back(runner.endpoint.endpointIncarnation);
+    if (runner.previousIncarnations.size() > runner.settings.mostFormerLives)
+        runner.previousIncarnations.pop_front();
 }
 
-bool isFormerLife(const RunnerState &runner, const LifeId &life)
+bool isFormerLife(const RunnerState &runner, const IncarnationId &endpointIncarnation)
 {
-    const std::deque<LifeId> &former = runner.formerLives;
-    return std::find(former.begin(), former.end(), life) != former.end();
+    const std::deque<IncarnationId> &former = runner.previousIncarnations;
+    return std::find(former.begin(), former.end(), endpointIncarnation) != former.end();
 }
 
-void beginLife(RunnerState &runner, const LifeId &life, const char *toldBy, Time now,
-               RunnerActions &actions)
+void beginLife(RunnerState &runner, const IncarnationId &endpointIncarnation, const char *toldBy,
+               Time now, RunnerActions &actions)
 {
     actions.events.push_back(change("endpoint-life")
-                                     .with("life", life.id)
-                                     .with("born_ms", bornField(life.born))
-                                     .with("before", runner.endpoint.life.id)
-                                     .with("before_born_ms", bornField(runner.endpoint.life.born))
+                                     .with("life", endpointIncarnation.id)
+                                     .with("born_ms", bornField(endpointIncarnation.startedAt))
+                                     .with("before", runner.endpoint.endpointIncarnation.id)
+                                     .with("before_born_ms",
+                                           bornField(runner.endpoint.endpointIncarnation.startedAt))
                                      .with("told_by", toldBy)
                                      .with("runs", runner.runs.size()));
     // The endpoint rejects commands for another id, so all runs are certainly lost.
-    if (life.id == runner.endpoint.life.id)
+    if (endpointIncarnation.id == runner.endpoint.endpointIncarnation.id)
         leaveRunsToNextList(runner);
     else
         endAll(runner, endOfLife(runner), "the endpoint has a new incarnation", now, actions);
     rememberFormerLife(runner);
     runner.endpoint = EndpointReport();
-    runner.endpoint.life = life;
-    runner.life = LifeState();
+    runner.endpoint.endpointIncarnation = endpointIncarnation;
+    runner.endpointIncarnation = IncarnationState();
     runner.doubtful.reset();
     ++runner.viewNumber;
     // A pending poll was for the previous incarnation; its result is ignored.
     runner.lookUnderWay = false;
-    runner.lookAnswered = runner.lookNumber;
+    runner.lastAnsweredPoll = runner.pollNumber;
     runner.nextLook = now;
 }
 
@@ -140,9 +141,9 @@
 void describe(RunnerState &runner, const EndpointReport &report, Time now, RunnerActions &actions)
 {
     const EndpointReport before = std::exchange(runner.endpoint, report);
-    if (!std::exchange(runner.life.described, true))
+    if (!std::exchange(runner.endpointIncarnation.described, true))
         actions.events.push_back(change("endpoint-described")
-                                         .with("life", report.life.id)
+                                         .with("life", report.endpointIncarnation.id)
                                          .with("service", report.service)
                                          .with("data_centre", report.dataCentre)
                                          .with("milli_cores", report.capacity.milliCores)
@@ -154,39 +155,40 @@
         ++runner.viewNumber;
     if (report.leaving && !before.leaving)
         actions.events.push_back(change("endpoint-leaving")
-                                         .with("life", report.life.id)
+                                         .with("life", report.endpointIncarnation.id)
                                          .with("remaining_ms", report.remaining)
                                          .with("runs", runner.runs.size()));
-    takeClock(runner, { Answer::Ok, report.clock }, now);
+    takeClock(runner, { CommandStatus::Ok, report.clock }, now);
 }
 
 } // namespace
 
-void lifeListed(RunnerState &runner, const LifeId &life, Time now, RunnerActions &actions)
+void lifeListed(RunnerState &runner, const IncarnationId &endpointIncarnation, Time now,
+                RunnerActions &actions)
 {
     const std::optional<EndpointReport> heard = runner.doubtful;
-    beginLife(runner, life, "its list of runs", now, actions);
-    if (heard && heard->life == life)
+    beginLife(runner, endpointIncarnation, "its list of runs", now, actions);
+    if (heard && heard->endpointIncarnation == endpointIncarnation)
         describe(runner, *heard, now, actions);
 }
 
 // A candidate that arrived after the poll was sent is kept.
-void lifeConfirmed(RunnerState &runner, std::uint64_t look)
+void lifeConfirmed(RunnerState &runner, std::uint64_t poll)
 {
-    runner.life.answered = true;
-    if (look > runner.doubtfulLook)
+    runner.endpointIncarnation.responded = true;
+    if (poll > runner.doubtfulLook)
         runner.doubtful.reset();
 }
 
 void lifeDisowned(RunnerState &runner, Time now, RunnerActions &actions)
 {
     // The endpoint's own reply outranks the order in which heartbeats arrived.
-    runner.formerLives.clear();
+    runner.previousIncarnations.clear();
     const std::optional<EndpointReport> heard = runner.doubtful;
-    if (!heard || heard->life.id == runner.endpoint.life.id)
+    if (!heard || heard->endpointIncarnation.id == runner.endpoint.endpointIncarnation.id)
         return;
-    beginLife(runner, heard->life, "a heartbeat, after the endpoint rejected the previous id", now,
-              actions);
+    beginLife(runner, heard->endpointIncarnation,
+              "a heartbeat, after the endpoint rejected the previous id", now, actions);
     describe(runner, *heard, now, actions);
 }
 
@@ -202,25 +204,28 @@
     // An incarnation keeps its service and data centre. If a foreign heartbeat were accepted, its
     // sequence number could make the endpoint's own heartbeats look outdated.
     const bool moved = report.service != present.service || report.dataCentre != present.dataCentre;
-    return runner.life.described && moved ? "it changes the service or data centre" : nullptr;
+    return runner.endpointIncarnation.described && moved ? "it changes the service or data centre"
+                                                         : nullptr;
 }
 
 // Why a heartbeat is ignored; null if it is accepted.
 const char *whyPassedOver(const RunnerState &runner, const EndpointReport &report)
 {
-    const LifeId &present = runner.endpoint.life;
+    const IncarnationId &present = runner.endpoint.endpointIncarnation;
     if (present.id.empty())
         return nullptr;
-    if (report.life == present)
+    if (report.endpointIncarnation == present)
         return whyNotOfThisLife(runner, report);
-    if (isFormerLife(runner, report.life))
+    if (isFormerLife(runner, report.endpointIncarnation))
         return "from a previous incarnation";
-    if (report.life.id == present.id && !report.life.born)
+    if (report.endpointIncarnation.id == present.id && !report.endpointIncarnation.startedAt)
         return "it has no start time";
-    if (report.life.born && present.born && *report.life.born < *present.born)
+    if (report.endpointIncarnation.startedAt && present.startedAt
+        && *report.endpointIncarnation.startedAt < *present.startedAt)
         return "its incarnation started before the current one";
     // A valid heartbeat with another id must not displace an endpoint that works.
-    if (report.life.id != present.id && runner.life.answered && runner.life.looksFailed == 0)
+    if (report.endpointIncarnation.id != present.id && runner.endpointIncarnation.responded
+        && runner.endpointIncarnation.looksFailed == 0)
         return "the current incarnation is reachable";
     return nullptr;
 }
@@ -229,41 +234,45 @@
 void logPassedOver(RunnerState &runner, const EndpointReport &report, const char *why, Time now,
                    RunnerActions &actions)
 {
-    ++runner.heartbeatsPassedOver;
+    ++runner.ignoredHeartbeats;
     if (now >= runner.passedOverSecond + Seconds(1)) {
         runner.passedOverSecond = now;
         runner.passedOverLines = 0;
     }
     if (++runner.passedOverLines > runner.settings.passedOverLines)
         return;
-    actions.events.push_back(change("heartbeat-passed-over")
-                                     .with("why", why)
-                                     .with("life", report.life.id)
-                                     .with("born_ms", bornField(report.life.born))
-                                     .with("sequence", report.sequence)
-                                     .with("leaving", report.leaving ? 1 : 0)
-                                     .with("present", runner.endpoint.life.id)
-                                     .with("present_born_ms", bornField(runner.endpoint.life.born))
-                                     .with("present_sequence", runner.endpoint.sequence)
-                                     .with("total", runner.heartbeatsPassedOver));
+    actions.events.push_back(
+            change("heartbeat-passed-over")
+                    .with("why", why)
+                    .with("life", report.endpointIncarnation.id)
+                    .with("born_ms", bornField(report.endpointIncarnation.startedAt))
+                    .with("sequence", report.sequence)
+                    .with("leaving", report.leaving ? 1 : 0)
+                    .with("present", runner.endpoint.endpointIncarnation.id)
+                    .with("present_born_ms",
+                          bornField(runner.endpoint.endpointIncarnation.startedAt))
+                    .with("present_sequence", runner.endpoint.sequence)
+                    .with("total", runner.ignoredHeartbeats));
 }
 
 // Keeps the heartbeat of a possible next incarnation until a poll confirms or rejects it.
 void keepDoubtful(RunnerState &runner, const EndpointReport &report)
 {
-    if (report.life == runner.endpoint.life || isFormerLife(runner, report.life))
+    if (report.endpointIncarnation == runner.endpoint.endpointIncarnation
+        || isFormerLife(runner, report.endpointIncarnation))
         return;
-    const bool older = runner.doubtful && runner.doubtful->life == report.life
+    const bool older = runner.doubtful
+            && runner.doubtful->endpointIncarnation == report.endpointIncarnation
             && report.sequence < runner.doubtful->sequence;
     if (older)
         return;
     runner.doubtful = report;
-    runner.doubtfulLook = runner.lookNumber;
+    runner.doubtfulLook = runner.pollNumber;
 }
 
 } // namespace
 
-RunnerActions endpointHeard(RunnerState &runner, const EndpointReport &report, Time now)
+RunnerActions handleHeartbeat(RunnerState &runner, const EndpointReport &report, Time now)
 {
     RunnerActions actions;
     if (const char *why = whyPassedOver(runner, report)) {
@@ -271,20 +280,22 @@
         keepDoubtful(runner, report);
         return actions;
     }
-    if (report.life != runner.endpoint.life)
-        beginLife(runner, report.life, "a heartbeat", now, actions);
+    if (report.endpointIncarnation != runner.endpoint.endpointIncarnation)
+        beginLife(runner, report.endpointIncarnation, "a heartbeat", now, actions);
     describe(runner, report, now, actions);
     finishEvent(runner, now, actions);
     return actions;
 }
 
-RunnerActions endpointLeft(RunnerState &runner, const LifeId &life, Time now)
+RunnerActions handleDeregistration(RunnerState &runner, const IncarnationId &endpointIncarnation,
+                                   Time now)
 {
     RunnerActions actions;
-    const LifeId &present = runner.endpoint.life;
-    const bool isPresent = life == present || (life.id == present.id && !life.born);
-    if (isPresent && !life.id.empty()) {
-        actions.events.push_back(change("endpoint-left").with("life", life.id));
+    const IncarnationId &present = runner.endpoint.endpointIncarnation;
+    const bool isPresent = endpointIncarnation == present
+            || (endpointIncarnation.id == present.id && !endpointIncarnation.startedAt);
+    if (isPresent && !endpointIncarnation.id.empty()) {
+        actions.events.push_back(change("endpoint-left").with("life", endpointIncarnation.id));
         runner.endpoint.leaving = true;
         ++runner.viewNumber;
     }
--- a/packages/runner/src/offer.cpp
+++ b/packages/runner/src/offer.cpp
@@ -17,7 +17,7 @@
 
 bool isOutOfReach(const RunnerState &runner)
 {
-    return runner.life.looksFailed >= runner.settings.looksBeforeOutOfReach;
+    return runner.endpointIncarnation.looksFailed >= runner.settings.looksBeforeOutOfReach;
 }
 
 namespace {
@@ -27,9 +27,9 @@
 
 bool mayStart(const RunnerState &runner)
 {
-    return runner.life.described && !runner.endpoint.leaving && !runner.stopping
-            && runner.life.clean && runner.life.clockSample && !isOutOfReach(runner)
-            && runner.cordonsKnown && !isCordoned(runner);
+    return runner.endpointIncarnation.described && !runner.endpoint.leaving && !runner.stopping
+            && runner.endpointIncarnation.clean && runner.endpointIncarnation.clockSample
+            && !isOutOfReach(runner) && runner.cordonsKnown && !isCordoned(runner);
 }
 
 } // namespace
@@ -58,7 +58,7 @@
     return free;
 }
 
-Microseconds oldestRun(const RunnerState &runner, Time now)
+Microseconds oldestRunAge(const RunnerState &runner, Time now)
 {
     Microseconds oldest { 0 };
     for (const auto &[id, run] : runner.runs)
@@ -74,21 +74,21 @@
         return 0;
     if (!onTrial(runner))
         return AnyNumber;
-    const bool rested = now >= runner.life.badAt + runner.settings.trialRest;
+    const bool rested = now >= runner.endpointIncarnation.badAt + runner.settings.trialRest;
     return runner.runs.empty() && rested ? 1 : 0;
 }
 
-jobs::EndpointView viewOf(const RunnerState &runner, Time now)
+jobs::EndpointView makeEndpointView(const RunnerState &runner, Time now)
 {
     jobs::EndpointView view;
-    view.life = runner.endpoint.life.id;
+    view.endpointIncarnation = runner.endpoint.endpointIncarnation.id;
     view.service = runner.endpoint.service;
     view.dataCentre = runner.endpoint.dataCentre;
     view.labels = runner.endpoint.labels;
     view.capacity = runner.endpoint.capacity;
     view.free = offeredRoom(runner);
     view.mostStarts = mostStarts(runner, now);
-    view.paceMille = static_cast<std::uint32_t>(runner.life.pace * 1000);
+    view.paceMille = static_cast<std::uint32_t>(runner.endpointIncarnation.pace * 1000);
     view.leaving = runner.endpoint.leaving || runner.stopping;
     return view;
 }
@@ -109,20 +109,20 @@
 void welcome(RunnerState &runner, std::uint64_t number, Session &session, Time now,
              RunnerActions &actions)
 {
-    if (!runner.life.clean || ownerHasOtherRuns(runner, number, session))
+    if (!runner.endpointIncarnation.clean || ownerHasOtherRuns(runner, number, session))
         return;
     session.welcomed = true;
     session.toldView = runner.viewNumber;
     jobs::Welcome message;
     message.incarnation = runner.incarnation;
-    message.endpoint = viewOf(runner, now);
+    message.endpoint = makeEndpointView(runner, now);
     message.crashed = crashesAfter(runner, 0, now);
     session.toldCrash = runner.lastCrash;
     session.toldFree = message.endpoint.free;
     session.toldMostStarts = message.endpoint.mostStarts;
     session.toldLeaving = message.endpoint.leaving;
     session.toldAt = now;
-    actions.welcomes.emplace_back(number, std::move(message));
+    actions.acceptances.emplace_back(number, std::move(message));
 }
 
 // Longest delay of a capacity update. Grows with the number of entries that need capacity, so that
@@ -130,10 +130,10 @@
 Microseconds tellInterval(const RunnerState &runner, const Session &session)
 {
     if (!session.wantsRoom)
-        return runner.settings.calmInterval;
+        return runner.settings.idleUpdateInterval;
     const auto wanting = std::count_if(runner.sessions.begin(), runner.sessions.end(),
                                        [](const auto &item) { return item.second.wantsRoom; });
-    return runner.settings.roomInterval * std::max<std::ptrdiff_t>(1, wanting / 4);
+    return runner.settings.capacityUpdateInterval * std::max<std::ptrdiff_t>(1, wanting / 4);
 }
 
 // Ends and refusals of the entry's own starts are reported at once.
@@ -147,7 +147,8 @@
         return true;
     if (session.refusedRoom && free.milliCores > session.toldFree.milliCores)
         return true;
-    if (session.beat != session.toldBeat && now >= session.toldAt + runner.settings.calmInterval)
+    if (session.beat != session.toldBeat
+        && now >= session.toldAt + runner.settings.idleUpdateInterval)
         return true;
     const bool changed = !(free == session.toldFree) || session.startsTaken != session.toldStarts;
     return changed && now >= session.toldAt + tellInterval(runner, session);
@@ -161,7 +162,7 @@
     update.startsTaken = session.startsTaken;
     update.free = free;
     update.mostStarts = most;
-    update.paceMille = static_cast<std::uint32_t>(runner.life.pace * 1000);
+    update.paceMille = static_cast<std::uint32_t>(runner.endpointIncarnation.pace * 1000);
     update.leaving = runner.endpoint.leaving || runner.stopping;
     update.waiting = waitingRows(runner);
     update.freedPerSecond = static_cast<std::uint32_t>(
@@ -169,7 +170,7 @@
     update.ended.swap(session.ended);
     update.lagging.swap(session.lagging);
     if (session.toldView != runner.viewNumber)
-        update.endpoint.push_back(viewOf(runner, now));
+        update.endpoint.push_back(makeEndpointView(runner, now));
     update.crashed = crashesAfter(runner, session.toldCrash, now);
     session.toldCrash = runner.lastCrash;
     session.toldView = runner.viewNumber;
@@ -207,39 +208,42 @@
 
 void orderLook(RunnerState &runner, Time now, RunnerActions &actions)
 {
-    if (runner.lookUnderWay || runner.endpoint.life.id.empty() || now < runner.nextLook)
+    if (runner.lookUnderWay || runner.endpoint.endpointIncarnation.id.empty()
+        || now < runner.nextLook)
         return;
     runner.lookUnderWay = true;
-    LookOrder look;
-    look.number = ++runner.lookNumber;
-    look.fence = runner.fence;
-    look.life = runner.endpoint.life.id;
-    look.lastSeen = runner.life.lastSeen;
-    const bool quick = !runner.life.clean || !runner.life.clockSample
-            || runner.life.looksFailed > 0;
+    PollCommand poll;
+    poll.number = ++runner.pollNumber;
+    poll.fence = runner.fence;
+    poll.endpointIncarnation = runner.endpoint.endpointIncarnation.id;
+    poll.lastSeenEnd = runner.endpointIncarnation.lastSeenEnd;
+    const bool quick = !runner.endpointIncarnation.clean || !runner.endpointIncarnation.clockSample
+            || runner.endpointIncarnation.looksFailed > 0;
     const bool busy = !runner.runs.empty();
-    const bool doubtful = runner.life.lookFailedAt
-            && now < *runner.life.lookFailedAt + runner.settings.doubtfulSpan;
-    look.wait = quick          ? Milliseconds(0)
+    const bool doubtful = runner.endpointIncarnation.lookFailedAt
+            && now < *runner.endpointIncarnation.lookFailedAt + runner.settings.doubtfulSpan;
+    poll.wait = quick          ? Milliseconds(0)
             : busy && doubtful ? runner.settings.doubtfulWait
             : busy             ? runner.settings.busyWait
                                : runner.settings.idleWait;
     // The lease isn't renewed while the endpoint is unreachable, so that its end is known here.
     if (busy && !isOutOfReach(runner))
-        look.deadline = leaseDeadline(runner, now);
-    if (look.deadline)
-        runner.life.leaseUntil = std::max(runner.life.leaseUntil, *look.deadline);
-    actions.look = look;
+        poll.deadline = leaseDeadline(runner, now);
+    if (poll.deadline)
+        runner.endpointIncarnation.leaseUntil = std::max(runner.endpointIncarnation.leaseUntil,
+                                                         *poll.deadline);
+    actions.poll = poll;
 }
 
 } // namespace
 
 std::optional<Milliseconds> leaseDeadline(const RunnerState &runner, Time now)
 {
-    if (!runner.life.clockSample || leaseIsLeftToEnd(runner, now))
+    if (!runner.endpointIncarnation.clockSample || leaseIsLeftToEnd(runner, now))
         return std::nullopt;
-    const auto elapsed = std::chrono::duration_cast<Milliseconds>(now - runner.life.clockAt);
-    return *runner.life.clockSample + elapsed + runner.settings.leaseSpan;
+    const auto elapsed = std::chrono::duration_cast<Milliseconds>(
+            now - runner.endpointIncarnation.clockSampledAt);
+    return *runner.endpointIncarnation.clockSample + elapsed + runner.settings.leaseSpan;
 }
 
 // [SECTION] Events
@@ -252,9 +256,11 @@
         runner.wasOnTrial = onTrial(runner);
         actions.events.push_back(
                 eventlog::change(runner.wasOnTrial ? "endpoint-on-trial" : "endpoint-trusted")
-                        .with("life", runner.endpoint.life.id)
-                        .with("bad_percent", static_cast<int>(runner.life.bad * 100))
-                        .with("pace_percent", static_cast<int>(runner.life.pace * 100))
+                        .with("life", runner.endpoint.endpointIncarnation.id)
+                        .with("bad_percent",
+                              static_cast<int>(runner.endpointIncarnation.faultScore * 100))
+                        .with("pace_percent",
+                              static_cast<int>(runner.endpointIncarnation.pace * 100))
                         .with("runs", std::uint64_t { runner.runs.size() }));
     }
     const jobs::Room free = offeredRoom(runner);
--- a/packages/runner/src/runner.cpp
+++ b/packages/runner/src/runner.cpp
@@ -23,28 +23,28 @@
 
 // [SECTION] Names
 
-const char *toString(Answer answer)
+const char *toString(CommandStatus status)
 {
-    switch (answer) {
-    case Answer::Ok:
+    switch (status) {
+    case CommandStatus::Ok:
         return "ok";
-    case Answer::Fenced:
+    case CommandStatus::Fenced:
         return "fenced";
-    case Answer::OldRun:
+    case CommandStatus::OldRun:
         return "old-run";
-    case Answer::TooLate:
+    case CommandStatus::TooLate:
         return "too-late";
-    case Answer::NoRoom:
+    case CommandStatus::NoRoom:
         return "no-room";
-    case Answer::OtherLife:
+    case CommandStatus::OtherIncarnation:
         return "other-life";
-    case Answer::Busy:
+    case CommandStatus::Busy:
         return "busy";
-    case Answer::Invalid:
+    case CommandStatus::Invalid:
         return "invalid";
-    case Answer::Unreachable:
+    case CommandStatus::ConnectionRefused:
         return "unreachable";
-    case Answer::None:
+    case CommandStatus::None:
         break;
     }
     return "none";
@@ -131,7 +131,7 @@
 {
     run.stopOrderedAt = now;
     run.stopUnderWay = true;
-    actions.stops.push_back({ id, runner.fence, runner.endpoint.life.id });
+    actions.stops.push_back({ id, runner.fence, runner.endpoint.endpointIncarnation.id });
 }
 
 void beginStopping(RunnerState &runner, const RunId &id, Run &run, const char *why, Time now,
@@ -148,21 +148,22 @@
     orderStop(runner, id, run, now, actions);
 }
 
-void takeClock(RunnerState &runner, const Answered &answered, Time now)
+void takeClock(RunnerState &runner, const CommandResult &result, Time now)
 {
-    if (!answered.endpointClock)
+    if (!result.endpointClock)
         return;
     // Results may arrive out of order: an older one must not set the clock back.
-    if (runner.life.clockSample && *answered.endpointClock < *runner.life.clockSample)
+    if (runner.endpointIncarnation.clockSample
+        && *result.endpointClock < *runner.endpointIncarnation.clockSample)
         return;
-    runner.life.clockSample = answered.endpointClock;
-    runner.life.clockAt = now;
+    runner.endpointIncarnation.clockSample = result.endpointClock;
+    runner.endpointIncarnation.clockSampledAt = now;
 }
 
 // [SECTION] Cordons
 
-RunnerActions cordonsHeard(RunnerState &runner, const catalog::Cordons &cordons,
-                           CordonSource source, Time now)
+RunnerActions handleCordons(RunnerState &runner, const catalog::Cordons &cordons,
+                            CordonSource source, Time now)
 {
     RunnerActions actions;
     const bool wasCordoned = isCordoned(runner);
@@ -209,10 +210,12 @@
     // previous one's clock.
     const bool leftOver = std::any_of(runner.runs.begin(), runner.runs.end(),
                                       [](const auto &item) { return item.second.ofFormerLife; });
-    if (!runner.life.clockSample || leftOver)
+    if (!runner.endpointIncarnation.clockSample || leftOver)
         return false;
-    const auto elapsed = std::chrono::duration_cast<Milliseconds>(now - runner.life.clockAt);
-    return *runner.life.clockSample + elapsed * SlowestClockPercent / 100 > runner.life.leaseUntil;
+    const auto elapsed = std::chrono::duration_cast<Milliseconds>(
+            now - runner.endpointIncarnation.clockSampledAt);
+    return *runner.endpointIncarnation.clockSample + elapsed * SlowestClockPercent / 100
+            > runner.endpointIncarnation.leaseUntil;
 }
 
 void repeatStops(RunnerState &runner, Time now, RunnerActions &actions)
@@ -228,7 +231,7 @@
 {
     std::vector<std::uint64_t> silent;
     for (const auto &[number, session] : runner.sessions) {
-        if (!session.over && now >= session.heardAt + runner.settings.ownerSilence)
+        if (!session.over && now >= session.heardAt + runner.settings.sessionTimeout)
             silent.push_back(number);
     }
     for (const std::uint64_t number : silent)
@@ -243,14 +246,15 @@
     takeEntrysWord(runner, now, actions);
     endSilentSessions(runner, now, actions);
     repeatStops(runner, now, actions);
-    if (!runner.runs.empty() && runner.life.looksFailed > 0 && leaseIsOver(runner, now))
+    if (!runner.runs.empty() && runner.endpointIncarnation.looksFailed > 0
+        && leaseIsOver(runner, now))
         endAll(runner, RunEnd::Lapsed, "the lease has expired and the endpoint is unreachable", now,
                actions);
     finishEvent(runner, now, actions);
     return actions;
 }
 
-RunnerActions beginStop(RunnerState &runner, Time now)
+RunnerActions beginShutdown(RunnerState &runner, Time now)
 {
     RunnerActions actions;
     runner.stopping = true;
@@ -258,7 +262,7 @@
     return actions;
 }
 
-RunnerActions stopAll(RunnerState &runner, Time now)
+RunnerActions stopAllRuns(RunnerState &runner, Time now)
 {
     RunnerActions actions;
     for (auto &[id, run] : runner.runs)
@@ -267,7 +271,7 @@
     return actions;
 }
 
-bool finished(const RunnerState &runner)
+bool isShutDown(const RunnerState &runner)
 {
     return runner.stopping && runner.runs.empty();
 }
--- a/packages/runner/src/sessions.cpp
+++ b/packages/runner/src/sessions.cpp
@@ -49,7 +49,7 @@
     const auto found = runner.sessions.find(number);
     if (found == runner.sessions.end() || found->second.over)
         return runner.sessions.end();
-    if (now >= found->second.heardAt + runner.settings.ownerSilence) {
+    if (now >= found->second.heardAt + runner.settings.sessionTimeout) {
         endSession(runner, number, "the entry had timed out", now, actions);
         return runner.sessions.end();
     }
@@ -79,13 +79,14 @@
 
 void orderStart(RunnerState &runner, const RunId &id, Run &run, Time now, RunnerActions &actions)
 {
-    StartOrder order;
+    StartCommand order;
     order.id = id;
     order.payload = run.payload;
     order.deadline = *leaseDeadline(runner, now);
     order.fence = runner.fence;
-    order.life = runner.endpoint.life.id;
-    runner.life.leaseUntil = std::max(runner.life.leaseUntil, order.deadline);
+    order.endpointIncarnation = runner.endpoint.endpointIncarnation.id;
+    runner.endpointIncarnation.leaseUntil = std::max(runner.endpointIncarnation.leaseUntil,
+                                                     order.deadline);
     ++run.tries;
     actions.starts.push_back(std::move(order));
 }
@@ -185,8 +186,8 @@
     return actions;
 }
 
-RunnerActions sessionBeat(RunnerState &runner, std::uint64_t session,
-                          const jobs::SessionBeat &message, Time now)
+RunnerActions handleSessionHeartbeat(RunnerState &runner, std::uint64_t session,
+                                     const jobs::SessionBeat &message, Time now)
 {
     RunnerActions actions;
     const auto found = hearSession(runner, session, now, actions);
--- a/packages/runner/tests/bench.h
+++ b/packages/runner/tests/bench.h
@@ -31,10 +31,10 @@
     return { { "job", 0, 0, index }, run };
 }
 
-inline EndpointReport makeReport(const std::string &life, std::uint64_t sequence)
+inline EndpointReport makeReport(const std::string &endpointIncarnation, std::uint64_t sequence)
 {
     EndpointReport report;
-    report.life.id = life;
+    report.endpointIncarnation.id = endpointIncarnation;
     report.service = "align";
     report.capacity = { 4000, 1000, 0 };
     report.sequence = sequence;
@@ -43,20 +43,21 @@
 }
 
 // The same of a life that tells when it began, in milliseconds since 1970.
-inline EndpointReport makeReport(const std::string &life, std::int64_t born, std::uint64_t sequence)
+inline EndpointReport makeReport(const std::string &endpointIncarnation, std::int64_t startedAt,
+                                 std::uint64_t sequence)
 {
-    EndpointReport report = makeReport(life, sequence);
-    report.life.born = WallTime(Milliseconds(born));
+    EndpointReport report = makeReport(endpointIncarnation, sequence);
+    report.endpointIncarnation.startedAt = WallTime(Milliseconds(startedAt));
     return report;
 }
 
 // What a look at that life shows: nothing runs there, unless the test adds it.
-inline Look makeLook(std::int64_t born, Milliseconds clock)
+inline PollResult makeLook(std::int64_t startedAt, Milliseconds clock)
 {
-    Look look;
-    look.answered = { Answer::Ok, clock };
-    look.born = WallTime(Milliseconds(born));
-    return look;
+    PollResult poll;
+    poll.result = { CommandStatus::Ok, clock };
+    poll.startedAt = WallTime(Milliseconds(startedAt));
+    return poll;
 }
 
 // [SECTION] Bench
@@ -65,20 +66,20 @@
 {
     Bench()
     {
-        cordonsHeard(runner, {}, CordonSource::Control, now);
-        endpointHeard(runner, makeReport("life-1", 1), now);
+        handleCordons(runner, {}, CordonSource::Control, now);
+        handleHeartbeat(runner, makeReport("life-1", 1), now);
         answerLook({});
         openSession(runner, Entry, "entry-1", now);
     }
 
     // Answers the look that is under way, or the next one; what comes of it.
-    RunnerActions answerLook(Look look)
+    RunnerActions answerLook(PollResult poll)
     {
         while (!runner.lookUnderWay)
             pass(runner.settings.lookPause);
-        if (look.answered.answer == Answer::None && !failLook)
-            look.answered = { Answer::Ok, clock() };
-        return lookAnswered(runner, runner.lookNumber, look, now);
+        if (poll.result.status == CommandStatus::None && !failLook)
+            poll.result = { CommandStatus::Ok, clock() };
+        return handlePollResult(runner, runner.pollNumber, poll, now);
     }
 
     Milliseconds clock() const
@@ -114,21 +115,24 @@
     // the one before.
     RunnerActions replacedBy(const EndpointReport &report)
     {
-        RunnerActions all = endpointHeard(runner, report, now);
-        Look disowned;
-        disowned.answered.answer = Answer::OtherLife;
+        RunnerActions all = handleHeartbeat(runner, report, now);
+        PollResult disowned;
+        disowned.result.status = CommandStatus::OtherIncarnation;
         RunnerActions some = answerLook(disowned);
         all.updates.insert(all.updates.end(), some.updates.begin(), some.updates.end());
         return all;
     }
 
-    RunnerActions replacedBy(const std::string &life) { return replacedBy(makeReport(life, 1)); }
+    RunnerActions replacedBy(const std::string &endpointIncarnation)
+    {
+        return replacedBy(makeReport(endpointIncarnation, 1));
+    }
 
     RunnerActions end(std::uint32_t index)
     {
-        Look look;
-        look.ended = { { ++lastEnd, runId(index), RunEnd::Done } };
-        return answerLook(look);
+        PollResult poll;
+        poll.ended = { { ++lastEnd, runId(index), RunEnd::Done } };
+        return answerLook(poll);
     }
 
     // Time goes by, with the entry heard all the while.
@@ -160,7 +164,7 @@
 inline std::vector<std::uint32_t> startedIn(const RunnerActions &actions)
 {
     std::vector<std::uint32_t> indexes;
-    for (const StartOrder &order : actions.starts)
+    for (const StartCommand &order : actions.starts)
         indexes.push_back(order.id.task.index);
     return indexes;
 }
--- a/packages/runner/tests/crashes_test.cpp
+++ b/packages/runner/tests/crashes_test.cpp
@@ -22,7 +22,7 @@
                 told[report.task.index] = report.crashes;
         }
     };
-    for (const auto &[to, message] : actions.welcomes)
+    for (const auto &[to, message] : actions.acceptances)
         add(to, message.crashed);
     for (const auto &[to, message] : actions.updates)
         add(to, message.crashed);
--- a/packages/runner/tests/judgement_test.cpp
+++ b/packages/runner/tests/judgement_test.cpp
@@ -29,7 +29,7 @@
     Bench bench;
     const std::uint32_t percents[] = { GetParam().firstPercent, GetParam().secondPercent,
                                        GetParam().thirdPercent };
-    Look look;
+    PollResult poll;
     for (std::uint32_t i = 0; i < 3; ++i) {
         jobs::StartTasks message;
         message.job = "job-" + std::to_string(i);
@@ -38,11 +38,11 @@
         message.starts = { { 0, 1 } };
         startTasks(bench.runner, Entry, message, bench.now);
         const RunId id { { message.job, 0, 0, 0 }, 1 };
-        startAnswered(bench.runner, id, { Answer::Ok, bench.clock() }, bench.now);
-        look.running.push_back({ id, percents[i] });
+        handleStartResult(bench.runner, id, { CommandStatus::Ok, bench.clock() }, bench.now);
+        poll.running.push_back({ id, percents[i] });
     }
     bench.pass(Milliseconds(100));
-    const RunnerActions actions = bench.answerLook(look);
+    const RunnerActions actions = bench.answerLook(poll);
     std::vector<jobs::LagReport> lagging;
     for (const auto &[session, update] : actions.updates)
         lagging.insert(lagging.end(), update.lagging.begin(), update.lagging.end());
@@ -67,19 +67,20 @@
         ++index;
         if (bench.start(index).starts.empty())
             return false;
-        startAnswered(bench.runner, runId(index), { Answer::Ok, bench.clock() }, bench.now);
-        Look look;
-        look.ended = { { index, runId(index), end } };
-        bench.answerLook(look);
+        handleStartResult(bench.runner, runId(index), { CommandStatus::Ok, bench.clock() },
+                          bench.now);
+        PollResult poll;
+        poll.ended = { { index, runId(index), end } };
+        bench.answerLook(poll);
         return true;
     };
     while (runOne(RunEnd::Failed) && index < 20) { }
     EXPECT_LT(index, 6U);
-    EXPECT_EQ(viewOf(bench.runner, bench.now).mostStarts, 0U);
+    EXPECT_EQ(makeEndpointView(bench.runner, bench.now).mostStarts, 0U);
     bench.pass(bench.runner.settings.trialRest);
-    EXPECT_EQ(viewOf(bench.runner, bench.now).mostStarts, 1U);
+    EXPECT_EQ(makeEndpointView(bench.runner, bench.now).mostStarts, 1U);
     EXPECT_TRUE(runOne(RunEnd::Done));
-    EXPECT_GT(viewOf(bench.runner, bench.now).mostStarts, 1U);
+    EXPECT_GT(makeEndpointView(bench.runner, bench.now).mostStarts, 1U);
 }
 
 } // namespace
--- a/packages/runner/tests/lives_test.cpp
+++ b/packages/runner/tests/lives_test.cpp
@@ -38,22 +38,22 @@
         replacedBy(makeReport("one-id", Born, 40));
         settle(Born, clock());
         start(1);
-        startAnswered(runner, runId(1), { Answer::Ok, clock() }, now);
-        Look look = makeLook(Born, clock());
-        look.running = { { runId(1), 10 } };
-        look.ended = { { 500, runId(9), RunEnd::Done } };
-        answerLook(look);
+        handleStartResult(runner, runId(1), { CommandStatus::Ok, clock() }, now);
+        PollResult poll = makeLook(Born, clock());
+        poll.running = { { runId(1), 10 } };
+        poll.ended = { { 500, runId(9), RunEnd::Done } };
+        answerLook(poll);
     }
 
     // Answers looks until the runner is content with what it knows of the endpoint.
-    RunnerActions settle(std::int64_t born, Milliseconds clock)
+    RunnerActions settle(std::int64_t startedAt, Milliseconds clock)
     {
         RunnerActions all;
         for (int i = 0; i < 4; ++i) {
-            RunnerActions some = answerLook(makeLook(born, clock));
+            RunnerActions some = answerLook(makeLook(startedAt, clock));
             all.updates.insert(all.updates.end(), some.updates.begin(), some.updates.end());
-            if (some.look)
-                all.look = some.look;
+            if (some.poll)
+                all.poll = some.poll;
         }
         return all;
     }
@@ -62,7 +62,7 @@
     {
         EndpointReport report = makeReport("one-id", BornAgain, 1);
         report.clock = NewClock;
-        RunnerActions heard = endpointHeard(runner, report, now);
+        RunnerActions heard = handleHeartbeat(runner, report, now);
         RunnerActions settled = settle(BornAgain, NewClock);
         settled.updates.insert(settled.updates.begin(), heard.updates.begin(), heard.updates.end());
         return settled;
@@ -75,11 +75,11 @@
 {
     LongLife bench;
     bench.beginAgain();
-    EXPECT_GT(viewOf(bench.runner, bench.now).mostStarts, 0U);
+    EXPECT_GT(makeEndpointView(bench.runner, bench.now).mostStarts, 0U);
     EndpointReport leaving = makeReport("one-id", BornAgain, 3);
     leaving.leaving = true;
-    endpointHeard(bench.runner, leaving, bench.now);
-    EXPECT_TRUE(viewOf(bench.runner, bench.now).leaving);
+    handleHeartbeat(bench.runner, leaving, bench.now);
+    EXPECT_TRUE(makeEndpointView(bench.runner, bench.now).leaving);
     EXPECT_EQ(endsIn(bench.start(2)).at(0).refused, RefusedStart::Leaving);
 }
 
@@ -88,16 +88,16 @@
     LongLife bench;
     EndpointReport leaving = makeReport("one-id", Born, 41);
     leaving.leaving = true;
-    endpointHeard(bench.runner, leaving, bench.now);
+    handleHeartbeat(bench.runner, leaving, bench.now);
     bench.beginAgain();
-    EXPECT_FALSE(viewOf(bench.runner, bench.now).leaving);
+    EXPECT_FALSE(makeEndpointView(bench.runner, bench.now).leaving);
     EXPECT_EQ(bench.start(2).starts.size(), 1U);
 }
 
 struct LateCase
 {
     const char *name;
-    std::int64_t born;
+    std::int64_t startedAt;
     std::uint64_t sequence;
 };
 
@@ -114,14 +114,14 @@
 {
     LongLife bench;
     bench.beginAgain();
-    endpointHeard(bench.runner, makeReport("one-id", BornAgain, 5), bench.now);
-    EndpointReport late = makeReport("one-id", GetParam().born, GetParam().sequence);
+    handleHeartbeat(bench.runner, makeReport("one-id", BornAgain, 5), bench.now);
+    EndpointReport late = makeReport("one-id", GetParam().startedAt, GetParam().sequence);
     late.leaving = true;
-    const std::uint64_t passedOver = bench.runner.heartbeatsPassedOver;
-    endpointHeard(bench.runner, late, bench.now);
-    EXPECT_FALSE(viewOf(bench.runner, bench.now).leaving);
+    const std::uint64_t passedOver = bench.runner.ignoredHeartbeats;
+    handleHeartbeat(bench.runner, late, bench.now);
+    EXPECT_FALSE(makeEndpointView(bench.runner, bench.now).leaving);
     EXPECT_EQ(bench.start(2).starts.size(), 1U);
-    EXPECT_EQ(bench.runner.heartbeatsPassedOver - passedOver, 1U);
+    EXPECT_EQ(bench.runner.ignoredHeartbeats - passedOver, 1U);
 }
 
 INSTANTIATE_TEST_SUITE_P(Runner, LateHeartbeats,
@@ -135,10 +135,10 @@
 TEST(RunnerLifeAgain, IsAskedForItsEndsFromTheFirst)
 {
     LongLife bench;
-    EXPECT_EQ(bench.runner.life.lastSeen, 500U);
+    EXPECT_EQ(bench.runner.endpointIncarnation.lastSeenEnd, 500U);
     const RunnerActions settled = bench.beginAgain();
-    ASSERT_TRUE(settled.look);
-    EXPECT_EQ(settled.look->lastSeen, 0U);
+    ASSERT_TRUE(settled.poll);
+    EXPECT_EQ(settled.poll->lastSeenEnd, 0U);
 }
 
 TEST(RunnerLifeAgain, IsLeasedByItsOwnClock)
@@ -157,7 +157,7 @@
     LongLife bench;
     bench.start(3);
     bench.beginAgain();
-    startAnswered(bench.runner, runId(3), { Answer::Ok, bench.clock() }, bench.now);
+    handleStartResult(bench.runner, runId(3), { CommandStatus::Ok, bench.clock() }, bench.now);
     const RunnerActions started = bench.start(2);
     ASSERT_EQ(started.starts.size(), 1U);
     EXPECT_LT(started.starts[0].deadline, NewClock + Seconds(2));
@@ -184,12 +184,12 @@
     bench.start(2);
     EndpointReport report = makeReport("one-id", BornAgain, 1);
     report.clock = NewClock;
-    const auto early = endsIn(endpointHeard(bench.runner, report, bench.now));
+    const auto early = endsIn(handleHeartbeat(bench.runner, report, bench.now));
     for (const jobs::RunReport &end : early)
         EXPECT_FALSE(end.id == runId(2));
-    Look look = makeLook(BornAgain, NewClock);
-    look.running = { { runId(2), 5 } };
-    const auto ends = endsIn(bench.answerLook(look));
+    PollResult poll = makeLook(BornAgain, NewClock);
+    poll.running = { { runId(2), 5 } };
+    const auto ends = endsIn(bench.answerLook(poll));
     for (const jobs::RunReport &end : ends)
         EXPECT_FALSE(end.id == runId(2));
     EXPECT_EQ(bench.runner.runs.count(runId(2)), 1U);
@@ -201,10 +201,10 @@
 {
     LongLife bench;
     bench.settle(BornAgain, NewClock);
-    EXPECT_EQ(viewOf(bench.runner, bench.now).mostStarts, 0U);
+    EXPECT_EQ(makeEndpointView(bench.runner, bench.now).mostStarts, 0U);
     EXPECT_TRUE(bench.start(2).starts.empty());
     bench.beginAgain();
-    EXPECT_GT(viewOf(bench.runner, bench.now).mostStarts, 0U);
+    EXPECT_GT(makeEndpointView(bench.runner, bench.now).mostStarts, 0U);
     EXPECT_EQ(bench.start(3).starts.size(), 1U);
 }
 
@@ -214,8 +214,8 @@
     LongLife bench;
     const std::uint64_t before = bench.start(2).starts.at(0).fence;
     const RunnerActions settled = bench.beginAgain();
-    ASSERT_TRUE(settled.look);
-    EXPECT_GT(settled.look->fence, before);
+    ASSERT_TRUE(settled.poll);
+    EXPECT_GT(settled.poll->fence, before);
 }
 
 // [SECTION] Strays
@@ -251,18 +251,18 @@
 TEST_P(Strays, LeaveTheEndpointThatAnswersInUse)
 {
     LongLife bench;
-    const RunnerActions heard = endpointHeard(bench.runner, GetParam().report(), bench.now);
+    const RunnerActions heard = handleHeartbeat(bench.runner, GetParam().report(), bench.now);
     EXPECT_TRUE(endsIn(heard).empty());
-    Look look = makeLook(Born, bench.clock());
-    look.running = { { runId(1), 20 } };
-    EXPECT_TRUE(endsIn(bench.answerLook(look)).empty());
-    EXPECT_EQ(bench.runner.endpoint.life.id, "one-id");
-    EXPECT_EQ(viewOf(bench.runner, bench.now).service, "align");
+    PollResult poll = makeLook(Born, bench.clock());
+    poll.running = { { runId(1), 20 } };
+    EXPECT_TRUE(endsIn(bench.answerLook(poll)).empty());
+    EXPECT_EQ(bench.runner.endpoint.endpointIncarnation.id, "one-id");
+    EXPECT_EQ(makeEndpointView(bench.runner, bench.now).service, "align");
     EXPECT_EQ(bench.start(2).starts.size(), 1U);
     EndpointReport leaving = makeReport("one-id", Born, 41);
     leaving.leaving = true;
-    endpointHeard(bench.runner, leaving, bench.now);
-    EXPECT_TRUE(viewOf(bench.runner, bench.now).leaving);
+    handleHeartbeat(bench.runner, leaving, bench.now);
+    EXPECT_TRUE(makeEndpointView(bench.runner, bench.now).leaving);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -286,7 +286,7 @@
     const auto ends = endsIn(bench.replacedBy("other-id"));
     ASSERT_EQ(ends.size(), 1U);
     EXPECT_EQ(ends[0].end, RunEnd::Crashed);
-    EXPECT_EQ(bench.runner.endpoint.life.id, "other-id");
+    EXPECT_EQ(bench.runner.endpoint.endpointIncarnation.id, "other-id");
 }
 
 TEST(RunnerStrays, TakeOverWhenTheEndpointDoesNotAnswer)
@@ -294,8 +294,8 @@
     LongLife bench;
     bench.failLook = true;
     bench.answerLook({});
-    endpointHeard(bench.runner, makeReport("other-id", 1), bench.now);
-    EXPECT_EQ(bench.runner.endpoint.life.id, "other-id");
+    handleHeartbeat(bench.runner, makeReport("other-id", 1), bench.now);
+    EXPECT_EQ(bench.runner.endpoint.endpointIncarnation.id, "other-id");
 }
 
 // A writer that repeats itself must not hide what else the log has to tell.
@@ -305,23 +305,24 @@
     std::size_t lines = 0;
     for (int i = 0; i < 2000; ++i) {
         bench.now += Milliseconds(1);
-        lines += endpointHeard(bench.runner, makeReport("other-id", 900), bench.now).events.size();
+        lines += handleHeartbeat(bench.runner, makeReport("other-id", 900), bench.now)
+                         .events.size();
     }
     EXPECT_GE(lines, 2U);
     EXPECT_LE(lines, 3 * bench.runner.settings.passedOverLines);
-    EXPECT_GE(bench.runner.heartbeatsPassedOver, 2000U);
+    EXPECT_GE(bench.runner.ignoredHeartbeats, 2000U);
 }
 
 // What a stray said is not kept for a later time.
 TEST(RunnerStrays, AreForgottenOnceTheEndpointHasAnswered)
 {
     LongLife bench;
-    endpointHeard(bench.runner, makeReport("other-id", 900), bench.now);
+    handleHeartbeat(bench.runner, makeReport("other-id", 900), bench.now);
     bench.settle(Born, bench.clock());
-    Look disowned;
-    disowned.answered.answer = Answer::OtherLife;
+    PollResult disowned;
+    disowned.result.status = CommandStatus::OtherIncarnation;
     bench.answerLook(disowned);
-    EXPECT_EQ(bench.runner.endpoint.life.id, "one-id");
+    EXPECT_EQ(bench.runner.endpoint.endpointIncarnation.id, "one-id");
 }
 
 } // namespace
--- a/packages/runner/tests/orders_test.cpp
+++ b/packages/runner/tests/orders_test.cpp
@@ -14,17 +14,17 @@
 TEST(RunnerUnanswered, AStartIsOrderedAgainUnderTheSameNumber)
 {
     Bench bench;
-    const StartOrder first = bench.start(1, 4000).starts.at(0);
+    const StartCommand first = bench.start(1, 4000).starts.at(0);
     bench.pass(Milliseconds(25));
-    const RunnerActions again = startAnswered(bench.runner, runId(1), { Answer::None, {} },
-                                              bench.now);
+    const RunnerActions again = handleStartResult(bench.runner, runId(1),
+                                                  { CommandStatus::None, {} }, bench.now);
     ASSERT_EQ(again.starts.size(), 1U);
     EXPECT_TRUE(again.stops.empty());
     EXPECT_EQ(again.starts[0].id, first.id);
     EXPECT_EQ(again.starts[0].payload, first.payload);
     EXPECT_GT(again.starts[0].deadline, first.deadline);
     EXPECT_EQ(endsIn(bench.start(2, 1)).at(0).refused, RefusedStart::NoRoom);
-    startAnswered(bench.runner, runId(1), { Answer::Ok, bench.clock() }, bench.now);
+    handleStartResult(bench.runner, runId(1), { CommandStatus::Ok, bench.clock() }, bench.now);
     EXPECT_EQ(bench.runner.runs.at(runId(1)).state, RunState::Running);
 }
 
@@ -33,8 +33,8 @@
     Bench bench;
     bench.start(1, 4000);
     bench.pass(bench.runner.settings.startGivenUp);
-    const RunnerActions stopped = startAnswered(bench.runner, runId(1), { Answer::None, {} },
-                                                bench.now);
+    const RunnerActions stopped = handleStartResult(bench.runner, runId(1),
+                                                    { CommandStatus::None, {} }, bench.now);
     EXPECT_TRUE(stopped.starts.empty());
     ASSERT_EQ(stopped.stops.size(), 1U);
     EXPECT_EQ(stopped.stops[0].id, runId(1));
@@ -42,11 +42,11 @@
     bench.answerLook({});
     EXPECT_EQ(bench.runner.runs.size(), 1U);
     // The stop is lost as well: it is sent again.
-    stopAnswered(bench.runner, runId(1), { Answer::None, {} }, bench.now);
+    handleStopResult(bench.runner, runId(1), { CommandStatus::None, {} }, bench.now);
     const RunnerActions again = bench.pass(bench.runner.settings.stopRepeat);
     ASSERT_EQ(again.stops.size(), 1U);
     // Answered, and the next look does not show it: it can't begin any more.
-    stopAnswered(bench.runner, runId(1), { Answer::Ok, bench.clock() }, bench.now);
+    handleStopResult(bench.runner, runId(1), { CommandStatus::Ok, bench.clock() }, bench.now);
     bench.answerLook({});
     const auto ends = endsIn(bench.answerLook({}));
     EXPECT_TRUE(bench.runner.runs.empty());
@@ -57,7 +57,7 @@
 struct SecondTryCase
 {
     const char *name;
-    Answer answer;
+    CommandStatus status;
 
     // Told as never begun at once, or stopped first
     bool ends;
@@ -77,9 +77,9 @@
 {
     Bench bench;
     bench.start(1);
-    startAnswered(bench.runner, runId(1), { Answer::None, {} }, bench.now);
-    const RunnerActions actions = startAnswered(bench.runner, runId(1), { GetParam().answer, {} },
-                                                bench.now);
+    handleStartResult(bench.runner, runId(1), { CommandStatus::None, {} }, bench.now);
+    const RunnerActions actions = handleStartResult(bench.runner, runId(1),
+                                                    { GetParam().status, {} }, bench.now);
     EXPECT_EQ(endsIn(actions).size(), GetParam().ends ? 1U : 0U);
     EXPECT_EQ(actions.stops.size(), GetParam().stopped ? 1U : 0U);
     EXPECT_EQ(bench.runner.runs.size(), GetParam().ends ? 0U : 1U);
@@ -87,13 +87,14 @@
 
 INSTANTIATE_TEST_SUITE_P(
         Runner, SecondTries,
-        testing::Values(SecondTryCase { "NoRoom", Answer::NoRoom, false, true },
-                        SecondTryCase { "TooLate", Answer::TooLate, false, true },
-                        SecondTryCase { "Busy", Answer::Busy, false, true },
-                        SecondTryCase { "Invalid", Answer::Invalid, false, true },
-                        SecondTryCase { "Unreachable", Answer::Unreachable, false, true },
-                        SecondTryCase { "OldRun", Answer::OldRun, false, false },
-                        SecondTryCase { "OtherLife", Answer::OtherLife, true, false }),
+        testing::Values(
+                SecondTryCase { "NoRoom", CommandStatus::NoRoom, false, true },
+                SecondTryCase { "TooLate", CommandStatus::TooLate, false, true },
+                SecondTryCase { "Busy", CommandStatus::Busy, false, true },
+                SecondTryCase { "Invalid", CommandStatus::Invalid, false, true },
+                SecondTryCase { "Unreachable", CommandStatus::ConnectionRefused, false, true },
+                SecondTryCase { "OldRun", CommandStatus::OldRun, false, false },
+                SecondTryCase { "OtherLife", CommandStatus::OtherIncarnation, true, false }),
         [](const auto &tested) { return tested.param.name; });
 
 // The first order was carried out and its answer lost; the run is over before the second order.
@@ -101,12 +102,13 @@
 {
     Bench bench;
     bench.start(1);
-    startAnswered(bench.runner, runId(1), { Answer::None, {} }, bench.now);
-    EXPECT_TRUE(endsIn(startAnswered(bench.runner, runId(1), { Answer::OldRun, {} }, bench.now))
+    handleStartResult(bench.runner, runId(1), { CommandStatus::None, {} }, bench.now);
+    EXPECT_TRUE(endsIn(handleStartResult(bench.runner, runId(1), { CommandStatus::OldRun, {} },
+                                         bench.now))
                         .empty());
-    Look look;
-    look.ended = { { 1, runId(1), RunEnd::Done } };
-    const auto ends = endsIn(bench.answerLook(look));
+    PollResult poll;
+    poll.ended = { { 1, runId(1), RunEnd::Done } };
+    const auto ends = endsIn(bench.answerLook(poll));
     ASSERT_EQ(ends.size(), 1U);
     EXPECT_EQ(ends[0].end, RunEnd::Done);
 }
@@ -116,25 +118,25 @@
 {
     Bench bench;
     bench.start(1);
-    startAnswered(bench.runner, runId(1), { Answer::Ok, bench.clock() }, bench.now);
-    EXPECT_EQ(bench.answerLook({}).look->wait, bench.runner.settings.busyWait);
+    handleStartResult(bench.runner, runId(1), { CommandStatus::Ok, bench.clock() }, bench.now);
+    EXPECT_EQ(bench.answerLook({}).poll->wait, bench.runner.settings.busyWait);
     bench.failLook = true;
-    EXPECT_EQ(bench.answerLook({}).look->wait, Milliseconds(0));
+    EXPECT_EQ(bench.answerLook({}).poll->wait, Milliseconds(0));
     bench.failLook = false;
-    EXPECT_EQ(bench.answerLook({}).look->wait, bench.runner.settings.doubtfulWait);
+    EXPECT_EQ(bench.answerLook({}).poll->wait, bench.runner.settings.doubtfulWait);
     bench.pass(bench.runner.settings.doubtfulSpan);
-    EXPECT_EQ(bench.answerLook({}).look->wait, bench.runner.settings.busyWait);
+    EXPECT_EQ(bench.answerLook({}).poll->wait, bench.runner.settings.busyWait);
 }
 
 TEST(RunnerUnanswered, ALookThatShowsTheRunIsAsGoodAsAnAnswer)
 {
     Bench bench;
     bench.start(1);
-    Look look;
-    look.running = { { runId(1), 5 } };
-    bench.answerLook(look);
-    EXPECT_TRUE(
-            startAnswered(bench.runner, runId(1), { Answer::None, {} }, bench.now).stops.empty());
+    PollResult poll;
+    poll.running = { { runId(1), 5 } };
+    bench.answerLook(poll);
+    EXPECT_TRUE(handleStartResult(bench.runner, runId(1), { CommandStatus::None, {} }, bench.now)
+                        .stops.empty());
     EXPECT_EQ(bench.runner.runs.at(runId(1)).state, RunState::Running);
 }
 
@@ -142,19 +144,19 @@
 {
     Bench bench;
     bench.start(1);
-    startAnswered(bench.runner, runId(1), { Answer::Ok, bench.clock() }, bench.now);
+    handleStartResult(bench.runner, runId(1), { CommandStatus::Ok, bench.clock() }, bench.now);
     RunnerActions actions = bench.answerLook({});
-    ASSERT_TRUE(actions.look);
-    EXPECT_TRUE(actions.look->deadline);
+    ASSERT_TRUE(actions.poll);
+    EXPECT_TRUE(actions.poll->deadline);
     stopRuns(bench.runner, Entry, { { runId(1) } }, bench.now);
-    stopAnswered(bench.runner, runId(1), { Answer::None, {} }, bench.now);
+    handleStopResult(bench.runner, runId(1), { CommandStatus::None, {} }, bench.now);
     bench.pass(bench.runner.settings.stopGivenUp);
-    Look look;
-    look.running = { { runId(1), 50 } };
-    actions = bench.answerLook(look);
-    ASSERT_TRUE(actions.look);
-    EXPECT_FALSE(actions.look->deadline);
-    EXPECT_EQ(viewOf(bench.runner, bench.now).mostStarts, 0U);
+    PollResult poll;
+    poll.running = { { runId(1), 50 } };
+    actions = bench.answerLook(poll);
+    ASSERT_TRUE(actions.poll);
+    EXPECT_FALSE(actions.poll->deadline);
+    EXPECT_EQ(makeEndpointView(bench.runner, bench.now).mostStarts, 0U);
     EXPECT_EQ(endsIn(bench.start(2))[0].refused, RefusedStart::NotReady);
 }
 
@@ -177,7 +179,7 @@
     bench.start(1);
     EndpointReport report = makeReport("life-1", 2);
     report.leaving = true;
-    endpointHeard(bench.runner, report, bench.now);
+    handleHeartbeat(bench.runner, report, bench.now);
     const auto ends = endsIn(bench.replacedBy("life-2"));
     ASSERT_EQ(ends.size(), 1U);
     EXPECT_EQ(ends[0].end, RunEnd::Lost);
@@ -188,8 +190,8 @@
     Bench bench;
     EndpointReport leaving = makeReport("life-1", 5);
     leaving.leaving = true;
-    endpointHeard(bench.runner, leaving, bench.now);
-    endpointHeard(bench.runner, makeReport("life-1", 4), bench.now);
+    handleHeartbeat(bench.runner, leaving, bench.now);
+    handleHeartbeat(bench.runner, makeReport("life-1", 4), bench.now);
     EXPECT_TRUE(bench.runner.endpoint.leaving);
 }
 
@@ -201,12 +203,12 @@
     bench.replacedBy("life-2");
     bench.answerLook({});
     bench.start(1);
-    startAnswered(bench.runner, runId(1), { Answer::Ok, bench.clock() }, bench.now);
-    const RunnerActions late = endpointHeard(bench.runner, makeReport("life-1", 7), bench.now);
+    handleStartResult(bench.runner, runId(1), { CommandStatus::Ok, bench.clock() }, bench.now);
+    const RunnerActions late = handleHeartbeat(bench.runner, makeReport("life-1", 7), bench.now);
     EXPECT_TRUE(endsIn(late).empty());
-    EXPECT_EQ(bench.runner.endpoint.life.id, "life-2");
+    EXPECT_EQ(bench.runner.endpoint.endpointIncarnation.id, "life-2");
     EXPECT_EQ(bench.runner.runs.size(), 1U);
-    EXPECT_GT(viewOf(bench.runner, bench.now).mostStarts, 0U);
+    EXPECT_GT(makeEndpointView(bench.runner, bench.now).mostStarts, 0U);
 }
 
 // Should the endpoint itself say that it is the other life, the next heartbeat counts again.
@@ -214,12 +216,12 @@
 {
     Bench bench;
     bench.replacedBy("life-2");
-    Look disowned;
-    disowned.answered.answer = Answer::OtherLife;
+    PollResult disowned;
+    disowned.result.status = CommandStatus::OtherIncarnation;
     bench.failLook = true;
     bench.answerLook(disowned);
-    endpointHeard(bench.runner, makeReport("life-1", 7), bench.now);
-    EXPECT_EQ(bench.runner.endpoint.life.id, "life-1");
+    handleHeartbeat(bench.runner, makeReport("life-1", 7), bench.now);
+    EXPECT_EQ(bench.runner.endpoint.endpointIncarnation.id, "life-1");
 }
 
 // Of many lives only the last ones are remembered.
@@ -228,35 +230,36 @@
     Bench bench;
     bench.replacedBy("one-id");
     for (int i = 2; i < 100; ++i)
-        endpointHeard(bench.runner, makeReport("one-id", i, 1), bench.now);
-    EXPECT_EQ(bench.runner.formerLives.size(), bench.runner.settings.mostFormerLives);
-    EXPECT_EQ(bench.runner.formerLives.back(), makeReport("one-id", 98, 1).life);
+        handleHeartbeat(bench.runner, makeReport("one-id", i, 1), bench.now);
+    EXPECT_EQ(bench.runner.previousIncarnations.size(), bench.runner.settings.mostFormerLives);
+    EXPECT_EQ(bench.runner.previousIncarnations.back(),
+              makeReport("one-id", 98, 1).endpointIncarnation);
 }
 
 TEST(RunnerLives, RunsOfAnEarlierAgentAreStoppedBeforeAnythingStarts)
 {
     RunnerState runner = makeRunner(RunnerSettings(), 2, 200);
     const Time now(Seconds(100));
-    endpointHeard(runner, makeReport("life-1", 1), now);
-    Look look;
-    look.answered = { Answer::Ok, Milliseconds(50000) };
-    look.running = { { runId(9), 10 } };
-    RunnerActions actions = lookAnswered(runner, runner.lookNumber, look, now);
+    handleHeartbeat(runner, makeReport("life-1", 1), now);
+    PollResult poll;
+    poll.result = { CommandStatus::Ok, Milliseconds(50000) };
+    poll.running = { { runId(9), 10 } };
+    RunnerActions actions = handlePollResult(runner, runner.pollNumber, poll, now);
     ASSERT_EQ(actions.stops.size(), 1U);
     openSession(runner, Entry, "entry-1", now);
     EXPECT_FALSE(runner.sessions.at(Entry).welcomed);
     actions = tick(runner, now + runner.settings.lookPause);
-    ASSERT_TRUE(actions.look);
-    look.running.clear();
-    actions = lookAnswered(runner, runner.lookNumber, look, now + Milliseconds(60));
-    EXPECT_EQ(actions.welcomes.size(), 1U);
+    ASSERT_TRUE(actions.poll);
+    poll.running.clear();
+    actions = handlePollResult(runner, runner.pollNumber, poll, now + Milliseconds(60));
+    EXPECT_EQ(actions.acceptances.size(), 1U);
 }
 
 TEST(RunnerLives, RunsOfAnEndpointOutOfReachLapseOnTheSlowestClock)
 {
     Bench bench;
     bench.start(1);
-    startAnswered(bench.runner, runId(1), { Answer::Ok, bench.clock() }, bench.now);
+    handleStartResult(bench.runner, runId(1), { CommandStatus::Ok, bench.clock() }, bench.now);
     bench.answerLook({});
     const Time renewed = bench.now;
     bench.failLook = true;
--- a/packages/runner/tests/sessions_test.cpp
+++ b/packages/runner/tests/sessions_test.cpp
@@ -14,7 +14,7 @@
 {
     Bench bench;
     bench.start(1);
-    bench.now += bench.runner.settings.ownerSilence;
+    bench.now += bench.runner.settings.sessionTimeout;
     const RunnerActions actions = tick(bench.runner, bench.now);
     EXPECT_EQ(actions.stops.size(), 1U);
     EXPECT_EQ(actions.closes, std::vector<std::uint64_t> { Entry });
@@ -23,7 +23,7 @@
 TEST(RunnerSessions, WhatArrivesAfterASilenceIsNotTaken)
 {
     Bench bench;
-    bench.now += bench.runner.settings.ownerSilence + Milliseconds(1);
+    bench.now += bench.runner.settings.sessionTimeout + Milliseconds(1);
     EXPECT_TRUE(bench.start(1).starts.empty());
     EXPECT_TRUE(bench.runner.runs.empty());
 }
@@ -32,15 +32,15 @@
 {
     Bench bench;
     bench.start(1);
-    startAnswered(bench.runner, runId(1), { Answer::Ok, bench.clock() }, bench.now);
+    handleStartResult(bench.runner, runId(1), { CommandStatus::Ok, bench.clock() }, bench.now);
     RunnerActions actions = openSession(bench.runner, 2, "entry-1", bench.now);
     EXPECT_EQ(actions.stops.size(), 1U);
-    EXPECT_TRUE(actions.welcomes.empty());
-    Look look;
-    look.ended = { { 1, runId(1), RunEnd::Stopped } };
-    actions = bench.answerLook(look);
-    ASSERT_EQ(actions.welcomes.size(), 1U);
-    EXPECT_EQ(actions.welcomes[0].first, 2U);
+    EXPECT_TRUE(actions.acceptances.empty());
+    PollResult poll;
+    poll.ended = { { 1, runId(1), RunEnd::Stopped } };
+    actions = bench.answerLook(poll);
+    ASSERT_EQ(actions.acceptances.size(), 1U);
+    EXPECT_EQ(actions.acceptances[0].first, 2U);
 }
 
 // Fifteen entries, and a second in which the room changes every 10 ms: what each is told.
@@ -63,7 +63,7 @@
     for (std::uint64_t entry = 2; entry <= Entries; ++entry)
         openSession(bench.runner, entry, "entry-" + std::to_string(entry), bench.now);
     for (std::uint64_t entry = 1; entry <= GetParam().wanting; ++entry)
-        sessionBeat(bench.runner, entry, { 1, true }, bench.now);
+        handleSessionHeartbeat(bench.runner, entry, { 1, true }, bench.now);
     std::map<std::uint64_t, std::size_t> told;
     const auto count = [&](const RunnerActions &actions) {
         for (const auto &[entry, update] : actions.updates)
@@ -93,9 +93,9 @@
     Bench bench;
     bench.start(1);
     bench.now += Milliseconds(5);
-    const RunnerActions calm = sessionBeat(bench.runner, Entry, { 1, false }, bench.now);
+    const RunnerActions calm = handleSessionHeartbeat(bench.runner, Entry, { 1, false }, bench.now);
     EXPECT_TRUE(calm.updates.empty());
-    const RunnerActions wants = sessionBeat(bench.runner, Entry, { 2, true }, bench.now);
+    const RunnerActions wants = handleSessionHeartbeat(bench.runner, Entry, { 2, true }, bench.now);
     ASSERT_EQ(wants.updates.size(), 1U);
     EXPECT_EQ(wants.updates[0].second.free.milliCores, 3000);
     EXPECT_EQ(wants.updates[0].second.startsTaken, 1U);
@@ -105,7 +105,7 @@
 {
     Bench bench;
     EXPECT_TRUE(bench.start(1).updates.empty());
-    startAnswered(bench.runner, runId(1), { Answer::Ok, bench.clock() }, bench.now);
+    handleStartResult(bench.runner, runId(1), { CommandStatus::Ok, bench.clock() }, bench.now);
     const RunnerActions actions = bench.end(1);
     ASSERT_EQ(actions.updates.size(), 1U);
     EXPECT_EQ(actions.updates[0].second.ended.size(), 1U);
@@ -115,9 +115,9 @@
 // What the next update to the entry says.
 jobs::AgentUpdate nextUpdate(Bench &bench)
 {
-    bench.pass(bench.runner.settings.calmInterval);
-    const RunnerActions actions = sessionBeat(bench.runner, Entry, { ++bench.lastBeat, true },
-                                              bench.now);
+    bench.pass(bench.runner.settings.idleUpdateInterval);
+    const RunnerActions actions = handleSessionHeartbeat(bench.runner, Entry,
+                                                         { ++bench.lastBeat, true }, bench.now);
     return actions.updates.empty() ? jobs::AgentUpdate() : actions.updates.back().second;
 }
 
@@ -185,11 +185,11 @@
 {
     Bench bench;
     bench.start(1, 900);
-    startAnswered(bench.runner, runId(1), { Answer::Ok, bench.clock() }, bench.now);
-    Look look;
-    look.ended = { { 1, runId(1), GetParam().end } };
-    bench.answerLook(look);
-    bench.pass(GetParam().after - bench.runner.settings.calmInterval);
+    handleStartResult(bench.runner, runId(1), { CommandStatus::Ok, bench.clock() }, bench.now);
+    PollResult poll;
+    poll.ended = { { 1, runId(1), GetParam().end } };
+    bench.answerLook(poll);
+    bench.pass(GetParam().after - bench.runner.settings.idleUpdateInterval);
     EXPECT_NEAR(nextUpdate(bench).freedPerSecond, GetParam().perSecond, 2);
 }
 
--- a/packages/runner/tests/starting_test.cpp
+++ b/packages/runner/tests/starting_test.cpp
@@ -57,10 +57,10 @@
                             [](Bench &b) {
                                 EndpointReport report = makeReport("life-1", 2);
                                 report.leaving = true;
-                                endpointHeard(b.runner, report, b.now);
+                                handleHeartbeat(b.runner, report, b.now);
                             },
                             100, RefusedStart::Leaving },
-                StartCase { "AgentStopping", [](Bench &b) { beginStop(b.runner, b.now); }, 100,
+                StartCase { "AgentStopping", [](Bench &b) { beginShutdown(b.runner, b.now); }, 100,
                             RefusedStart::Leaving },
                 StartCase { "NotLookedAtYet", [](Bench &b) { b.replacedBy("life-2"); }, 100,
                             RefusedStart::NotReady },
@@ -80,27 +80,27 @@
 {
     Bench bench;
     bench.start(1, 4000);
-    startAnswered(bench.runner, runId(1), { Answer::Ok, bench.clock() }, bench.now);
+    handleStartResult(bench.runner, runId(1), { CommandStatus::Ok, bench.clock() }, bench.now);
     stopRuns(bench.runner, Entry, { { runId(1) } }, bench.now);
-    stopAnswered(bench.runner, runId(1), { Answer::Ok, bench.clock() }, bench.now);
+    handleStopResult(bench.runner, runId(1), { CommandStatus::Ok, bench.clock() }, bench.now);
     EXPECT_EQ(bench.start(2).starts.size(), 0U);
-    Look still;
+    PollResult still;
     still.running = { { runId(1), 40 } };
     bench.answerLook(still);
     EXPECT_EQ(bench.start(3).starts.size(), 0U);
-    Look gone;
+    PollResult gone;
     gone.ended = { { 1, runId(1), RunEnd::Stopped } };
     const auto ends = endsIn(bench.answerLook(gone));
     ASSERT_EQ(ends.size(), 1U);
     EXPECT_EQ(ends[0].end, RunEnd::Stopped);
     EXPECT_EQ(bench.start(4).starts.size(), 1U);
-    EXPECT_EQ(bench.runner.life.lastSeen, 1U);
+    EXPECT_EQ(bench.runner.endpointIncarnation.lastSeenEnd, 1U);
 }
 
 struct RefusalCase
 {
     const char *name;
-    Answer answer;
+    CommandStatus status;
     RefusedStart refused;
 };
 
@@ -112,7 +112,7 @@
     Bench bench;
     bench.start(1, 4000);
     const auto ends = endsIn(
-            startAnswered(bench.runner, runId(1), { GetParam().answer, {} }, bench.now));
+            handleStartResult(bench.runner, runId(1), { GetParam().status, {} }, bench.now));
     ASSERT_EQ(ends.size(), 1U);
     EXPECT_EQ(ends[0].end, RunEnd::NeverBegan);
     EXPECT_EQ(ends[0].refused, GetParam().refused);
@@ -121,12 +121,13 @@
 
 INSTANTIATE_TEST_SUITE_P(
         Runner, Refusals,
-        testing::Values(RefusalCase { "Old", Answer::OldRun, RefusedStart::OldRun },
-                        RefusalCase { "Late", Answer::TooLate, RefusedStart::Endpoint },
-                        RefusalCase { "Room", Answer::NoRoom, RefusedStart::NoRoom },
-                        RefusalCase { "Busy", Answer::Busy, RefusedStart::Endpoint },
-                        RefusalCase { "Fenced", Answer::Fenced, RefusedStart::Endpoint },
-                        RefusalCase { "OtherLife", Answer::OtherLife, RefusedStart::Endpoint }),
+        testing::Values(RefusalCase { "Old", CommandStatus::OldRun, RefusedStart::OldRun },
+                        RefusalCase { "Late", CommandStatus::TooLate, RefusedStart::Endpoint },
+                        RefusalCase { "Room", CommandStatus::NoRoom, RefusedStart::NoRoom },
+                        RefusalCase { "Busy", CommandStatus::Busy, RefusedStart::Endpoint },
+                        RefusalCase { "Fenced", CommandStatus::Fenced, RefusedStart::Endpoint },
+                        RefusalCase { "OtherLife", CommandStatus::OtherIncarnation,
+                                      RefusedStart::Endpoint }),
         [](const auto &tested) { return tested.param.name; });
 
 TEST(RunnerStarts, AFenceThatIsTooLowIsRaised)
@@ -134,11 +135,11 @@
     Bench bench;
     bench.start(1);
     const std::uint64_t before = bench.runner.fence;
-    startAnswered(bench.runner, runId(1), { Answer::Fenced, {} }, bench.now);
+    handleStartResult(bench.runner, runId(1), { CommandStatus::Fenced, {} }, bench.now);
     const std::uint64_t once = bench.runner.fence;
     EXPECT_GT(once, before);
     bench.start(2);
-    startAnswered(bench.runner, runId(2), { Answer::Fenced, {} }, bench.now);
+    handleStartResult(bench.runner, runId(2), { CommandStatus::Fenced, {} }, bench.now);
     EXPECT_GT(bench.runner.fence - once, once - before);
 }
 
@@ -236,7 +237,7 @@
                                  [](Bench &b) {
                                      EndpointReport report = makeReport("life-1", 2);
                                      report.leaving = true;
-                                     return endpointHeard(b.runner, report, b.now);
+                                     return handleHeartbeat(b.runner, report, b.now);
                                  },
                                  RefusedStart::Leaving },
                 WaitingEndCase { "AnotherLife", [](Bench &b) { return b.replacedBy("life-2"); },
@@ -274,7 +275,7 @@
     bench.start(1);
     EndpointReport report = makeReport("life-1", 2);
     report.capacity.milliCores = GetParam().milliCores;
-    const RunnerActions told = endpointHeard(bench.runner, report, bench.now);
+    const RunnerActions told = handleHeartbeat(bench.runner, report, bench.now);
     EXPECT_TRUE(told.stops.empty());
     // Its entries hear at once.
     ASSERT_EQ(told.updates.size(), GetParam().milliCores == 4000 ? 0U : 1U);
@@ -301,8 +302,8 @@
     bench.start(1);
     EndpointReport report = makeReport("life-1", 2);
     report.capacity.milliCores = 1000;
-    endpointHeard(bench.runner, report, bench.now);
-    const RunnerActions actions = startAnswered(bench.runner, runId(1), {}, bench.now);
+    handleHeartbeat(bench.runner, report, bench.now);
+    const RunnerActions actions = handleStartResult(bench.runner, runId(1), {}, bench.now);
     EXPECT_TRUE(actions.starts.empty());
     ASSERT_EQ(actions.stops.size(), 1U);
     EXPECT_EQ(actions.stops[0].id, runId(1));
@@ -316,7 +317,7 @@
     ASSERT_TRUE(startedIn(bench.startOrWait(1, 3000)).empty());
     EndpointReport report = makeReport("life-1", 2);
     report.capacity.milliCores = 2000;
-    const auto ends = endsIn(endpointHeard(bench.runner, report, bench.now));
+    const auto ends = endsIn(handleHeartbeat(bench.runner, report, bench.now));
     ASSERT_EQ(ends.size(), 1U);
     EXPECT_EQ(ends[0].end, RunEnd::NeverBegan);
     EXPECT_EQ(ends[0].refused, RefusedStart::NoRoom);
@@ -331,7 +332,7 @@
     EXPECT_TRUE(later.starts.empty());
     ASSERT_EQ(endsIn(later).size(), 1U);
     EXPECT_EQ(endsIn(later)[0].refused, RefusedStart::NoRoom);
-    EXPECT_EQ(viewOf(bench.runner, bench.now).free.milliCores, -200);
+    EXPECT_EQ(makeEndpointView(bench.runner, bench.now).free.milliCores, -200);
 }
 
 TEST(RunnerWaiting, TheSameTaskDoesNotWaitTwice)
@@ -383,17 +384,17 @@
     tick(runner, now);
     EndpointReport report = makeReport("life-1", 1);
     report.dataCentre = "north";
-    endpointHeard(runner, report, now);
-    Look look;
-    look.answered = { Answer::Ok, Milliseconds(50000) };
-    lookAnswered(runner, runner.lookNumber, look, now);
+    handleHeartbeat(runner, report, now);
+    PollResult poll;
+    poll.result = { CommandStatus::Ok, Milliseconds(50000) };
+    handlePollResult(runner, runner.pollNumber, poll, now);
     for (const auto &[cordons, source] : GetParam().heard)
-        cordonsHeard(runner, cordons, source, now);
+        handleCordons(runner, cordons, source, now);
     now += GetParam().after;
     openSession(runner, Entry, "entry-1", now);
     tick(runner, now);
-    EXPECT_EQ(viewOf(runner, now).mostStarts > 0, GetParam().takesStarts);
-    EXPECT_EQ(viewOf(runner, now).free.milliCores > 0, GetParam().takesStarts);
+    EXPECT_EQ(makeEndpointView(runner, now).mostStarts > 0, GetParam().takesStarts);
+    EXPECT_EQ(makeEndpointView(runner, now).free.milliCores > 0, GetParam().takesStarts);
     jobs::StartTasks message;
     message.job = "job";
     message.room = { 1000, 10, 0 };
@@ -448,8 +449,8 @@
     bench.runner.endpoint.dataCentre = "north";
     bench.start(1, 4000);
     bench.startOrWait(11, 600);
-    const RunnerActions actions = cordonsHeard(bench.runner, NorthCordoned, CordonSource::Control,
-                                               bench.now);
+    const RunnerActions actions = handleCordons(bench.runner, NorthCordoned, CordonSource::Control,
+                                                bench.now);
     const std::vector<jobs::RunReport> ends = endsIn(actions);
     ASSERT_EQ(ends.size(), 1U);
     EXPECT_EQ(ends[0].id, runId(11));
--- a/packages/scheduler/src/scheduler.cpp
+++ b/packages/scheduler/src/scheduler.cpp
@@ -138,7 +138,7 @@
     actions.events.push_back(change("agent-welcomed")
                                      .with("agent", name)
                                      .with("incarnation", welcome.incarnation)
-                                     .with("life", welcome.endpoint.life));
+                                     .with("life", welcome.endpoint.endpointIncarnation));
     takeCrashes(scheduler, name, welcome.crashed, now, actions);
     // Nothing of an earlier session runs there any more.
     for (auto &[number, job] : scheduler.jobs) {
@@ -417,7 +417,7 @@
 bool reachesEndpoints(const SchedulerState &scheduler)
 {
     return std::any_of(scheduler.agents.begin(), scheduler.agents.end(), [](const auto &item) {
-        return item.second.welcomed && !item.second.endpoint.life.empty();
+        return item.second.welcomed && !item.second.endpoint.endpointIncarnation.empty();
     });
 }
 
--- a/packages/scheduler/tests/bench.h
+++ b/packages/scheduler/tests/bench.h
@@ -24,7 +24,7 @@
 inline jobs::EndpointView makeView(std::int64_t cores)
 {
     jobs::EndpointView view;
-    view.life = "life";
+    view.endpointIncarnation = "life";
     view.service = "align";
     view.capacity = { cores, 10000, 0 };
     view.free = view.capacity;
--- a/tests/fleet/endpoint.cpp
+++ b/tests/fleet/endpoint.cpp
@@ -10,7 +10,7 @@
 
 namespace foxwing::test {
 
-using runner::Answer;
+using runner::CommandStatus;
 
 namespace {
 
@@ -53,14 +53,14 @@
 
 void FakeEndpoint::crash(std::string nextLife)
 {
-    life = std::move(nextLife);
+    endpointIncarnation = std::move(nextLife);
     forgetAll();
 }
 
 void FakeEndpoint::beginAgain(Time now)
 {
     forgetAll();
-    born += Milliseconds(1);
+    startedAt += Milliseconds(1);
     m_offset -= clock(now);
 }
 
@@ -78,42 +78,44 @@
 
 // [SECTION] Orders
 
-std::optional<Answer> FakeEndpoint::refuse(const std::string &lifeWanted, std::uint64_t fence)
+std::optional<CommandStatus> FakeEndpoint::refuse(const std::string &lifeWanted,
+                                                  std::uint64_t fence)
 {
-    if (lifeWanted != life)
-        return Answer::OtherLife;
+    if (lifeWanted != endpointIncarnation)
+        return CommandStatus::OtherIncarnation;
     if (keepsFence && fence < m_fence)
-        return Answer::Fenced;
+        return CommandStatus::Fenced;
     m_fence = fence;
     return std::nullopt;
 }
 
-runner::Answered FakeEndpoint::start(const runner::StartOrder &order, Time now, Milliseconds work)
+runner::CommandResult FakeEndpoint::start(const runner::StartCommand &order, Time now,
+                                          Milliseconds work)
 {
     advance(now);
-    if (const auto refused = refuse(order.life, order.fence))
+    if (const auto refused = refuse(order.endpointIncarnation, order.fence))
         return { *refused, clock(now) };
     if (order.deadline < clock(now))
-        return { Answer::TooLate, clock(now) };
+        return { CommandStatus::TooLate, clock(now) };
     m_leaseUntil = std::max(m_leaseUntil, std::min(order.deadline, clock(now) + LongestLease));
     if (m_runs.count(order.id) != 0)
-        return { Answer::Ok, clock(now) };
+        return { CommandStatus::Ok, clock(now) };
     const auto highest = m_highestEnded.find(order.id.task);
     if (highest != m_highestEnded.end() && order.id.run <= highest->second)
-        return { Answer::OldRun, clock(now) };
+        return { CommandStatus::OldRun, clock(now) };
     EndpointRun run;
     run.startedAt = now;
     const auto takes = std::chrono::duration_cast<Microseconds>(work * slowness);
     run.doneAt = hangs ? now + std::chrono::hours(1) : now + takes;
     run.fails = failsAll;
     m_runs.emplace(order.id, run);
-    return { Answer::Ok, clock(now) };
+    return { CommandStatus::Ok, clock(now) };
 }
 
-runner::Answered FakeEndpoint::stop(const runner::StopOrder &order, Time now)
+runner::CommandResult FakeEndpoint::stop(const runner::StopCommand &order, Time now)
 {
     advance(now);
-    if (const auto refused = refuse(order.life, order.fence))
+    if (const auto refused = refuse(order.endpointIncarnation, order.fence))
         return { *refused, clock(now) };
     std::uint32_t &highest = m_highestEnded[order.id.task];
     highest = std::max(highest, order.id.run);
@@ -122,32 +124,32 @@
         run->second.stopping = true;
         run->second.doneAt = now + StopTakes;
     }
-    return { Answer::Ok, clock(now) };
+    return { CommandStatus::Ok, clock(now) };
 }
 
-runner::Look FakeEndpoint::look(const runner::LookOrder &order, Time now)
+runner::PollResult FakeEndpoint::poll(const runner::PollCommand &order, Time now)
 {
     advance(now);
-    runner::Look look;
-    if (const auto refused = refuse(order.life, order.fence)) {
-        look.answered = { *refused, clock(now) };
-        return look;
+    runner::PollResult poll;
+    if (const auto refused = refuse(order.endpointIncarnation, order.fence)) {
+        poll.result = { *refused, clock(now) };
+        return poll;
     }
     if (order.deadline)
         m_leaseUntil = std::max(m_leaseUntil, std::min(*order.deadline, clock(now) + LongestLease));
-    const auto seen = [&](const runner::EndedRow &row) { return row.number <= order.lastSeen; };
+    const auto seen = [&](const runner::EndedRun &row) { return row.number <= order.lastSeenEnd; };
     m_ended.erase(std::remove_if(m_ended.begin(), m_ended.end(), seen), m_ended.end());
-    look.answered = { Answer::Ok, clock(now) };
+    poll.result = { CommandStatus::Ok, clock(now) };
     if (tellsBorn)
-        look.born = born;
+        poll.startedAt = startedAt;
     for (const auto &[id, run] : m_runs) {
         const double whole = static_cast<double>((run.doneAt - run.startedAt).count());
         const double ran = static_cast<double>((now - run.startedAt).count());
-        look.running.push_back(
+        poll.running.push_back(
                 { id, static_cast<std::uint32_t>(100 * ran / std::max(1.0, whole)) });
     }
-    look.ended = m_ended;
-    return look;
+    poll.ended = m_ended;
+    return poll;
 }
 
 } // namespace foxwing::test
--- a/tests/fleet/endpoint.h
+++ b/tests/fleet/endpoint.h
@@ -28,7 +28,7 @@
 {
 public:
     FakeEndpoint(std::string lifeName, double clockRate, Milliseconds clockOffset)
-        : life(std::move(lifeName))
+        : endpointIncarnation(std::move(lifeName))
         , m_rate(clockRate)
         , m_offset(clockOffset)
     { }
@@ -36,9 +36,9 @@
     // The endpoint's own clock, which may run slow.
     Milliseconds clock(Time now) const;
 
-    runner::Answered start(const runner::StartOrder &order, Time now, Milliseconds work);
-    runner::Answered stop(const runner::StopOrder &order, Time now);
-    runner::Look look(const runner::LookOrder &order, Time now);
+    runner::CommandResult start(const runner::StartCommand &order, Time now, Milliseconds work);
+    runner::CommandResult stop(const runner::StopCommand &order, Time now);
+    runner::PollResult poll(const runner::PollCommand &order, Time now);
 
     // Ends what is done, stopped, or beyond the lease.
     void advance(Time now);
@@ -50,8 +50,8 @@
     void crash(std::string nextLife);
     void beginAgain(Time now);
 
-    std::string life;
-    WallTime born { Milliseconds(1'700'000'000'000) };
+    std::string endpointIncarnation;
+    WallTime startedAt { Milliseconds(1'700'000'000'000) };
 
     // Checks that a test takes away
     bool tellsBorn = true;
@@ -69,7 +69,7 @@
 private:
     void forgetAll();
     void end(const jobs::RunId &id, jobs::RunEnd how);
-    std::optional<runner::Answer> refuse(const std::string &lifeWanted, std::uint64_t fence);
+    std::optional<runner::CommandStatus> refuse(const std::string &lifeWanted, std::uint64_t fence);
 
     double m_rate;
     Milliseconds m_offset;
@@ -77,7 +77,7 @@
     Milliseconds m_leaseUntil { 0 };
     std::map<jobs::RunId, EndpointRun> m_runs;
     std::map<jobs::TaskId, std::uint32_t> m_highestEnded;
-    std::vector<runner::EndedRow> m_ended;
+    std::vector<runner::EndedRun> m_ended;
     std::uint64_t m_lastEnd = 0;
 };
 
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -309,9 +309,10 @@
         Fleet, Guards,
         testing::Values(
                 // An agent that never counts its entry as silent runs on for a dead one.
-                GuardCase { "OwnerSilence",
-                            [](WorldSettings &s) { s.runner.ownerSilence = std::chrono::hours(1); },
-                            { Fault::EntryKill } },
+                GuardCase {
+                        "OwnerSilence",
+                        [](WorldSettings &s) { s.runner.sessionTimeout = std::chrono::hours(1); },
+                        { Fault::EntryKill } },
                 // An entry that has not read that its callers are gone places their jobs again.
                 GuardCase { "CallersSeen",
                             [](WorldSettings &s) { s.callersNotSeen = true; },
--- a/tests/fleet/replay_test.cpp
+++ b/tests/fleet/replay_test.cpp
@@ -58,7 +58,7 @@
         m_catalog.version = 1;
         m_catalog.queues = { queue };
         carryOut(scheduler::agentConnected(m_entry, TheAgent, m_now));
-        carryOut(runner::cordonsHeard(m_agent, {}, runner::CordonSource::Control, m_now));
+        carryOut(runner::handleCordons(m_agent, {}, runner::CordonSource::Control, m_now));
         carryOut(runner::openSession(m_agent, TheSession, "entry-1", m_now));
     }
 
@@ -130,7 +130,7 @@
         const auto heard = platform::dialect().readEndpointCall(request, &reason);
         write(platform::dialect().writeEndpointAnswer(heard.has_value(), reason.message));
         if (heard)
-            carryOut(runner::endpointHeard(m_agent, heard->report, m_now));
+            carryOut(runner::handleHeartbeat(m_agent, heard->report, m_now));
     }
 
     void call(const fabric::Request &request)
@@ -160,18 +160,18 @@
         const PendingOrder order = m_orders.front();
         m_orders.pop_front();
         const auto response = readResponse(words);
-        const runner::Answered answered = response ? platform::dialect().readAnswer(*response)
-                                                   : runner::Answered();
-        carryOut(order.isStart ? runner::startAnswered(m_agent, order.id, answered, m_now)
-                               : runner::stopAnswered(m_agent, order.id, answered, m_now));
+        const runner::CommandResult result = response ? platform::dialect().readAnswer(*response)
+                                                      : runner::CommandResult();
+        carryOut(order.isStart ? runner::handleStartResult(m_agent, order.id, result, m_now)
+                               : runner::handleStopResult(m_agent, order.id, result, m_now));
     }
 
     void answerLook(std::istringstream &words)
     {
         const auto response = readResponse(words);
-        const runner::Look look = response ? platform::dialect().readLook(*response)
-                                           : runner::Look();
-        carryOut(runner::lookAnswered(m_agent, m_agent.lookNumber, look, m_now));
+        const runner::PollResult poll = response ? platform::dialect().readPoll(*response)
+                                                 : runner::PollResult();
+        carryOut(runner::handlePollResult(m_agent, m_agent.pollNumber, poll, m_now));
     }
 
     void write(const fabric::Request &request)
@@ -187,17 +187,17 @@
     void carryOut(const runner::RunnerActions &actions)
     {
         const fleet::Dialect &dialect = platform::dialect();
-        for (const runner::StopOrder &order : actions.stops) {
+        for (const runner::StopCommand &order : actions.stops) {
             m_orders.push_back({ false, order.id });
             write(dialect.writeStop(order));
         }
-        for (const runner::StartOrder &order : actions.starts) {
+        for (const runner::StartCommand &order : actions.starts) {
             m_orders.push_back({ true, order.id });
             write(dialect.writeStart(order));
         }
-        if (actions.look)
-            write(dialect.writeLook(*actions.look));
-        for (const auto &[session, welcome] : actions.welcomes)
+        if (actions.poll)
+            write(dialect.writePoll(*actions.poll));
+        for (const auto &[session, welcome] : actions.acceptances)
             carryOut(scheduler::agentWelcomed(m_entry, TheAgent, welcome, m_now));
         for (const auto &[session, update] : actions.updates)
             carryOut(scheduler::agentUpdated(m_entry, TheAgent, update, m_now));
@@ -213,7 +213,7 @@
             else if (const auto *stop = std::get_if<jobs::StopRuns>(&send.message))
                 carryOut(runner::stopRuns(m_agent, TheSession, *stop, m_now));
             else if (const auto *beat = std::get_if<jobs::SessionBeat>(&send.message))
-                carryOut(runner::sessionBeat(m_agent, TheSession, *beat, m_now));
+                carryOut(runner::handleSessionHeartbeat(m_agent, TheSession, *beat, m_now));
         }
     }
 
--- a/tests/fleet/size_test.cpp
+++ b/tests/fleet/size_test.cpp
@@ -73,7 +73,7 @@
 jobs::EndpointView viewOfEndpoint()
 {
     jobs::EndpointView view;
-    view.life = "life";
+    view.endpointIncarnation = "life";
     view.service = "render";
     view.capacity = { 16000, 32768, 0 };
     view.free = view.capacity;
@@ -158,12 +158,12 @@
     cost.sessions = sessions;
     const Milliseconds beatInterval = scheduler::SchedulerSettings().beatInterval;
     runner::RunnerState agent = runner::makeRunner(runner::RunnerSettings(), 1, 1);
-    agent.life.described = true;
-    agent.life.clean = true;
-    agent.life.clockSample = Milliseconds(0);
-    agent.life.clockAt = Start;
+    agent.endpointIncarnation.described = true;
+    agent.endpointIncarnation.clean = true;
+    agent.endpointIncarnation.clockSample = Milliseconds(0);
+    agent.endpointIncarnation.clockSampledAt = Start;
     agent.cordonsKnown = true;
-    agent.endpoint.life.id = "life";
+    agent.endpoint.endpointIncarnation.id = "life";
     agent.endpoint.capacity = viewOfEndpoint().capacity;
     std::uint64_t beat = 0;
     Time nextBeat = Start;
@@ -177,7 +177,8 @@
         ++beat;
         for (std::uint64_t session = 1; session <= sessions; ++session) {
             ++cost.heard;
-            cost.sent += runner::sessionBeat(agent, session, { beat, false }, now).updates.size();
+            cost.sent += runner::handleSessionHeartbeat(agent, session, { beat, false }, now)
+                                 .updates.size();
         }
     }
     return cost;
--- a/tests/fleet/world.cpp
+++ b/tests/fleet/world.cpp
@@ -60,13 +60,13 @@
 
 void World::on(Process &process, Milliseconds delay, std::function<void()> job)
 {
-    const std::uint64_t life = process.life;
-    at(m_now + delay, [this, &process, life, job = std::move(job)]() mutable {
-        if (!process.up || process.life != life)
+    const std::uint64_t incarnation = process.incarnation;
+    at(m_now + delay, [this, &process, incarnation, job = std::move(job)]() mutable {
+        if (!process.up || process.incarnation != incarnation)
             return;
         if (m_now < process.frozenUntil)
-            return at(process.frozenUntil, [this, &process, life, job = std::move(job)] {
-                if (process.up && process.life == life)
+            return at(process.frozenUntil, [this, &process, incarnation, job = std::move(job)] {
+                if (process.up && process.incarnation == incarnation)
                     on(process, Milliseconds(0), job);
             });
         job();
@@ -231,7 +231,7 @@
     at(m_now + after, [this, number] {
         Entry &entry = *m_entries[static_cast<std::size_t>(number)];
         entry.up = true;
-        ++entry.life;
+        ++entry.incarnation;
         entry.lastTurn = clockOf(entry);
         scheduler::SchedulerSettings settings = m_settings.scheduler;
         settings.seed = m_random();
@@ -289,8 +289,8 @@
         Agent &opened = *m_agents[static_cast<std::size_t>(agentNumber)];
         if (known)
             carryOut(agentNumber,
-                     runner::cordonsHeard(opened.state, *known, runner::CordonSource::Entry,
-                                          clockOf(opened)));
+                     runner::handleCordons(opened.state, *known, runner::CordonSource::Entry,
+                                           clockOf(opened)));
         carryOut(agentNumber,
                  runner::openSession(opened.state, id, nameOf("entry", number), clockOf(opened)));
     });
@@ -358,7 +358,8 @@
                carryOut(agentNumber, runner::stopRuns(state, id, *stop, now));
            else
                carryOut(agentNumber,
-                        runner::sessionBeat(state, id, std::get<jobs::SessionBeat>(message), now));
+                        runner::handleSessionHeartbeat(state, id,
+                                                       std::get<jobs::SessionBeat>(message), now));
        });
 }
 
@@ -379,10 +380,10 @@
     at(m_now + after, [this, number] {
         Agent &agent = *m_agents[static_cast<std::size_t>(number)];
         agent.up = true;
-        ++agent.life;
+        ++agent.incarnation;
         // Without a disk a new life can only guess a higher fence; the endpoint corrects it.
         m_lastFence += m_settings.fenceRises ? 1000 : 0;
-        agent.state = runner::makeRunner(m_settings.runner, agent.life, m_lastFence);
+        agent.state = runner::makeRunner(m_settings.runner, agent.incarnation, m_lastFence);
         agent.toldLeavingAt.reset();
         tellAgent(number);
         beat(number);
@@ -411,16 +412,16 @@
     if (agent.dark)
         return;
     runner::EndpointReport report;
-    report.life.id = endpoint.life;
+    report.endpointIncarnation.id = endpoint.endpointIncarnation;
     if (endpoint.tellsBorn)
-        report.life.born = endpoint.born;
+        report.endpointIncarnation.startedAt = endpoint.startedAt;
     report.service = "service";
     report.dataCentre = m_settings.agentsIgnoreCordons ? "" : dataCentreOf(number);
     report.capacity = Capacity;
     report.sequence = ++endpoint.beats;
     report.clock = endpoint.clock(m_now);
     report.leaving = endpoint.leaving;
-    carryOut(number, runner::endpointHeard(agent.state, report, clockOf(agent)));
+    carryOut(number, runner::handleHeartbeat(agent.state, report, clockOf(agent)));
     if (endpoint.leaving && !agent.toldLeavingAt)
         agent.toldLeavingAt = m_now;
 }
@@ -452,47 +453,48 @@
 
 void World::carryOut(int number, const runner::RunnerActions &actions)
 {
-    for (const runner::StopOrder &stop : actions.stops)
+    for (const runner::StopCommand &stop : actions.stops)
         order(
                 number, stop, Milliseconds(0),
-                [this](FakeEndpoint &endpoint, const runner::StopOrder &wanted) {
+                [this](FakeEndpoint &endpoint, const runner::StopCommand &wanted) {
                     return endpoint.stop(wanted, m_now);
                 },
-                [this, number, id = stop.id](const runner::Answered &answered) {
+                [this, number, id = stop.id](const runner::CommandResult &result) {
                     Agent &agent = *m_agents[static_cast<std::size_t>(number)];
                     carryOut(number,
-                             runner::stopAnswered(agent.state, id, answered, clockOf(agent)));
+                             runner::handleStopResult(agent.state, id, result, clockOf(agent)));
                 });
-    for (const runner::StartOrder &start : actions.starts)
+    for (const runner::StartCommand &start : actions.starts)
         order(
                 number, start, Milliseconds(0),
-                [this, number](FakeEndpoint &endpoint, const runner::StartOrder &wanted) {
+                [this, number](FakeEndpoint &endpoint, const runner::StartCommand &wanted) {
                     const Milliseconds work = m_specs.at(wanted.id.task.job).steps[0].estimate;
                     const bool wasThere = endpoint.runs().count(wanted.id) != 0;
-                    const auto answered = endpoint.start(wanted, m_now, work);
-                    if (answered.answer == runner::Answer::Ok && !wasThere)
+                    const auto result = endpoint.start(wanted, m_now, work);
+                    if (result.status == runner::CommandStatus::Ok && !wasThere)
                         noteCrashing(number, wanted.id);
-                    if (answered.answer == runner::Answer::Ok)
+                    if (result.status == runner::CommandStatus::Ok)
                         m_began.insert(wanted.id.task.job);
-                    if (answered.answer == runner::Answer::Ok)
+                    if (result.status == runner::CommandStatus::Ok)
                         noteStart(number);
-                    return answered;
+                    return result;
                 },
-                [this, number, id = start.id](const runner::Answered &answered) {
+                [this, number, id = start.id](const runner::CommandResult &result) {
                     Agent &agent = *m_agents[static_cast<std::size_t>(number)];
                     carryOut(number,
-                             runner::startAnswered(agent.state, id, answered, clockOf(agent)));
+                             runner::handleStartResult(agent.state, id, result, clockOf(agent)));
                 });
-    if (actions.look) {
-        const runner::LookOrder &look = *actions.look;
+    if (actions.poll) {
+        const runner::PollCommand &poll = *actions.poll;
         order(
-                number, look, std::min(look.wait, Milliseconds(30)),
-                [this](FakeEndpoint &endpoint, const runner::LookOrder &wanted) {
-                    return endpoint.look(wanted, m_now);
+                number, poll, std::min(poll.wait, Milliseconds(30)),
+                [this](FakeEndpoint &endpoint, const runner::PollCommand &wanted) {
+                    return endpoint.poll(wanted, m_now);
                 },
-                [this, number, id = look.number](const runner::Look &seen) {
+                [this, number, id = poll.number](const runner::PollResult &seen) {
                     Agent &agent = *m_agents[static_cast<std::size_t>(number)];
-                    carryOut(number, runner::lookAnswered(agent.state, id, seen, clockOf(agent)));
+                    carryOut(number,
+                             runner::handlePollResult(agent.state, id, seen, clockOf(agent)));
                 });
     }
     const auto deliver = [&](std::uint64_t session, auto message, auto handle) {
@@ -516,7 +518,7 @@
             message.crashed.clear();
         return message;
     };
-    for (const auto &[session, message] : actions.welcomes)
+    for (const auto &[session, message] : actions.acceptances)
         deliver(session, told(message), scheduler::agentWelcomed);
     for (const auto &[session, message] : actions.updates)
         deliver(session, told(message), scheduler::agentUpdated);
--- a/tests/fleet/worldfaults.cpp
+++ b/tests/fleet/worldfaults.cpp
@@ -52,8 +52,8 @@
             return on(told, std::chrono::ceil<Milliseconds>(reachable - m_now),
                       [this, number] { tellAgent(number); });
         carryOut(number,
-                 runner::cordonsHeard(told.state, m_cordons, runner::CordonSource::Control,
-                                      clockOf(told)));
+                 runner::handleCordons(told.state, m_cordons, runner::CordonSource::Control,
+                                       clockOf(told)));
     });
 }
 
@@ -80,7 +80,8 @@
     const Agent &starter = *m_agents[static_cast<std::size_t>(agent)];
     if (starter.endpoint->leaving && starter.toldLeavingAt
         && m_now > *starter.toldLeavingAt + LeavingBound)
-        violate(m_outcome.startsLeaving, "a start at leaving " + starter.endpoint->life);
+        violate(m_outcome.startsLeaving,
+                "a start at leaving " + starter.endpoint->endpointIncarnation);
 }
 
 // [SECTION] Faults
@@ -375,7 +376,8 @@
                 violate(m_outcome.runsUnwanted, "nobody waits for " + job);
         }
         if (!jobs::fits(used, Capacity))
-            violate(m_outcome.roomExceeded, "room exceeded at " + agent->endpoint->life);
+            violate(m_outcome.roomExceeded,
+                    "room exceeded at " + agent->endpoint->endpointIncarnation);
         checkHeldRuns(*agent);
     }
 }
--- a/tests/fleet/worldparts.h
+++ b/tests/fleet/worldparts.h
@@ -68,7 +68,7 @@
 struct World::Process
 {
     bool up = false;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     Time frozenUntil {};
 
     // Suspended time that its clock has left out
--- a/tests/fuzz/frames_test.cpp
+++ b/tests/fuzz/frames_test.cpp
@@ -19,7 +19,7 @@
 jobs::EndpointView makeView()
 {
     jobs::EndpointView view;
-    view.life = "i-1";
+    view.endpointIncarnation = "i-1";
     view.service = "s";
     view.labels = { "a", "b" };
     view.capacity = { 16000, 32768, 1 };
--- a/tests/rig/main.cpp
+++ b/tests/rig/main.cpp
@@ -70,7 +70,7 @@
               s.scheduler.waitingQueues = foxwing::scheduler::WaitingQueues::AllButLeast;
           } },
         { "nothing waits at agents", [](RigSettings &s) { s.scheduler.waitPercent = 0; } },
-        { "endpoints are not judged", [](RigSettings &s) { s.runner.judgeEndpoint = false; } },
+        { "endpoints are not judged", [](RigSettings &s) { s.runner.probationEnabled = false; } },
         { "any endpoint",
           [](RigSettings &s) { s.scheduler.placement = foxwing::scheduler::Placement::Random; } },
         { "order: first come", [](RigSettings &s) { s.scheduler.order = Order::FirstCome; } },
@@ -81,7 +81,7 @@
         { "refused at arrival from 100 percent",
           [](RigSettings &s) { s.scheduler.refuseAtArrivalPercent = 100; } },
         { "room told every 5 ms",
-          [](RigSettings &s) { s.runner.roomInterval = foxwing::Milliseconds(5); } },
+          [](RigSettings &s) { s.runner.capacityUpdateInterval = foxwing::Milliseconds(5); } },
         { "64 jobs looked through", [](RigSettings &s) { s.scheduler.mostPassedOver = 64; } },
         { "entries turn every 5 ms", [](RigSettings &s) { s.tick = foxwing::Milliseconds(5); } },
     };
--- a/tests/rig/rig.cpp
+++ b/tests/rig/rig.cpp
@@ -59,11 +59,11 @@
     bool fails = false;
     bool outOfReach = false;
     std::map<jobs::RunId, Running> runs;
-    std::vector<runner::EndedRow> ended;
+    std::vector<runner::EndedRun> ended;
     std::uint64_t lastEnd = 0;
 
     // A look that waits for an end
-    std::optional<runner::LookOrder> look;
+    std::optional<runner::PollCommand> poll;
     Time lookUntil {};
     std::uint64_t beats = 0;
 };
@@ -120,8 +120,8 @@
 
     // Endpoints
     Milliseconds clock() const;
-    void start(std::size_t host, const runner::StartOrder &order);
-    void stop(std::size_t host, const runner::StopOrder &order);
+    void start(std::size_t host, const runner::StartCommand &order);
+    void stop(std::size_t host, const runner::StopCommand &order);
     void endRun(std::size_t host, const jobs::RunId &id, jobs::RunEnd how);
     void answerLook(std::size_t host);
     void strike(const EndpointTrouble &trouble, bool begins);
@@ -225,8 +225,8 @@
         entry.state.entries = static_cast<std::uint32_t>(m_entries.size());
     for (std::size_t host = 0; host < m_hosts.size(); ++host) {
         carryOut(host,
-                 runner::cordonsHeard(m_hosts[host].state, {}, runner::CordonSource::Control,
-                                      m_now));
+                 runner::handleCordons(m_hosts[host].state, {}, runner::CordonSource::Control,
+                                       m_now));
         beat(host);
         tickHost(host);
         for (std::size_t entry = 0; entry < m_entries.size(); ++entry)
@@ -454,8 +454,8 @@
             carryOut(host, runner::stopRuns(state, entry + 1, *stop, m_now));
         else
             carryOut(host,
-                     runner::sessionBeat(state, entry + 1, std::get<jobs::SessionBeat>(message),
-                                         m_now));
+                     runner::handleSessionHeartbeat(state, entry + 1,
+                                                    std::get<jobs::SessionBeat>(message), m_now));
     });
 }
 
@@ -481,28 +481,28 @@
 {
     Host &host = m_hosts[number];
     runner::EndpointReport report;
-    report.life.id = "life-" + std::to_string(number);
+    report.endpointIncarnation.id = "life-" + std::to_string(number);
     report.service = "service";
     report.dataCentre = centreName(host.dataCentre);
     report.capacity = host.capacity;
     report.sequence = ++host.beats;
     report.clock = clock();
-    carryOut(number, runner::endpointHeard(host.state, report, m_now));
+    carryOut(number, runner::handleHeartbeat(host.state, report, m_now));
     at(m_now + BeatInterval, [this, number] { beat(number); });
 }
 
 void Rig::carryOut(std::size_t number, runner::RunnerActions &&actions)
 {
     Host &host = m_hosts[number];
-    for (const runner::StopOrder &order : actions.stops)
+    for (const runner::StopCommand &order : actions.stops)
         at(m_now + OrderDelay, [this, number, order] { stop(number, order); });
-    for (const runner::StartOrder &order : actions.starts)
+    for (const runner::StartCommand &order : actions.starts)
         at(m_now + OrderDelay, [this, number, order] { start(number, order); });
-    if (actions.look) {
-        host.look = actions.look;
-        host.lookUntil = m_now + actions.look->wait;
-        at(host.lookUntil + OrderDelay, [this, number, look = actions.look->number] {
-            if (m_hosts[number].look && m_hosts[number].look->number == look)
+    if (actions.poll) {
+        host.poll = actions.poll;
+        host.lookUntil = m_now + actions.poll->wait;
+        at(host.lookUntil + OrderDelay, [this, number, poll = actions.poll->number] {
+            if (m_hosts[number].poll && m_hosts[number].poll->number == poll)
                 answerLook(number);
         });
         if (!host.ended.empty())
@@ -515,7 +515,7 @@
                 carryOut(entry, handle(m_entries[entry].state, nameOf(number), message, m_now));
         });
     };
-    for (const auto &[session, message] : actions.welcomes)
+    for (const auto &[session, message] : actions.acceptances)
         tell(session, message, scheduler::agentWelcomed);
     for (const auto &[session, message] : actions.updates)
         tell(session, message, scheduler::agentUpdated);
@@ -528,7 +528,7 @@
     return std::chrono::duration_cast<Milliseconds>(m_now.time_since_epoch());
 }
 
-void Rig::start(std::size_t number, const runner::StartOrder &order)
+void Rig::start(std::size_t number, const runner::StartCommand &order)
 {
     Host &host = m_hosts[number];
     const Call &call = m_calls.at(order.id.task.job);
@@ -548,12 +548,12 @@
     });
     at(m_now + OrderDelay, [this, number, id = order.id] {
         carryOut(number,
-                 runner::startAnswered(m_hosts[number].state, id, { runner::Answer::Ok, clock() },
-                                       m_now));
+                 runner::handleStartResult(m_hosts[number].state, id,
+                                           { runner::CommandStatus::Ok, clock() }, m_now));
     });
 }
 
-void Rig::stop(std::size_t number, const runner::StopOrder &order)
+void Rig::stop(std::size_t number, const runner::StopCommand &order)
 {
     constexpr Milliseconds StopTakes { 50 };
     const auto found = m_hosts[number].runs.find(order.id);
@@ -564,8 +564,8 @@
     }
     at(m_now + OrderDelay, [this, number, id = order.id] {
         carryOut(number,
-                 runner::stopAnswered(m_hosts[number].state, id, { runner::Answer::Ok, clock() },
-                                      m_now));
+                 runner::handleStopResult(m_hosts[number].state, id,
+                                          { runner::CommandStatus::Ok, clock() }, m_now));
     });
 }
 
@@ -580,23 +580,23 @@
 void Rig::answerLook(std::size_t number)
 {
     Host &host = m_hosts[number];
-    if (!host.look)
+    if (!host.poll)
         return;
-    const runner::LookOrder order = *host.look;
-    host.look.reset();
-    const auto seen = [&](const runner::EndedRow &row) { return row.number <= order.lastSeen; };
+    const runner::PollCommand order = *host.poll;
+    host.poll.reset();
+    const auto seen = [&](const runner::EndedRun &row) { return row.number <= order.lastSeenEnd; };
     host.ended.erase(std::remove_if(host.ended.begin(), host.ended.end(), seen), host.ended.end());
-    runner::Look look;
-    look.answered = { runner::Answer::Ok, clock() };
+    runner::PollResult poll;
+    poll.result = { runner::CommandStatus::Ok, clock() };
     for (const auto &[id, run] : host.runs) {
         const double whole = static_cast<double>((run.doneAt - run.startedAt).count());
         const double ran = static_cast<double>((m_now - run.startedAt).count());
-        look.running.push_back(
+        poll.running.push_back(
                 { id, static_cast<std::uint32_t>(100 * ran / std::max(1.0, whole)) });
     }
-    look.ended = host.ended;
-    at(m_now + OrderDelay, [this, number, look, order = order.number] {
-        carryOut(number, runner::lookAnswered(m_hosts[number].state, order, look, m_now));
+    poll.ended = host.ended;
+    at(m_now + OrderDelay, [this, number, poll, order = order.number] {
+        carryOut(number, runner::handlePollResult(m_hosts[number].state, order, poll, m_now));
     });
 }
 
@@ -624,8 +624,8 @@
     for (std::size_t host = 0; host < m_hosts.size(); ++host)
         at(m_now + m_settings.farDelay, [this, host, cordons = m_cordons] {
             carryOut(host,
-                     runner::cordonsHeard(m_hosts[host].state, cordons,
-                                          runner::CordonSource::Control, m_now));
+                     runner::handleCordons(m_hosts[host].state, cordons,
+                                           runner::CordonSource::Control, m_now));
         });
     for (std::size_t entry = 0; entry < m_entries.size(); ++entry)
         at(m_now + m_settings.farDelay, [this, entry, cordons = m_cordons] {
--- a/tests/rig/rig_test.cpp
+++ b/tests/rig/rig_test.cpp
@@ -81,7 +81,7 @@
                         MechanismCase { "TheMostUrgentWaitAtAgents",
                                         [](RigSettings &s) { s.scheduler.waitPercent = 0; }, 0.4 },
                         MechanismCase { "EndpointsAreJudged",
-                                        [](RigSettings &s) { s.runner.judgeEndpoint = false; },
+                                        [](RigSettings &s) { s.runner.probationEnabled = false; },
                                         7.0 },
                         MechanismCase { "FasterEndpointsFirst",
                                         [](RigSettings &s) {
