--- a/packages/runner/src/answers.cpp
+++ b/packages/runner/src/answers.cpp
@@ -1,7 +1,8 @@
 /*
-    What the endpoint answers to starts, stops and looks.
+    Results of start, stop and poll commands.
 
-    [SECTION] Answers
+    [SECTION] Starts and stops
+    [SECTION] Polls
 */
 #include "internal.h"
 
@@ -14,7 +15,7 @@
 using jobs::RunOutcome;
 using jobs::StartRefusal;
 
-// [SECTION] Answers
+// [SECTION] Starts and stops
 
 namespace {
 
@@ -35,26 +36,25 @@
     run.progressAt = now;
 }
 
-// The order may have been lost, its answer may have been, or it is still to be carried out. The
-// same start again is safe: the endpoint takes a run once. After some tries the run is stopped, so
-// that it can't begin any more.
+// The command or its reply may have been lost, or the command may yet take effect. Repeating it is
+// safe, since the endpoint starts a run only once. After startGivenUp the run is stopped, so that
+// it can't start any more.
 void startUnanswered(RunnerState &runner, const RunId &id, Run &run, Time now,
                      RunnerActions &actions)
 {
     ++runner.unanswered;
     if (run.state != RunState::Ordered)
         return;
-    // The room may have shrunk since the first order: it then holds only what has begun already.
+    // Not if the capacity was reduced since the first attempt and is exceeded by now.
     const bool stillFits = jobs::fits({}, freeRoom(runner));
     if (now < run.orderedAt + runner.settings.startGivenUp && leaseDeadline(runner, now)
         && stillFits)
         return orderStart(runner, id, run, now, actions);
     noteBad(runner, now);
-    beginStopping(runner, id, run, "its start was not answered", now, actions);
+    beginStopping(runner, id, run, "no reply to its start command", now, actions);
 }
 
-// The endpoint will not start it. If it was ordered more than once, an earlier order may have been
-// carried out, or may be yet.
+// The endpoint refuses this attempt. An earlier attempt may have taken effect, or may do so yet.
 void startRefused(RunnerState &runner, const RunId &id, Run &run, CommandStatus status, Time now,
                   RunnerActions &actions)
 {
@@ -66,12 +66,12 @@
     if (run.tries <= 1 || status == CommandStatus::OtherIncarnation) {
         endRun(runner, id, RunOutcome::NeverStarted, refusedFor(status), now, actions);
     } else if (status == CommandStatus::StaleRun) {
-        // It has run, and its end is in a look that is on its way or in the next.
+        // It has run; its end is in the result of the pending poll or the next one.
         run.seen = true;
         run.goneIfMissingIn = runner.pollNumber + 1;
     } else {
-        beginStopping(runner, id, run, "its start was refused after an unanswered one", now,
-                      actions);
+        beginStopping(runner, id, run, "its start was refused after an attempt without a reply",
+                      now, actions);
     }
 }
 
@@ -79,8 +79,8 @@
 
 namespace {
 
-// An answer to an order of a former life tells neither the clock nor the fence of the present one;
-// what became of the run, the next list shows. The same for runs that are over.
+// Results from a previous incarnation say nothing about the clock and fence of the current one; the
+// next poll shows what became of the run. Results for ended runs are ignored as well.
 bool tellsOfThisLife(const RunnerState &runner, std::map<RunId, Run>::const_iterator run)
 {
     return run != runner.runs.end() && !run->second.ofFormerLife;
@@ -134,6 +134,8 @@
     return actions;
 }
 
+// [SECTION] Polls
+
 namespace {
 
 void takeEnds(RunnerState &runner, const PollResult &poll, Time now, RunnerActions &actions)
@@ -146,7 +148,7 @@
     }
 }
 
-// Runs that another life of this agent has left behind.
+// Stops runs that another incarnation of this agent has left behind.
 void stopOrphans(RunnerState &runner, const std::set<RunId> &seen,
                  const std::optional<WallTime> &startedAt, RunnerActions &actions)
 {
@@ -166,7 +168,7 @@
     runner.endpointIncarnation.clean = clean;
 }
 
-// It runs in the present life, whichever it was ordered in.
+// A listed run belongs to the current incarnation, whichever one its start was sent to.
 void markListed(Run &run, Time now)
 {
     markStarted(run, now);
@@ -180,7 +182,7 @@
 
 RunOutcome endWhenMissing(const Run &run)
 {
-    // It may have begun in the life that is over.
+    // It may have started in the previous incarnation.
     if (run.ofFormerLife)
         return run.formerEnd;
     return run.seen ? RunOutcome::Stopped : RunOutcome::NeverStarted;
@@ -213,7 +215,7 @@
     stopOrphans(runner, orphans, poll.startedAt, actions);
 }
 
-// The pause between failed looks grows up to this many times the first.
+// The pause between failed polls grows up to this multiple of lookPause.
 constexpr std::uint32_t MostPauses = 10;
 
 void lookFailed(RunnerState &runner, const CommandResult &result, Time now, RunnerActions &actions)
@@ -230,8 +232,7 @@
         actions.events.push_back(change("endpoint-out-of-reach")
                                          .with("life", runner.endpoint.endpointIncarnation.id)
                                          .with("answer", toString(result.status)));
-    // Nobody listens at its address, twice: the endpoint's process is gone, and what it ran with
-    // it.
+    // Nothing listens at its address, twice in a row: the process is gone, and its runs with it.
     const bool gone = result.status == CommandStatus::ConnectionRefused
             && runner.endpointIncarnation.looksFailed > 1;
     if (gone || result.status == CommandStatus::OtherIncarnation)
@@ -253,13 +254,14 @@
                                Time now)
 {
     RunnerActions actions;
-    // Of another life, or overtaken by a newer one.
-    if (number <= runner.handlePollResult)
+    // For a previous incarnation, or superseded by a newer poll.
+    if (number <= runner.lastAnsweredPoll)
         return actions;
-    runner.handlePollResult = number;
+    runner.lastAnsweredPoll = number;
     runner.lookUnderWay = false;
     if (isOfAnotherLife(runner, poll)) {
-        // Its ends were asked for by the count of the life before: the next look asks anew.
+        // This poll acknowledged end numbers of the previous incarnation, so its list of ends may
+        // be incomplete; the next poll starts anew.
         lifeListed(runner, { runner.endpoint.endpointIncarnation.id, poll.startedAt }, now,
                    actions);
         finishEvent(runner, now, actions);
--- a/tests/fleet/world.cpp
+++ b/tests/fleet/world.cpp
@@ -462,7 +462,7 @@
                 [this](FakeEndpoint &endpoint, const runner::StopCommand &wanted) {
                     return endpoint.stop(wanted, m_now);
                 },
-                [this, number, id = stop.id](const runner::Answered &answered) {
+                [this, number, id = stop.id](const runner::CommandResult &result) {
                     Agent &agent = *m_agents[static_cast<std::size_t>(number)];
                     carryOut(number,
                              runner::handleStopResult(agent.state, id, answered, clockOf(agent)));
@@ -480,9 +480,9 @@
                         m_began.insert(wanted.id.task.job);
                     if (answered.answer == runner::CommandStatus::Ok)
                         noteStart(number);
-                    return answered;
+                    return result;
                 },
-                [this, number, id = start.id](const runner::Answered &answered) {
+                [this, number, id = start.id](const runner::CommandResult &result) {
                     Agent &agent = *m_agents[static_cast<std::size_t>(number)];
                     carryOut(number,
                              runner::handleStartResult(agent.state, id, answered, clockOf(agent)));
