--- a/packages/directory/include/foxwing/directory/directory.h
+++ b/packages/directory/include/foxwing/directory/directory.h
@@ -1,17 +1,17 @@
 /*
-    Who is there: the processes of a fleet, as a control host hears of them.
+    Service directory: the nodes of a fleet, as a control host knows them.
 
-    Every process keeps a connection to every control host that it knows of, and announces itself on
-    it. A control host keeps what it was told in memory only: a host that restarts learns it anew
-    within a beat. Entries learn of agents, everybody learns of control hosts.
+    Every process keeps a connection to each control host that it knows of and announces itself on
+    it. The directory is held in memory only: a control host that restarts rebuilds it within one
+    heartbeat. Entries receive agents, all roles receive control hosts.
 
         DirectoryState directory;
         nodeAnnounced(directory, connection, info);
-        DirectoryUpdate update = updateFor(directory, Role::Entry, toldRevision);
+        DirectoryUpdate update = updateFor(directory, Role::Entry, sentRevision);
 
-    A process is told everything once, and after that only what changed and concerns its role. In
-    whole lists, a fleet of 300 that starts ten at a time names 4,650 nodes to each entry; so it
-    names 300.
+    A process first receives the full list, then only the changes that concern its role. A fleet of
+    300 that starts ten at a time lists 300 nodes to each entry this way; full lists would come to
+    4,650.
 
     [SECTION] Nodes
     [SECTION] Messages
@@ -46,22 +46,22 @@
 
 struct NodeInfo
 {
-    // The platform's name of the host; for logs
+    // Host name from the platform; for logs only
     std::string name;
     Role role = Role::Entry;
 
-    // Where other processes of the fleet reach it
+    // Where other processes of the fleet connect to it
     std::string address;
 
-    // Tells one life of the process from the next
+    // Differs after each restart of the process
     std::uint64_t incarnation = 0;
 
-    // Control only: its id in the agreement group
+    // Control only: its id in the consensus group
     std::string groupId;
     std::string dataCentre;
 
-    // Agents only, once their endpoint has said it: what it serves, its labels, and its room. Room
-    // that changes later is not told anew; entries in touch with the agent hear of it there.
+    // Agents only, once the endpoint has reported it: its service, labels and capacity. Later
+    // changes of capacity are not distributed here; connected entries get them from the agent.
     std::string service;
     std::vector<std::string> labels;
     jobs::Room capacity;
@@ -80,12 +80,12 @@
     fields("capacity", node.capacity);
 }
 
-// Whether both say the same of where the node is and of its endpoint.
+// Whether data centre, service and labels are equal.
 bool describesSame(const NodeInfo &left, const NodeInfo &right);
 
 // [SECTION] Messages
 
-// The first frame on a connection, and its answer.
+// First frame on a connection, in both directions.
 struct Announce
 {
     NodeInfo node;
@@ -96,7 +96,7 @@
     fields("node", announce.node);
 }
 
-// Keeps a connection known as alive, both ways.
+// Keeps a connection alive; sent in both directions.
 struct NodeBeat
 {
     std::uint64_t number = 0;
@@ -109,15 +109,15 @@
 
 struct DirectoryUpdate
 {
-    // Everything that the receiver needs to know; otherwise only what changed since it was told
-    // last on this connection.
+    // The list is complete for the receiver's role; otherwise it holds only the changes since the
+    // last update on this connection.
     bool whole = true;
     std::vector<NodeInfo> nodes;
 
-    // Addresses that are listed no more
+    // Addresses that are no longer listed
     std::vector<std::string> gone;
 
-    // Entries that are there, for shares of the room
+    // Number of connected entries, between which capacity is shared
     std::uint32_t entries = 0;
 };
 template<class Fields>
@@ -133,12 +133,12 @@
 
 struct DirectorySettings
 {
-    // A node whose connections are gone is listed for so long: it may be restarting, and its
-    // address is worth a try.
+    // How long a disconnected node stays listed. It may be restarting, so its address is still
+    // worth trying.
     Milliseconds keepGone { 10000 };
 
-    // Addresses that left the list and are remembered for those who have not been told yet. Who is
-    // further behind is told everything. More than leave within the 20 ms between two tellings.
+    // Removed addresses that are kept for incremental updates. A receiver that is further behind
+    // gets the full list. Exceeds what is removed within the 20 ms between two updates.
     std::size_t mostGone = 256;
 };
 
@@ -146,16 +146,16 @@
 {
     NodeInfo info;
 
-    // The connection that it announced itself on last
+    // The connection of its latest announcement
     std::uint64_t connection = 0;
     bool connected = false;
     Time goneAt {};
 
-    // When it came into the list, in this role
+    // Revision at which it was added in this role, or last changed its attributes
     std::uint64_t listedIn = 0;
 };
 
-// An address that left the list.
+// An address that was removed from the list.
 struct GoneNode
 {
     std::string address;
@@ -170,16 +170,16 @@
     // By address
     std::map<std::string, KnownNode> nodes;
 
-    // Rises with each change that some role is told of.
+    // Incremented by each change that any role receives
     std::uint64_t revision = 0;
 
-    // The last change of control hosts, which all roles are told of
+    // Latest change of control hosts, which all roles receive
     std::uint64_t controlRevision = 0;
 
     // Oldest first
     std::deque<GoneNode> gone;
 
-    // The newest of those that are no longer remembered
+    // Revision of the newest removal that is no longer kept
     std::uint64_t forgottenRevision = 0;
 };
 
@@ -188,16 +188,16 @@
 void nodeAnnounced(DirectoryState &directory, std::uint64_t connection, const NodeInfo &node);
 void connectionLost(DirectoryState &directory, std::uint64_t connection, Time now);
 
-// Forgets who has been gone for long.
+// Removes nodes whose disconnected retention has expired.
 void tick(DirectoryState &directory, Time now);
 
-// The last change that a node of this role needs to be told of.
+// Revision of the latest change that a node of this role receives.
 std::uint64_t revisionFor(const DirectoryState &directory, Role role);
 
-// What a node of this role needs to know and has not been told by this revision; 0: nothing was.
+// Changes that a node of this role has not received since sentRevision; 0 gives the full list.
 DirectoryUpdate updateFor(const DirectoryState &directory, Role role, std::uint64_t told);
 
-// The control hosts that are connected now.
+// Control hosts that are connected now.
 std::vector<NodeInfo> connectedControls(const DirectoryState &directory);
 
 } // namespace foxwing::directory
--- a/packages/directory/src/directory.cpp
+++ b/packages/directory/src/directory.cpp
@@ -1,5 +1,5 @@
 /*
-    The table of nodes.
+    The node table and its incremental updates.
 
     [SECTION] Functions
 */
@@ -32,7 +32,7 @@
 
 namespace {
 
-// Entries learn of agents, everybody learns of control hosts; of entries only their number counts.
+// Entries receive agents, all roles receive control hosts. Entries are only counted, never listed.
 bool isToldOf(Role role, Role listed)
 {
     return listed == Role::Control || (listed == Role::Agent && role == Role::Entry);
--- a/packages/directory/tests/directory_test.cpp
+++ b/packages/directory/tests/directory_test.cpp
@@ -1,5 +1,5 @@
 /*
-    Who is listed for whom, and for how long.
+    Which nodes each role receives, and how long a node stays listed.
 
     [SECTION] Tests
 */
@@ -76,7 +76,7 @@
     EXPECT_TRUE(directory.nodes.at("10.0.0.3:1").connected);
 }
 
-// What happens after an entry and an agent have been told everything, and what each is told of it.
+// A change after entry and agent have the full list, and which update each then receives.
 struct ChangeCase
 {
     const char *name;
@@ -171,7 +171,7 @@
                              1, 0, 1, true, true }),
         [](const auto &tested) { return tested.param.name; });
 
-// A fleet of 300 that starts, ten at a time: whole lists would name 4,650 nodes to an entry.
+// Guards against full lists while a fleet starts: 300 nodes, ten at a time, would come to 4,650.
 TEST(Directory, AFleetThatStartsIsNamedOnceToEachEntry)
 {
     DirectoryState directory;
--- a/packages/entry/include/foxwing/entry/entry.h
+++ b/packages/entry/include/foxwing/entry/entry.h
@@ -1,9 +1,9 @@
 /*
-    The entry: takes submissions from callers, claims them, runs them or joins whoever does, and
-   gives each caller its one answer.
+    The entry: accepts submissions from callers, claims them, runs them or joins the entry that
+    does, and answers each caller exactly once.
 
-    It puts together the claims of submissions and the dispatcher. Like them it decides only: feed
-   it callers' requests, messages and ticks, and carry out the EntryActions.
+    Combines the claim table and the dispatcher. Like both it does no I/O: pass in requests,
+    messages and ticks, and apply the EntryActions that it returns.
 
         EntryState entry = makeEntry(settings);
         EntryActions actions = submit(entry, request, now, wallNow);
@@ -46,26 +46,26 @@
     claims::ClaimSettings claims;
     PlacementSettings placement;
 
-    // A question to another entry is asked again after this long, then with doubled waits.
+    // Delay before a request to another entry is sent again; doubles up to the maximum.
     Milliseconds askInterval { 100 };
     Milliseconds longestAskInterval { 400 };
     Milliseconds joinInterval { 500 };
     Milliseconds longestJoinInterval { 4000 };
 
-    // "Not run" needs the word of the claim's home; without it in this time the answer is
-    // "unknown".
+    // "Not run" must be confirmed by the claim's home; without a reply within this time the answer
+    // is "unknown".
     Milliseconds releaseSpan { 1000 };
 
-    // With no word from control for this long no new work is taken.
+    // No new work is accepted if control has not been heard from for this long.
     Milliseconds configurationLease { 10000 };
 
-    // Callers that may wait at the same time.
+    // Callers that may wait at the same time
     std::uint32_t mostWaiters = 100000;
 };
 
 // [SECTION] Requests
 
-// Which caller waits; the shell's own number for it.
+// Identifies a waiting caller; assigned by the code that applies the actions.
 using WaiterId = std::uint64_t;
 
 struct SubmitRequest
@@ -76,7 +76,7 @@
     // Version 7 UUID; empty only for a single request that has none.
     std::string submission;
 
-    // Of everything in the body that says what is to be done.
+    // Digest of all body fields that define the work
     std::string digest;
 
     std::string service;
@@ -91,15 +91,15 @@
 // [SECTION] State
 
 enum class PendingState {
-    // The home of the claim is asked.
+    // The claim was requested from its home.
     Asking,
-    // Another entry runs it; its answer is awaited.
+    // Another entry runs it; waiting for its answer.
     Joined,
     // The dispatcher of this entry runs it.
     Running,
-    // The claim of a lost entry is held; the list of agents must be newer than that.
+    // Took over the claim of a lost entry; waiting for a list of agents newer than the grant.
     Refreshing,
-    // It ended as "not run" and the home must confirm that before anybody is told.
+    // Ended as "not run"; the claim's home must confirm that before the callers are answered.
     Releasing,
 };
 
@@ -108,14 +108,14 @@
     SubmitRequest request;
     PendingState state = PendingState::Asking;
 
-    // Asked without a body: only to fetch or to cancel.
+    // Fetch or cancel: there is no body, so nothing can be run.
     bool lookOnly = false;
     bool cancel = false;
 
-    // Another entry was asked to run it; the body is kept in case that entry is lost.
+    // Handed to another entry; the body is kept in case that entry is lost.
     bool handedOff = false;
 
-    // Refused already; the claim only makes sure that no other entry runs it.
+    // Set if already refused; the claim then only ensures that no other entry runs it.
     Error refusal;
 
     std::vector<WaiterId> waiters;
@@ -131,13 +131,13 @@
     Milliseconds sendWait { 0 };
 };
 
-// An agent that may have started tasks, as control last told.
+// An agent that may have started tasks, as last reported by control.
 struct KnownAgent
 {
     std::string id;
     std::string service;
 
-    // When a life of it ended last; milliseconds since 1970, 0 for never.
+    // When an incarnation of it was last lost; milliseconds since 1970, 0 for never.
     std::int64_t lostAt = 0;
     bool live = false;
 };
@@ -146,11 +146,11 @@
 {
     std::vector<KnownAgent> agents;
 
-    // Agents that were lost before this date may be missing; milliseconds since 1970.
+    // Agents that were lost before this time may be missing; milliseconds since 1970.
     std::int64_t since = 0;
 };
 
-// An ask that was given up before its answer came; a late grant must be given back.
+// A claim request that expired before its answer arrived; a late grant must be released.
 struct AbandonedAsk
 {
     std::string job;
@@ -179,27 +179,27 @@
     Placement placement;
     std::unordered_map<std::string, Pending> pending;
 
-    // Keys of pending submissions that wait for another process.
+    // Keys of pending submissions that wait for another process
     std::vector<std::string> watched;
 
-    // The newest of them, bounded.
+    // Newest last, bounded
     std::deque<AbandonedAsk> abandonedAsks;
 
-    // Jobs that waiters of this entry ask for, to take a caller that has gone off the list.
+    // The job of each waiter, to find the pending submission when a caller disconnects
     std::unordered_map<WaiterId, std::string> waiterJobs;
 
     bool leaving = false;
 
-    // All claims were in service once. When they move later, work waits a moment and is not
-    // refused.
+    // All claim shards were active once. Later, while shards move, work waits a moment instead of
+    // being refused.
     bool wasInService = false;
 
-    // Control should be asked at once, since a takeover waits for its word.
+    // Send a heartbeat to control at once, since a takeover waits for its reply.
     bool beatWanted = false;
     std::uint64_t nextNonce = 1;
     std::uint64_t nextAnonymous = 1;
 
-    // For ids of requests that came without one.
+    // Generates ids for requests without one
     std::mt19937_64 random;
     EntryCounters counters;
 };
@@ -231,7 +231,7 @@
 
 EntryState makeEntry(const EntrySettings &settings);
 
-// A submission by an authenticated team. Answered exactly once with a Reply, now or later.
+// Takes a submission of an authenticated team. Answered by exactly one Reply, now or later.
 EntryActions submit(EntryState &entry, const SubmitRequest &request, Time now, WallTime wallNow);
 
 // Waits for the answer of an earlier submission of the same team.
@@ -242,7 +242,7 @@
 EntryActions cancel(EntryState &entry, WaiterId waiter, const std::string &team,
                     const std::string &submission, Time deadline, Time now);
 
-// The caller has gone. Its work goes on: it may come back for the answer.
+// The caller disconnected. Its work continues, since it may fetch the answer later.
 void abandon(EntryState &entry, WaiterId waiter);
 
 EntryActions handleAgent(EntryState &entry, const agent::FromAgent &message, Time now);
@@ -250,22 +250,22 @@
                          WallTime wallNow);
 EntryActions handleEntry(EntryState &entry, const EntryMessage &message, Time now);
 
-// The shell could not deliver this message, or does not know.
+// The message was not delivered, or delivery is uncertain.
 EntryActions sendFailed(EntryState &entry, const agent::ToAgent &message, Time now);
 
-// Control's word: a newer view of the entries.
+// Applies a newer view of the entries from control.
 EntryActions setView(EntryState &entry, const claims::View &view, Time now);
 
 EntryActions tick(EntryState &entry, Time now, WallTime wallNow);
 
-// Whether a balancer should send work here: control is heard from, and claims have been in service.
-// A change of view does not turn entries off, or all would be off at the same moment.
+// Whether a load balancer should send work here: the configuration is fresh, and the claim shards
+// have been active. Stays true across view changes, or all entries would turn unready at once.
 bool ready(const EntryState &entry, Time now);
 
-// Whether control was heard from recently enough for the configuration to be believed.
+// Whether control was heard from within the configuration lease.
 bool configured(const EntryState &entry, Time now);
 
-// Whether nothing is left to finish or to answer.
+// Whether no job is active and no submission is pending.
 bool drained(const EntryState &entry);
 
 } // namespace foxwing::entry
--- a/packages/entry/include/foxwing/entry/messages.h
+++ b/packages/entry/include/foxwing/entry/messages.h
@@ -1,5 +1,5 @@
 /*
-    What entries tell each other about answers.
+    Messages between entries: joins, answers, handed-off work and load reports.
 
     [SECTION] Messages
     [SECTION] Variant
@@ -16,14 +16,14 @@
 
 // [SECTION] Messages
 
-// A caller of another entry waits for this job's answer. Repeated until it is answered.
+// A caller of the sender waits for this job's answer. Repeated until answered.
 struct Join
 {
     static constexpr const char *Type = "join";
     std::string from;
     std::string job;
 
-    // The caller wants it cancelled.
+    // The caller wants the job cancelled.
     bool cancel = false;
 };
 template<class Fields>
@@ -53,8 +53,8 @@
     fields("message", answer.message);
 }
 
-// A submission that another entry should run, because it has more free slots. Answered with
-// JoinAnswer, and repeated until then.
+// A submission that the receiver should run because it has more free slots. Repeated until
+// answered with JoinAnswer.
 struct Handoff
 {
     static constexpr const char *Type = "handoff";
@@ -88,7 +88,7 @@
     fields("request", handoff.request);
 }
 
-// How busy one service is at the sender.
+// Load of one service at the sender.
 struct ReportedLoad
 {
     std::string service;
@@ -105,7 +105,7 @@
     fields("waiting", load.waiting);
 }
 
-// Sent to every other entry when it changed, a few times a second at the most.
+// Sent to all other entries on change, at a limited rate.
 struct LoadReport
 {
     static constexpr const char *Type = "load";
--- a/packages/entry/include/foxwing/entry/placement.h
+++ b/packages/entry/include/foxwing/entry/placement.h
@@ -1,10 +1,10 @@
 /*
-    Which entry should own a new job, and which workers should change owners.
+    Load balancing between entries: chooses the owner of a new job, and moves workers.
 
-    Every worker is leased to one entry, so a job is best run by an entry that has free slots.
-   Entries tell each other how busy they are; a job that can't start at once goes whole to the entry
-   where it waits least. Workers follow demand more slowly: idle ones go where there are fewer, and
-   one goes at once to an entry that has work waiting and no worker at all.
+    Every worker is leased to one entry, so a job is best run by an entry with free slots. Entries
+    exchange load reports. A job that can't start at once goes as a whole to the entry with the
+    shortest expected wait. Workers follow demand more slowly: idle ones move to entries that have
+    fewer, and one moves at once to an entry that has work waiting and no worker.
 
         std::string owner = chooseOwner(placement, "svc", own, 8, now);
 
@@ -27,9 +27,9 @@
 // [SECTION] Settings
 
 enum class PlacementPolicy {
-    // The entry where the job waits least; its own if that is as good.
+    // The entry with the shortest expected wait; the receiving one if no other is clearly better.
     LeastLoaded,
-    // Always the entry that was asked, unless it has no worker. The baseline.
+    // Always the receiving entry, unless it has no worker. Baseline for comparisons.
     Local,
 };
 
@@ -39,14 +39,14 @@
     std::string dataCentre;
     PlacementPolicy policy = PlacementPolicy::LeastLoaded;
 
-    // Changes are reported this often at the most, and without a change this often at least.
+    // Shortest time between two reports, and longest time without one.
     Milliseconds reportInterval { 100 };
     Milliseconds quietInterval { 1000 };
 
-    // A report older than this is not believed.
+    // Older reports are ignored.
     Milliseconds reportLife { 2500 };
 
-    // Between two workers given away.
+    // Shortest time between two workers that are given away
     Milliseconds yieldInterval { 200 };
 };
 
@@ -68,7 +68,7 @@
     Time nextYield {};
 };
 
-// A worker of this service should go to that entry.
+// A worker of this service should move to the successor.
 struct YieldAdvice
 {
     std::string service;
@@ -81,16 +81,16 @@
 
 void takeLoadReport(Placement &placement, const LoadReport &report, Time now);
 
-// The entry that should own a job of so many tasks: this one or a peer. Counts the job against the
-// peer until its next report.
+// Chooses the entry that should own a job with this number of tasks. A chosen peer is charged with
+// the tasks until its next report.
 std::string chooseOwner(Placement &placement, const std::string &service,
                         const dispatch::ServiceLoad &own, std::uint32_t tasks, Time now);
 
-// The report to be sent to the other entries, if one is due.
+// Returns the report for the other entries if one is due.
 std::optional<LoadReport> dueReport(Placement &placement, const dispatch::Dispatcher &dispatcher,
                                     bool leaving, Time now);
 
-// Whether a worker should change owners now.
+// Returns the worker transfer that is due now, if any.
 std::optional<YieldAdvice> adviseYield(Placement &placement, const dispatch::Dispatcher &dispatcher,
                                        Time now);
 
--- a/packages/entry/include/foxwing/entry/teams.h
+++ b/packages/entry/include/foxwing/entry/teams.h
@@ -1,5 +1,5 @@
 /*
-    Teams and services as an entry knows them from the configuration in force.
+    Teams and services from the active configuration, and authentication of teams.
 
     [SECTION] Types
     [SECTION] Functions
@@ -26,10 +26,10 @@
     std::string salt;
     std::string tokenHash;
 
-    // Share of a busy service, relative to other teams.
+    // Share of a saturated service, relative to other teams
     double weight = 1;
 
-    // Tasks that may run at the same time over all entries; 0 for no limit.
+    // Maximum of concurrent tasks over all entries; 0 for no limit
     std::uint32_t concurrency = 0;
 };
 
@@ -37,7 +37,7 @@
 {
     std::string name;
 
-    // Limits on what one submission may ask for
+    // Limits for one submission
     std::uint32_t mostTasks = 1000;
     std::uint32_t mostPayloadBytes = 1U << 20U;
     Milliseconds longestTime { 600000 };
@@ -51,12 +51,12 @@
 
 // [SECTION] Functions
 
-// The team whose token this is, or nothing. Takes the same time for a wrong secret as for a right
-// one, and the same answer for an unknown team as for a wrong secret.
+// Returns the team of a token. Compares in constant time, and fails alike for an unknown team and a
+// wrong secret, so that team names can't be probed.
 std::optional<std::string> authenticate(const Directory &directory, const std::string &token,
                                         Error *reason);
 
-// The salted hash under which a secret is kept.
+// Salted hash of a secret, as stored in Team::tokenHash.
 std::string hashSecret(const std::string &salt, const std::string &secret);
 
 } // namespace foxwing::entry
--- a/packages/entry/src/admission.cpp
+++ b/packages/entry/src/admission.cpp
@@ -1,9 +1,9 @@
 /*
-    What a submission must be before anything is done about it.
+    Checks of a submission before it is claimed.
 
     [SECTION] Keys
     [SECTION] Refusals
-    [SECTION] Records
+    [SECTION] Conversions
 */
 #include "internal.h"
 
@@ -30,26 +30,25 @@
     return answer;
 }
 
-// Why this entry can take nothing at present. An id may be running elsewhere, so only work without
-// one is certain not to run; the same id is welcome at any other entry.
 std::optional<Error> outOfService(const EntryState &entry, const SubmitRequest &request, Time now)
 {
     const Outcome outcome = request.submission.empty() ? Outcome::NotRun : Outcome::Unknown;
     if (entry.leaving)
-        return Error { ErrorKind::Leaving, "this entry is stopping; send the same to another one",
-                       outcome, Milliseconds { 100 } };
+        return Error { ErrorKind::Leaving,
+                       "this entry is stopping; send the request to another one", outcome,
+                       Milliseconds { 100 } };
     if (!configured(entry, now))
         return Error {
             ErrorKind::NotReady,
-            "this entry could not confirm its configuration; send the same to another one", outcome,
-            Milliseconds { 1000 }
+            "this entry could not confirm its configuration; send the request to another one",
+            outcome, Milliseconds { 1000 }
         };
     return std::nullopt;
 }
 
 namespace {
 
-// Work that the service could never run, however long it waited.
+// Checks limits that waiting can't satisfy.
 std::optional<Error> beyondLimits(const Service &service, const SubmitRequest &request)
 {
     Error error { ErrorKind::CanNeverRun, {}, Outcome::NotRun, Milliseconds { 0 } };
@@ -91,7 +90,8 @@
         return error;
     if (*made > wallNow + entry.settings.claims.clockSkew) {
         error.kind = ErrorKind::BadRequest;
-        error.message = "the submission id is from the future; set the clock of the caller's host";
+        error.message =
+                "the submission id has a time in the future; set the clock of the caller's host";
         return error;
     }
     return std::nullopt;
@@ -99,7 +99,6 @@
 
 } // namespace
 
-// What is wrong with a request by itself. It can't have been accepted before.
 std::optional<Error> invalid(const EntryState &entry, const SubmitRequest &request,
                              WallTime wallNow)
 {
@@ -107,13 +106,13 @@
     if (found == entry.directory.services.end())
         return Error { ErrorKind::NotFound,
                        "there is no service \"" + request.service
-                               + "\"; look at the services with: foxwing show service",
+                               + "\"; list the services with: foxwing show service",
                        Outcome::NotRun, Milliseconds { 0 } };
     const std::optional<Error> error = beyondLimits(found->second, request);
     return error ? error : invalidId(entry, request.submission, wallNow);
 }
 
-// [SECTION] Records
+// [SECTION] Conversions
 
 dispatch::JobSpec jobSpec(const std::string &key, const SubmitRequest &request, Time deadline)
 {
--- a/packages/entry/src/claiming.cpp
+++ b/packages/entry/src/claiming.cpp
@@ -1,9 +1,8 @@
 /*
-    What follows from the word of a claim's home: run it, join it, take it over, or say that it is
-   over.
+    Handles the replies of a claim's home: runs, joins, takes over or answers the submission.
 
     [SECTION] Takeover
-    [SECTION] Verdicts
+    [SECTION] Claim answers
     [SECTION] Ends of jobs
 */
 #include "internal.h"
@@ -18,7 +17,7 @@
 
 namespace {
 
-// An agent that control took for dead goes on for a while if it was only cut off.
+// An agent that control declared dead may go on for a while if it was only partitioned.
 bool mayHaveStarted(const EntryState &entry, const KnownAgent &known, const Pending &pending)
 {
     const Milliseconds span = entry.settings.configurationLease + entry.settings.claims.clockSkew;
@@ -26,8 +25,8 @@
             && (known.live || known.lostAt + span.count() >= pending.claimedAt);
 }
 
-// A takeover asks every agent, so the list of them must be from after the claim was taken over: an
-// agent that joined just before may have worked for the lost owner.
+// A takeover queries every agent, so it needs a list from after the grant: an agent that joined
+// just before may have worked for the lost owner.
 void awaitAgents(EntryState &entry, const claims::AskAnswer &answer, Pending &pending, Time now)
 {
     pending.state = PendingState::Refreshing;
@@ -55,7 +54,7 @@
           actions);
 }
 
-// [SECTION] Verdicts
+// [SECTION] Claim answers
 
 namespace {
 
@@ -81,7 +80,7 @@
                const claims::AskAnswer &answer, Time now, EntryActions &actions)
 {
     pending.epoch = answer.epoch;
-    // A grant for what this very life has run already can only come of a fault elsewhere.
+    // A grant for a job that this incarnation already ran means a fault elsewhere.
     if (dispatch::findJob(entry.dispatcher, key))
         return takeOwned(entry, key, pending, answer, now, actions);
     if (answer.epoch > 1)
@@ -106,9 +105,10 @@
         return makeAnswer(Outcome::NotRun, ErrorKind::NotFound,
                           "there is no such submission; check the id, or submit it");
     case claims::Verdict::OwnerLost:
-        return makeAnswer(Outcome::Unknown, ErrorKind::Unavailable,
-                          "the entry that had this is lost; submit the same id and body again and "
-                          "another entry takes it over");
+        return makeAnswer(
+                Outcome::Unknown, ErrorKind::Unavailable,
+                "the entry that owned this submission is lost; submit the same id and body "
+                "again and another entry takes it over");
     default:
         return makeAnswer(Outcome::Unknown, ErrorKind::ClaimUnknown,
                           "foxwing no longer knows whether this id ran; check its effects, and use "
@@ -116,10 +116,10 @@
     }
 }
 
-// Nobody here waits for this grant any more, so it must end as "not run".
+// Releases a grant that arrived after its request expired, so that the job ends as "not run".
 void giveBackLateGrant(EntryState &entry, const claims::AskAnswer &answer, EntryActions &actions)
 {
-    // What was taken over from a lost owner may have run, so only a first grant can be given back.
+    // Work taken over from a lost owner may have run, so only a first grant can be released.
     if (answer.verdict != claims::Verdict::Granted || answer.epoch != 1)
         return;
     std::deque<AbandonedAsk> &asks = entry.abandonedAsks;
@@ -142,14 +142,14 @@
     const auto found = entry.pending.find(answer.job);
     const bool awaited = found != entry.pending.end() && found->second.state == PendingState::Asking
             && found->second.nonce == answer.nonce;
-    // A late answer to an earlier life of this entry can carry the same nonce.
+    // A late answer to an earlier incarnation of this entry can carry the same nonce.
     if (answer.verdict == claims::Verdict::Granted && !(answer.owner == entry.settings.self))
         return;
     if (!awaited)
         return giveBackLateGrant(entry, answer, actions);
     Pending &pending = found->second;
     if (answer.verdict == claims::Verdict::Retry)
-        return; // asked again when due
+        return; // resent when due
     if (answer.verdict == claims::Verdict::Granted)
         return takeGrant(entry, answer.job, pending, answer, now, actions);
     if (answer.verdict == claims::Verdict::Owned)
@@ -169,8 +169,9 @@
         return;
     dispatch::Answer &kept = entry.dispatcher.jobs.at(released.job).answer;
     if (!released.stillOwner)
-        kept = makeAnswer(Outcome::Unknown, ErrorKind::WorkerLost,
-                          "another entry has taken this over; ask again with the same id");
+        kept = makeAnswer(
+                Outcome::Unknown, ErrorKind::WorkerLost,
+                "another entry has taken over this submission; ask again with the same id");
     conclude(entry, released.job, dispatch::Answer(kept), actions);
 }
 
@@ -178,7 +179,7 @@
 
 namespace {
 
-// An anonymous request has no claim that could be taken over.
+// Requests without an id run without a claim.
 bool hasClaim(const Pending &pending)
 {
     return pending.request.submission.compare(0, 1, "~") != 0;
--- a/packages/entry/src/entry.cpp
+++ b/packages/entry/src/entry.cpp
@@ -1,7 +1,7 @@
 /*
-    The entry's decisions.
+    The entry: submissions, retries and timeouts, and the public functions.
 
-    [SECTION] Carrying actions on
+    [SECTION] Actions
     [SECTION] Submissions
     [SECTION] Time
     [SECTION] Entry points
@@ -20,15 +20,15 @@
 
 namespace {
 
-// Late grants are recognised among this many given-up asks.
+// Bounds the claim requests that are kept to recognise late grants.
 constexpr std::size_t MostAbandonedAsks = 10000;
 
-// Nonces of one life begin where no earlier life can have come.
+// Nonces start at incarnation << NonceBits, so that they differ from earlier incarnations'.
 constexpr int NonceBits = 20;
 
 } // namespace
 
-// [SECTION] Carrying actions on
+// [SECTION] Actions
 
 void carry(EntryState &entry, dispatch::Actions &&from, Time now, EntryActions &actions)
 {
@@ -61,7 +61,6 @@
     sendAsk(entry, key, pending, now, actions);
 }
 
-// The owner is gone: with the body in hand this entry can take the job over.
 void askAnew(EntryState &entry, const std::string &key, Pending &pending, Time now,
              EntryActions &actions)
 {
@@ -74,7 +73,7 @@
 
 namespace {
 
-// A single request without an id needs no claim: nobody can ask for it twice.
+// A request without an id needs no claim, since it can't be submitted twice.
 void submitAnonymous(EntryState &entry, SubmitRequest request, const std::optional<Error> &refusal,
                      Time now, EntryActions &actions)
 {
@@ -91,7 +90,7 @@
     runHere(entry, key, pending, now, actions);
 }
 
-// Joins work of this entry that has the same key. False if there is none.
+// Joins pending work of this entry with the same key. Returns false if there is none.
 bool joinLocal(EntryState &entry, const std::string &key, WaiterId waiter,
                const std::string &digest, EntryActions &actions)
 {
@@ -113,7 +112,7 @@
     return false;
 }
 
-// A caller already asked after this id without a body; with the body it can be claimed.
+// Turns a pending lookup of this id into a submission, now that the body is known.
 bool completeLookUp(EntryState &entry, const std::string &key, const SubmitRequest &request,
                     Time now, EntryActions &actions)
 {
@@ -164,20 +163,20 @@
     if (pending.state == PendingState::Releasing)
         entry.dispatcher.jobs.at(key).answer =
                 makeAnswer(Outcome::Unknown, ErrorKind::Unavailable,
-                           "nothing ran here, but the claim could not be given back; ask again "
-                           "with the same id");
+                           "nothing ran here, but the claim could not be released; ask again with "
+                           "the same id");
     if (pending.state == PendingState::Asking && !pending.lookOnly) {
         entry.abandonedAsks.push_back({ key, pending.nonce });
         if (entry.abandonedAsks.size() > MostAbandonedAsks)
             entry.abandonedAsks.pop_front();
     }
-    const dispatch::Answer unknown = makeAnswer(
-            Outcome::Unknown, ErrorKind::DeadlinePassed,
-            "no answer in time from the entry that has this; ask again with the same id");
+    const dispatch::Answer unknown = makeAnswer(Outcome::Unknown, ErrorKind::DeadlinePassed,
+                                                "the entry responsible for this submission did "
+                                                "not answer in time; ask again with the same id");
     conclude(entry, key, unknown, actions);
 }
 
-// True while the submission still waits for another process.
+// Returns true while the submission still waits for another process.
 bool tickPending(EntryState &entry, const std::string &key, Pending &pending, Time now,
                  EntryActions &actions)
 {
--- a/packages/entry/src/internal.h
+++ b/packages/entry/src/internal.h
@@ -1,5 +1,5 @@
 /*
-    Inside the entry: what its files share.
+    Internal interface between the source files of the entry.
 
     [SECTION] Actions
     [SECTION] Admission
@@ -14,80 +14,81 @@
 
 // [SECTION] Actions
 
-// Adds what the dispatcher or the claims want to the entry's actions; jobs that ended are answered.
+// Appends actions of the dispatcher or the claim table. Callers of jobs that ended are answered.
 void carry(EntryState &entry, dispatch::Actions &&from, Time now, EntryActions &actions);
 void carry(claims::ClaimActions &&from, EntryActions &actions);
 
 // [SECTION] Admission
 
-// "team/submission", unique in the whole system.
+// Returns "team/submission", which is unique in the whole system.
 std::string keyOf(const std::string &team, const std::string &submission);
 
-// The answer that says an error.
+// Wraps an error as an answer.
 dispatch::Answer refused(Error error);
 
-// Why this entry can take nothing at present. An id may be running elsewhere, so only work
-// without one is certain not to run; the same id is welcome at any other entry.
+// Returns an error while this entry accepts no work. A submission with an id may be running on
+// another entry, so only one without is reported as "not run". Another entry can take either.
 std::optional<Error> outOfService(const EntryState &entry, const SubmitRequest &request, Time now);
 
-// What is wrong with a request by itself. It can't have been accepted before.
+// Checks a request by itself. An invalid one can't have been accepted before.
 std::optional<Error> invalid(const EntryState &entry, const SubmitRequest &request,
                              WallTime wallNow);
 
-// The request as the dispatcher wants it.
+// Converts a request for the dispatcher.
 dispatch::JobSpec jobSpec(const std::string &key, const SubmitRequest &request, Time deadline);
 
-// A new pending submission, to be asked for or run.
+// Adds a pending submission, to be claimed or run.
 Pending &addPending(EntryState &entry, const std::string &key, const SubmitRequest &request,
                     Time deadline);
 
-// Queues a submission whose claim is held, or that needs none.
+// Submits to the local dispatcher. The claim must be held, unless none is needed.
 void runHere(EntryState &entry, const std::string &key, Pending &pending, Time now,
              EntryActions &actions);
 
-// Asks the home of the claim, and goes on asking until it is answered.
+// Requests the claim from its home, and repeats the request until it is answered.
 void startAsking(EntryState &entry, const std::string &key, Pending &pending, Time now,
                  EntryActions &actions);
 
 // [SECTION] Claims
 
-// The owner is gone: with the body in hand this entry can take the job over.
+// Requests the claim again after the owner was lost or refused the handoff. If the body is at hand,
+// this entry can take the job over.
 void askAnew(EntryState &entry, const std::string &key, Pending &pending, Time now,
              EntryActions &actions);
 
-// The word of a claim's home.
+// Handles the reply of a claim's home.
 void takeVerdict(EntryState &entry, const claims::AskAnswer &answer, Time now,
                  EntryActions &actions);
 
-// The home has recorded that nothing of a job ever runs, or that it is another's by now.
+// The home recorded that the job never runs, or found that another entry owns it by now.
 void takeReleased(EntryState &entry, const claims::Released &released, EntryActions &actions);
 
-// Takes a lost owner's job over, once the list of agents is fresh.
+// Takes over the job of a lost owner, once the list of agents is fresh.
 void adopt(EntryState &entry, const std::string &key, Pending &pending, Time now,
            EntryActions &actions);
 
-// Answers those who wait for jobs that ended; "not run" only after the home's word.
+// Answers the callers of jobs that ended. "Not run" waits for confirmation by the claim's home.
 void endJobs(EntryState &entry, const std::vector<std::string> &keys, Time now,
              EntryActions &actions);
 
 // [SECTION] Other entries
 
-// The peer that should own this submission; none if this entry should.
+// Returns the peer that should own this submission, or nothing if this entry should.
 std::optional<claims::Replica> otherOwner(EntryState &entry, const SubmitRequest &request,
                                           Time now);
 
-// Gives the submission to another entry. A request without an id gets one, so that the other
-// entry can't run it twice whatever the network does.
+// Sends the submission to another entry. A request without an id gets one, so that a repeated
+// message can't run it twice.
 void handOff(EntryState &entry, SubmitRequest request, const claims::Replica &owner, Time now,
              WallTime wallNow, EntryActions &actions);
 
-// Work that a peer hands to this entry. It is claimed like any other and never handed on.
+// Accepts work from a peer. It is claimed like any other, and never handed on.
 void takeHandoff(EntryState &entry, const Handoff &handoff, Time now, EntryActions &actions);
 
-// The answer of the entry that runs what a caller of this one waits for.
+// Handles the answer of the entry that runs a job for callers of this one.
 void takeJoinAnswer(EntryState &entry, const JoinAnswer &joined, Time now, EntryActions &actions);
 
-// Tells the peers how busy this entry is, and moves a worker if that helps.
+// Reports load to the peers, and moves a worker if one is due.
 void balance(EntryState &entry, Time now, EntryActions &actions);
 
 } // namespace foxwing::entry
--- a/packages/entry/src/joining.cpp
+++ b/packages/entry/src/joining.cpp
@@ -1,8 +1,8 @@
 /*
-    Waiters and the questions between entries.
+    Waiters, and requests to other entries.
 
     [SECTION] Answers
-    [SECTION] Questions
+    [SECTION] Requests
     [SECTION] Joins
 */
 #include "joining.h"
@@ -66,7 +66,7 @@
         actions.sends.push_back({ joiner, EntryMessage(joinAnswer(key, answer)) });
 }
 
-// [SECTION] Questions
+// [SECTION] Requests
 
 namespace {
 
--- a/packages/entry/src/joining.h
+++ b/packages/entry/src/joining.h
@@ -1,5 +1,5 @@
 /*
-    Inside the entry: waiters, joins between entries, and the one answer of each submission.
+    Internal: waiters, joins between entries, and the single answer of each submission.
 
     [SECTION] Functions
 */
@@ -11,30 +11,30 @@
 
 // [SECTION] Functions
 
-// Adds a caller to those who wait for a job.
+// Adds a caller that waits for the answer.
 void addWaiter(EntryState &entry, Pending &pending, WaiterId waiter);
 
-// Answers everybody who waits and forgets the pending submission.
+// Answers all waiters and joined entries, and removes the pending submission.
 void conclude(EntryState &entry, const std::string &key, const dispatch::Answer &answer,
               EntryActions &actions);
 
-// One caller's reply, counted.
+// Replies to one caller and counts the outcome.
 void reply(EntryState &entry, WaiterId waiter, const std::string &key,
            const dispatch::Answer &answer, EntryActions &actions);
 
-// Asks the home of the claim, or asks it again.
+// Sends or resends the claim request to the claim's home.
 void sendAsk(EntryState &entry, const std::string &key, Pending &pending, Time now,
              EntryActions &actions);
 
-// Asks the owner for the answer, or to run the work that was handed to it, or asks it again.
+// Sends or resends the handoff, or a join to get the answer, to the owner.
 void sendJoin(EntryState &entry, const std::string &key, Pending &pending, Time now,
               EntryActions &actions);
 
-// Tells the home that nothing of a job ran, or tells it again.
+// Reports to the home, or reports again, that nothing of a job ran.
 void sendRelease(EntryState &entry, const std::string &key, Pending &pending, Time now,
                  EntryActions &actions);
 
-// Another entry's caller waits for a job of ours.
+// A caller of another entry waits for a job of this one.
 void handleJoin(EntryState &entry, const Join &join, EntryActions &actions);
 
 dispatch::Answer makeAnswer(Outcome outcome, ErrorKind kind, std::string message);
--- a/packages/entry/src/peers.cpp
+++ b/packages/entry/src/peers.cpp
@@ -1,8 +1,8 @@
 /*
-    Dealing with the other entries: handing work over, taking it, and moving workers.
+    Work and workers that move between entries.
 
-    [SECTION] Handing over
-    [SECTION] Taking over
+    [SECTION] Outgoing work
+    [SECTION] Incoming work
     [SECTION] Balance
 */
 #include "internal.h"
@@ -13,9 +13,8 @@
 
 namespace foxwing::entry {
 
-// [SECTION] Handing over
+// [SECTION] Outgoing work
 
-// The peer that should own this submission; none if this entry should.
 std::optional<claims::Replica> otherOwner(EntryState &entry, const SubmitRequest &request, Time now)
 {
     const std::string owner = chooseOwner(entry.placement, request.service,
@@ -28,8 +27,6 @@
     return std::nullopt;
 }
 
-// Gives the submission to another entry. A request without an id gets one, so that the other entry
-// can't run it twice whatever the network does.
 void handOff(EntryState &entry, SubmitRequest request, const claims::Replica &owner, Time now,
              WallTime wallNow, EntryActions &actions)
 {
@@ -47,7 +44,7 @@
     sendJoin(entry, key, pending, now, actions);
 }
 
-// [SECTION] Taking over
+// [SECTION] Incoming work
 
 namespace {
 
@@ -69,7 +66,6 @@
 
 } // namespace
 
-// Work that a peer hands to this entry. It is claimed like any other and never handed on.
 void takeHandoff(EntryState &entry, const Handoff &handoff, Time now, EntryActions &actions)
 {
     const std::string key = keyOf(handoff.team, handoff.submission);
@@ -107,7 +103,6 @@
 
 // [SECTION] Balance
 
-// Tells the peers how busy this entry is, and moves a worker if that helps.
 void balance(EntryState &entry, Time now, EntryActions &actions)
 {
     const auto report = dueReport(entry.placement, entry.dispatcher, entry.leaving, now);
--- a/packages/entry/src/placement.cpp
+++ b/packages/entry/src/placement.cpp
@@ -1,5 +1,5 @@
 /*
-    Placement of jobs and workers over the entries.
+    Placement of jobs and workers on entries.
 
     [SECTION] Reports
     [SECTION] Jobs
@@ -41,7 +41,7 @@
 
 // [SECTION] Jobs
 
-// How long a job of so many tasks waits, in tasks for each slot; 0 if it can start at once.
+// Expected wait of a job, in queued tasks per slot; 0 if it can start at once.
 double expectedWait(std::uint32_t slots, std::uint32_t busy, std::uint32_t waiting,
                     std::uint32_t tasks)
 {
@@ -52,7 +52,7 @@
     return wanted <= slots ? 0 : static_cast<double>(wanted - slots) / slots;
 }
 
-// Handing a job over costs two messages and a little time, so it must be worth it.
+// A handoff costs two messages and a little time, so it must shorten the wait by at least this.
 constexpr double WorthHandingOver = 0.05;
 
 } // namespace
@@ -115,7 +115,7 @@
 
 namespace {
 
-// An entry with work and no worker at all must not wait for an idle worker elsewhere.
+// An entry with work and no worker can't wait until a peer has an idle one.
 bool isStuck(const ReportedLoad &load)
 {
     return load.slots == 0 && load.waiting > 0;
@@ -143,7 +143,7 @@
         if (!believable(placement, peer.second, now))
             continue;
         for (const auto &service : dispatcher.services) {
-            // A peer that has never heard of the service has no slots of it.
+            // A peer that does not report the service has no slots for it.
             const ReportedLoad none { service.first, 0, 0, 0 };
             const ReportedLoad *load = findLoad(peer.second.report, service.first);
             if (!shouldYield(service.second, load ? *load : none))
--- a/packages/entry/tests/entry_test.cpp
+++ b/packages/entry/tests/entry_test.cpp
@@ -1,5 +1,5 @@
 /*
-    What an entry refuses before anything is done about it, and whom it knows.
+    Refusals, readiness, authentication and placement of an entry.
 
     [SECTION] Helpers
     [SECTION] Refusals
@@ -70,7 +70,8 @@
     EXPECT_EQ(answer.error.kind, GetParam().kind);
     EXPECT_NE(answer.error.message.find(GetParam().remedy), std::string::npos)
             << answer.error.message;
-    EXPECT_TRUE(entry.pending.empty() && entry.dispatcher.jobs.empty()) << "nothing is kept";
+    EXPECT_TRUE(entry.pending.empty() && entry.dispatcher.jobs.empty())
+            << "state of a refused submission was kept";
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -126,7 +127,7 @@
                                 ErrorKind::Leaving, "another one" }),
         [](const testing::TestParamInfo<BadSubmission> &given) { return given.param.name; });
 
-// Work with an id may be running elsewhere: an entry that can't ask must not say "not run".
+// Work with an id may run on another entry, so an entry that can't check must not answer "not run".
 TEST(Entry, WithoutItsClaimsNothingIsSaidOfWorkWithAnId)
 {
     for (const bool leaving : { true, false }) {
@@ -142,7 +143,7 @@
     }
 }
 
-// In the first rolling restart all entries were unready at each change of view.
+// Guards against all entries turning unready at once when the view changes.
 TEST(Entry, StaysReadyWhileClaimsMove)
 {
     EntryState entry = configuredEntry();
@@ -159,8 +160,9 @@
     view.number = 2;
     setView(entry, view, Begin);
     tick(entry, Begin, Wall);
-    EXPECT_TRUE(ready(entry, Begin)) << "no shard is in service in the new view yet";
-    EXPECT_FALSE(ready(entry, Begin + Seconds(11))) << "control was not heard from";
+    EXPECT_TRUE(ready(entry, Begin)) << "unready although only the shards move";
+    EXPECT_FALSE(ready(entry, Begin + Seconds(11)))
+            << "ready after the configuration lease expired";
 }
 
 // [SECTION] Tokens
@@ -175,7 +177,7 @@
     EXPECT_EQ(reason.kind, ErrorKind::Unauthenticated);
     Error unknownTeam;
     authenticate(configuredEntry().directory, "nobody.secret", &unknownTeam);
-    EXPECT_EQ(reason.message, unknownTeam.message) << "does not tell whether the team exists";
+    EXPECT_EQ(reason.message, unknownTeam.message) << "the message reveals whether the team exists";
 }
 
 INSTANTIATE_TEST_SUITE_P(Table, Token,
