--- a/packages/agent/src/lease.cpp
+++ b/packages/agent/src/lease.cpp
@@ -129,11 +129,13 @@
 {
     const bool current = yield.agentIncarnation == agent.settings.incarnation
             && yield.leaseEpoch == agent.lease.epoch && yield.from == agent.lease.owner;
-    const auto heir = std::find_if(agent.entries.begin(), agent.entries.end(),
-                                   [&](const EntryHint &entry) { return entry.id == yield.to; });
-    if (!current || heir == agent.entries.end())
+    const auto successor = std::find_if(agent.entries.begin(), agent.entries.end(),
+                                        [&](const EntryHint &entry) {
+                                            return entry.id == yield.to;
+                                        });
+    if (!current || successor == agent.entries.end())
         return;
-    moveLease(agent, *heir, now);
+    moveLease(agent, *successor, now);
     renewLease(agent, now, actions);
 }
 
--- a/packages/directory/include/foxwing/directory/directory.h
+++ b/packages/directory/include/foxwing/directory/directory.h
@@ -81,7 +81,7 @@
 }
 
 // Whether data centre, service and labels are equal.
-bool describesSame(const NodeInfo &left, const NodeInfo &right);
+bool sameAttributes(const NodeInfo &left, const NodeInfo &right);
 
 // [SECTION] Messages
 
@@ -97,12 +97,12 @@
 }
 
 // Keeps a connection alive; sent in both directions.
-struct NodeBeat
+struct NodeHeartbeat
 {
     std::uint64_t number = 0;
 };
 template<class Fields>
-void describe(Fields &fields, NodeBeat &beat)
+void describe(Fields &fields, NodeHeartbeat &beat)
 {
     fields("number", beat.number);
 }
@@ -111,11 +111,11 @@
 {
     // The list is complete for the receiver's role; otherwise it holds only the changes since the
     // last update on this connection.
-    bool whole = true;
+    bool full = true;
     std::vector<NodeInfo> nodes;
 
     // Addresses that are no longer listed
-    std::vector<std::string> gone;
+    std::vector<std::string> removed;
 
     // Number of connected entries, between which capacity is shared
     std::uint32_t entries = 0;
@@ -123,9 +123,9 @@
 template<class Fields>
 void describe(Fields &fields, DirectoryUpdate &update)
 {
-    fields("whole", update.whole);
+    fields("whole", update.full);
     fields("nodes", update.nodes);
-    fields("gone", update.gone);
+    fields("gone", update.removed);
     fields("entries", update.entries);
 }
 
@@ -177,7 +177,7 @@
     std::uint64_t controlRevision = 0;
 
     // Oldest first
-    std::deque<GoneNode> gone;
+    std::deque<GoneNode> removed;
 
     // Revision of the newest removal that is no longer kept
     std::uint64_t forgottenRevision = 0;
--- a/packages/directory/src/directory.cpp
+++ b/packages/directory/src/directory.cpp
@@ -24,7 +24,7 @@
     return "agent";
 }
 
-bool describesSame(const NodeInfo &left, const NodeInfo &right)
+bool sameAttributes(const NodeInfo &left, const NodeInfo &right)
 {
     return left.dataCentre == right.dataCentre && left.service == right.service
             && left.labels == right.labels;
@@ -48,11 +48,11 @@
 void noteGone(DirectoryState &directory, const NodeInfo &node)
 {
     noteChange(directory, node.role);
-    directory.gone.push_back({ node.address, node.role, directory.revision });
-    if (directory.gone.size() <= directory.settings.mostGone)
+    directory.removed.push_back({ node.address, node.role, directory.revision });
+    if (directory.removed.size() <= directory.settings.mostGone)
         return;
-    directory.forgottenRevision = directory.gone.front().revision;
-    directory.gone.pop_front();
+    directory.forgottenRevision = directory.removed.front().revision;
+    directory.removed.pop_front();
 }
 
 std::uint32_t connectedEntries(const DirectoryState &directory)
@@ -74,7 +74,7 @@
         noteGone(directory, before->second.info);
     KnownNode &known = directory.nodes[node.address];
     const bool countChanged = node.role == Role::Entry && !known.connected;
-    const bool otherEndpoint = !isNew && !describesSame(known.info, node);
+    const bool otherEndpoint = !isNew && !sameAttributes(known.info, node);
     known.info = node;
     known.connection = connection;
     known.connected = true;
@@ -115,17 +115,17 @@
 DirectoryUpdate updateFor(const DirectoryState &directory, Role role, std::uint64_t told)
 {
     DirectoryUpdate update;
-    update.whole = told == 0 || told < directory.forgottenRevision;
+    update.full = told == 0 || told < directory.forgottenRevision;
     update.entries = connectedEntries(directory);
     for (const auto &[address, known] : directory.nodes) {
-        if (isToldOf(role, known.info.role) && (update.whole || known.listedIn > told))
+        if (isToldOf(role, known.info.role) && (update.full || known.listedIn > told))
             update.nodes.push_back(known.info);
     }
-    for (const GoneNode &gone : directory.gone) {
-        const bool back = directory.nodes.count(gone.address) != 0
-                && isToldOf(role, directory.nodes.at(gone.address).info.role);
-        if (!update.whole && gone.revision > told && !back && isToldOf(role, gone.role))
-            update.gone.push_back(gone.address);
+    for (const GoneNode &removed : directory.removed) {
+        const bool back = directory.nodes.count(removed.address) != 0
+                && isToldOf(role, directory.nodes.at(removed.address).info.role);
+        if (!update.full && removed.revision > told && !back && isToldOf(role, removed.role))
+            update.removed.push_back(removed.address);
     }
     return update;
 }
--- a/packages/directory/tests/directory_test.cpp
+++ b/packages/directory/tests/directory_test.cpp
@@ -111,12 +111,12 @@
     EXPECT_EQ(revisionFor(directory, Role::Entry) > told, tested.entryIsTold);
     EXPECT_EQ(revisionFor(directory, Role::Agent) > told, tested.agentIsTold);
     const DirectoryUpdate update = updateFor(directory, Role::Entry, told);
-    EXPECT_FALSE(update.whole);
+    EXPECT_FALSE(update.full);
     EXPECT_EQ(update.nodes.size(), tested.nodesToEntry);
-    EXPECT_EQ(update.gone.size(), tested.goneToEntry);
+    EXPECT_EQ(update.removed.size(), tested.goneToEntry);
     EXPECT_EQ(update.entries, tested.entries);
     const DirectoryUpdate again = updateFor(directory, Role::Entry, directory.revision);
-    EXPECT_EQ(again.nodes.size() + again.gone.size(), 0U);
+    EXPECT_EQ(again.nodes.size() + again.removed.size(), 0U);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -200,9 +200,9 @@
     }
     tick(directory, Time(Seconds(100)) + directory.settings.keepGone);
     const DirectoryUpdate update = updateFor(directory, Role::Entry, told);
-    EXPECT_TRUE(update.whole);
+    EXPECT_TRUE(update.full);
     EXPECT_EQ(update.nodes.size(), 2U);
-    EXPECT_EQ(directory.gone.size(), 2U);
+    EXPECT_EQ(directory.removed.size(), 2U);
 }
 
 } // namespace
--- a/packages/dispatch/include/foxwing/dispatch/dispatcher.h
+++ b/packages/dispatch/include/foxwing/dispatch/dispatcher.h
@@ -252,8 +252,9 @@
 
 // Gives the lease of one worker to another entry: an idle one if there is any, else, if the other
 // entry has none at all, one of several busy ones. What runs there is finished all the same.
-Actions yieldWorker(Dispatcher &dispatcher, const std::string &service, const std::string &heir,
-                    const std::string &heirDataCentre, bool heirHasNone);
+Actions yieldWorker(Dispatcher &dispatcher, const std::string &service,
+                    const std::string &successor, const std::string &successorDataCentre,
+                    bool successorStarved);
 
 // Jobs that have not ended.
 std::size_t activeJobs(const Dispatcher &dispatcher);
--- a/packages/dispatch/src/dispatcher.cpp
+++ b/packages/dispatch/src/dispatcher.cpp
@@ -595,17 +595,18 @@
     return load;
 }
 
-Actions yieldWorker(Dispatcher &dispatcher, const std::string &serviceName, const std::string &heir,
-                    const std::string &heirDataCentre, bool heirHasNone)
+Actions yieldWorker(Dispatcher &dispatcher, const std::string &serviceName,
+                    const std::string &successor, const std::string &successorDataCentre,
+                    bool successorStarved)
 {
     Actions actions;
     WorkerPool &pool = serviceOf(dispatcher, serviceName).pool;
     Worker *chosen = nullptr;
     for (auto &entry : pool.workers) {
         Worker &worker = entry.second;
-        const bool near = worker.dataCentre == heirDataCentre
-                || worker.dataCentre != pool.dataCentre || heirHasNone;
-        const bool spare = worker.ours == 0 || heirHasNone;
+        const bool near = worker.dataCentre == successorDataCentre
+                || worker.dataCentre != pool.dataCentre || successorStarved;
+        const bool spare = worker.ours == 0 || successorStarved;
         const bool better = !chosen || worker.ours < chosen->ours;
         if (worker.leased && !worker.leaving && near && spare && better)
             chosen = &worker;
@@ -614,7 +615,7 @@
         return actions;
     endLease(pool, *chosen);
     ++dispatcher.counters.yields;
-    const agent::Yield yield { dispatcher.settings.id, heir, chosen->leaseEpoch,
+    const agent::Yield yield { dispatcher.settings.id, successor, chosen->leaseEpoch,
                                chosen->incarnation };
     actions.sends.push_back({ chosen->id, yield });
     return actions;
--- a/packages/entry/include/foxwing/entry/entry.h
+++ b/packages/entry/include/foxwing/entry/entry.h
@@ -60,7 +60,7 @@
     Milliseconds configurationLease { 10000 };
 
     // Callers that may wait at the same time
-    std::uint32_t mostWaiters = 100000;
+    std::uint32_t maxWaiters = 100000;
 };
 
 // [SECTION] Requests
@@ -147,7 +147,7 @@
     std::vector<KnownAgent> agents;
 
     // Agents that were lost before this time may be missing; milliseconds since 1970.
-    std::int64_t since = 0;
+    std::int64_t completeSince = 0;
 };
 
 // A claim request that expired before its answer arrived; a late grant must be released.
@@ -172,7 +172,7 @@
 struct EntryState
 {
     EntrySettings settings;
-    Directory directory;
+    Registry registry;
     KnownAgents agents;
     dispatch::Dispatcher dispatcher;
     claims::ClaimTable claims;
@@ -195,7 +195,7 @@
     bool wasInService = false;
 
     // Send a heartbeat to control at once, since a takeover waits for its reply.
-    bool beatWanted = false;
+    bool heartbeatRequested = false;
     std::uint64_t nextNonce = 1;
     std::uint64_t nextAnonymous = 1;
 
@@ -263,7 +263,7 @@
 bool ready(const EntryState &entry, Time now);
 
 // Whether control was heard from within the configuration lease.
-bool configured(const EntryState &entry, Time now);
+bool hasFreshConfiguration(const EntryState &entry, Time now);
 
 // Whether no job is active and no submission is pending.
 bool drained(const EntryState &entry);
--- a/packages/entry/include/foxwing/entry/placement.h
+++ b/packages/entry/include/foxwing/entry/placement.h
@@ -72,9 +72,9 @@
 struct YieldAdvice
 {
     std::string service;
-    std::string heir;
-    std::string heirDataCentre;
-    bool heirHasNone = false;
+    std::string successor;
+    std::string successorDataCentre;
+    bool successorStarved = false;
 };
 
 // [SECTION] Functions
--- a/packages/entry/include/foxwing/entry/teams.h
+++ b/packages/entry/include/foxwing/entry/teams.h
@@ -43,7 +43,7 @@
     Milliseconds longestTime { 600000 };
 };
 
-struct Directory
+struct Registry
 {
     std::unordered_map<std::string, Team> teams;
     std::unordered_map<std::string, Service> services;
@@ -53,7 +53,7 @@
 
 // Returns the team of a token. Compares in constant time, and fails alike for an unknown team and a
 // wrong secret, so that team names can't be probed.
-std::optional<std::string> authenticate(const Directory &directory, const std::string &token,
+std::optional<std::string> authenticate(const Registry &registry, const std::string &token,
                                         Error *reason);
 
 // Salted hash of a secret, as stored in Team::tokenHash.
--- a/packages/entry/src/admission.cpp
+++ b/packages/entry/src/admission.cpp
@@ -37,7 +37,7 @@
         return Error { ErrorKind::Leaving,
                        "this entry is stopping; send the request to another one", outcome,
                        Milliseconds { 100 } };
-    if (!configured(entry, now))
+    if (!hasFreshConfiguration(entry, now))
         return Error {
             ErrorKind::NotReady,
             "this entry could not confirm its configuration; send the request to another one",
@@ -102,8 +102,8 @@
 std::optional<Error> invalid(const EntryState &entry, const SubmitRequest &request,
                              WallTime wallNow)
 {
-    const auto found = entry.directory.services.find(request.service);
-    if (found == entry.directory.services.end())
+    const auto found = entry.registry.services.find(request.service);
+    if (found == entry.registry.services.end())
         return Error { ErrorKind::NotFound,
                        "there is no service \"" + request.service
                                + "\"; list the services with: foxwing show service",
--- a/packages/entry/src/claiming.cpp
+++ b/packages/entry/src/claiming.cpp
@@ -32,7 +32,7 @@
     pending.state = PendingState::Refreshing;
     pending.grantedAt = now;
     pending.claimedAt = answer.claimedAt;
-    entry.beatWanted = true;
+    entry.heartbeatRequested = true;
 }
 
 } // namespace
@@ -44,7 +44,7 @@
     pending.state = PendingState::Running;
     dispatch::Takeover takeover;
     takeover.claimedAt = pending.claimedAt - skew;
-    takeover.hasGaps = entry.agents.since >= takeover.claimedAt;
+    takeover.hasGaps = entry.agents.completeSince >= takeover.claimedAt;
     for (const KnownAgent &known : entry.agents.agents) {
         if (mayHaveStarted(entry, known, pending))
             takeover.agents.push_back(known.id);
--- a/packages/entry/src/entry.cpp
+++ b/packages/entry/src/entry.cpp
@@ -388,7 +388,7 @@
     return actions;
 }
 
-bool configured(const EntryState &entry, Time now)
+bool hasFreshConfiguration(const EntryState &entry, Time now)
 {
     return entry.claims.masterHeard
             && now < entry.claims.masterHeardAt + entry.settings.configurationLease;
@@ -396,7 +396,7 @@
 
 bool ready(const EntryState &entry, Time now)
 {
-    return !entry.leaving && configured(entry, now) && entry.wasInService;
+    return !entry.leaving && hasFreshConfiguration(entry, now) && entry.wasInService;
 }
 
 bool drained(const EntryState &entry)
--- a/packages/entry/src/peers.cpp
+++ b/packages/entry/src/peers.cpp
@@ -114,8 +114,8 @@
     }
     if (const auto advice = adviseYield(entry.placement, entry.dispatcher, now))
         carry(entry,
-              dispatch::yieldWorker(entry.dispatcher, advice->service, advice->heir,
-                                    advice->heirDataCentre, advice->heirHasNone),
+              dispatch::yieldWorker(entry.dispatcher, advice->service, advice->successor,
+                                    advice->successorDataCentre, advice->successorStarved),
               now, actions);
 }
 
--- a/packages/entry/tests/entry_test.cpp
+++ b/packages/entry/tests/entry_test.cpp
@@ -24,9 +24,8 @@
     EntrySettings settings;
     settings.self = { "entry-a", 1 };
     EntryState entry = makeEntry(settings);
-    entry.directory.services["svc"] = { "svc", 10, 100, Milliseconds(5000) };
-    entry.directory.teams["team"] = { "team", "salt-salt", hashSecret("salt-salt", "secret"), 1,
-                                      0 };
+    entry.registry.services["svc"] = { "svc", 10, 100, Milliseconds(5000) };
+    entry.registry.teams["team"] = { "team", "salt-salt", hashSecret("salt-salt", "secret"), 1, 0 };
     claims::hearMaster(entry.claims, Begin);
     return entry;
 }
@@ -173,10 +172,10 @@
 TEST_P(Token, OfNobodyIsRefusedAlike)
 {
     Error reason;
-    EXPECT_FALSE(authenticate(configuredEntry().directory, GetParam(), &reason));
+    EXPECT_FALSE(authenticate(configuredEntry().registry, GetParam(), &reason));
     EXPECT_EQ(reason.kind, ErrorKind::Unauthenticated);
     Error unknownTeam;
-    authenticate(configuredEntry().directory, "nobody.secret", &unknownTeam);
+    authenticate(configuredEntry().registry, "nobody.secret", &unknownTeam);
     EXPECT_EQ(reason.message, unknownTeam.message) << "the message reveals whether the team exists";
 }
 
@@ -189,10 +188,10 @@
 {
     Error reason;
     EntryState entry = configuredEntry();
-    EXPECT_EQ(authenticate(entry.directory, "team.secret", &reason), "team");
-    entry.directory.teams["team"].tokenHash = hashSecret("salt-salt", "newer");
-    EXPECT_FALSE(authenticate(entry.directory, "team.secret", &reason));
-    EXPECT_EQ(authenticate(entry.directory, "team.newer", &reason), "team");
+    EXPECT_EQ(authenticate(entry.registry, "team.secret", &reason), "team");
+    entry.registry.teams["team"].tokenHash = hashSecret("salt-salt", "newer");
+    EXPECT_FALSE(authenticate(entry.registry, "team.secret", &reason));
+    EXPECT_EQ(authenticate(entry.registry, "team.newer", &reason), "team");
 }
 
 // [SECTION] Placement
--- a/packages/fleet/src/agentlinks.cpp
+++ b/packages/fleet/src/agentlinks.cpp
@@ -99,7 +99,7 @@
     const subset::SubsetChanges changes = subset::choose(m_subset, now);
     for (const std::string &address : changes.added)
         dial(address);
-    for (const std::string &address : changes.gone)
+    for (const std::string &address : changes.removed)
         m_peers.erase(address);
     for (const std::string &address : changes.spare)
         drop(address);
--- a/packages/fleet/src/agentshell.cpp
+++ b/packages/fleet/src/agentshell.cpp
@@ -219,7 +219,7 @@
     node.service = m_runner.endpoint.service;
     node.labels = m_runner.endpoint.labels;
     node.capacity = m_runner.endpoint.capacity;
-    if (directory::describesSame(node, m_core.self))
+    if (directory::sameAttributes(node, m_core.self))
         return;
     m_core.self = node;
     m_control.announce();
--- a/packages/fleet/src/controlshell.cpp
+++ b/packages/fleet/src/controlshell.cpp
@@ -213,7 +213,7 @@
     if (now < m_nextBeat)
         return;
     m_nextBeat = now + NodeBeatInterval;
-    const std::string beat = encodeFrame(Frame(directory::NodeBeat {}));
+    const std::string beat = encodeFrame(Frame(directory::NodeHeartbeat {}));
     m_nodes.beat(beat, now);
     std::vector<std::shared_ptr<fabric::Link>> silent;
     for (auto &[address, peer] : m_controls) {
--- a/packages/fleet/src/core.cpp
+++ b/packages/fleet/src/core.cpp
@@ -171,7 +171,7 @@
             peer->link->close();
         } else if (now >= peer->sentAt + ControlBeat) {
             peer->sentAt = now;
-            peer->link->send(encodeFrame(Frame(directory::NodeBeat {})));
+            peer->link->send(encodeFrame(Frame(directory::NodeHeartbeat {})));
         }
     }
 }
--- a/packages/fleet/src/messages.h
+++ b/packages/fleet/src/messages.h
@@ -102,7 +102,7 @@
 
 // The order is the format: new ones go to the end.
 using Frame =
-        std::variant<directory::Announce, directory::NodeBeat, directory::DirectoryUpdate,
+        std::variant<directory::Announce, directory::NodeHeartbeat, directory::DirectoryUpdate,
                      AgreedPush, ForwardCall, ForwardAnswer, GroupFrame, OpenSession, jobs::Welcome,
                      jobs::AgentUpdate, jobs::StartTasks, jobs::StopRuns, jobs::SessionBeat>;
 
--- a/packages/fleet/src/peerbook.cpp
+++ b/packages/fleet/src/peerbook.cpp
@@ -28,9 +28,9 @@
                                     const directory::DirectoryUpdate &update, Time now)
 {
     std::set<std::string> &lists = book.peers[from].lists;
-    if (update.whole)
+    if (update.full)
         lists.clear();
-    for (const std::string &address : update.gone)
+    for (const std::string &address : update.removed)
         lists.erase(address);
     std::vector<std::string> added;
     for (const directory::NodeInfo &node : update.nodes) {
--- a/packages/fleet/tests/peerbook_test.cpp
+++ b/packages/fleet/tests/peerbook_test.cpp
@@ -23,11 +23,11 @@
     }
 
     std::vector<std::string> told(const std::string &from, const std::vector<std::string> &controls,
-                                  const std::vector<std::string> &gone = {}, bool whole = false)
+                                  const std::vector<std::string> &removed = {}, bool full = false)
     {
         directory::DirectoryUpdate update;
-        update.whole = whole;
-        update.gone = gone;
+        update.full = full;
+        update.removed = removed;
         for (const std::string &address : controls) {
             directory::NodeInfo node;
             node.role = directory::Role::Control;
--- a/packages/node/src/entryrole.cpp
+++ b/packages/node/src/entryrole.cpp
@@ -131,7 +131,7 @@
     if (!ours)
         return false;
     // Without a configuration nobody's token is known, and nothing can be said of earlier work.
-    if (!entry::configured(m_state, steadyNow())) {
+    if (!entry::hasFreshConfiguration(m_state, steadyNow())) {
         replyError(responder,
                    Error { ErrorKind::NotReady,
                            "this entry could not confirm its configuration; send the "
@@ -140,13 +140,13 @@
         return true;
     }
     Error reason;
-    const auto team = entry::authenticate(m_state.directory, request.token, &reason);
+    const auto team = entry::authenticate(m_state.registry, request.token, &reason);
     const bool posts = request.method == "POST" && path.size() == 2;
     const bool looksUp = (request.method == "GET" || request.method == "DELETE")
             && path.size() == 3;
     if (!team) {
         replyError(responder, reason);
-    } else if (m_callers.size() >= m_state.settings.mostWaiters) {
+    } else if (m_callers.size() >= m_state.settings.maxWaiters) {
         replyError(responder,
                    Error { ErrorKind::Unavailable,
                            "too many callers wait at this entry; ask another one",
@@ -192,7 +192,7 @@
 {
     const Time now = steadyNow();
     // Shares that control does not confirm are over.
-    if (!entry::configured(m_state, now)) {
+    if (!entry::hasFreshConfiguration(m_state, now)) {
         for (auto &limit : m_state.dispatcher.teamLimits)
             dispatch::setTeamLimit(m_state.dispatcher, limit.first, 0);
     }
@@ -214,13 +214,13 @@
 void EntryRole::applyResource(const control::Resource &resource)
 {
     Error ignored;
-    entry::Directory &directory = m_state.directory;
+    entry::Registry &registry = m_state.registry;
     if (resource.kind == "team") {
         const auto spec = control::readTeamSpec(resource.spec, &ignored);
-        directory.teams.erase(resource.name);
+        registry.teams.erase(resource.name);
         if (!resource.deleted && spec) {
-            directory.teams[resource.name] = { resource.name, spec->salt, spec->tokenHash,
-                                               spec->weight, spec->concurrency };
+            registry.teams[resource.name] = { resource.name, spec->salt, spec->tokenHash,
+                                              spec->weight, spec->concurrency };
             m_state.dispatcher.teamWeights[resource.name] = spec->weight;
             // Until control has given this entry a share it has none.
             if (spec->concurrency == 0)
@@ -230,9 +230,9 @@
         }
     } else if (resource.kind == "service") {
         const auto spec = control::readServiceSpec(resource.spec, &ignored);
-        directory.services.erase(resource.name);
+        registry.services.erase(resource.name);
         if (!resource.deleted && spec)
-            directory.services[resource.name] = {
+            registry.services[resource.name] = {
                 resource.name, spec->mostTasks, spec->mostPayloadBytes,
                 Milliseconds(static_cast<std::int64_t>(spec->longestTimeMs))
             };
@@ -245,7 +245,7 @@
     for (const control::ShareGrant &grant : update.shares)
         dispatch::setTeamLimit(m_state.dispatcher, grant.team, grant.share);
     if (update.reset)
-        m_state.directory = {};
+        m_state.registry = {};
     for (const control::Resource &change : update.changes)
         applyResource(change);
     if (update.hasAgents) {
@@ -269,7 +269,7 @@
 {
     beat.readyShards = claims::readyShards(m_state.claims);
     const dispatch::Dispatcher &dispatcher = m_state.dispatcher;
-    for (const auto &team : m_state.directory.teams) {
+    for (const auto &team : m_state.registry.teams) {
         if (team.second.concurrency == 0 || beat.shares.size() == MostShareReports)
             continue;
         const auto limit = dispatcher.teamLimits.find(team.first);
--- a/packages/node/src/entryrole.h
+++ b/packages/node/src/entryrole.h
@@ -40,7 +40,7 @@
     void beginLeaving() { m_state.leaving = true; }
     bool ready() const;
     // Whether control should be asked at once. Asking resets it.
-    bool takeBeatWanted() { return std::exchange(m_state.beatWanted, false); }
+    bool takeHeartbeatRequest() { return std::exchange(m_state.heartbeatRequested, false); }
     bool allClaimsInService() const { return claims::allShardsActive(m_state.claims); }
     bool drained() const;
 
--- a/packages/node/src/node.cpp
+++ b/packages/node/src/node.cpp
@@ -259,7 +259,7 @@
         m_entry->tick();
     if (m_agent)
         m_agent->tick(configurationStale(now));
-    const bool wanted = m_entry && m_entry->takeBeatWanted();
+    const bool wanted = m_entry && m_entry->takeHeartbeatRequest();
     if (now >= m_nextBeat || wanted)
         sendBeat(now);
     m_http.dropOverdue();
--- a/packages/settings/src/settings.cpp
+++ b/packages/settings/src/settings.cpp
@@ -158,7 +158,7 @@
     table.span("clock_skew", claims.clockSkew);
     table.span("master_lease", claims.masterLease);
     table.span("configuration_lease", settings.entry.configurationLease);
-    table.whole("most_waiters", settings.entry.mostWaiters, 1, MostCount);
+    table.whole("most_waiters", settings.entry.maxWaiters, 1, MostCount);
     table.span("drain_notice", settings.drainNotice);
     if (order == "first-come")
         dispatch.queue.order = dispatch::QueueOrder::FirstCome;
--- a/packages/subset/include/foxwing/subset/subset.h
+++ b/packages/subset/include/foxwing/subset/subset.h
@@ -148,7 +148,7 @@
     std::vector<std::string> spare;
 
     // Listed no more and not connected: gone.
-    std::vector<std::string> gone;
+    std::vector<std::string> removed;
 };
 
 // [SECTION] Functions
--- a/packages/subset/src/choosing.cpp
+++ b/packages/subset/src/choosing.cpp
@@ -193,7 +193,7 @@
         auto &[address, agent] = *item;
         if (agent.listedBy.empty() && !agent.connected) {
             if (agent.kept)
-                changes.gone.push_back(address);
+                changes.removed.push_back(address);
             item = subset.agents.erase(item);
             continue;
         }
--- a/packages/subset/src/subset.cpp
+++ b/packages/subset/src/subset.cpp
@@ -60,9 +60,9 @@
                 const directory::DirectoryUpdate &update)
 {
     subset.entriesBy[from] = update.entries;
-    if (update.whole)
+    if (update.full)
         unlistAll(subset, from);
-    for (const std::string &address : update.gone)
+    for (const std::string &address : update.removed)
         unlist(subset, address, from);
     for (const directory::NodeInfo &node : update.nodes) {
         // An address may come back in another role.
--- a/packages/subset/tests/subset_test.cpp
+++ b/packages/subset/tests/subset_test.cpp
@@ -205,10 +205,10 @@
         live(subset, now, Seconds(1));
         const auto before = kept(subset);
         directory::DirectoryUpdate update;
-        update.whole = false;
+        update.full = false;
         update.entries = Entries;
         update.nodes = { makeAgent(800, 5) };
-        update.gone = { agentAddress(3) };
+        update.removed = { agentAddress(3) };
         connectionLost(subset, agentAddress(3), now);
         takeUpdate(subset, "control-1", update);
         live(subset, now, Seconds(7));
@@ -280,7 +280,7 @@
     forgetControlHost(subset, "control-1");
     connectionLost(subset, agentAddress(19), now);
     const SubsetChanges changes = choose(subset, now);
-    EXPECT_EQ(changes.gone, std::vector<std::string> { agentAddress(19) });
+    EXPECT_EQ(changes.removed, std::vector<std::string> { agentAddress(19) });
     EXPECT_EQ(keptAgents(subset), 19U);
 }
 
@@ -318,10 +318,10 @@
     Time now = Start;
     const SubsetState subset = settledEntry(now);
     EXPECT_EQ(subset.sharingEntries, 15U);
-    SubsetState whole = makeEntry(0, 5);
-    takeUpdate(whole, "control-1", wholeList(20, 7, 5));
-    live(whole, now, Milliseconds(100));
-    EXPECT_EQ(whole.sharingEntries, 7U);
+    SubsetState full = makeEntry(0, 5);
+    takeUpdate(full, "control-1", wholeList(20, 7, 5));
+    live(full, now, Milliseconds(100));
+    EXPECT_EQ(full.sharingEntries, 7U);
 }
 
 // [SECTION] Needs
--- a/tests/schedules/world.cpp
+++ b/tests/schedules/world.cpp
@@ -139,9 +139,9 @@
         world.proposals.push_back({ world.now + CommitDelay, std::move(command) });
 }
 
-entry::Directory directory()
+entry::Registry registry()
 {
-    entry::Directory made;
+    entry::Registry made;
     made.services[ServiceName] = entry::Service { ServiceName, 100, 1000, Milliseconds(60000) };
     return made;
 }
@@ -156,7 +156,7 @@
     settings.dispatch.dataCentre = process.id;
     settings.claims.self = settings.self;
     process.entry = std::make_unique<entry::EntryState>(entry::makeEntry(settings));
-    process.entry->directory = directory();
+    process.entry->registry = registry();
 }
 
 void startAgent(Process &process)
@@ -292,7 +292,7 @@
         carryOut(world, process, entry::tick(*process.entry, world.now, wall));
     else
         carryOut(world, process, agent::tick(*process.agent, world.now));
-    const bool wanted = process.entry && std::exchange(process.entry->beatWanted, false);
+    const bool wanted = process.entry && std::exchange(process.entry->heartbeatRequested, false);
     if (world.now < process.nextBeat && !wanted)
         return;
     control::Beat beat = control::nextBeat(process.reporter, world.now);
