--- a/packages/directory/include/foxwing/directory/directory.h
+++ b/packages/directory/include/foxwing/directory/directory.h
@@ -102,9 +102,9 @@
     std::uint64_t number = 0;
 };
 template<class Fields>
-void describe(Fields &fields, NodeHeartbeat &beat)
+void describe(Fields &fields, NodeHeartbeat &heartbeat)
 {
-    fields("number", beat.number);
+    fields("number", heartbeat.number);
 }
 
 struct DirectoryUpdate
@@ -135,11 +135,11 @@
 {
     // How long a disconnected node stays listed. It may be restarting, so its address is still
     // worth trying.
-    Milliseconds keepGone { 10000 };
+    Milliseconds disconnectedRetention { 10000 };
 
     // Removed addresses that are kept for incremental updates. A receiver that is further behind
     // gets the full list. Exceeds what is removed within the 20 ms between two updates.
-    std::size_t mostGone = 256;
+    std::size_t maxRemovals = 256;
 };
 
 struct KnownNode
@@ -149,14 +149,14 @@
     // The connection of its latest announcement
     std::uint64_t connection = 0;
     bool connected = false;
-    Time goneAt {};
+    Time disconnectedAt {};
 
     // Revision at which it was added in this role, or last changed its attributes
-    std::uint64_t listedIn = 0;
+    std::uint64_t listedRevision = 0;
 };
 
 // An address that was removed from the list.
-struct GoneNode
+struct RemovedNode
 {
     std::string address;
     Role role = Role::Entry;
@@ -177,10 +177,10 @@
     std::uint64_t controlRevision = 0;
 
     // Oldest first
-    std::deque<GoneNode> removed;
+    std::deque<RemovedNode> removed;
 
     // Revision of the newest removal that is no longer kept
-    std::uint64_t forgottenRevision = 0;
+    std::uint64_t compactedRevision = 0;
 };
 
 // [SECTION] Functions
@@ -195,7 +195,7 @@
 std::uint64_t revisionFor(const DirectoryState &directory, Role role);
 
 // Changes that a node of this role has not received since sentRevision; 0 gives the full list.
-DirectoryUpdate updateFor(const DirectoryState &directory, Role role, std::uint64_t told);
+DirectoryUpdate updateFor(const DirectoryState &directory, Role role, std::uint64_t sentRevision);
 
 // Control hosts that are connected now.
 std::vector<NodeInfo> connectedControls(const DirectoryState &directory);
--- a/packages/directory/src/directory.cpp
+++ b/packages/directory/src/directory.cpp
@@ -33,29 +33,29 @@
 namespace {
 
 // Entries receive agents, all roles receive control hosts. Entries are only counted, never listed.
-bool isToldOf(Role role, Role listed)
+bool isInterestedIn(Role role, Role listed)
 {
     return listed == Role::Control || (listed == Role::Agent && role == Role::Entry);
 }
 
-void noteChange(DirectoryState &directory, Role changed)
+void recordChange(DirectoryState &directory, Role changed)
 {
     ++directory.revision;
     if (changed == Role::Control)
         directory.controlRevision = directory.revision;
 }
 
-void noteGone(DirectoryState &directory, const NodeInfo &node)
+void recordRemoval(DirectoryState &directory, const NodeInfo &node)
 {
-    noteChange(directory, node.role);
+    recordChange(directory, node.role);
     directory.removed.push_back({ node.address, node.role, directory.revision });
-    if (directory.removed.size() <= directory.settings.mostGone)
+    if (directory.removed.size() <= directory.settings.maxRemovals)
         return;
-    directory.forgottenRevision = directory.removed.front().revision;
+    directory.compactedRevision = directory.removed.front().revision;
     directory.removed.pop_front();
 }
 
-std::uint32_t connectedEntries(const DirectoryState &directory)
+std::uint32_t countConnectedEntries(const DirectoryState &directory)
 {
     return static_cast<std::uint32_t>(
             std::count_if(directory.nodes.begin(), directory.nodes.end(), [](const auto &item) {
@@ -67,21 +67,21 @@
 
 void nodeAnnounced(DirectoryState &directory, std::uint64_t connection, const NodeInfo &node)
 {
-    const auto before = directory.nodes.find(node.address);
-    const bool isNew = before == directory.nodes.end();
-    const bool otherRole = !isNew && before->second.info.role != node.role;
-    if (otherRole)
-        noteGone(directory, before->second.info);
+    const auto previous = directory.nodes.find(node.address);
+    const bool isNew = previous == directory.nodes.end();
+    const bool roleChanged = !isNew && previous->second.info.role != node.role;
+    if (roleChanged)
+        recordRemoval(directory, previous->second.info);
     KnownNode &known = directory.nodes[node.address];
     const bool countChanged = node.role == Role::Entry && !known.connected;
-    const bool otherEndpoint = !isNew && !sameAttributes(known.info, node);
+    const bool attributesChanged = !isNew && !sameAttributes(known.info, node);
     known.info = node;
     known.connection = connection;
     known.connected = true;
-    if (isNew || otherRole || otherEndpoint || countChanged)
-        noteChange(directory, node.role);
-    if (isNew || otherRole || otherEndpoint)
-        known.listedIn = directory.revision;
+    if (isNew || roleChanged || attributesChanged || countChanged)
+        recordChange(directory, node.role);
+    if (isNew || roleChanged || attributesChanged)
+        known.listedRevision = directory.revision;
 }
 
 void connectionLost(DirectoryState &directory, std::uint64_t connection, Time now)
@@ -90,9 +90,9 @@
         if (known.connection != connection || !known.connected)
             continue;
         known.connected = false;
-        known.goneAt = now;
+        known.disconnectedAt = now;
         if (known.info.role == Role::Entry)
-            noteChange(directory, Role::Entry);
+            recordChange(directory, Role::Entry);
     }
 }
 
@@ -100,10 +100,11 @@
 {
     for (auto item = directory.nodes.begin(); item != directory.nodes.end();) {
         const KnownNode &known = item->second;
-        const bool forget = !known.connected && now >= known.goneAt + directory.settings.keepGone;
-        if (forget)
-            noteGone(directory, known.info);
-        item = forget ? directory.nodes.erase(item) : std::next(item);
+        const bool expired = !known.connected
+                && now >= known.disconnectedAt + directory.settings.disconnectedRetention;
+        if (expired)
+            recordRemoval(directory, known.info);
+        item = expired ? directory.nodes.erase(item) : std::next(item);
     }
 }
 
@@ -112,19 +113,21 @@
     return role == Role::Entry ? directory.revision : directory.controlRevision;
 }
 
-DirectoryUpdate updateFor(const DirectoryState &directory, Role role, std::uint64_t told)
+DirectoryUpdate updateFor(const DirectoryState &directory, Role role, std::uint64_t sentRevision)
 {
     DirectoryUpdate update;
-    update.full = told == 0 || told < directory.forgottenRevision;
-    update.entries = connectedEntries(directory);
+    update.full = sentRevision == 0 || sentRevision < directory.compactedRevision;
+    update.entries = countConnectedEntries(directory);
     for (const auto &[address, known] : directory.nodes) {
-        if (isToldOf(role, known.info.role) && (update.full || known.listedIn > told))
+        if (isInterestedIn(role, known.info.role)
+            && (update.full || known.listedRevision > sentRevision))
             update.nodes.push_back(known.info);
     }
-    for (const GoneNode &removed : directory.removed) {
-        const bool back = directory.nodes.count(removed.address) != 0
-                && isToldOf(role, directory.nodes.at(removed.address).info.role);
-        if (!update.full && removed.revision > told && !back && isToldOf(role, removed.role))
+    for (const RemovedNode &removed : directory.removed) {
+        const bool listedAgain = directory.nodes.count(removed.address) != 0
+                && isInterestedIn(role, directory.nodes.at(removed.address).info.role);
+        if (!update.full && removed.revision > sentRevision && !listedAgain
+            && isInterestedIn(role, removed.role))
             update.removed.push_back(removed.address);
     }
     return update;
--- a/packages/directory/tests/directory_test.cpp
+++ b/packages/directory/tests/directory_test.cpp
@@ -42,7 +42,7 @@
 class Listing : public testing::TestWithParam<RoleCase>
 { };
 
-TEST_P(Listing, GivesARoleWhatItNeeds)
+TEST_P(Listing, ContainsTheNodesForTheRole)
 {
     const DirectoryUpdate update = updateFor(makeDirectory(), GetParam().role, 0);
     EXPECT_EQ(update.nodes.size(), GetParam().listed);
@@ -55,18 +55,18 @@
                                          RoleCase { "Control", Role::Control, 1 }),
                          [](const auto &tested) { return tested.param.name; });
 
-TEST(Directory, KeepsAGoneNodeForAWhile)
+TEST(Directory, RetainsADisconnectedNode)
 {
     DirectoryState directory = makeDirectory();
     const Time lost(Seconds(100));
     connectionLost(directory, 3, lost);
-    tick(directory, lost + directory.settings.keepGone - Milliseconds(1));
+    tick(directory, lost + directory.settings.disconnectedRetention - Milliseconds(1));
     EXPECT_EQ(updateFor(directory, Role::Entry, 0).nodes.size(), 2U);
-    tick(directory, lost + directory.settings.keepGone);
+    tick(directory, lost + directory.settings.disconnectedRetention);
     EXPECT_EQ(updateFor(directory, Role::Entry, 0).nodes.size(), 1U);
 }
 
-TEST(Directory, AnOlderConnectionsEndDoesNotCountAgainstANewerOne)
+TEST(Directory, IgnoresTheLossOfASupersededConnection)
 {
     DirectoryState directory = makeDirectory();
     nodeAnnounced(directory, 9, makeNode("10.0.0.3:1", Role::Agent, 2));
@@ -81,11 +81,11 @@
 {
     const char *name;
     std::function<void(DirectoryState &)> change;
-    std::size_t nodesToEntry;
-    std::size_t goneToEntry;
+    std::size_t nodesForEntry;
+    std::size_t removedForEntry;
     std::uint32_t entries;
-    bool entryIsTold;
-    bool agentIsTold;
+    bool entryIsUpdated;
+    bool agentIsUpdated;
 };
 
 std::ostream &operator<<(std::ostream &out, const ChangeCase &tested)
@@ -93,27 +93,27 @@
     return out << tested.name;
 }
 
-void forgetAgent(DirectoryState &directory)
+void removeAgent(DirectoryState &directory)
 {
     connectionLost(directory, 3, Time(Seconds(100)));
-    tick(directory, Time(Seconds(100)) + directory.settings.keepGone);
+    tick(directory, Time(Seconds(100)) + directory.settings.disconnectedRetention);
 }
 
 class Changes : public testing::TestWithParam<ChangeCase>
 { };
 
-TEST_P(Changes, AreToldOnceAndOnlyToWhomTheyConcern)
+TEST_P(Changes, AreSentOnceAndOnlyToConcernedRoles)
 {
     const ChangeCase &tested = GetParam();
     DirectoryState directory = makeDirectory();
-    const std::uint64_t told = directory.revision;
+    const std::uint64_t sentRevision = directory.revision;
     tested.change(directory);
-    EXPECT_EQ(revisionFor(directory, Role::Entry) > told, tested.entryIsTold);
-    EXPECT_EQ(revisionFor(directory, Role::Agent) > told, tested.agentIsTold);
-    const DirectoryUpdate update = updateFor(directory, Role::Entry, told);
+    EXPECT_EQ(revisionFor(directory, Role::Entry) > sentRevision, tested.entryIsUpdated);
+    EXPECT_EQ(revisionFor(directory, Role::Agent) > sentRevision, tested.agentIsUpdated);
+    const DirectoryUpdate update = updateFor(directory, Role::Entry, sentRevision);
     EXPECT_FALSE(update.full);
-    EXPECT_EQ(update.nodes.size(), tested.nodesToEntry);
-    EXPECT_EQ(update.removed.size(), tested.goneToEntry);
+    EXPECT_EQ(update.nodes.size(), tested.nodesForEntry);
+    EXPECT_EQ(update.removed.size(), tested.removedForEntry);
     EXPECT_EQ(update.entries, tested.entries);
     const DirectoryUpdate again = updateFor(directory, Role::Entry, directory.revision);
     EXPECT_EQ(again.nodes.size() + again.removed.size(), 0U);
@@ -140,14 +140,14 @@
                                                makeNode("10.0.0.3:1", Role::Agent, 2));
                              },
                              0, 0, 1, false, false },
-                ChangeCase { "AgentTellsItsEndpoint",
+                ChangeCase { "AgentReportsItsEndpoint",
                              [](DirectoryState &directory) {
                                  NodeInfo node = makeNode("10.0.0.3:1", Role::Agent);
                                  node.service = "render";
                                  nodeAnnounced(directory, 3, node);
                              },
                              1, 0, 1, true, false },
-                ChangeCase { "AgentTellsTheSameAgain",
+                ChangeCase { "AgentRepeatsItsAnnouncement",
                              [](DirectoryState &directory) {
                                  nodeAnnounced(directory, 3, makeNode("10.0.0.3:1", Role::Agent));
                              },
@@ -157,10 +157,10 @@
                                  connectionLost(directory, 2, Time(Seconds(100)));
                              },
                              0, 0, 0, true, false },
-                ChangeCase { "AgentForgotten", forgetAgent, 0, 1, 1, true, false },
-                ChangeCase { "AgentForgottenAndBack",
+                ChangeCase { "AgentRemoved", removeAgent, 0, 1, 1, true, false },
+                ChangeCase { "AgentRemovedAndListedAgain",
                              [](DirectoryState &directory) {
-                                 forgetAgent(directory);
+                                 removeAgent(directory);
                                  nodeAnnounced(directory, 9, makeNode("10.0.0.3:1", Role::Agent));
                              },
                              1, 0, 1, true, false },
@@ -172,34 +172,34 @@
         [](const auto &tested) { return tested.param.name; });
 
 // Guards against full lists while a fleet starts: 300 nodes, ten at a time, would come to 4,650.
-TEST(Directory, AFleetThatStartsIsNamedOnceToEachEntry)
+TEST(Directory, StartingFleetIsListedOnceToEachEntry)
 {
     DirectoryState directory;
-    std::uint64_t told = 0;
-    std::size_t named = 0;
+    std::uint64_t sentRevision = 0;
+    std::size_t listedNodes = 0;
     for (std::uint64_t node = 1; node <= 300; ++node) {
         nodeAnnounced(directory, node, makeNode("10.0.2." + std::to_string(node), Role::Agent));
         if (node % 10 != 0)
             continue;
-        named += updateFor(directory, Role::Entry, told).nodes.size();
-        told = directory.revision;
+        listedNodes += updateFor(directory, Role::Entry, sentRevision).nodes.size();
+        sentRevision = directory.revision;
     }
-    EXPECT_EQ(named, 300U);
+    EXPECT_EQ(listedNodes, 300U);
     EXPECT_EQ(revisionFor(directory, Role::Agent), 0U);
 }
 
-TEST(Directory, WhoIsFarBehindIsToldEverything)
+TEST(Directory, ReceiverFarBehindGetsTheFullList)
 {
     DirectoryState directory = makeDirectory();
-    directory.settings.mostGone = 2;
-    const std::uint64_t told = directory.revision;
+    directory.settings.maxRemovals = 2;
+    const std::uint64_t sentRevision = directory.revision;
     for (int i = 0; i < 4; ++i) {
         const std::uint64_t connection = 10 + static_cast<std::uint64_t>(i);
         nodeAnnounced(directory, connection, makeNode("10.0.1." + std::to_string(i), Role::Agent));
         connectionLost(directory, connection, Time(Seconds(100)));
     }
-    tick(directory, Time(Seconds(100)) + directory.settings.keepGone);
-    const DirectoryUpdate update = updateFor(directory, Role::Entry, told);
+    tick(directory, Time(Seconds(100)) + directory.settings.disconnectedRetention);
+    const DirectoryUpdate update = updateFor(directory, Role::Entry, sentRevision);
     EXPECT_TRUE(update.full);
     EXPECT_EQ(update.nodes.size(), 2U);
     EXPECT_EQ(directory.removed.size(), 2U);
--- a/packages/entry/include/foxwing/entry/entry.h
+++ b/packages/entry/include/foxwing/entry/entry.h
@@ -47,14 +47,14 @@
     PlacementSettings placement;
 
     // Delay before a request to another entry is sent again; doubles up to the maximum.
-    Milliseconds askInterval { 100 };
-    Milliseconds longestAskInterval { 400 };
+    Milliseconds claimInterval { 100 };
+    Milliseconds maxClaimInterval { 400 };
     Milliseconds joinInterval { 500 };
-    Milliseconds longestJoinInterval { 4000 };
+    Milliseconds maxJoinInterval { 4000 };
 
-    // "Not run" must be confirmed by the claim's home; without a reply within this time the answer
-    // is "unknown".
-    Milliseconds releaseSpan { 1000 };
+    // "Not run" must be confirmed by the claim's primary; without a reply within this time the
+    // answer is "unknown".
+    Milliseconds releaseTimeout { 1000 };
 
     // No new work is accepted if control has not been heard from for this long.
     Milliseconds configurationLease { 10000 };
@@ -91,25 +91,25 @@
 // [SECTION] State
 
 enum class PendingState {
-    // The claim was requested from its home.
-    Asking,
+    // The claim was requested from its primary.
+    Claiming,
     // Another entry runs it; waiting for its answer.
     Joined,
     // The dispatcher of this entry runs it.
     Running,
     // Took over the claim of a lost entry; waiting for a list of agents newer than the grant.
     Refreshing,
-    // Ended as "not run"; the claim's home must confirm that before the callers are answered.
+    // Ended as "not run"; the claim's primary must confirm that before the callers are answered.
     Releasing,
 };
 
 struct Pending
 {
     SubmitRequest request;
-    PendingState state = PendingState::Asking;
+    PendingState state = PendingState::Claiming;
 
     // Fetch or cancel: there is no body, so nothing can be run.
-    bool lookOnly = false;
+    bool lookupOnly = false;
     bool cancel = false;
 
     // Handed to another entry; the body is kept in case that entry is lost.
@@ -125,7 +125,7 @@
     std::uint64_t epoch = 1;
     Time deadline {};
     Time nextSend {};
-    Time releaseUntil {};
+    Time releaseDeadline {};
     Time grantedAt {};
     std::int64_t claimedAt = 0;
     Milliseconds sendWait { 0 };
@@ -151,7 +151,7 @@
 };
 
 // A claim request that expired before its answer arrived; a late grant must be released.
-struct AbandonedAsk
+struct AbandonedClaim
 {
     std::string job;
     std::uint64_t nonce = 0;
@@ -180,10 +180,10 @@
     std::unordered_map<std::string, Pending> pending;
 
     // Keys of pending submissions that wait for another process
-    std::vector<std::string> watched;
+    std::vector<std::string> remotePending;
 
     // Newest last, bounded
-    std::deque<AbandonedAsk> abandonedAsks;
+    std::deque<AbandonedClaim> abandonedClaims;
 
     // The job of each waiter, to find the pending submission when a caller disconnects
     std::unordered_map<WaiterId, std::string> waiterJobs;
@@ -192,12 +192,12 @@
 
     // All claim shards were active once. Later, while shards move, work waits a moment instead of
     // being refused.
-    bool wasInService = false;
+    bool shardsWereActive = false;
 
     // Send a heartbeat to control at once, since a takeover waits for its reply.
     bool heartbeatRequested = false;
     std::uint64_t nextNonce = 1;
-    std::uint64_t nextAnonymous = 1;
+    std::uint64_t nextAnonymousId = 1;
 
     // Generates ids for requests without one
     std::mt19937_64 random;
--- a/packages/entry/include/foxwing/entry/placement.h
+++ b/packages/entry/include/foxwing/entry/placement.h
@@ -40,14 +40,14 @@
     PlacementPolicy policy = PlacementPolicy::LeastLoaded;
 
     // Shortest time between two reports, and longest time without one.
-    Milliseconds reportInterval { 100 };
-    Milliseconds quietInterval { 1000 };
+    Milliseconds minReportInterval { 100 };
+    Milliseconds maxReportInterval { 1000 };
 
     // Older reports are ignored.
-    Milliseconds reportLife { 2500 };
+    Milliseconds maxReportAge { 2500 };
 
     // Shortest time between two workers that are given away
-    Milliseconds yieldInterval { 200 };
+    Milliseconds transferInterval { 200 };
 };
 
 // [SECTION] State
@@ -62,14 +62,14 @@
 {
     PlacementSettings settings;
     std::unordered_map<std::string, PeerLoad> peers;
-    LoadReport lastSent;
+    LoadReport lastReport;
     Time nextReport {};
-    Time nextQuietReport {};
-    Time nextYield {};
+    Time nextForcedReport {};
+    Time nextTransfer {};
 };
 
 // A worker of this service should move to the successor.
-struct YieldAdvice
+struct WorkerTransfer
 {
     std::string service;
     std::string successor;
@@ -79,7 +79,7 @@
 
 // [SECTION] Functions
 
-void takeLoadReport(Placement &placement, const LoadReport &report, Time now);
+void handleLoadReport(Placement &placement, const LoadReport &report, Time now);
 
 // Chooses the entry that should own a job with this number of tasks. A chosen peer is charged with
 // the tasks until its next report.
@@ -87,11 +87,11 @@
                         const dispatch::ServiceLoad &own, std::uint32_t tasks, Time now);
 
 // Returns the report for the other entries if one is due.
-std::optional<LoadReport> dueReport(Placement &placement, const dispatch::Dispatcher &dispatcher,
-                                    bool leaving, Time now);
+std::optional<LoadReport> reportIfDue(Placement &placement, const dispatch::Dispatcher &dispatcher,
+                                      bool leaving, Time now);
 
 // Returns the worker transfer that is due now, if any.
-std::optional<YieldAdvice> adviseYield(Placement &placement, const dispatch::Dispatcher &dispatcher,
-                                       Time now);
+std::optional<WorkerTransfer> chooseTransfer(Placement &placement,
+                                             const dispatch::Dispatcher &dispatcher, Time now);
 
 } // namespace foxwing::entry
--- a/packages/entry/include/foxwing/entry/teams.h
+++ b/packages/entry/include/foxwing/entry/teams.h
@@ -38,9 +38,9 @@
     std::string name;
 
     // Limits for one submission
-    std::uint32_t mostTasks = 1000;
-    std::uint32_t mostPayloadBytes = 1U << 20U;
-    Milliseconds longestTime { 600000 };
+    std::uint32_t maxTasks = 1000;
+    std::uint32_t maxPayloadBytes = 1U << 20U;
+    Milliseconds maxTaskTime { 600000 };
 };
 
 struct Registry
--- a/packages/entry/src/admission.cpp
+++ b/packages/entry/src/admission.cpp
@@ -22,7 +22,7 @@
 
 // [SECTION] Refusals
 
-dispatch::Answer refused(Error error)
+dispatch::Answer errorAnswer(Error error)
 {
     dispatch::Answer answer;
     answer.outcome = error.outcome;
@@ -30,7 +30,8 @@
     return answer;
 }
 
-std::optional<Error> outOfService(const EntryState &entry, const SubmitRequest &request, Time now)
+std::optional<Error> checkAvailability(const EntryState &entry, const SubmitRequest &request,
+                                       Time now)
 {
     const Outcome outcome = request.submission.empty() ? Outcome::NotRun : Outcome::Unknown;
     if (entry.leaving)
@@ -49,24 +50,24 @@
 namespace {
 
 // Checks limits that waiting can't satisfy.
-std::optional<Error> beyondLimits(const Service &service, const SubmitRequest &request)
+std::optional<Error> checkLimits(const Service &service, const SubmitRequest &request)
 {
     Error error { ErrorKind::CanNeverRun, {}, Outcome::NotRun, Milliseconds { 0 } };
-    if (request.payloads.empty() || request.payloads.size() > service.mostTasks) {
+    if (request.payloads.empty() || request.payloads.size() > service.maxTasks) {
         error.message = "a submission to " + service.name + " must have 1 to "
-                + std::to_string(service.mostTasks) + " tasks; split the job";
+                + std::to_string(service.maxTasks) + " tasks; split the job";
         return error;
     }
     for (const std::string &payload : request.payloads) {
-        if (payload.size() <= service.mostPayloadBytes)
+        if (payload.size() <= service.maxPayloadBytes)
             continue;
-        error.message = "a payload may have at most " + std::to_string(service.mostPayloadBytes)
+        error.message = "a payload may have at most " + std::to_string(service.maxPayloadBytes)
                 + " bytes; pass a reference to the data instead";
         return error;
     }
-    if (request.declaredTime > service.longestTime) {
+    if (request.declaredTime > service.maxTaskTime) {
         error.message = "a task may take at most "
-                + std::to_string(std::chrono::duration_cast<Milliseconds>(service.longestTime)
+                + std::to_string(std::chrono::duration_cast<Milliseconds>(service.maxTaskTime)
                                          .count())
                 + " ms; split the work";
         return error;
@@ -79,16 +80,16 @@
     return std::nullopt;
 }
 
-std::optional<Error> invalidId(const EntryState &entry, const std::string &submission,
-                               WallTime wallNow)
+std::optional<Error> validateId(const EntryState &entry, const std::string &submission,
+                                WallTime wallNow)
 {
     if (submission.empty())
         return std::nullopt;
     Error error;
-    const std::optional<WallTime> made = submissionTime(submission, &error);
-    if (!made)
+    const std::optional<WallTime> idTime = submissionTime(submission, &error);
+    if (!idTime)
         return error;
-    if (*made > wallNow + entry.settings.claims.clockSkew) {
+    if (*idTime > wallNow + entry.settings.claims.clockSkew) {
         error.kind = ErrorKind::BadRequest;
         error.message =
                 "the submission id has a time in the future; set the clock of the caller's host";
@@ -99,8 +100,8 @@
 
 } // namespace
 
-std::optional<Error> invalid(const EntryState &entry, const SubmitRequest &request,
-                             WallTime wallNow)
+std::optional<Error> validate(const EntryState &entry, const SubmitRequest &request,
+                              WallTime wallNow)
 {
     const auto found = entry.registry.services.find(request.service);
     if (found == entry.registry.services.end())
@@ -108,8 +109,8 @@
                        "there is no service \"" + request.service
                                + "\"; list the services with: foxwing show service",
                        Outcome::NotRun, Milliseconds { 0 } };
-    const std::optional<Error> error = beyondLimits(found->second, request);
-    return error ? error : invalidId(entry, request.submission, wallNow);
+    const std::optional<Error> error = checkLimits(found->second, request);
+    return error ? error : validateId(entry, request.submission, wallNow);
 }
 
 // [SECTION] Conversions
@@ -136,7 +137,7 @@
     pending.request = request;
     pending.deadline = deadline;
     pending.nonce = entry.nextNonce++;
-    pending.sendWait = entry.settings.askInterval;
+    pending.sendWait = entry.settings.claimInterval;
     return pending;
 }
 
--- a/packages/entry/src/claiming.cpp
+++ b/packages/entry/src/claiming.cpp
@@ -1,5 +1,5 @@
 /*
-    Handles the replies of a claim's home: runs, joins, takes over or answers the submission.
+    Handles the replies of a claim's primary: runs, joins, takes over or answers the submission.
 
     [SECTION] Takeover
     [SECTION] Claim answers
@@ -20,14 +20,14 @@
 // An agent that control declared dead may go on for a while if it was only partitioned.
 bool mayHaveStarted(const EntryState &entry, const KnownAgent &known, const Pending &pending)
 {
-    const Milliseconds span = entry.settings.configurationLease + entry.settings.claims.clockSkew;
+    const Milliseconds margin = entry.settings.configurationLease + entry.settings.claims.clockSkew;
     return known.service == pending.request.service
-            && (known.live || known.lostAt + span.count() >= pending.claimedAt);
+            && (known.live || known.lostAt + margin.count() >= pending.claimedAt);
 }
 
 // A takeover queries every agent, so it needs a list from after the grant: an agent that joined
 // just before may have worked for the lost owner.
-void awaitAgents(EntryState &entry, const claims::AskAnswer &answer, Pending &pending, Time now)
+void awaitAgentList(EntryState &entry, const claims::AskAnswer &answer, Pending &pending, Time now)
 {
     pending.state = PendingState::Refreshing;
     pending.grantedAt = now;
@@ -37,8 +37,8 @@
 
 } // namespace
 
-void adopt(EntryState &entry, const std::string &key, Pending &pending, Time now,
-           EntryActions &actions)
+void takeOver(EntryState &entry, const std::string &key, Pending &pending, Time now,
+              EntryActions &actions)
 {
     const std::int64_t skew = entry.settings.claims.clockSkew.count();
     pending.state = PendingState::Running;
@@ -50,24 +50,24 @@
             takeover.agents.push_back(known.id);
     }
     const dispatch::JobSpec spec = jobSpec(key, pending.request, pending.deadline);
-    carry(entry, dispatch::adoptJob(entry.dispatcher, spec, pending.epoch, takeover, now), now,
-          actions);
+    appendActions(entry, dispatch::adoptJob(entry.dispatcher, spec, pending.epoch, takeover, now),
+                  now, actions);
 }
 
 // [SECTION] Claim answers
 
 namespace {
 
-void takeOwned(EntryState &entry, const std::string &key, Pending &pending,
-               const claims::AskAnswer &answer, Time now, EntryActions &actions)
+void handleOwned(EntryState &entry, const std::string &key, Pending &pending,
+                 const claims::AskAnswer &answer, Time now, EntryActions &actions)
 {
     if (answer.owner == entry.settings.self) {
         const dispatch::Job *job = dispatch::findJob(entry.dispatcher, key);
-        const dispatch::Answer kept = job && job->state == dispatch::JobState::Ended
+        const dispatch::Answer retained = job && job->state == dispatch::JobState::Ended
                 ? job->answer
                 : makeAnswer(Outcome::Unknown, ErrorKind::Expired,
                              "the answer is no longer kept; check the effects of the work");
-        return conclude(entry, key, kept, actions);
+        return finishPending(entry, key, retained, actions);
     }
     ++entry.counters.joins;
     pending.state = PendingState::Joined;
@@ -76,17 +76,17 @@
     sendJoin(entry, key, pending, now, actions);
 }
 
-void takeGrant(EntryState &entry, const std::string &key, Pending &pending,
-               const claims::AskAnswer &answer, Time now, EntryActions &actions)
+void handleGrant(EntryState &entry, const std::string &key, Pending &pending,
+                 const claims::AskAnswer &answer, Time now, EntryActions &actions)
 {
     pending.epoch = answer.epoch;
     // A grant for a job that this incarnation already ran means a fault elsewhere.
     if (dispatch::findJob(entry.dispatcher, key))
-        return takeOwned(entry, key, pending, answer, now, actions);
+        return handleOwned(entry, key, pending, answer, now, actions);
     if (answer.epoch > 1)
-        awaitAgents(entry, answer, pending, now);
+        awaitAgentList(entry, answer, pending, now);
     else
-        runHere(entry, key, pending, now, actions);
+        runLocally(entry, key, pending, now, actions);
 }
 
 dispatch::Answer verdictAnswer(const Pending &pending, claims::Verdict verdict)
@@ -98,7 +98,7 @@
                           "submission");
     case claims::Verdict::NotRun:
         if (pending.refusal.kind != ErrorKind::None)
-            return refused(pending.refusal);
+            return errorAnswer(pending.refusal);
         return makeAnswer(Outcome::NotRun, ErrorKind::Unavailable,
                           "this submission ended as \"not run\"; submit the work with a new id");
     case claims::Verdict::Absent:
@@ -117,18 +117,20 @@
 }
 
 // Releases a grant that arrived after its request expired, so that the job ends as "not run".
-void giveBackLateGrant(EntryState &entry, const claims::AskAnswer &answer, EntryActions &actions)
+void releaseLateGrant(EntryState &entry, const claims::AskAnswer &answer, EntryActions &actions)
 {
     // Work taken over from a lost owner may have run, so only a first grant can be released.
     if (answer.verdict != claims::Verdict::Granted || answer.epoch != 1)
         return;
-    std::deque<AbandonedAsk> &asks = entry.abandonedAsks;
-    const auto found = std::find_if(asks.begin(), asks.end(), [&](const AbandonedAsk &ask) {
-        return ask.job == answer.job && ask.nonce == answer.nonce;
-    });
-    if (found == asks.end())
+    std::deque<AbandonedClaim> &abandoned = entry.abandonedClaims;
+    const auto found = std::find_if(abandoned.begin(), abandoned.end(),
+                                    [&](const AbandonedClaim &claim) {
+                                        return claim.job == answer.job
+                                                && claim.nonce == answer.nonce;
+                                    });
+    if (found == abandoned.end())
         return;
-    asks.erase(found);
+    abandoned.erase(found);
     const claims::Release release { entry.settings.self, answer.job, answer.epoch };
     actions.sends.push_back(
             { claims::homeOf(entry.claims, answer.job).id, claims::ClaimMessage(release) });
@@ -140,26 +142,26 @@
                  EntryActions &actions)
 {
     const auto found = entry.pending.find(answer.job);
-    const bool awaited = found != entry.pending.end() && found->second.state == PendingState::Asking
-            && found->second.nonce == answer.nonce;
+    const bool awaited = found != entry.pending.end()
+            && found->second.state == PendingState::Claiming && found->second.nonce == answer.nonce;
     // A late answer to an earlier incarnation of this entry can carry the same nonce.
     if (answer.verdict == claims::Verdict::Granted && !(answer.owner == entry.settings.self))
         return;
     if (!awaited)
-        return giveBackLateGrant(entry, answer, actions);
+        return releaseLateGrant(entry, answer, actions);
     Pending &pending = found->second;
     if (answer.verdict == claims::Verdict::Retry)
         return; // resent when due
     if (answer.verdict == claims::Verdict::Granted)
-        return takeGrant(entry, answer.job, pending, answer, now, actions);
+        return handleGrant(entry, answer.job, pending, answer, now, actions);
     if (answer.verdict == claims::Verdict::Owned)
-        return takeOwned(entry, answer.job, pending, answer, now, actions);
+        return handleOwned(entry, answer.job, pending, answer, now, actions);
     if (pending.refusal.kind != ErrorKind::None)
         ++entry.counters.refusals;
-    conclude(entry, answer.job, verdictAnswer(pending, answer.verdict), actions);
+    finishPending(entry, answer.job, verdictAnswer(pending, answer.verdict), actions);
 }
 
-void takeReleased(EntryState &entry, const claims::Released &released, EntryActions &actions)
+void handleReleased(EntryState &entry, const claims::Released &released, EntryActions &actions)
 {
     const auto found = entry.pending.find(released.job);
     const bool awaited = found != entry.pending.end()
@@ -167,12 +169,12 @@
             && found->second.epoch == released.epoch;
     if (!awaited)
         return;
-    dispatch::Answer &kept = entry.dispatcher.jobs.at(released.job).answer;
+    dispatch::Answer &retained = entry.dispatcher.jobs.at(released.job).answer;
     if (!released.stillOwner)
-        kept = makeAnswer(
+        retained = makeAnswer(
                 Outcome::Unknown, ErrorKind::WorkerLost,
                 "another entry has taken over this submission; ask again with the same id");
-    conclude(entry, released.job, dispatch::Answer(kept), actions);
+    finishPending(entry, released.job, dispatch::Answer(retained), actions);
 }
 
 // [SECTION] Ends of jobs
@@ -185,7 +187,7 @@
     return pending.request.submission.compare(0, 1, "~") != 0;
 }
 
-void endJob(EntryState &entry, const std::string &key, Time now, EntryActions &actions)
+void handleEndedJob(EntryState &entry, const std::string &key, Time now, EntryActions &actions)
 {
     const auto found = entry.pending.find(key);
     if (found == entry.pending.end())
@@ -193,21 +195,21 @@
     Pending &pending = found->second;
     const dispatch::Answer &answer = entry.dispatcher.jobs.at(key).answer;
     if (answer.outcome != Outcome::NotRun || !hasClaim(pending))
-        return conclude(entry, key, answer, actions);
+        return finishPending(entry, key, answer, actions);
     pending.state = PendingState::Releasing;
-    pending.releaseUntil = now + entry.settings.releaseSpan;
-    pending.sendWait = entry.settings.askInterval;
-    entry.watched.push_back(key);
+    pending.releaseDeadline = now + entry.settings.releaseTimeout;
+    pending.sendWait = entry.settings.claimInterval;
+    entry.remotePending.push_back(key);
     sendRelease(entry, key, pending, now, actions);
 }
 
 } // namespace
 
-void endJobs(EntryState &entry, const std::vector<std::string> &keys, Time now,
-             EntryActions &actions)
+void handleEndedJobs(EntryState &entry, const std::vector<std::string> &keys, Time now,
+                     EntryActions &actions)
 {
     for (const std::string &key : keys)
-        endJob(entry, key, now, actions);
+        handleEndedJob(entry, key, now, actions);
 }
 
 } // namespace foxwing::entry
--- a/packages/entry/src/entry.cpp
+++ b/packages/entry/src/entry.cpp
@@ -3,8 +3,8 @@
 
     [SECTION] Actions
     [SECTION] Submissions
-    [SECTION] Time
-    [SECTION] Entry points
+    [SECTION] Timers
+    [SECTION] Public functions
 */
 #include <foxwing/entry/entry.h>
 
@@ -21,7 +21,7 @@
 namespace {
 
 // Bounds the claim requests that are kept to recognise late grants.
-constexpr std::size_t MostAbandonedAsks = 10000;
+constexpr std::size_t MaxAbandonedClaims = 10000;
 
 // Nonces start at incarnation << NonceBits, so that they differ from earlier incarnations'.
 constexpr int NonceBits = 20;
@@ -30,14 +30,14 @@
 
 // [SECTION] Actions
 
-void carry(EntryState &entry, dispatch::Actions &&from, Time now, EntryActions &actions)
+void appendActions(EntryState &entry, dispatch::Actions &&from, Time now, EntryActions &actions)
 {
     for (dispatch::Outgoing &send : from.sends)
         actions.sends.push_back({ std::move(send.to), std::move(send.message) });
-    endJobs(entry, from.ended, now, actions);
+    handleEndedJobs(entry, from.ended, now, actions);
 }
 
-void carry(claims::ClaimActions &&from, EntryActions &actions)
+void appendActions(claims::ClaimActions &&from, EntryActions &actions)
 {
     for (claims::Outgoing &send : from.sends)
         actions.sends.push_back({ std::move(send.to), std::move(send.message) });
@@ -45,30 +45,31 @@
 
 // [SECTION] Submissions
 
-void runHere(EntryState &entry, const std::string &key, Pending &pending, Time now,
-             EntryActions &actions)
+void runLocally(EntryState &entry, const std::string &key, Pending &pending, Time now,
+                EntryActions &actions)
 {
     pending.state = PendingState::Running;
     const dispatch::JobSpec spec = jobSpec(key, pending.request, pending.deadline);
     std::vector<std::string>().swap(pending.request.payloads);
-    carry(entry, dispatch::submitJob(entry.dispatcher, spec, pending.epoch, now), now, actions);
+    appendActions(entry, dispatch::submitJob(entry.dispatcher, spec, pending.epoch, now), now,
+                  actions);
 }
 
-void startAsking(EntryState &entry, const std::string &key, Pending &pending, Time now,
-                 EntryActions &actions)
+void startClaim(EntryState &entry, const std::string &key, Pending &pending, Time now,
+                EntryActions &actions)
 {
-    entry.watched.push_back(key);
-    sendAsk(entry, key, pending, now, actions);
+    entry.remotePending.push_back(key);
+    sendClaimRequest(entry, key, pending, now, actions);
 }
 
-void askAnew(EntryState &entry, const std::string &key, Pending &pending, Time now,
-             EntryActions &actions)
+void restartClaim(EntryState &entry, const std::string &key, Pending &pending, Time now,
+                  EntryActions &actions)
 {
-    pending.state = PendingState::Asking;
+    pending.state = PendingState::Claiming;
     pending.handedOff = false;
     pending.nonce = entry.nextNonce++;
-    pending.sendWait = entry.settings.askInterval;
-    sendAsk(entry, key, pending, now, actions);
+    pending.sendWait = entry.settings.claimInterval;
+    sendClaimRequest(entry, key, pending, now, actions);
 }
 
 namespace {
@@ -79,15 +80,15 @@
 {
     request.submission = "~" + entry.settings.self.id + "."
             + std::to_string(entry.settings.self.incarnation) + "."
-            + std::to_string(entry.nextAnonymous++);
+            + std::to_string(entry.nextAnonymousId++);
     const std::string key = keyOf(request.team, request.submission);
     if (refusal) {
         ++entry.counters.refusals;
-        return reply(entry, request.waiter, key, refused(*refusal), actions);
+        return reply(entry, request.waiter, key, errorAnswer(*refusal), actions);
     }
     Pending &pending = addPending(entry, key, request, now + request.timeLeft);
     addWaiter(entry, pending, request.waiter);
-    runHere(entry, key, pending, now, actions);
+    runLocally(entry, key, pending, now, actions);
 }
 
 // Joins pending work of this entry with the same key. Returns false if there is none.
@@ -113,27 +114,27 @@
 }
 
 // Turns a pending lookup of this id into a submission, now that the body is known.
-bool completeLookUp(EntryState &entry, const std::string &key, const SubmitRequest &request,
-                    Time now, EntryActions &actions)
+bool upgradeLookup(EntryState &entry, const std::string &key, const SubmitRequest &request,
+                   Time now, EntryActions &actions)
 {
     const auto found = entry.pending.find(key);
-    if (found == entry.pending.end() || !found->second.lookOnly
-        || found->second.state != PendingState::Asking)
+    if (found == entry.pending.end() || !found->second.lookupOnly
+        || found->second.state != PendingState::Claiming)
         return false;
     Pending &pending = found->second;
     pending.request = request;
-    pending.lookOnly = false;
+    pending.lookupOnly = false;
     pending.deadline = now + request.timeLeft;
     pending.nonce = entry.nextNonce++;
-    pending.sendWait = entry.settings.askInterval;
+    pending.sendWait = entry.settings.claimInterval;
     addWaiter(entry, pending, request.waiter);
-    sendAsk(entry, key, pending, now, actions);
+    sendClaimRequest(entry, key, pending, now, actions);
     return true;
 }
 
-void lookUp(EntryState &entry, WaiterId waiter, const std::string &team,
-            const std::string &submission, bool cancelling, Time deadline, Time now,
-            EntryActions &actions)
+void startLookup(EntryState &entry, WaiterId waiter, const std::string &team,
+                 const std::string &submission, bool cancelling, Time deadline, Time now,
+                 EntryActions &actions)
 {
     SubmitRequest request;
     request.waiter = waiter;
@@ -141,13 +142,13 @@
     request.submission = submission;
     const std::string key = keyOf(team, submission);
     Pending &pending = addPending(entry, key, request, deadline);
-    pending.lookOnly = true;
+    pending.lookupOnly = true;
     pending.cancel = cancelling;
     addWaiter(entry, pending, waiter);
-    startAsking(entry, key, pending, now, actions);
+    startClaim(entry, key, pending, now, actions);
 }
 
-bool answerEnded(EntryState &entry, const std::string &key, WaiterId waiter, EntryActions &actions)
+bool replyIfEnded(EntryState &entry, const std::string &key, WaiterId waiter, EntryActions &actions)
 {
     const dispatch::Job *job = dispatch::findJob(entry.dispatcher, key);
     if (!job || job->state != dispatch::JobState::Ended || entry.pending.count(key) != 0)
@@ -156,24 +157,25 @@
     return true;
 }
 
-// [SECTION] Time
+// [SECTION] Timers
 
-void giveUp(EntryState &entry, const std::string &key, Pending &pending, EntryActions &actions)
+void expirePending(EntryState &entry, const std::string &key, Pending &pending,
+                   EntryActions &actions)
 {
     if (pending.state == PendingState::Releasing)
         entry.dispatcher.jobs.at(key).answer =
                 makeAnswer(Outcome::Unknown, ErrorKind::Unavailable,
                            "nothing ran here, but the claim could not be released; ask again with "
                            "the same id");
-    if (pending.state == PendingState::Asking && !pending.lookOnly) {
-        entry.abandonedAsks.push_back({ key, pending.nonce });
-        if (entry.abandonedAsks.size() > MostAbandonedAsks)
-            entry.abandonedAsks.pop_front();
+    if (pending.state == PendingState::Claiming && !pending.lookupOnly) {
+        entry.abandonedClaims.push_back({ key, pending.nonce });
+        if (entry.abandonedClaims.size() > MaxAbandonedClaims)
+            entry.abandonedClaims.pop_front();
     }
     const dispatch::Answer unknown = makeAnswer(Outcome::Unknown, ErrorKind::DeadlinePassed,
                                                 "the entry responsible for this submission did "
                                                 "not answer in time; ask again with the same id");
-    conclude(entry, key, unknown, actions);
+    finishPending(entry, key, unknown, actions);
 }
 
 // Returns true while the submission still waits for another process.
@@ -183,24 +185,24 @@
     if (pending.state == PendingState::Running)
         return false;
     const bool releasing = pending.state == PendingState::Releasing;
-    if (now >= (releasing ? pending.releaseUntil : pending.deadline)) {
-        giveUp(entry, key, pending, actions);
+    if (now >= (releasing ? pending.releaseDeadline : pending.deadline)) {
+        expirePending(entry, key, pending, actions);
         return false;
     }
     const bool ownerLost = pending.state == PendingState::Joined
             && !claims::isMember(entry.claims.view, pending.owner);
     if (ownerLost)
-        askAnew(entry, key, pending, now, actions);
+        restartClaim(entry, key, pending, now, actions);
     if (pending.state == PendingState::Refreshing) {
         const bool refreshed = entry.claims.masterHeardAt > pending.grantedAt;
         if (refreshed)
-            adopt(entry, key, pending, now, actions);
+            takeOver(entry, key, pending, now, actions);
         return !refreshed;
     }
     if (now < pending.nextSend)
         return true;
-    if (pending.state == PendingState::Asking)
-        sendAsk(entry, key, pending, now, actions);
+    if (pending.state == PendingState::Claiming)
+        sendClaimRequest(entry, key, pending, now, actions);
     else if (pending.state == PendingState::Joined)
         sendJoin(entry, key, pending, now, actions);
     else
@@ -208,22 +210,22 @@
     return true;
 }
 
-void tickWatched(EntryState &entry, Time now, EntryActions &actions)
+void tickRemotePending(EntryState &entry, Time now, EntryActions &actions)
 {
     std::vector<std::string> keys;
-    keys.swap(entry.watched);
+    keys.swap(entry.remotePending);
     for (std::string &key : keys) {
         const auto found = entry.pending.find(key);
         if (found == entry.pending.end())
             continue;
         if (tickPending(entry, key, found->second, now, actions))
-            entry.watched.push_back(std::move(key));
+            entry.remotePending.push_back(std::move(key));
     }
 }
 
 } // namespace
 
-// [SECTION] Entry points
+// [SECTION] Public functions
 
 EntryState makeEntry(const EntrySettings &settings)
 {
@@ -244,23 +246,23 @@
     EntryActions actions;
     ++entry.counters.submissions;
     const std::string key = keyOf(request.team, request.submission);
-    if (const std::optional<Error> error = invalid(entry, request, wallNow)) {
+    if (const std::optional<Error> error = validate(entry, request, wallNow)) {
         ++entry.counters.refusals;
-        reply(entry, request.waiter, key, refused(*error), actions);
+        reply(entry, request.waiter, key, errorAnswer(*error), actions);
         return actions;
     }
-    if (const std::optional<Error> away = outOfService(entry, request, now)) {
+    if (const std::optional<Error> unavailable = checkAvailability(entry, request, now)) {
         ++entry.counters.refusals;
-        reply(entry, request.waiter, key, refused(*away), actions);
+        reply(entry, request.waiter, key, errorAnswer(*unavailable), actions);
         return actions;
     }
     const bool anonymous = request.submission.empty();
-    const bool known = !anonymous
-            && (completeLookUp(entry, key, request, now, actions)
+    const bool joined = !anonymous
+            && (upgradeLookup(entry, key, request, now, actions)
                 || joinLocal(entry, key, request.waiter, request.digest, actions));
-    if (known)
+    if (joined)
         return actions;
-    if (const std::optional<claims::Replica> owner = otherOwner(entry, request, now)) {
+    if (const std::optional<claims::Replica> owner = choosePeer(entry, request, now)) {
         handOff(entry, request, *owner, now, wallNow, actions);
         return actions;
     }
@@ -276,7 +278,7 @@
     if (refusal)
         pending.refusal = *refusal;
     addWaiter(entry, pending, request.waiter);
-    startAsking(entry, key, pending, now, actions);
+    startClaim(entry, key, pending, now, actions);
     return actions;
 }
 
@@ -285,10 +287,10 @@
 {
     EntryActions actions;
     const std::string key = keyOf(team, submission);
-    if (answerEnded(entry, key, waiter, actions))
+    if (replyIfEnded(entry, key, waiter, actions))
         return actions;
     if (!joinLocal(entry, key, waiter, {}, actions))
-        lookUp(entry, waiter, team, submission, false, deadline, now, actions);
+        startLookup(entry, waiter, team, submission, false, deadline, now, actions);
     return actions;
 }
 
@@ -297,16 +299,16 @@
 {
     EntryActions actions;
     const std::string key = keyOf(team, submission);
-    if (answerEnded(entry, key, waiter, actions))
+    if (replyIfEnded(entry, key, waiter, actions))
         return actions;
     if (!joinLocal(entry, key, waiter, {}, actions)) {
-        lookUp(entry, waiter, team, submission, true, deadline, now, actions);
+        startLookup(entry, waiter, team, submission, true, deadline, now, actions);
         return actions;
     }
     Pending &pending = entry.pending.at(key);
     pending.cancel = true;
     if (pending.state == PendingState::Running)
-        carry(entry, dispatch::cancelJob(entry.dispatcher, key, now), now, actions);
+        appendActions(entry, dispatch::cancelJob(entry.dispatcher, key, now), now, actions);
     else if (pending.state == PendingState::Joined)
         sendJoin(entry, key, pending, now, actions);
     return actions;
@@ -328,7 +330,7 @@
 EntryActions handleAgent(EntryState &entry, const agent::FromAgent &message, Time now)
 {
     EntryActions actions;
-    carry(entry, dispatch::handle(entry.dispatcher, message, now), now, actions);
+    appendActions(entry, dispatch::handle(entry.dispatcher, message, now), now, actions);
     return actions;
 }
 
@@ -339,9 +341,9 @@
     if (const auto *answer = std::get_if<claims::AskAnswer>(&message))
         takeVerdict(entry, *answer, now, actions);
     else if (const auto *released = std::get_if<claims::Released>(&message))
-        takeReleased(entry, *released, actions);
+        handleReleased(entry, *released, actions);
     else
-        carry(claims::handle(entry.claims, message, now, wallNow), actions);
+        appendActions(claims::handle(entry.claims, message, now, wallNow), actions);
     return actions;
 }
 
@@ -350,14 +352,15 @@
     EntryActions actions;
     if (const auto *join = std::get_if<Join>(&message)) {
         if (join->cancel)
-            carry(entry, dispatch::cancelJob(entry.dispatcher, join->job, now), now, actions);
+            appendActions(entry, dispatch::cancelJob(entry.dispatcher, join->job, now), now,
+                          actions);
         handleJoin(entry, *join, actions);
     } else if (const auto *answer = std::get_if<JoinAnswer>(&message)) {
-        takeJoinAnswer(entry, *answer, now, actions);
+        handleJoinAnswer(entry, *answer, now, actions);
     } else if (const auto *handoff = std::get_if<Handoff>(&message)) {
-        takeHandoff(entry, *handoff, now, actions);
+        handleHandoff(entry, *handoff, now, actions);
     } else if (const auto *report = std::get_if<LoadReport>(&message)) {
-        takeLoadReport(entry.placement, *report, now);
+        handleLoadReport(entry.placement, *report, now);
     }
     return actions;
 }
@@ -365,26 +368,26 @@
 EntryActions sendFailed(EntryState &entry, const agent::ToAgent &message, Time now)
 {
     EntryActions actions;
-    carry(entry, dispatch::sendFailed(entry.dispatcher, message, now), now, actions);
+    appendActions(entry, dispatch::sendFailed(entry.dispatcher, message, now), now, actions);
     return actions;
 }
 
 EntryActions setView(EntryState &entry, const claims::View &view, Time now)
 {
     EntryActions actions;
-    carry(claims::setView(entry.claims, view, now), actions);
-    tickWatched(entry, now, actions);
+    appendActions(claims::setView(entry.claims, view, now), actions);
+    tickRemotePending(entry, now, actions);
     return actions;
 }
 
 EntryActions tick(EntryState &entry, Time now, WallTime wallNow)
 {
     EntryActions actions;
-    carry(entry, dispatch::tick(entry.dispatcher, now), now, actions);
-    carry(claims::tick(entry.claims, now, wallNow), actions);
-    tickWatched(entry, now, actions);
+    appendActions(entry, dispatch::tick(entry.dispatcher, now), now, actions);
+    appendActions(claims::tick(entry.claims, now, wallNow), actions);
+    tickRemotePending(entry, now, actions);
     balance(entry, now, actions);
-    entry.wasInService = entry.wasInService || claims::allShardsActive(entry.claims);
+    entry.shardsWereActive = entry.shardsWereActive || claims::allShardsActive(entry.claims);
     return actions;
 }
 
@@ -396,7 +399,7 @@
 
 bool ready(const EntryState &entry, Time now)
 {
-    return !entry.leaving && hasFreshConfiguration(entry, now) && entry.wasInService;
+    return !entry.leaving && hasFreshConfiguration(entry, now) && entry.shardsWereActive;
 }
 
 bool drained(const EntryState &entry)
--- a/packages/entry/src/internal.h
+++ b/packages/entry/src/internal.h
@@ -15,8 +15,8 @@
 // [SECTION] Actions
 
 // Appends actions of the dispatcher or the claim table. Callers of jobs that ended are answered.
-void carry(EntryState &entry, dispatch::Actions &&from, Time now, EntryActions &actions);
-void carry(claims::ClaimActions &&from, EntryActions &actions);
+void appendActions(EntryState &entry, dispatch::Actions &&from, Time now, EntryActions &actions);
+void appendActions(claims::ClaimActions &&from, EntryActions &actions);
 
 // [SECTION] Admission
 
@@ -24,15 +24,16 @@
 std::string keyOf(const std::string &team, const std::string &submission);
 
 // Wraps an error as an answer.
-dispatch::Answer refused(Error error);
+dispatch::Answer errorAnswer(Error error);
 
 // Returns an error while this entry accepts no work. A submission with an id may be running on
 // another entry, so only one without is reported as "not run". Another entry can take either.
-std::optional<Error> outOfService(const EntryState &entry, const SubmitRequest &request, Time now);
+std::optional<Error> checkAvailability(const EntryState &entry, const SubmitRequest &request,
+                                       Time now);
 
 // Checks a request by itself. An invalid one can't have been accepted before.
-std::optional<Error> invalid(const EntryState &entry, const SubmitRequest &request,
-                             WallTime wallNow);
+std::optional<Error> validate(const EntryState &entry, const SubmitRequest &request,
+                              WallTime wallNow);
 
 // Converts a request for the dispatcher.
 dispatch::JobSpec jobSpec(const std::string &key, const SubmitRequest &request, Time deadline);
@@ -42,39 +43,39 @@
                     Time deadline);
 
 // Submits to the local dispatcher. The claim must be held, unless none is needed.
-void runHere(EntryState &entry, const std::string &key, Pending &pending, Time now,
-             EntryActions &actions);
+void runLocally(EntryState &entry, const std::string &key, Pending &pending, Time now,
+                EntryActions &actions);
 
-// Requests the claim from its home, and repeats the request until it is answered.
-void startAsking(EntryState &entry, const std::string &key, Pending &pending, Time now,
-                 EntryActions &actions);
+// Requests the claim from its primary, and repeats the request until it is answered.
+void startClaim(EntryState &entry, const std::string &key, Pending &pending, Time now,
+                EntryActions &actions);
 
 // [SECTION] Claims
 
 // Requests the claim again after the owner was lost or refused the handoff. If the body is at hand,
 // this entry can take the job over.
-void askAnew(EntryState &entry, const std::string &key, Pending &pending, Time now,
-             EntryActions &actions);
+void restartClaim(EntryState &entry, const std::string &key, Pending &pending, Time now,
+                  EntryActions &actions);
 
-// Handles the reply of a claim's home.
+// Handles the reply of a claim's primary.
 void takeVerdict(EntryState &entry, const claims::AskAnswer &answer, Time now,
                  EntryActions &actions);
 
-// The home recorded that the job never runs, or found that another entry owns it by now.
-void takeReleased(EntryState &entry, const claims::Released &released, EntryActions &actions);
+// The primary recorded that the job never runs, or found that another entry owns it by now.
+void handleReleased(EntryState &entry, const claims::Released &released, EntryActions &actions);
 
 // Takes over the job of a lost owner, once the list of agents is fresh.
-void adopt(EntryState &entry, const std::string &key, Pending &pending, Time now,
-           EntryActions &actions);
+void takeOver(EntryState &entry, const std::string &key, Pending &pending, Time now,
+              EntryActions &actions);
 
-// Answers the callers of jobs that ended. "Not run" waits for confirmation by the claim's home.
-void endJobs(EntryState &entry, const std::vector<std::string> &keys, Time now,
-             EntryActions &actions);
+// Answers the callers of jobs that ended. "Not run" waits for confirmation by the claim's primary.
+void handleEndedJobs(EntryState &entry, const std::vector<std::string> &keys, Time now,
+                     EntryActions &actions);
 
 // [SECTION] Other entries
 
 // Returns the peer that should own this submission, or nothing if this entry should.
-std::optional<claims::Replica> otherOwner(EntryState &entry, const SubmitRequest &request,
+std::optional<claims::Replica> choosePeer(EntryState &entry, const SubmitRequest &request,
                                           Time now);
 
 // Sends the submission to another entry. A request without an id gets one, so that a repeated
@@ -83,10 +84,10 @@
              WallTime wallNow, EntryActions &actions);
 
 // Accepts work from a peer. It is claimed like any other, and never handed on.
-void takeHandoff(EntryState &entry, const Handoff &handoff, Time now, EntryActions &actions);
+void handleHandoff(EntryState &entry, const Handoff &handoff, Time now, EntryActions &actions);
 
 // Handles the answer of the entry that runs a job for callers of this one.
-void takeJoinAnswer(EntryState &entry, const JoinAnswer &joined, Time now, EntryActions &actions);
+void handleJoinAnswer(EntryState &entry, const JoinAnswer &joined, Time now, EntryActions &actions);
 
 // Reports load to the peers, and moves a worker if one is due.
 void balance(EntryState &entry, Time now, EntryActions &actions);
--- a/packages/entry/src/joining.cpp
+++ b/packages/entry/src/joining.cpp
@@ -45,15 +45,15 @@
 
 namespace {
 
-JoinAnswer joinAnswer(const std::string &key, const dispatch::Answer &answer)
+JoinAnswer makeJoinAnswer(const std::string &key, const dispatch::Answer &answer)
 {
     return { key, answer.outcome, answer.results, answer.error.kind, answer.error.message };
 }
 
 } // namespace
 
-void conclude(EntryState &entry, const std::string &key, const dispatch::Answer &answer,
-              EntryActions &actions)
+void finishPending(EntryState &entry, const std::string &key, const dispatch::Answer &answer,
+                   EntryActions &actions)
 {
     const auto found = entry.pending.find(key);
     if (found == entry.pending.end())
@@ -63,42 +63,42 @@
     for (const WaiterId waiter : pending.waiters)
         reply(entry, waiter, key, answer, actions);
     for (const std::string &joiner : pending.joinedBy)
-        actions.sends.push_back({ joiner, EntryMessage(joinAnswer(key, answer)) });
+        actions.sends.push_back({ joiner, EntryMessage(makeJoinAnswer(key, answer)) });
 }
 
 // [SECTION] Requests
 
 namespace {
 
-void scheduleNext(Pending &pending, Time now, Milliseconds longest)
+void scheduleResend(Pending &pending, Time now, Milliseconds maxDelay)
 {
     pending.nextSend = now + pending.sendWait;
-    pending.sendWait = std::min(pending.sendWait * 2, longest);
+    pending.sendWait = std::min(pending.sendWait * 2, maxDelay);
 }
 
 } // namespace
 
-void sendAsk(EntryState &entry, const std::string &key, Pending &pending, Time now,
-             EntryActions &actions)
+void sendClaimRequest(EntryState &entry, const std::string &key, Pending &pending, Time now,
+                      EntryActions &actions)
 {
     const claims::Replica home = claims::homeOf(entry.claims, key);
-    claims::Ask ask;
-    ask.from = entry.settings.self;
-    ask.job = key;
-    ask.digest = pending.request.digest;
-    ask.nonce = pending.nonce;
-    if (pending.lookOnly)
-        ask.kind = claims::AskKind::Look;
+    claims::Ask request;
+    request.from = entry.settings.self;
+    request.job = key;
+    request.digest = pending.request.digest;
+    request.nonce = pending.nonce;
+    if (pending.lookupOnly)
+        request.kind = claims::AskKind::Look;
     else if (pending.refusal.kind != ErrorKind::None)
-        ask.kind = claims::AskKind::Refuse;
+        request.kind = claims::AskKind::Refuse;
     if (!home.id.empty())
-        actions.sends.push_back({ home.id, claims::ClaimMessage(ask) });
-    scheduleNext(pending, now, entry.settings.longestAskInterval);
+        actions.sends.push_back({ home.id, claims::ClaimMessage(request) });
+    scheduleResend(pending, now, entry.settings.maxClaimInterval);
 }
 
 namespace {
 
-Handoff handoffOf(const EntryState &entry, const Pending &pending, Time now)
+Handoff makeHandoff(const EntryState &entry, const Pending &pending, Time now)
 {
     const SubmitRequest &request = pending.request;
     Handoff handoff;
@@ -122,12 +122,13 @@
               EntryActions &actions)
 {
     if (pending.handedOff && !pending.cancel)
-        actions.sends.push_back({ pending.owner.id, EntryMessage(handoffOf(entry, pending, now)) });
+        actions.sends.push_back(
+                { pending.owner.id, EntryMessage(makeHandoff(entry, pending, now)) });
     else
         actions.sends.push_back(
                 { pending.owner.id,
                   EntryMessage(Join { entry.settings.self.id, key, pending.cancel }) });
-    scheduleNext(pending, now, entry.settings.longestJoinInterval);
+    scheduleResend(pending, now, entry.settings.maxJoinInterval);
 }
 
 void sendRelease(EntryState &entry, const std::string &key, Pending &pending, Time now,
@@ -137,7 +138,7 @@
     const claims::Release release { entry.settings.self, key, pending.epoch };
     if (!home.id.empty())
         actions.sends.push_back({ home.id, claims::ClaimMessage(release) });
-    scheduleNext(pending, now, entry.settings.longestAskInterval);
+    scheduleResend(pending, now, entry.settings.maxClaimInterval);
 }
 
 // [SECTION] Joins
@@ -157,7 +158,7 @@
             ? job->answer
             : makeAnswer(Outcome::Unknown, ErrorKind::Expired,
                          "the answer is no longer kept; check the effects of the work");
-    actions.sends.push_back({ join.from, EntryMessage(joinAnswer(join.job, answer)) });
+    actions.sends.push_back({ join.from, EntryMessage(makeJoinAnswer(join.job, answer)) });
 }
 
 } // namespace foxwing::entry
--- a/packages/entry/src/joining.h
+++ b/packages/entry/src/joining.h
@@ -15,22 +15,22 @@
 void addWaiter(EntryState &entry, Pending &pending, WaiterId waiter);
 
 // Answers all waiters and joined entries, and removes the pending submission.
-void conclude(EntryState &entry, const std::string &key, const dispatch::Answer &answer,
-              EntryActions &actions);
+void finishPending(EntryState &entry, const std::string &key, const dispatch::Answer &answer,
+                   EntryActions &actions);
 
 // Replies to one caller and counts the outcome.
 void reply(EntryState &entry, WaiterId waiter, const std::string &key,
            const dispatch::Answer &answer, EntryActions &actions);
 
-// Sends or resends the claim request to the claim's home.
-void sendAsk(EntryState &entry, const std::string &key, Pending &pending, Time now,
-             EntryActions &actions);
+// Sends or resends the claim request to the claim's primary.
+void sendClaimRequest(EntryState &entry, const std::string &key, Pending &pending, Time now,
+                      EntryActions &actions);
 
 // Sends or resends the handoff, or a join to get the answer, to the owner.
 void sendJoin(EntryState &entry, const std::string &key, Pending &pending, Time now,
               EntryActions &actions);
 
-// Reports to the home, or reports again, that nothing of a job ran.
+// Reports to the primary, or reports again, that nothing of a job ran.
 void sendRelease(EntryState &entry, const std::string &key, Pending &pending, Time now,
                  EntryActions &actions);
 
--- a/packages/entry/src/peers.cpp
+++ b/packages/entry/src/peers.cpp
@@ -15,7 +15,7 @@
 
 // [SECTION] Outgoing work
 
-std::optional<claims::Replica> otherOwner(EntryState &entry, const SubmitRequest &request, Time now)
+std::optional<claims::Replica> choosePeer(EntryState &entry, const SubmitRequest &request, Time now)
 {
     const std::string owner = chooseOwner(entry.placement, request.service,
                                           dispatch::serviceLoad(entry.dispatcher, request.service),
@@ -40,7 +40,7 @@
     pending.owner = owner;
     pending.sendWait = entry.settings.joinInterval;
     addWaiter(entry, pending, request.waiter);
-    entry.watched.push_back(key);
+    entry.remotePending.push_back(key);
     sendJoin(entry, key, pending, now, actions);
 }
 
@@ -48,7 +48,7 @@
 
 namespace {
 
-SubmitRequest requestOf(const Handoff &handoff)
+SubmitRequest makeRequest(const Handoff &handoff)
 {
     SubmitRequest request;
     request.team = handoff.team;
@@ -66,7 +66,7 @@
 
 } // namespace
 
-void takeHandoff(EntryState &entry, const Handoff &handoff, Time now, EntryActions &actions)
+void handleHandoff(EntryState &entry, const Handoff &handoff, Time now, EntryActions &actions)
 {
     const std::string key = keyOf(handoff.team, handoff.submission);
     const dispatch::Job *job = dispatch::findJob(entry.dispatcher, key);
@@ -77,7 +77,7 @@
         actions.sends.push_back({ handoff.from, EntryMessage(leaving) });
         return;
     }
-    const SubmitRequest request = requestOf(handoff);
+    const SubmitRequest request = makeRequest(handoff);
     const Time deadline = now + request.timeLeft;
     const std::optional<Error> refusal = dispatch::refuseJob(entry.dispatcher,
                                                              jobSpec(key, request, deadline), now);
@@ -85,38 +85,39 @@
     pending.joinedBy.push_back(handoff.from);
     if (refusal)
         pending.refusal = *refusal;
-    startAsking(entry, key, pending, now, actions);
+    startClaim(entry, key, pending, now, actions);
 }
 
-void takeJoinAnswer(EntryState &entry, const JoinAnswer &joined, Time now, EntryActions &actions)
+void handleJoinAnswer(EntryState &entry, const JoinAnswer &joined, Time now, EntryActions &actions)
 {
     const auto found = entry.pending.find(joined.job);
     if (found == entry.pending.end() || found->second.state != PendingState::Joined)
         return;
     Pending &pending = found->second;
     if (joined.kind == ErrorKind::Leaving && pending.handedOff)
-        return askAnew(entry, joined.job, pending, now, actions);
+        return restartClaim(entry, joined.job, pending, now, actions);
     dispatch::Answer answer = makeAnswer(joined.outcome, joined.kind, joined.message);
     answer.results = joined.results;
-    conclude(entry, joined.job, answer, actions);
+    finishPending(entry, joined.job, answer, actions);
 }
 
 // [SECTION] Balance
 
 void balance(EntryState &entry, Time now, EntryActions &actions)
 {
-    const auto report = dueReport(entry.placement, entry.dispatcher, entry.leaving, now);
+    const auto report = reportIfDue(entry.placement, entry.dispatcher, entry.leaving, now);
     if (report) {
         for (const claims::Member &member : entry.claims.view.members) {
             if (member.replica.id != entry.settings.self.id)
                 actions.sends.push_back({ member.replica.id, EntryMessage(*report) });
         }
     }
-    if (const auto advice = adviseYield(entry.placement, entry.dispatcher, now))
-        carry(entry,
-              dispatch::yieldWorker(entry.dispatcher, advice->service, advice->successor,
-                                    advice->successorDataCentre, advice->successorStarved),
-              now, actions);
+    if (const auto transfer = chooseTransfer(entry.placement, entry.dispatcher, now))
+        appendActions(entry,
+                      dispatch::yieldWorker(entry.dispatcher, transfer->service,
+                                            transfer->successor, transfer->successorDataCentre,
+                                            transfer->successorStarved),
+                      now, actions);
 }
 
 } // namespace foxwing::entry
--- a/packages/entry/src/placement.cpp
+++ b/packages/entry/src/placement.cpp
@@ -25,9 +25,9 @@
                           });
 }
 
-bool believable(const Placement &placement, const PeerLoad &peer, Time now)
+bool isUsable(const Placement &placement, const PeerLoad &peer, Time now)
 {
-    return !peer.report.leaving && now < peer.heardAt + placement.settings.reportLife;
+    return !peer.report.leaving && now < peer.heardAt + placement.settings.maxReportAge;
 }
 
 const ReportedLoad *findLoad(const LoadReport &report, const std::string &service)
@@ -45,19 +45,19 @@
 double expectedWait(std::uint32_t slots, std::uint32_t busy, std::uint32_t waiting,
                     std::uint32_t tasks)
 {
-    constexpr double Never = 1e9;
+    constexpr double InfiniteWait = 1e9;
     if (slots == 0)
-        return Never;
+        return InfiniteWait;
     const std::uint32_t wanted = busy + waiting + tasks;
     return wanted <= slots ? 0 : static_cast<double>(wanted - slots) / slots;
 }
 
 // A handoff costs two messages and a little time, so it must shorten the wait by at least this.
-constexpr double WorthHandingOver = 0.05;
+constexpr double MinWaitGain = 0.05;
 
 } // namespace
 
-void takeLoadReport(Placement &placement, const LoadReport &report, Time now)
+void handleLoadReport(Placement &placement, const LoadReport &report, Time now)
 {
     placement.peers[report.from] = { report, now };
 }
@@ -69,11 +69,11 @@
     const bool local = placement.settings.policy == PlacementPolicy::Local && own.slots > 0;
     if (ownWait == 0 || local)
         return placement.settings.self;
-    double bestWait = ownWait - WorthHandingOver;
+    double bestWait = ownWait - MinWaitGain;
     PeerLoad *best = nullptr;
     for (auto &peer : placement.peers) {
         const ReportedLoad *load = findLoad(peer.second.report, service);
-        if (!load || !believable(placement, peer.second, now))
+        if (!load || !isUsable(placement, peer.second, now))
             continue;
         const double wait = expectedWait(load->slots, load->busy, load->waiting, tasks);
         if (wait >= bestWait)
@@ -90,8 +90,8 @@
     return best->report.from;
 }
 
-std::optional<LoadReport> dueReport(Placement &placement, const dispatch::Dispatcher &dispatcher,
-                                    bool leaving, Time now)
+std::optional<LoadReport> reportIfDue(Placement &placement, const dispatch::Dispatcher &dispatcher,
+                                      bool leaving, Time now)
 {
     if (now < placement.nextReport)
         return std::nullopt;
@@ -103,11 +103,11 @@
         const dispatch::ServiceLoad load = dispatch::serviceLoad(dispatcher, service.first);
         report.loads.push_back({ service.first, load.slots, load.busy, load.waiting });
     }
-    if (sameLoads(report, placement.lastSent) && now < placement.nextQuietReport)
+    if (sameLoads(report, placement.lastReport) && now < placement.nextForcedReport)
         return std::nullopt;
-    placement.nextReport = now + placement.settings.reportInterval;
-    placement.nextQuietReport = now + placement.settings.quietInterval;
-    placement.lastSent = report;
+    placement.nextReport = now + placement.settings.minReportInterval;
+    placement.nextForcedReport = now + placement.settings.maxReportInterval;
+    placement.lastReport = report;
     return report;
 }
 
@@ -116,17 +116,17 @@
 namespace {
 
 // An entry with work and no worker can't wait until a peer has an idle one.
-bool isStuck(const ReportedLoad &load)
+bool isStarved(const ReportedLoad &load)
 {
     return load.slots == 0 && load.waiting > 0;
 }
 
-bool shouldYield(const dispatch::ServiceState &own, const ReportedLoad &peer)
+bool shouldTransfer(const dispatch::ServiceState &own, const ReportedLoad &peer)
 {
     const std::uint32_t workers = own.pool.leasedWorkers;
     if (workers == 0)
         return false;
-    if (isStuck(peer))
+    if (isStarved(peer))
         return workers > 1 || own.waitingTasks == 0;
     const std::uint32_t slotsOfOne = own.pool.slots / workers;
     return peer.slots + 2 * slotsOfOne <= own.pool.slots;
@@ -134,23 +134,23 @@
 
 } // namespace
 
-std::optional<YieldAdvice> adviseYield(Placement &placement, const dispatch::Dispatcher &dispatcher,
-                                       Time now)
+std::optional<WorkerTransfer> chooseTransfer(Placement &placement,
+                                             const dispatch::Dispatcher &dispatcher, Time now)
 {
-    if (now < placement.nextYield)
+    if (now < placement.nextTransfer)
         return std::nullopt;
     for (const auto &peer : placement.peers) {
-        if (!believable(placement, peer.second, now))
+        if (!isUsable(placement, peer.second, now))
             continue;
         for (const auto &service : dispatcher.services) {
             // A peer that does not report the service has no slots for it.
             const ReportedLoad none { service.first, 0, 0, 0 };
             const ReportedLoad *load = findLoad(peer.second.report, service.first);
-            if (!shouldYield(service.second, load ? *load : none))
+            if (!shouldTransfer(service.second, load ? *load : none))
                 continue;
-            placement.nextYield = now + placement.settings.yieldInterval;
-            return YieldAdvice { service.first, peer.first, peer.second.report.dataCentre,
-                                 isStuck(load ? *load : none) };
+            placement.nextTransfer = now + placement.settings.transferInterval;
+            return WorkerTransfer { service.first, peer.first, peer.second.report.dataCentre,
+                                    isStarved(load ? *load : none) };
         }
     }
     return std::nullopt;
--- a/packages/entry/src/teams.cpp
+++ b/packages/entry/src/teams.cpp
@@ -19,12 +19,12 @@
 std::optional<std::string> authenticate(const Registry &registry, const std::string &token,
                                         Error *reason)
 {
-    static const Team nobody { "", "no salt", std::string(64, '0'), 1, 0 };
+    static const Team dummyTeam { "", "no salt", std::string(64, '0'), 1, 0 };
     const std::size_t dot = token.find('.');
     const std::string name = token.substr(0, dot);
     const std::string secret = dot == std::string::npos ? std::string() : token.substr(dot + 1);
     const auto found = registry.teams.find(name);
-    const Team &team = found == registry.teams.end() ? nobody : found->second;
+    const Team &team = found == registry.teams.end() ? dummyTeam : found->second;
     const bool same = equalInConstantTime(hashSecret(team.salt, secret), team.tokenHash);
     if (!same || found == registry.teams.end())
         return fail(reason, ErrorKind::Unauthenticated,
--- a/packages/entry/tests/entry_test.cpp
+++ b/packages/entry/tests/entry_test.cpp
@@ -30,7 +30,7 @@
     return entry;
 }
 
-SubmitRequest goodRequest()
+SubmitRequest validRequest()
 {
     SubmitRequest request;
     request.waiter = 7;
@@ -47,19 +47,19 @@
 struct BadSubmission
 {
     const char *name;
-    void (*spoil)(EntryState &, SubmitRequest &);
+    void (*mutate)(EntryState &, SubmitRequest &);
     ErrorKind kind;
     const char *remedy;
 };
 
-class Refused : public testing::TestWithParam<BadSubmission>
+class InvalidSubmission : public testing::TestWithParam<BadSubmission>
 { };
 
-TEST_P(Refused, AtOnceAndWithTheRemedy)
+TEST_P(InvalidSubmission, IsRefusedWithARemedy)
 {
     EntryState entry = configuredEntry();
-    SubmitRequest request = goodRequest();
-    GetParam().spoil(entry, request);
+    SubmitRequest request = validRequest();
+    GetParam().mutate(entry, request);
     const EntryActions actions = submit(entry, request, Begin, Wall);
     EXPECT_TRUE(actions.sends.empty());
     ASSERT_EQ(actions.replies.size(), 1U);
@@ -74,13 +74,13 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-        Table, Refused,
+        Table, InvalidSubmission,
         testing::Values(
                 BadSubmission {
                         "UnknownService",
                         [](EntryState &, SubmitRequest &request) { request.service = "no"; },
                         ErrorKind::NotFound, "foxwing show service" },
-                BadSubmission { "HugeTaskCount",
+                BadSubmission { "TooManyTasks",
                                 [](EntryState &, SubmitRequest &request) {
                                     request.payloads.assign(100000, "payload");
                                 },
@@ -89,27 +89,27 @@
                         "NoTasks",
                         [](EntryState &, SubmitRequest &request) { request.payloads.clear(); },
                         ErrorKind::CanNeverRun, "1 to 10 tasks" },
-                BadSubmission { "HugePayload",
+                BadSubmission { "PayloadTooLarge",
                                 [](EntryState &, SubmitRequest &request) {
                                     request.payloads[0].assign(101, 'x');
                                 },
                                 ErrorKind::CanNeverRun, "pass a reference" },
-                BadSubmission { "DeclaredTooLong",
+                BadSubmission { "DeclaredTimeTooLong",
                                 [](EntryState &, SubmitRequest &request) {
                                     request.declaredTime = Seconds(6);
                                     request.timeLeft = Seconds(60);
                                 },
                                 ErrorKind::CanNeverRun, "at most 5000 ms" },
-                BadSubmission { "DeclaredBeyondDeadline",
+                BadSubmission { "DeclaredTimeBeyondDeadline",
                                 [](EntryState &, SubmitRequest &request) {
                                     request.declaredTime = Seconds(3);
                                 },
                                 ErrorKind::DeadlineUnreachable, "allow more time" },
                 BadSubmission {
-                        "IdIsNoUuid",
+                        "IdNotAUuid",
                         [](EntryState &, SubmitRequest &request) { request.submission = "job-1"; },
                         ErrorKind::BadRequest, "version 7 UUID" },
-                BadSubmission { "IdFromTheFuture",
+                BadSubmission { "IdInTheFuture",
                                 [](EntryState &, SubmitRequest &request) {
                                     std::mt19937_64 random(1);
                                     request.submission = makeSubmissionId(Wall + Seconds(10),
@@ -127,13 +127,13 @@
         [](const testing::TestParamInfo<BadSubmission> &given) { return given.param.name; });
 
 // Work with an id may run on another entry, so an entry that can't check must not answer "not run".
-TEST(Entry, WithoutItsClaimsNothingIsSaidOfWorkWithAnId)
+TEST(Entry, AnswersUnknownForAnIdThatItCannotCheck)
 {
     for (const bool leaving : { true, false }) {
         EntryState entry = configuredEntry();
         entry.leaving = leaving;
         entry.claims.masterHeard = leaving;
-        SubmitRequest request = goodRequest();
+        SubmitRequest request = validRequest();
         std::mt19937_64 random(1);
         request.submission = makeSubmissionId(Wall, random);
         const EntryActions actions = submit(entry, request, Begin, Wall);
@@ -143,7 +143,7 @@
 }
 
 // Guards against all entries turning unready at once when the view changes.
-TEST(Entry, StaysReadyWhileClaimsMove)
+TEST(Entry, StaysReadyWhileShardsMove)
 {
     EntryState entry = configuredEntry();
     EXPECT_FALSE(ready(entry, Begin));
@@ -169,7 +169,7 @@
 class Token : public testing::TestWithParam<const char *>
 { };
 
-TEST_P(Token, OfNobodyIsRefusedAlike)
+TEST_P(Token, IsRejectedWithTheSameMessage)
 {
     Error reason;
     EXPECT_FALSE(authenticate(configuredEntry().registry, GetParam(), &reason));
@@ -184,7 +184,7 @@
                                          "TEAM.secret", ".secret", "nobody.secret",
                                          "team.secret.secret"));
 
-TEST(Tokens, AReplacedTokenIsOver)
+TEST(Tokens, ReplacedTokenIsRejected)
 {
     Error reason;
     EntryState entry = configuredEntry();
@@ -208,11 +208,11 @@
 class Owner : public testing::TestWithParam<Choice>
 { };
 
-TEST_P(Owner, IsWhereTheJobWaitsLeast)
+TEST_P(Owner, IsTheEntryWithTheShortestWait)
 {
     Placement placement;
     placement.settings.self = "entry-a";
-    takeLoadReport(placement, { "entry-b", "", false, { GetParam().peer } }, Begin);
+    handleLoadReport(placement, { "entry-b", "", false, { GetParam().peer } }, Begin);
     EXPECT_EQ(chooseOwner(placement, "svc", GetParam().own, 4, Begin + GetParam().age),
               GetParam().expected);
 }
@@ -233,7 +233,7 @@
                                                   { "svc", 8, 8, 9 },
                                                   Milliseconds(0),
                                                   "entry-a" },
-                                         Choice { "NoWorkerHere",
+                                         Choice { "NoLocalWorker",
                                                   { 0, 0, 0 },
                                                   { "svc", 8, 8, 40 },
                                                   Milliseconds(0),
@@ -243,7 +243,7 @@
                                                   { "svc", 0, 0, 0 },
                                                   Milliseconds(0),
                                                   "entry-a" },
-                                         Choice { "OldReport",
+                                         Choice { "StaleReport",
                                                   { 8, 8, 0 },
                                                   { "svc", 8, 0, 0 },
                                                   Milliseconds(3000),
@@ -252,12 +252,12 @@
                              return given.param.name;
                          });
 
-TEST(Placement, ABurstDoesNotAllGoToOnePeer)
+TEST(Placement, BurstIsSpreadOverPeers)
 {
     Placement placement;
     placement.settings.self = "entry-a";
     for (const char *peer : { "entry-b", "entry-c" })
-        takeLoadReport(placement, { peer, "", false, { { "svc", 8, 0, 0 } } }, Begin);
+        handleLoadReport(placement, { peer, "", false, { { "svc", 8, 0, 0 } } }, Begin);
     std::map<std::string, int> chosen;
     for (int i = 0; i < 4; ++i)
         ++chosen[chooseOwner(placement, "svc", { 8, 8, 8 }, 4, Begin)];
