--- a/packages/forecast/include/foxwing/forecast/forecast.h
+++ b/packages/forecast/include/foxwing/forecast/forecast.h
@@ -1,9 +1,9 @@
 /*
-    How long work will wait for room, from what all agents tell: the starts of all entries that wait
-    there, and the pace at which room comes free.
+    Estimates how long work will wait for capacity, from the reports of all agents: the starts of
+    all entries that wait there, and the rate at which capacity is released.
 
-    Every entry makes the same forecast of the same news. It decides what is refused at once, what
-    is late and still worth waiting for, and when a caller should come back.
+    All entries compute the same estimate from the same reports. It decides which jobs are refused
+    on arrival, which late jobs may still wait, and when a refused caller should retry.
 
         Picture picture;
         addAgent(picture, news, now);        // for each agent of the service
@@ -26,7 +26,7 @@
 
 // [SECTION] Picture
 
-// What one agent has told last.
+// Latest report of one agent.
 struct AgentNews
 {
     std::int64_t freeMilliCores = 0;
@@ -35,60 +35,61 @@
     Time heardAt {};
 };
 
-// One service as a whole.
+// Load of one service, summed over its agents.
 struct Picture
 {
     // By priority, most urgent first
     std::vector<jobs::WaitingRoom> waiting;
 
-    // Thousandths of a core: free at each endpoint that has any, and coming free each second at all
-    // of them
+    // Free capacity of each endpoint that has any, and capacity released per second by all of
+    // them; in thousandths of a core
     std::vector<std::int64_t> free;
     double freedPerSecond = 0;
 
-    // Part of the freed room that comes to this entry: what waits at the others is not told
+    // Fraction of released capacity that goes to this entry; the queues of other entries are
+    // unknown.
     double share = 1;
 
-    // Of the oldest news in it
+    // Age of the oldest report included
     Microseconds age { 0 };
 };
 
-// A job as the forecast sees it.
+// A job's demand, as input of an estimate.
 struct Wanted
 {
     std::uint32_t priority = 0;
 
-    // Thousandths of a core of one task, and of all its tasks that wait
+    // Demand of one task and of all waiting tasks, in thousandths of a core
     std::int64_t taskMilliCores = 0;
     std::int64_t milliCores = 0;
 
-    // Work that waits at this entry and goes before it
+    // Work queued ahead of it at this entry, in thousandths of a core
     std::int64_t beforeIt = 0;
 };
 
 // [SECTION] Functions
 
-// News older than this is left out: the agent may be cut off.
+// Older reports are ignored: the agent may be disconnected.
 constexpr Milliseconds OldestNews { 500 };
 
-// A forecast says no more than this; sums of longer waits would overflow.
+// Upper bound of an estimate; prevents overflow when waits are added up.
 constexpr Milliseconds LongestWait = std::chrono::hours(1);
 
-// What comeBackAfter() answers with.
+// Bounds of the result of comeBackAfter()
 constexpr Milliseconds LeastComeBack { 100 };
 constexpr Milliseconds MostComeBack { 4000 };
 
 void addAgent(Picture &picture, const AgentNews &news, Time now);
 
-// Whether anything waits that goes before the job.
+// Whether any work is waiting ahead of the job.
 bool hasWorkBefore(const Picture &picture, const Wanted &wanted);
 
-// Until what goes before it, and the job itself, have found room. Nothing is known, and nothing
-// returned, while no room came free of late and too little is free.
+// Time until the work ahead of the job and the job itself have capacity. Empty if unknown: too
+// little is free now and no capacity was released recently.
 std::optional<Milliseconds> expectedWait(const Picture &picture, const Wanted &wanted);
 
-// When a caller that is refused now should come back: once what waits has found room, and up to as
-// long again by chance, from 0 to 1, so that not all come back together.
+// Delay after which a refused caller should retry: the expected wait, plus up to as much again.
+// `chance` is a random number from 0 to 1; it spreads the retries of different callers.
 Milliseconds comeBackAfter(const Picture &picture, const Wanted &wanted, double chance);
 
 } // namespace foxwing::forecast
--- a/packages/forecast/src/forecast.cpp
+++ b/packages/forecast/src/forecast.cpp
@@ -1,5 +1,5 @@
 /*
-    The forecast: sums over what agents have told, and one division.
+    Wait estimates: waiting work divided by the rate of released capacity.
 
     [SECTION] Picture
     [SECTION] Wait
@@ -57,7 +57,7 @@
     return milliCores;
 }
 
-// Room for whole tasks of this size: what is left at each endpoint beside them is of no use.
+// Free capacity in whole tasks of this size; an endpoint's remainder can't be used.
 double usableRoom(const Picture &picture, std::int64_t taskMilliCores)
 {
     const std::int64_t task = std::max<std::int64_t>(1, taskMilliCores);
@@ -84,7 +84,7 @@
 
 std::optional<Milliseconds> expectedWait(const Picture &picture, const Wanted &wanted)
 {
-    // The room that agents tell as free has the starts that wait there taken off already.
+    // The free capacity reported by agents already excludes their own waiting starts.
     const double here = static_cast<double>(wanted.beforeIt + wanted.milliCores)
             - usableRoom(picture, wanted.taskMilliCores);
     if (here <= 0)
--- a/packages/forecast/tests/forecast_test.cpp
+++ b/packages/forecast/tests/forecast_test.cpp
@@ -1,5 +1,5 @@
 /*
-    How long work is expected to wait, and when callers should come back.
+    Expected waits, and retry delays for refused callers.
 
     [SECTION] Picture
     [SECTION] Wait
--- a/packages/jobs/include/foxwing/jobs/job.h
+++ b/packages/jobs/include/foxwing/jobs/job.h
@@ -1,8 +1,8 @@
 /*
-    What a job is: steps of tasks, and the room that each task takes.
+    Job specification: steps of tasks, and the resources that each task takes.
 
-    A job's tasks are named by step and index. A start of a task is a run; runs of one task are
-    numbered from 1 and never overlap.
+    A job's tasks are identified by step and index. Each start of a task is a run; the runs of one
+    task are numbered from 1 and never overlap.
 
     [SECTION] Room
     [SECTION] Tasks
@@ -21,7 +21,7 @@
 
 // [SECTION] Room
 
-// What a task takes of an endpoint, or what an endpoint has.
+// Resources that a task takes or that an endpoint has.
 struct Room
 {
     // Thousandths of a core
@@ -69,10 +69,10 @@
 
 struct TaskId
 {
-    // As the caller named it
+    // Chosen by the caller
     std::string job;
 
-    // Which time of a repeated job, from 0
+    // Iteration of a repeated job, from 0
     std::uint32_t repeat = 0;
     std::uint32_t step = 0;
     std::uint32_t index = 0;
@@ -123,35 +123,35 @@
     std::uint32_t tasks = 0;
     Room room;
 
-    // The caller's guess of one task's time; often far off.
+    // The caller's estimate of one task's run time; often far off
     Milliseconds estimate { 0 };
 
-    // Steps whose tasks must all be done first
+    // Steps that must be complete before this one starts
     std::vector<std::uint32_t> after;
 
-    // A label that the endpoint must have; empty for any
+    // Label that the endpoint must have; empty: any endpoint
     std::string label;
 
-    // The rack where the data lies; elsewhere the work takes longer. Empty for any
+    // Preferred rack, the one that holds the data; elsewhere tasks run slower. Empty: any
     std::string rack;
 
-    // Tasks of this step on one endpoint at the most; 0 for any number
+    // Maximum number of this step's tasks on one endpoint; 0: unlimited
     std::uint32_t mostPerEndpoint = 0;
 };
 
-// What makes a job more than tasks that run once and are answered.
+// Features beyond tasks that run once and return a result.
 struct JobTraits
 {
-    // The caller asks for the state later: the job must outlive this process.
+    // The caller queries the job's state later, so the job must outlive this process.
     bool kept = true;
 
-    // Tasks of a step that only work together
+    // The tasks of a step only work when they all run together.
     bool gang = false;
 
-    // Tasks that run until the job is cancelled
+    // Tasks run until the job is cancelled.
     bool lasting = false;
 
-    // Steps that run again and again at set times
+    // Steps run repeatedly at set times.
     bool timed = false;
 };
 
@@ -159,7 +159,7 @@
 {
     std::string id;
 
-    // Handed to each task as it is
+    // Passed to each task unchanged
     std::string payload;
     std::vector<StepSpec> steps;
     JobTraits traits;
--- a/packages/jobs/include/foxwing/jobs/messages.h
+++ b/packages/jobs/include/foxwing/jobs/messages.h
@@ -1,9 +1,9 @@
 /*
-    What an entry and an agent tell each other about runs.
+    Messages between an entry and an agent about runs.
 
-    An entry opens a session with Hello; the agent answers Welcome once nothing of this entry's
-    earlier sessions runs any more. A session ends with its connection, or when either side has not
-    heard the other for a while; the agent then stops what the session runs.
+    An entry opens a session; the agent answers with Welcome once all runs of this entry's earlier
+    sessions have ended. A session ends with its connection, or when either side has received
+    nothing from the other for a while; the agent then stops the session's runs.
 
     [SECTION] From the entry
     [SECTION] From the agent
@@ -18,23 +18,22 @@
 
 // [SECTION] From the entry
 
-// Tasks of one step of a job, to be started now or refused now.
+// Starts tasks of one step of a job. The agent starts or refuses each.
 struct StartTasks
 {
     std::string job;
     std::uint32_t repeat = 0;
     std::uint32_t step = 0;
 
-    // Handed to each task as it is
+    // Passed to each task unchanged
     std::string payload;
     Room room;
     Milliseconds estimate { 0 };
 
-    // Of the job's queue; smaller is more urgent
+    // Priority of the job's queue; smaller is more urgent
     std::uint32_t priority = 0;
 
-    // Where there is no room, a start may wait for it at the agent for this long; zero: it is
-    // refused at once.
+    // How long a start may wait at the agent for free capacity; zero: refuse it at once.
     Milliseconds mayWait { 0 };
 
     struct Start
@@ -74,12 +73,12 @@
     fields("runs", message.runs);
 }
 
-// Keeps the session alive when there is nothing else to say.
+// Keeps the session alive when there is nothing else to send.
 struct SessionBeat
 {
     std::uint64_t number = 0;
 
-    // Work waits at the entry for room: it needs fresh news of it.
+    // Work at the entry waits for capacity, so the agent should report changes of it soon.
     bool wantsRoom = false;
 };
 template<class Fields>
@@ -95,22 +94,22 @@
 enum class RunEnd {
     Done,
 
-    // By its own fault or the endpoint's
+    // Error of the task or of the endpoint
     Failed,
 
-    // Told to stop
+    // Stopped on request
     Stopped,
 
-    // Killed at the end of the endpoint's lease
+    // Killed when the endpoint's lease expired
     Lapsed,
 
-    // Its endpoint is gone, as it had said.
+    // The endpoint left after announcing it.
     Lost,
 
-    // Certainly never began.
+    // The task is known not to have begun.
     NeverBegan,
 
-    // Its endpoint is gone and had not said that it leaves.
+    // The endpoint disappeared without announcing that it leaves.
     Crashed,
 };
 constexpr RunEnd lastOf(RunEnd)
@@ -120,17 +119,17 @@
 
 const char *toString(RunEnd end);
 
-// Why an agent did not even try a start. The task certainly did not begin.
+// Why an agent refused a start. The task is known not to have begun.
 enum class RefusedStart {
     None,
     NoRoom,
     Leaving,
     NotReady,
 
-    // A run with this number or a higher one was there before.
+    // A run of the task with this number or a higher one has been seen.
     OldRun,
 
-    // The endpoint had no time left to begin it, or turned it down.
+    // The endpoint rejected the start, or the time left was too short to begin it.
     Endpoint,
 
     // The data centre is cordoned.
@@ -151,7 +150,7 @@
     // NeverBegan only
     RefusedStart refused = RefusedStart::None;
 
-    // From the start's answer to the end, as the agent saw it
+    // From the response to the start until the end, as measured by the agent
     Milliseconds took { 0 };
 };
 template<class Fields>
@@ -163,17 +162,17 @@
     fields("took", report.took);
 }
 
-// A run that is far behind what its estimate promises.
+// A run that takes much longer than its estimate.
 struct LagReport
 {
     RunId id;
 
-    // What is left at its present pace; zero if it stands still.
+    // Remaining time at the current rate of progress; zero without any progress
     Milliseconds left { 0 };
     bool standsStill = false;
 
-    // Most of what runs beside it, of other jobs too, is behind: it is the endpoint, and not the
-    // estimate.
+    // Most runs on the endpoint, of more than one job, are late too: the endpoint is slow rather
+    // than the estimate wrong.
     bool endpointSlow = false;
 };
 template<class Fields>
@@ -185,10 +184,10 @@
     fields("endpointSlow", report.endpointSlow);
 }
 
-// The agent's endpoint as an entry needs to know it.
+// State of the agent's endpoint, as entries need it for placement.
 struct EndpointView
 {
-    // One life of the endpoint; empty while none is known
+    // Incarnation of the endpoint; empty while unknown
     std::string life;
     std::string service;
     std::string dataCentre;
@@ -196,10 +195,11 @@
     Room capacity;
     Room free;
 
-    // Starts that are taken at the most just now: fewer than fit while the endpoint is on trial
+    // Maximum number of starts accepted now; less than capacity allows while the endpoint is on
+    // trial
     std::uint32_t mostStarts = 0;
 
-    // Time taken by work here against its estimates; smaller is faster. In thousandths
+    // Run time relative to estimates, in thousandths; smaller is faster
     std::uint32_t paceMille = 1000;
     bool leaving = false;
 };
@@ -217,7 +217,7 @@
     fields("leaving", view.leaving);
 }
 
-// Starts that wait at an agent for room, of one priority.
+// Starts of one priority that wait at an agent for capacity.
 struct WaitingRoom
 {
     std::uint32_t priority = 0;
@@ -230,7 +230,7 @@
     fields("milliCores", waiting.milliCores);
 }
 
-// How often the agent's endpoint crashed while it ran the task, as far as the agent remembers.
+// How often the agent's endpoint crashed while it ran the task, as far as the agent remembers
 struct CrashReport
 {
     TaskId task;
@@ -245,11 +245,11 @@
 
 struct Welcome
 {
-    // One life of the agent
+    // Incarnation of the agent
     std::uint64_t incarnation = 0;
     EndpointView endpoint;
 
-    // All that it remembers
+    // All crashes that the agent remembers
     std::vector<CrashReport> crashed;
 };
 template<class Fields>
@@ -260,31 +260,32 @@
     fields("crashed", welcome.crashed);
 }
 
-// What changed. Everything that happened before free was worked out is in it.
+// Changes at the agent. Contains all that happened before `free` was computed.
 struct AgentUpdate
 {
-    // The last beat that was heard
+    // Number of the last heartbeat received
     std::uint64_t beat = 0;
 
-    // Starts of this session that were dealt with so far; free has them in it.
+    // Number of this session's starts handled so far; `free` accounts for them.
     std::uint64_t startsTaken = 0;
     Room free;
     std::uint32_t mostStarts = 0;
     std::uint32_t paceMille = 1000;
     bool leaving = false;
 
-    // Starts of all entries that wait here, a row for each priority; most urgent first
+    // Waiting starts of all entries, one row per priority, most urgent first
     std::vector<WaitingRoom> waiting;
 
-    // Room that runs of all entries gave back here of late, in thousandths of a core a second
+    // Rate at which runs of all entries recently released capacity, in thousandths of a core per
+    // second
     std::uint32_t freedPerSecond = 0;
     std::vector<RunReport> ended;
     std::vector<LagReport> lagging;
 
-    // Set if it changed since the last update.
+    // One element if it changed since the last update, otherwise empty
     std::vector<EndpointView> endpoint;
 
-    // What changed since the last update
+    // Changes since the last update
     std::vector<CrashReport> crashed;
 };
 template<class Fields>
--- a/packages/jobs/src/messages.cpp
+++ b/packages/jobs/src/messages.cpp
@@ -1,5 +1,5 @@
 /*
-    Names of ends and refusals, for logs.
+    Names of run outcomes and refusal reasons, for logs.
 
     [SECTION] Names
 */
--- a/packages/lag/include/foxwing/lag/lag.h
+++ b/packages/lag/include/foxwing/lag/lag.h
@@ -1,19 +1,18 @@
 /*
-    How far this process is behind with its own work, and whether it should take less.
+    Event-loop lag of this process, and whether it should withdraw from load balancing.
 
-    A host that was slowed down, or has too small a share of a processor for the calls it gets,
-    answers everything late and does not know it: its own clock starts when it reads a call. The
-    loop's turns tell: each begins late by what the loop had to do before it.
+    A process that gets too little CPU time answers late without noticing, since it measures a call
+    from when it reads it. The lateness of event-loop turns shows the delay: each turn begins late
+    by the time that the loop spent before it.
 
-    For a process that is behind, a call's time counts from when it came and not from when it is
-    read. For a bounded time it also stands back: it asks its callers to go elsewhere. It can't see
-   whether the other processes of its kind stand back too, so it does so by chance, for a short
-   time, and seldom.
+    While the process lags, a call's time counts from when it was received instead of when it was
+    read. The process also withdraws for a bounded time: it asks its callers to use other processes.
+    It doesn't know whether those have withdrawn too, so it withdraws at random, briefly and rarely.
 
         LagState lag = makeLag(settings);
         if (noteTurn(lag, dueAt, now)) ... log the change ...
-        if (isBehind(lag)) ... take off a call's time what it has waited unread ...
-        if (standsBack(lag)) ... answer that it is not ready ...
+        if (isBehind(lag)) ... subtract the time a call has waited unread ...
+        if (standsBack(lag)) ... fail the readiness check ...
         if (sendsCallersAway(lag)) ... close connections after their answers ...
 
     [SECTION] Settings
@@ -36,47 +35,46 @@
 {
     std::uint64_t seed = 1;
 
-    // Behind by more than this, averaged over the span, the process stands back; zero: never.
+    // The process withdraws above this average lag; zero: never.
     Milliseconds standBackAbove { 0 };
 
-    // It is no longer behind below this, or below half of the bound above if that is less.
+    // Lag has ended below this or below half of the bound above, whichever is less.
     Milliseconds takeAgainBelow { 5 };
 
-    // Turns count for about this long.
+    // Time constant of the average
     Milliseconds span { 500 };
 
-    // No turn counts as later than this, so that the average falls in bounded time.
+    // Upper limit for the lateness of one turn, so that the average falls in bounded time
     Milliseconds mostLate { 500 };
 
-    // What a process does first takes longer than usual; it must not delay its coming into use.
+    // Slow turns during startup must not keep a new process out of service.
     Milliseconds afterStart { 3000 };
 
-    // It stands back for no shorter than this at a time: a balancer that asks every second and
-    // wants two misses has then had no new connections sent here for a moment at least.
+    // Minimum duration of a withdrawal. Long enough for a load balancer that checks every second
+    // and needs two failures to stop sending new connections.
     Milliseconds leastPause { 2500 };
 
-    // And for hardly longer, a turn at the most: a process that is always behind must not be lost
-    // for good.
+    // Maximum duration, exceeded by at most one turn: a process that always lags must not stay out
+    // of service.
     Milliseconds mostPause { 3800 };
 
-    // Between two pauses it takes work for at least so many times as long as the last one took,
-    // so that always being behind costs a small and known part of its time.
+    // Minimum time in service between two withdrawals, as a multiple of the duration of the last
+    // one. Bounds the time out of service of a process that always lags.
     std::uint32_t workForPauses = 15;
 
-    // Connections are closed only so long after it began to stand back: before the balancer has
-    // noticed, a caller that connects anew would come back to this process.
+    // Connections are closed this long after the start of a withdrawal. Earlier, the load balancer
+    // could send a reconnecting caller back to this process.
     Milliseconds noticedAfter { 2000 };
 
-    // Of the processes that are behind at one time so many stand back, in percent, so that not
-    // all leave at once. The others ask again after the pause below, when the first are there
-    // again.
+    // Probability that a lagging process withdraws, in percent, so that not all do at once. The
+    // others draw again after the interval below, when the first are back.
     std::uint32_t standBackPercent = 75;
     Milliseconds askAgainAfter { 4000 };
 };
 
 // [SECTION] State
 
-// Of how many turns the middle one counts: a single long turn is then no sign.
+// Window of the median filter, which ignores single long turns.
 constexpr std::size_t JudgedTurns = 3;
 
 struct LagState
@@ -84,20 +82,20 @@
     LagSettings settings;
     std::mt19937_64 random;
 
-    // How late the last turns were, the oldest overwritten first
+    // Lateness of the last turns (ring buffer)
     std::array<Microseconds, JudgedTurns> late {};
     std::size_t next = 0;
 
-    // How late turns were of late, on average over time
+    // Moving average of the lateness of turns
     Microseconds behind { 0 };
 
-    // The last turn; unset before the first
+    // Time of the last turn; unset before the first
     Time at {};
 
-    // Behind, with a lower bound for its end than for its beginning
+    // Whether the process lags, with hysteresis
     bool slow = false;
 
-    // Whether it stands back, since when, and the earliest time for the next pause
+    // Whether it has withdrawn, since when, and the earliest time of the next withdrawal
     bool back = false;
     Time backSince {};
     Time mayStandBackFrom {};
@@ -108,16 +106,16 @@
 
 LagState makeLag(const LagSettings &settings);
 
-// A turn that was due at dueAt began now; the first one only begins the measure. True if whether it
-// stands back has changed by it.
+// Records a turn that was due at dueAt and began now; the first one only starts the measurement.
+// True if the process has withdrawn or returned by it.
 bool noteTurn(LagState &lag, Time dueAt, Time now);
 
 bool standsBack(const LagState &lag);
 
-// Whether callers that were answered should go elsewhere with their next call.
+// Whether to close connections after their answers, so that callers use other processes.
 bool sendsCallersAway(const LagState &lag);
 
-// Whether calls lose much of their time before they are read, standing back or not.
+// Whether calls wait long before they are read, whether or not the process has withdrawn.
 bool isBehind(const LagState &lag);
 
 } // namespace foxwing::lag
--- a/packages/lag/src/lag.cpp
+++ b/packages/lag/src/lag.cpp
@@ -1,7 +1,7 @@
 /*
-    From late turns to standing back.
+    Average lateness of event-loop turns, and the decision to withdraw or return.
 
-    [SECTION] Measure
+    [SECTION] Measurement
     [SECTION] Decision
     [SECTION] Functions
 */
@@ -14,7 +14,7 @@
 
 namespace {
 
-// [SECTION] Measure
+// [SECTION] Measurement
 
 Microseconds middle(std::array<Microseconds, JudgedTurns> late)
 {
@@ -22,7 +22,7 @@
     return late[JudgedTurns / 2];
 }
 
-// What the turn adds to the average weighs as much as the time it stands for.
+// Updates the average; a turn's weight depends on the time since the turn before.
 void measure(LagState &lag, Microseconds late, Time now)
 {
     lag.late[lag.next] = std::clamp<Microseconds>(late, Microseconds(0), lag.settings.mostLate);
@@ -48,14 +48,14 @@
 
 bool drawsToStandBack(LagState &lag)
 {
-    // By remainder and not by a distribution of the library, whose draws differ between libraries.
+    // Remainder instead of a standard distribution, whose results differ between libraries.
     constexpr std::uint64_t All = 100;
     return lag.random() % All < lag.settings.standBackPercent;
 }
 
 bool standBackIfDue(LagState &lag, Time now)
 {
-    // The average falls slowly: once the turns are on time, what made them late is over.
+    // The average falls slowly, so check that turns are still late.
     const bool over = middle(lag.late) <= lag.settings.standBackAbove;
     if (!lag.slow || over || now < lag.mayStandBackFrom)
         return false;
@@ -75,7 +75,7 @@
     if (paused < lag.settings.leastPause || (lag.slow && paused < lag.settings.mostPause))
         return false;
     lag.back = false;
-    // A host that was suspended meanwhile did not stand back for all of that time.
+    // A suspended host has not been withdrawn for all of the time suspended.
     const Microseconds counted = std::min<Microseconds>(paused, lag.settings.mostPause);
     lag.mayStandBackFrom = now + counted * lag.settings.workForPauses;
     return true;
--- a/packages/lag/tests/lag_test.cpp
+++ b/packages/lag/tests/lag_test.cpp
@@ -1,5 +1,5 @@
 /*
-    Which late turns make a process stand back, for how long and how often.
+    Which late turns make a process withdraw, for how long and how often.
 
     [SECTION] Process
     [SECTION] Loads
@@ -23,18 +23,18 @@
 constexpr Milliseconds Slow { 70 };
 const Time Start { Seconds(1000) };
 
-// Which turns are late, by the time at which they are due after the process began.
+// Which turns are late, by their due time since the start of the process.
 struct Load
 {
     Milliseconds late { 0 };
     Milliseconds from { 0 };
     Milliseconds until { Seconds(3600) };
 
-    // Late only in the first part of each period, if there is one
+    // If set, only turns in the first part of each period are late.
     Milliseconds period { 0 };
     Milliseconds part { 0 };
 
-    // One turn of so many is late.
+    // Every n-th turn is late.
     int oneOf = 1;
 };
 
@@ -51,7 +51,7 @@
     Milliseconds until { 0 };
 };
 
-// A process whose turns are as late as the load says.
+// A process with turns as late as the load specifies.
 struct Process
 {
     explicit Process(std::uint64_t seed = 1, Milliseconds above = Threshold)
@@ -82,7 +82,7 @@
             turn(load);
     }
 
-    // The largest part of any stretch of this length in which it stood back, in thousandths
+    // Largest withdrawn part of any period of this length, in thousandths
     std::int64_t mostPartBack(Milliseconds stretch) const
     {
         Milliseconds most { 0 };
@@ -120,7 +120,7 @@
     return load;
 }
 
-// Late for the first part of each period
+// Late in the first part of each period.
 Load flapping(Milliseconds period, Milliseconds part, Milliseconds late)
 {
     Load load = always(late);
@@ -129,7 +129,7 @@
     return load;
 }
 
-// One turn of each period is long.
+// One long turn in each period.
 Load longTurns(Milliseconds period, Milliseconds late)
 {
     return flapping(period, Interval, late);
@@ -152,7 +152,7 @@
     std::uint64_t leastPauses;
     std::uint64_t mostPauses;
 
-    // Whether it is behind at some time, standing back or not
+    // Whether it lags at any time, withdrawn or not
     bool behind;
 };
 
@@ -234,7 +234,7 @@
 class Bounds : public testing::TestWithParam<BoundCase>
 { };
 
-// Whatever the load, a process is not ready for less than an eighth of any half minute.
+// Under any load, a process is withdrawn for at most 1/8 of any period of 34 s or longer.
 TEST_P(Bounds, KeepItReady)
 {
     constexpr std::int64_t Eighth = 125;
@@ -257,7 +257,7 @@
                                     flapping(Milliseconds(9000), Milliseconds(3000), Slow) }),
         [](const auto &tested) { return tested.param.name; });
 
-// Processes that are slow all at once don't see each other; never do nearly all stand back.
+// Processes that lag at the same time must not nearly all withdraw.
 TEST(LagBounds, HoldOverProcessesThatAreSlowAtOnce)
 {
     constexpr std::size_t Processes = 200;
@@ -282,17 +282,17 @@
 {
     const char *name;
 
-    // How late the turn is with which the pause ends
+    // Lateness of the turn that ends the withdrawal
     Milliseconds late;
 
-    // How long it takes work from then on, at the least
+    // Minimum time in service afterwards
     Milliseconds works;
 };
 
 class PausesOf : public testing::TestWithParam<PauseCase>
 { };
 
-// A host that is suspended while it stands back has not stood back for all of that time.
+// Time in which the host is suspended must not count as time withdrawn.
 TEST_P(PausesOf, AreFollowedByWork)
 {
     Process process;
@@ -318,7 +318,7 @@
 
 // [SECTION] Calls
 
-// A little late: whether it is behind stays as it is, so that it does not flap at its bound.
+// Between the two bounds the state doesn't change, so it does not flap.
 TEST(LagCalls, AreJudgedWithTwoBounds)
 {
     constexpr Milliseconds Between { 15 };
@@ -332,7 +332,7 @@
     EXPECT_FALSE(isBehind(process.lag));
 }
 
-// Freezes in a row must not count for longer than it takes to work off what they left.
+// A series of freezes must not count as lag for long after their backlog is done.
 TEST(LagCalls, AreJudgedAnewSoonAfterFreezes)
 {
     Process process;
@@ -342,7 +342,7 @@
     EXPECT_FALSE(isBehind(process.lag));
 }
 
-// A call's time is counted so whether or not the process may stand back.
+// Lag is reported even while the process may not withdraw.
 TEST(LagCalls, AreCountedWhileItMayNotStandBack)
 {
     Process process;
--- a/packages/shares/include/foxwing/shares/shares.h
+++ b/packages/shares/include/foxwing/shares/shares.h
@@ -1,10 +1,10 @@
 /*
-    What each queue is served of the work it asks for while room lacks, and which queues have
-    fallen below their floor.
+    Measures which share of its requested work each queue gets under overload, and which queues
+    get less than their guaranteed share.
 
-    Priorities decide who goes first. In a long overload they alone would leave the least urgent
-    queue with nothing; so each queue has a floor: a part of what it asked for of late. A queue
-    below it goes before others until it is above again.
+    With priorities alone, a long overload would starve the least urgent queue. So each queue is
+    guaranteed a share of the work that it recently requested. A queue that gets less is served
+    before others until it is back above the guarantee.
 
         ShareState shares;
         noteAsked(shares, "route-check", work, now);
@@ -30,26 +30,25 @@
 
 struct ShareSettings
 {
-    // Each queue is to be served at least this part of the work it asked for, in percent; zero:
-    // there is no floor, and priorities alone decide.
+    // Guaranteed share of each queue's requested work, in percent; zero: priorities alone decide.
     std::uint32_t floorPercent = 0;
 
-    // What was asked and refused counts for about this long: some jobs of each queue, and less than
-    // an overload. It keeps a queue from changing its standing with each job.
+    // Time constant of the decaying sums. It should cover several jobs of each queue, so that a
+    // single job doesn't change the result, and be shorter than an overload.
     Milliseconds span { 2000 };
 };
 
 // [SECTION] State
 
-// What one queue asked for and was refused
+// Requested and refused work of one queue
 struct QueueShare
 {
-    // Work in thousandths of a core times milliseconds, old work fading
+    // Exponentially decaying sums of work, in thousandths of a core times milliseconds
     double asked = 0;
     double refused = 0;
     Time at {};
 
-    // Jobs since the queue was declared
+    // Number of jobs since the queue was declared
     std::uint64_t askedJobs = 0;
     std::uint64_t refusedJobs = 0;
 };
@@ -62,19 +61,19 @@
 
 // [SECTION] Functions
 
-// A job of so much work has come.
+// A job with this amount of work arrived.
 void noteAsked(ShareState &shares, const std::string &queue, std::int64_t work, Time now);
 
-// Such a job was refused since room lacked.
+// The job was refused for lack of capacity.
 void noteRefused(ShareState &shares, const std::string &queue, std::int64_t work, Time now);
 
-// What was not refused of what was asked of late, work that still waits included; 100 for a queue
-// that asked for nothing.
+// Share of recently requested work that was not refused; waiting work counts as served. 100 for a
+// queue without recent requests.
 std::uint32_t servedPercent(const ShareState &shares, const std::string &queue, Time now);
 
 bool isBelowFloor(const ShareState &shares, const std::string &queue, Time now);
 
-// Other queues are declared: forgets those that are gone.
+// Removes queues that are no longer declared.
 void keepQueues(ShareState &shares, const std::set<std::string> &declared);
 
 } // namespace foxwing::shares
--- a/packages/shares/src/shares.cpp
+++ b/packages/shares/src/shares.cpp
@@ -1,5 +1,5 @@
 /*
-    Fading sums of what queues asked for and were refused.
+    Decaying sums of the work that queues requested and were refused.
 
     [SECTION] Sums
     [SECTION] Functions
@@ -16,8 +16,8 @@
 
 namespace {
 
-// A queue that was not heard of for so many spans has asked for nothing of late: both sums fade
-// alike, so their ratio alone would hold one refusal against it for ever.
+// A queue without jobs for this many spans counts as fully served. Both sums decay at the same
+// rate, so their ratio alone would never recover from a refusal.
 constexpr int ForgottenAfterSpans = 3;
 
 void fade(const ShareSettings &settings, QueueShare &share, Time now)
@@ -65,7 +65,7 @@
     const bool quiet = now - share.at > shares.settings.span * ForgottenAfterSpans;
     if (quiet || share.asked <= 0)
         return static_cast<std::uint32_t>(All);
-    // A job is refused some time after it was asked for, so its refusal has faded less.
+    // A refusal follows its request and has decayed less, so the ratio may exceed 1.
     const double refused = std::min(1.0, share.refused / share.asked);
     return static_cast<std::uint32_t>(std::lround(All * (1 - refused)));
 }
--- a/packages/shares/tests/shares_test.cpp
+++ b/packages/shares/tests/shares_test.cpp
@@ -1,5 +1,5 @@
 /*
-    What queues are served of what they ask for, and when they are below their floor.
+    Served share of queues, and when it is below the guaranteed share.
 
     [SECTION] Helpers
     [SECTION] Served
@@ -66,7 +66,7 @@
                         ServedCase { "NoFloor", { 10 }, { 10 }, 0, 0, false },
                         ServedCase { "WideJobsCountByTheirWork", { 90, 10 }, { 90 }, 50, 10, true },
                         ServedCase { "ManySmallRefusals", { 90, 5, 5 }, { 5, 5 }, 80, 90, false },
-                        // Jobs that were asked for before their queue was declared anew
+                        // Jobs requested before their queue was declared again
                         ServedCase { "MoreRefusedThanAsked", { 10 }, { 10, 10 }, 50, 0, true },
                         ServedCase { "OnlyRefused", {}, { 10 }, 50, 100, false },
                         ServedCase { "WorkOfNothing", { 0 }, { 0 }, 50, 100, false },
@@ -79,7 +79,7 @@
 {
     const char *name;
 
-    // A refused job, then so much later a served one of the same work, then a look
+    // From a refused job to a served one of the same size, and from there to the check
     Milliseconds between;
     Milliseconds after;
     bool below;
@@ -113,7 +113,7 @@
                         FadingCase { "ServedLater", Milliseconds(1500), Milliseconds(0), false }),
         [](const auto &tested) { return tested.param.name; });
 
-// Clocks of two sources may be read in either order; time never runs backwards for the sums.
+// Timestamps from two clocks may arrive out of order; the sums' time must not go backwards.
 TEST(Shares, StandAnEarlierTime)
 {
     ShareState shares = withFloor(60);
--- a/packages/subset/include/foxwing/subset/subset.h
+++ b/packages/subset/include/foxwing/subset/subset.h
@@ -1,20 +1,20 @@
 /*
-    Which agents an entry keeps sessions with.
+    Chooses the subset of agents that an entry keeps sessions with.
 
-    A session costs a beat every tenth of a second at both ends, work or not. If each entry kept one
-    with each agent, what a host spends on them would grow with the fleet. So an entry works with a
-    subset: most of it in its own data centre, the rest spread over the others so that the loss of
-    the own one finds sessions elsewhere. Agents are ranked by rendezvous hashing, so entries differ
-    in their choice and a host that comes or goes changes few sessions.
+    A session costs a heartbeat every tenth of a second on both sides, even without work. With a
+    session from each entry to each agent, the cost per host would grow with the fleet. So an entry
+    uses a subset: most of it in its own data centre, the rest spread over the others in case the
+    local one fails. Agents are ranked by rendezvous hashing: entries choose different agents, and
+    adding or removing a host changes few sessions.
 
-    The subset grows while work finds no room in it, and by agents that a job needs and the subset
-    lacks. Agents that can't be reached are replaced. It shrinks again later, one idle session at a
-    time.
+    The subset grows while work finds no free capacity in it, and by agents that match a job's
+    requirements if it has none. Unreachable agents are replaced. Later it shrinks again, closing
+    idle sessions one by one.
 
         SubsetState subset = makeSubset(settings, "entry-7", "north");
         takeUpdate(subset, controlHost, update);
         const SubsetChanges changes = choose(subset, now);
-        ... dial changes.added, offer changes.spare to be dropped ...
+        ... connect to changes.added, close idle sessions of changes.spare ...
 
     [SECTION] Settings
     [SECTION] State
@@ -36,38 +36,38 @@
 
 struct SubsetSettings
 {
-    // Agents of each service in the subset, where the fleet has more. One that is lost then takes
-    // less than a fiftieth of the room in reach.
+    // Minimum number of agents of each service, where the fleet has as many. Losing one of them
+    // then costs less than a fiftieth of the reachable capacity.
     std::size_t least = 64;
 
-    // Entries that reach an agent on average. Where entries are few each works with more agents;
-    // otherwise some agents would be in nobody's reach.
+    // Average number of entries with a session to an agent. With few entries, each uses more agents
+    // than the minimum; otherwise no entry would reach some of them.
     std::size_t entriesPerAgent = 8;
 
-    // A fleet that is larger than the subset by no more than this is taken whole: leaving out a few
-    // saves next to nothing. In percent of the subset
+    // A service with at most this many agents is used whole, since leaving out a few saves little.
+    // In percent of the subset size
     std::size_t wholePercent = 150;
 
     // Part of the subset in the entry's own data centre, in percent
     std::size_t homePercent = 75;
 
-    // Steps in which the subset grows and shrinks, in percent of the least; between two of them,
-    // new sessions have time to show whether they were enough. After a restart of control hosts,
-    // few entries may be known for a moment: the pause keeps that from having all agents dialled.
+    // Step by which the subset grows and shrinks, in percent of the minimum, and pauses between
+    // steps, in which new sessions show whether they suffice. After a restart of control hosts few
+    // entries may be known for a moment; the pause prevents connecting to all agents then.
     std::size_t stepPercent = 50;
     Milliseconds growPause { 200 };
     Milliseconds shrinkPause { 10000 };
 
-    // While work finds no room the subset grows to this many times its usual size at the most.
+    // Maximum size while work finds no free capacity, as a multiple of the usual size
     std::size_t mostGrowth = 4;
 
-    // A chosen agent that is out of reach for this long no longer counts towards the size.
+    // A chosen agent that is unreachable for this long no longer counts towards the size.
     Milliseconds replaceAfter { 1000 };
 
-    // An agent that is chosen no more keeps its session for this long: it may be chosen again.
+    // An agent that is no longer chosen keeps its session for this long in case it is chosen again.
     Milliseconds spareFor { 5000 };
 
-    // Agents that are added for a need that nobody in the subset meets, and for how long
+    // Number of agents added for a requirement that no agent in the subset meets, and for how long
     std::size_t perNeed = 4;
     Milliseconds needFor { 30000 };
 };
@@ -78,24 +78,24 @@
 {
     directory::NodeInfo node;
 
-    // Its place for this entry; higher goes first
+    // Rendezvous weight for this entry; higher ranks first
     std::uint64_t weight = 0;
 
     // Control hosts that list it
     std::set<std::string> listedBy;
 
-    // A session is kept, or being opened.
+    // A session is open or being opened.
     bool kept = false;
     bool connected = false;
 
-    // Kept and not connected since then
+    // Start of the current time with a session but no connection
     Time awaySince {};
 
-    // Kept though it is not chosen any more, since then
+    // The session is open but the agent is no longer chosen, and since when
     bool spare = false;
     Time spareSince {};
 
-    // A job needs it.
+    // Chosen for a job's requirement until then
     Time neededUntil {};
 };
 
@@ -108,32 +108,32 @@
     // By address
     std::map<std::string, ListedAgent> agents;
 
-    // Entries that are there, by the control host that counted them
+    // Number of live entries as counted by each control host
     std::map<std::string, std::uint32_t> entriesBy;
 
-    // Data centres whose agents take nothing new
+    // Data centres whose agents accept no new work
     catalog::Cordons cordons;
 
-    // Agents of each service that are aimed at now, and by how many steps more than usual
+    // Target number of agents of each service, and the growth steps above the usual size in it
     std::size_t size = 0;
     std::size_t widening = 0;
     Time changedAt {};
     Time wantedAt {};
 
-    // Entries that share the room of the subset, this one included
+    // Estimated number of entries that share the subset's capacity, including this one
     std::uint32_t sharingEntries = 1;
 
-    // Something has changed since the last choice.
+    // The input has changed since the last choice.
     bool changed = true;
     Time chosenAt {};
 };
 
-// What a task needs of an endpoint.
+// What a task requires of an endpoint
 struct Need
 {
     std::string service;
 
-    // Labels it must have; empty ones are met by every endpoint
+    // Labels that it must have; empty: any endpoint
     std::string label;
     std::string rack;
     jobs::Room room;
@@ -141,13 +141,14 @@
 
 struct SubsetChanges
 {
-    // To be dialled
+    // Agents to connect to
     std::vector<std::string> added;
 
-    // No longer needed: may be dropped once no run of this entry is left there. See dropped.
+    // No longer needed: close the session once no run of this entry is left there, then call
+    // dropped().
     std::vector<std::string> spare;
 
-    // Listed no more and not connected: gone.
+    // No longer listed and not connected
     std::vector<std::string> gone;
 };
 
@@ -156,34 +157,34 @@
 SubsetState makeSubset(const SubsetSettings &settings, const std::string &entry,
                        const std::string &dataCentre);
 
-// What a control host tells of agents and of the number of entries.
+// Applies a control host's update of agents and of the number of entries.
 void takeUpdate(SubsetState &subset, const std::string &from,
                 const directory::DirectoryUpdate &update);
 
-// This control host is not kept as a peer any more: what only it lists is listed no more.
+// Removes a control host that is no longer a peer, with the agents that only it lists.
 void forgetControlHost(SubsetState &subset, const std::string &host);
 void takeCordons(SubsetState &subset, const catalog::Cordons &cordons);
 
 void connected(SubsetState &subset, const std::string &agent);
 void connectionLost(SubsetState &subset, const std::string &agent, Time now);
 
-// Its session was given up as spare.
+// Its session was closed because it was no longer needed.
 void dropped(SubsetState &subset, const std::string &agent);
 
-// Work has found no room in the subset.
+// Work has found no free capacity in the subset.
 void wantMore(SubsetState &subset, Time now);
 
-// A job needs this; false if no agent that is listed meets it. Where none of the subset does, a few
-// that do are added at the next choice.
+// Ensures that the subset has an agent that meets a job's requirement: if it has none, the next
+// choice adds some. False if no listed agent meets it.
 bool reach(SubsetState &subset, const Need &need, Time now);
 
-// What has to change for the subset to be as it should. Cheap when nothing has changed.
+// Computes the changes to the sessions. Cheap if the input has not changed.
 SubsetChanges choose(SubsetState &subset, Time now);
 
-// Whether the entry works with one rather than with the other.
+// Whether this entry prefers `left` to `right`.
 bool goesFirst(const ListedAgent *left, const ListedAgent *right);
 
-// Agents that sessions are kept with, or being opened.
+// Number of agents with a session that is open or being opened.
 std::size_t keptAgents(const SubsetState &subset);
 
 } // namespace foxwing::subset
--- a/packages/subset/src/choosing.cpp
+++ b/packages/subset/src/choosing.cpp
@@ -1,5 +1,5 @@
 /*
-    How the subset is chosen.
+    Chooses the subset: its size, its agents, and the resulting changes to sessions.
 
     [SECTION] Size
     [SECTION] Choice
@@ -15,7 +15,7 @@
 
 using Ranked = std::vector<ListedAgent *>;
 
-// Between choices for the sake of time alone: agents that are away, spare or needed no more.
+// Between choices without new input, which only handle expired times of agents.
 constexpr Milliseconds LookInterval { 100 };
 
 // [SECTION] Size
@@ -40,7 +40,8 @@
     return std::max<std::size_t>(1, subset.settings.least * subset.settings.stepPercent / 100);
 }
 
-// Steps that work without room has led to, or that have become too many.
+// Adds a growth step while work finds no capacity, and removes one when none has been requested
+// for a while.
 void adaptWidening(SubsetState &subset, std::size_t usual, Time now)
 {
     const SubsetSettings &settings = subset.settings;
@@ -77,7 +78,7 @@
     return agent.kept && !agent.connected && now >= agent.awaySince + subset.settings.replaceAfter;
 }
 
-// Agents that may take work, by service and then by rank.
+// Agents that may accept work, by service and then by rank.
 std::map<std::string, Ranked> rank(SubsetState &subset)
 {
     std::map<std::string, Ranked> services;
@@ -90,8 +91,8 @@
     return services;
 }
 
-// Takes from the front until so many that can be reached are chosen, and no more than `most` in
-// all: where a whole data centre is out of reach, not each of its agents is dialled.
+// Chooses agents in order until `wanted` reachable ones are chosen, but at most `most` in total:
+// if a whole data centre is unreachable, not all of its agents are tried.
 std::size_t take(const SubsetState &subset, const Ranked &agents, std::size_t wanted,
                  std::size_t most, Time now, std::set<ListedAgent *> &chosen)
 {
@@ -166,7 +167,7 @@
         changes.spare.push_back(address);
 }
 
-// The part of all entries that, on average, works with the same agents as this one.
+// Number of entries that use each of this entry's agents, on average.
 std::uint32_t sharing(const SubsetState &subset)
 {
     const std::size_t entries = countedEntries(subset);
--- a/packages/subset/src/subset.cpp
+++ b/packages/subset/src/subset.cpp
@@ -1,7 +1,7 @@
 /*
-    What is known of the agents. How the subset is chosen from them is in choosing.cpp.
+    Keeps the list of known agents. choosing.cpp chooses the subset from it.
 
-    [SECTION] News
+    [SECTION] Updates
     [SECTION] Sessions
     [SECTION] Needs
 */
@@ -13,7 +13,7 @@
 
 namespace foxwing::subset {
 
-// [SECTION] News
+// [SECTION] Updates
 
 SubsetState makeSubset(const SubsetSettings &settings, const std::string &entry,
                        const std::string &dataCentre)
@@ -46,8 +46,8 @@
     ListedAgent &agent = subset.agents[node.address];
     if (agent.weight == 0)
         agent.weight = rendezvousWeight(subset.entry, node.address);
-    // Control hosts differ for a moment in what they have heard; what names a service has heard
-    // more than what names none.
+    // Control hosts may differ for a moment; info that names a service is more complete than info
+    // without one.
     if (agent.listedBy.empty() || !node.service.empty())
         agent.node = node;
     agent.listedBy.insert(host);
@@ -65,7 +65,7 @@
     for (const std::string &address : update.gone)
         unlist(subset, address, from);
     for (const directory::NodeInfo &node : update.nodes) {
-        // An address may come back in another role.
+        // An address may return with another role.
         if (node.role == directory::Role::Agent)
             list(subset, node, from);
         else
@@ -159,7 +159,8 @@
     for (auto &[address, agent] : subset.agents) {
         if (!meets(agent, need) || catalog::isCordoned(subset.cordons, agent.node.dataCentre))
             continue;
-        // A kept one does, but for those that are there for an earlier need and would go.
+        // Surplus agents and those added for an earlier requirement don't count: they would be
+        // removed.
         if (agent.kept && !agent.spare && agent.neededUntil == Time {})
             return true;
         meeting.push_back(&agent);
--- a/packages/subset/tests/subset_test.cpp
+++ b/packages/subset/tests/subset_test.cpp
@@ -1,6 +1,5 @@
 /*
-    Which agents entries work with: sizes, what a change of the fleet moves, and what widens a
-    subset.
+    Sizes of subsets, session changes when the fleet changes, growth, and requirements of jobs.
 
     [SECTION] Fleet
     [SECTION] Sizes
@@ -60,7 +59,7 @@
                       dataCentre(number % dataCentres));
 }
 
-// Connects what is added and drops what is spare, for so long.
+// Connects added agents and closes surplus sessions for this long.
 void live(SubsetState &subset, Time &now, Milliseconds span)
 {
     constexpr Milliseconds Step { 20 };
@@ -91,7 +90,7 @@
             }));
 }
 
-// An entry of a fleet of 184 entries and 800 agents in five data centres, settled.
+// An entry with a stable subset in a fleet of 184 entries and 800 agents in five data centres.
 SubsetState settledEntry(Time &now)
 {
     SubsetState subset = makeEntry(0, 5);
@@ -109,15 +108,15 @@
     std::size_t agents;
     std::size_t dataCentres;
 
-    // Data centres that entries are in, from the first
+    // Number of data centres with entries
     std::size_t entriesIn;
     std::size_t sessionsOfEntry;
 
-    // Agents that some entry reaches; choices are independent, so where few entries choose among
-    // many agents some are left to those that widen their subset.
+    // Agents reached by at least one entry. Entries choose independently, so with few entries and
+    // many agents some are reached only by subsets that grow.
     std::size_t leastReached;
 
-    // At the busiest agent: two and a half times the average, three times where that is small
+    // At the agent with most sessions: 2.5 times the average, 3 times if the average is small
     std::size_t mostSessionsOfAgent;
 };
 
@@ -139,7 +138,7 @@
                                         dataCentre(i % tested.entriesIn));
         takeUpdate(subset, "control-1", list);
         Time now = Start;
-        // A step of 32 agents in 0.2 s, up to all of them
+        // Grows by 32 agents per 0.2 s.
         live(subset, now, Seconds(1) + Milliseconds(200) * (tested.sessionsOfEntry / 32));
         EXPECT_EQ(keptAgents(subset), tested.sessionsOfEntry);
         for (const std::string &agent : kept(subset))
@@ -164,7 +163,8 @@
                         SizeCase { "DataCentreWithoutEntry", 100, 800, 5, 4, 64, 776, 24 }),
         [](const auto &tested) { return tested.param.name; });
 
-// Where no entry is at home, agents are in the reach of few; in need, of all that widen.
+// Agents in a data centre without entries have few sessions; entries that lack capacity must still
+// find them.
 TEST(Subset, WorkWithoutRoomReachesDataCentresWithoutEntries)
 {
     const auto list = wholeList(800, 100, 5);
@@ -215,7 +215,7 @@
         for (const std::string &agent : kept(subset))
             moved += before.count(agent) == 0 ? 1 : 0;
     }
-    // Each of the two concerns about an eleventh of the entries.
+    // Each of the two affects about 1/11 of the entries.
     EXPECT_LE(moved, Entries / 2);
     EXPECT_GE(moved, 1U);
 }
@@ -299,7 +299,7 @@
     EXPECT_EQ(keptAgents(subset), 64U);
 }
 
-// A control host that has just started has met few of the entries, but most agents.
+// A control host that has just started knows few entries but most agents.
 TEST(Subset, AControlHostThatKnowsFewEntriesHasNotAllAgentsDialled)
 {
     Time now = Start;
@@ -362,7 +362,7 @@
     SubsetState subset = makeEntry(0, 5);
     directory::DirectoryUpdate update = wholeList(800, 184, 5);
     subset.settings.homePercent = 100;
-    // Only in another data centre, and larger than all others.
+    // The only match is in another data centre.
     update.nodes[1].labels = { "special" };
     update.nodes[1].capacity.accelerators = 8;
     takeUpdate(subset, "control-1", update);
