--- a/packages/agent/tests/agent_test.cpp
+++ b/packages/agent/tests/agent_test.cpp
@@ -51,14 +51,14 @@
 
 // [SECTION] Refusals
 
-struct RefusedStart
+struct StartRefusal
 {
     const char *name;
     void (*spoil)(AgentState &, Start &);
     RefusalCause cause;
 };
 
-class Refusal : public testing::TestWithParam<RefusedStart>
+class Refusal : public testing::TestWithParam<StartRefusal>
 { };
 
 TEST_P(Refusal, IsSaidAndHoldsForEver)
@@ -83,49 +83,49 @@
 INSTANTIATE_TEST_SUITE_P(
         Table, Refusal,
         testing::Values(
-                RefusedStart { "OtherIncarnation",
+                StartRefusal { "OtherIncarnation",
                                [](AgentState &, Start &start) { start.agentIncarnation = 6; },
                                RefusalCause::WrongIncarnation },
-                RefusedStart { "OldLease", [](AgentState &, Start &start) { start.leaseEpoch = 0; },
+                StartRefusal { "OldLease", [](AgentState &, Start &start) { start.leaseEpoch = 0; },
                                RefusalCause::WrongLease },
-                RefusedStart { "OtherOwner",
+                StartRefusal { "OtherOwner",
                                [](AgentState &, Start &start) { start.owner = "entry-b"; },
                                RefusalCause::WrongLease },
-                RefusedStart { "OwnerRestarted",
+                StartRefusal { "OwnerRestarted",
                                [](AgentState &, Start &start) { start.ownerIncarnation = 2; },
                                RefusalCause::WrongLease },
-                RefusedStart { "Fenced",
+                StartRefusal { "Fenced",
                                [](AgentState &agent, Start &) {
                                    handle(agent, Fence { "team/job", 2, "entry-b" }, Begin);
                                },
                                RefusalCause::Fenced },
-                RefusedStart { "Voided",
+                StartRefusal { "Voided",
                                [](AgentState &agent, Start &start) {
                                    handle(agent, Void { "entry-a", start.ref, 7 }, Begin);
                                },
                                RefusalCause::AlreadyVoided },
-                RefusedStart { "Cancelled",
+                StartRefusal { "Cancelled",
                                [](AgentState &agent, Start &start) {
                                    handle(agent, Cancel { "entry-a", { start.ref }, 7 }, Begin);
                                },
                                RefusalCause::AlreadyVoided },
-                RefusedStart { "Leaving", [](AgentState &agent, Start &) { leave(agent, Begin); },
+                StartRefusal { "Leaving", [](AgentState &agent, Start &) { leave(agent, Begin); },
                                RefusalCause::Leaving },
-                RefusedStart { "NoTime",
+                StartRefusal { "NoTime",
                                [](AgentState &, Start &start) { start.timeLeft = Microseconds(0); },
                                RefusalCause::DeadlinePassed },
-                RefusedStart { "NoSlot",
+                StartRefusal { "NoSlot",
                                [](AgentState &agent, Start &) {
                                    handle(agent, goodStart(1), Begin);
                                    handle(agent, goodStart(2), Begin);
                                },
                                RefusalCause::NoFreeSlot },
-                RefusedStart { "TooManyResults",
+                StartRefusal { "TooManyResults",
                                [](AgentState &agent, Start &) {
                                    agent.unsettledBytes = agent.settings.unsettledBytes;
                                },
                                RefusalCause::TooManyUnsettled }),
-        [](const testing::TestParamInfo<RefusedStart> &given) { return given.param.name; });
+        [](const testing::TestParamInfo<StartRefusal> &given) { return given.param.name; });
 
 // [SECTION] Results
 
--- a/packages/directory/include/foxwing/directory/directory.h
+++ b/packages/directory/include/foxwing/directory/directory.h
@@ -64,7 +64,7 @@
     // that changes later is not told anew; entries in touch with the agent hear of it there.
     std::string service;
     std::vector<std::string> labels;
-    jobs::Room capacity;
+    jobs::ResourceVector capacity;
 };
 template<class Fields>
 void describe(Fields &fields, NodeInfo &node)
--- a/packages/fleet/src/agentlinks.cpp
+++ b/packages/fleet/src/agentlinks.cpp
@@ -18,14 +18,14 @@
 
 // [SECTION] News
 
-void AgentLinks::takeUpdate(const std::string &from, const directory::DirectoryUpdate &update)
+void AgentLinks::applyUpdate(const std::string &from, const directory::DirectoryUpdate &update)
 {
-    subset::takeUpdate(m_subset, from, update);
+    subset::applyUpdate(m_subset, from, update);
 }
 
-void AgentLinks::forgetControlHost(const std::string &host)
+void AgentLinks::removeControlHost(const std::string &host)
 {
-    subset::forgetControlHost(m_subset, host);
+    subset::removeControlHost(m_subset, host);
 }
 
 void AgentLinks::takeCordons(const catalog::Cordons &cordons)
@@ -50,7 +50,7 @@
 void AgentLinks::connected(const std::string &address, const std::shared_ptr<fabric::Link> &link)
 {
     m_peers.at(address).link = link;
-    subset::connected(m_subset, address);
+    subset::sessionOpened(m_subset, address);
     link->start([this, address](std::string_view bytes) { m_events.received(address, bytes); },
                 [this, address, link = link.get()] { closed(address, link); });
     m_events.connected(address);
@@ -92,16 +92,16 @@
 
 // [SECTION] Subset
 
-void AgentLinks::keep(bool wantsRoom, Time now)
+void AgentLinks::keep(bool needsCapacity, Time now)
 {
-    if (wantsRoom)
-        subset::wantMore(m_subset, now);
+    if (needsCapacity)
+        subset::requestGrowth(m_subset, now);
     const subset::SubsetChanges changes = subset::choose(m_subset, now);
     for (const std::string &address : changes.added)
         dial(address);
     for (const std::string &address : changes.gone)
         m_peers.erase(address);
-    for (const std::string &address : changes.spare)
+    for (const std::string &address : changes.surplus)
         drop(address);
 }
 
@@ -114,13 +114,13 @@
     subset::dropped(m_subset, address);
 }
 
-bool AgentLinks::reach(const jobs::JobSpec &spec, const std::string &service, Time now)
+bool AgentLinks::requireAgents(const jobs::JobSpec &spec, const std::string &service, Time now)
 {
     bool all = true;
     for (const jobs::StepSpec &step : spec.steps) {
-        all &= subset::reach(m_subset, { service, step.label, "", step.room }, now);
+        all &= subset::requireAgents(m_subset, { service, step.label, "", step.demand }, now);
         if (!step.rack.empty())
-            subset::reach(m_subset, { service, step.label, step.rack, step.room }, now);
+            subset::requireAgents(m_subset, { service, step.label, step.rack, step.demand }, now);
     }
     return all;
 }
--- a/packages/fleet/src/agentlinks.h
+++ b/packages/fleet/src/agentlinks.h
@@ -4,7 +4,7 @@
     Which agents those are is decided in the subset package; here they are dialled and closed.
 
         AgentLinks agents(core, events);
-        agents.takeUpdate(controlHost, update);
+        agents.applyUpdate(controlHost, update);
         agents.keep(false, now);
         agents.send("10.1.0.7:7720", frame);
 
@@ -40,17 +40,17 @@
     AgentLinks(Core &core, AgentEvents events);
 
     // News from control
-    void takeUpdate(const std::string &from, const directory::DirectoryUpdate &update);
-    void forgetControlHost(const std::string &host);
+    void applyUpdate(const std::string &from, const directory::DirectoryUpdate &update);
+    void removeControlHost(const std::string &host);
     void takeCordons(const catalog::Cordons &cordons);
 
-    // Opens and gives up connections, so that they follow the subset. wantsRoom: work has found no
-    // room of late.
-    void keep(bool wantsRoom, Time now);
+    // Opens and gives up connections, so that they follow the subset. needsCapacity: work has found
+    // no room of late.
+    void keep(bool needsCapacity, Time now);
 
     // Whether each step of the job finds an endpoint in the fleet, in the subset or not; where it
     // is not in the subset, connections to some are opened at the next keep().
-    bool reach(const jobs::JobSpec &spec, const std::string &service, Time now);
+    bool requireAgents(const jobs::JobSpec &spec, const std::string &service, Time now);
 
     // Does nothing where there is no connection.
     void send(const std::string &agent, const Frame &frame);
--- a/packages/fleet/src/agentshell.cpp
+++ b/packages/fleet/src/agentshell.cpp
@@ -175,8 +175,8 @@
         carryOut(runner::startTasks(m_runner, session, *start, now));
     else if (const auto *stop = std::get_if<jobs::StopRuns>(&*frame))
         carryOut(runner::stopRuns(m_runner, session, *stop, now));
-    else if (const auto *beat = std::get_if<jobs::SessionBeat>(&*frame))
-        carryOut(runner::sessionBeat(m_runner, session, *beat, now));
+    else if (const auto *heartbeat = std::get_if<jobs::SessionHeartbeat>(&*frame))
+        carryOut(runner::sessionBeat(m_runner, session, *heartbeat, now));
     else if (const auto *open = std::get_if<OpenSession>(&*frame))
         openSession(session, *open, now);
 }
--- a/packages/fleet/src/controlshell.cpp
+++ b/packages/fleet/src/controlshell.cpp
@@ -213,14 +213,14 @@
     if (now < m_nextBeat)
         return;
     m_nextBeat = now + NodeBeatInterval;
-    const std::string beat = encodeFrame(Frame(directory::NodeBeat {}));
-    m_nodes.beat(beat, now);
+    const std::string heartbeat = encodeFrame(Frame(directory::NodeBeat {}));
+    m_nodes.heartbeat(heartbeat, now);
     std::vector<std::shared_ptr<fabric::Link>> silent;
     for (auto &[address, peer] : m_controls) {
         if (peer.link && now >= peer.heardAt + NodeSilence)
             silent.push_back(peer.link);
         else if (peer.link)
-            peer.link->send(beat);
+            peer.link->send(heartbeat);
     }
     for (const auto &link : silent)
         link->close();
--- a/packages/fleet/src/core.cpp
+++ b/packages/fleet/src/core.cpp
@@ -140,7 +140,7 @@
     if (!frame)
         return;
     if (const auto *update = std::get_if<directory::DirectoryUpdate>(&*frame)) {
-        for (const std::string &address : takeUpdate(m_book, from, *update, peer.heardAt))
+        for (const std::string &address : applyUpdate(m_book, from, *update, peer.heardAt))
             dial(address);
         m_events.directory(from, *update);
     } else if (const auto *push = std::get_if<AgreedPush>(&*frame)) {
--- a/packages/fleet/src/entryshell.cpp
+++ b/packages/fleet/src/entryshell.cpp
@@ -108,7 +108,7 @@
 
     // Lag
     Time cameAt(const fabric::Exchange &exchange, std::optional<Time> heldSince, Time now) const;
-    void noteTurn(Time now);
+    void recordTurn(Time now);
     void tellStandingBack(Time now);
     void addLagSamples(std::vector<metrics::Sample> &samples) const;
 
@@ -171,7 +171,7 @@
 bool EntryShell::ready() const
 {
     return !m_stopping && m_catalog.version > 0 && scheduler::reachesEndpoints(m_scheduler)
-            && !lag::standsBack(m_lag);
+            && !lag::isWithdrawn(m_lag);
 }
 
 void EntryShell::handleReadiness(const ExchangePtr &exchange)
@@ -285,7 +285,7 @@
     terms.beginBy = came + queue.timeout;
     if (call.patience)
         terms.patienceUntil = came + *call.patience;
-    terms.suitableElsewhere = m_agents.reach(*spec, queue.service, now);
+    terms.suitableElsewhere = m_agents.requireAgents(*spec, queue.service, now);
     keepAgents(now);
     std::uint64_t number = 0;
     scheduler::SchedulerActions actions = scheduler::submit(m_scheduler, *spec, terms, now,
@@ -409,7 +409,7 @@
     seeCallers(now);
     if (const auto *update = std::get_if<jobs::AgentUpdate>(&*frame))
         carryOut(scheduler::agentUpdated(m_scheduler, address, *update, now));
-    else if (const auto *welcome = std::get_if<jobs::Welcome>(&*frame))
+    else if (const auto *welcome = std::get_if<jobs::SessionAccepted>(&*frame))
         carryOut(scheduler::agentWelcomed(m_scheduler, address, *welcome, now));
 }
 
@@ -431,13 +431,13 @@
         takeCordons(push.cordons);
         takeCatalog(push.catalog);
     };
-    events.forgotten = [this](const std::string &host) { m_agents.forgetControlHost(host); };
+    events.forgotten = [this](const std::string &host) { m_agents.removeControlHost(host); };
     return events;
 }
 
 void EntryShell::takeDirectory(const std::string &from, const directory::DirectoryUpdate &update)
 {
-    m_agents.takeUpdate(from, update);
+    m_agents.applyUpdate(from, update);
     keepAgents(steadyNow());
 }
 
@@ -490,40 +490,40 @@
 {
     if (heldSince)
         return *heldSince;
-    return lag::isBehind(m_lag) ? now - exchange.sinceReceived() : now;
+    return lag::isLagging(m_lag) ? now - exchange.sinceReceived() : now;
 }
 
-void EntryShell::noteTurn(Time now)
+void EntryShell::recordTurn(Time now)
 {
-    if (lag::noteTurn(m_lag, m_turnDueAt, now))
+    if (lag::recordTurn(m_lag, m_turnDueAt, now))
         tellStandingBack(now);
     // From this turn's beginning, so that a long turn makes the next one late.
     m_turnDueAt = now + TickInterval;
-    m_callers->setCloseAfterAnswers(m_stopping || lag::sendsCallersAway(m_lag));
+    m_callers->setCloseAfterAnswers(m_stopping || lag::closesConnections(m_lag));
 }
 
 void EntryShell::tellStandingBack(Time now)
 {
-    if (lag::standsBack(m_lag))
+    if (lag::isWithdrawn(m_lag))
         writeEvent(m_core.log,
                    change("stands-back")
-                           .with("behind_ms", m_lag.behind)
+                           .with("behind_ms", m_lag.averageDelay)
                            .with("open_jobs", std::uint64_t { scheduler::openJobs(m_scheduler) }));
     else
         writeEvent(m_core.log,
                    change("takes-work-again")
-                           .with("for_ms", now - m_lag.backSince)
-                           .with("behind_ms", m_lag.behind));
+                           .with("for_ms", now - m_lag.withdrawnSince)
+                           .with("behind_ms", m_lag.averageDelay));
 }
 
 void EntryShell::addLagSamples(std::vector<metrics::Sample> &samples) const
 {
     samples.push_back({ "foxwing_stood_back_total", "Times this entry stood back for being behind",
-                        static_cast<double>(m_lag.timesBack) });
+                        static_cast<double>(m_lag.withdrawals) });
     samples.push_back({ "foxwing_standing_back", "1 while this entry stands back",
-                        lag::standsBack(m_lag) ? 1.0 : 0.0, true });
+                        lag::isWithdrawn(m_lag) ? 1.0 : 0.0, true });
     samples.push_back({ "foxwing_behind_ms", "How late turns of the loop were of late",
-                        toMilliseconds(m_lag.behind), true });
+                        toMilliseconds(m_lag.averageDelay), true });
 }
 
 // [SECTION] Time
@@ -542,7 +542,7 @@
 void EntryShell::tick(Time now)
 {
     checkPause(now);
-    noteTurn(now);
+    recordTurn(now);
     refuseHeld(now);
     m_control.tick(now);
     keepAgents(now);
@@ -593,7 +593,7 @@
         return found == scheduler.shares.queues.end() ? shares::QueueShare {} : found->second;
     };
     add("foxwing_queue_asked_total", "Jobs that endpoints could serve, by queue", false,
-        [&](const std::string &queue) { return shareOf(queue).askedJobs; });
+        [&](const std::string &queue) { return shareOf(queue).requestedJobs; });
     add("foxwing_queue_refused_total", "Jobs refused for want of room, by queue", false,
         [&](const std::string &queue) { return shareOf(queue).refusedJobs; });
     add("foxwing_queue_served_percent", "Work not refused of what was asked of late, by queue",
@@ -650,7 +650,7 @@
     gauge("foxwing_agents_listed", "Agents that control hosts list",
           m_agents.subset().agents.size());
     gauge("foxwing_agents_chosen", "Agents that sessions are kept with",
-          subset::keptAgents(m_agents.subset()));
+          subset::sessionCount(m_agents.subset()));
     gauge("foxwing_endpoints_without_queue", "Endpoints whose service no queue names",
           endpointsWithoutQueue());
     gauge("foxwing_control_hosts", "Control hosts in touch", m_control.connected());
--- a/packages/fleet/src/heldcalls.cpp
+++ b/packages/fleet/src/heldcalls.cpp
@@ -13,7 +13,7 @@
 
 bool hold(HeldCalls &held, const fabric::ExchangePtr &exchange, Time now)
 {
-    if (now >= held.startedAt + held.settings.afterStart
+    if (now >= held.startedAt + held.settings.startupGrace
         || held.calls.size() >= held.settings.mostCalls)
         return false;
     held.calls.push_back({ exchange, now });
--- a/packages/fleet/src/heldcalls.h
+++ b/packages/fleet/src/heldcalls.h
@@ -37,7 +37,7 @@
 
     // From an entry's start; three of five control hosts that lost power together were back 0.3 s
     // after the first entry.
-    Milliseconds afterStart { 1000 };
+    Milliseconds startupGrace { 1000 };
 
     // More than come to one entry of the largest fleet within mostHold; each takes some kilobytes.
     std::size_t mostCalls = 1000;
--- a/packages/fleet/src/messages.h
+++ b/packages/fleet/src/messages.h
@@ -101,9 +101,9 @@
 }
 
 // The order is the format: new ones go to the end.
-using Frame =
-        std::variant<directory::Announce, directory::NodeBeat, directory::DirectoryUpdate,
-                     AgreedPush, ForwardCall, ForwardAnswer, GroupFrame, OpenSession, jobs::Welcome,
-                     jobs::AgentUpdate, jobs::StartTasks, jobs::StopRuns, jobs::SessionBeat>;
+using Frame = std::variant<directory::Announce, directory::NodeBeat, directory::DirectoryUpdate,
+                           AgreedPush, ForwardCall, ForwardAnswer, GroupFrame, OpenSession,
+                           jobs::SessionAccepted, jobs::AgentUpdate, jobs::StartTasks,
+                           jobs::StopRuns, jobs::SessionHeartbeat>;
 
 } // namespace foxwing::fleet
--- a/packages/fleet/src/nodelinks.cpp
+++ b/packages/fleet/src/nodelinks.cpp
@@ -114,7 +114,7 @@
     }
 }
 
-void NodeLinks::beat(const std::string &frame, Time now)
+void NodeLinks::heartbeat(const std::string &frame, Time now)
 {
     std::vector<std::shared_ptr<fabric::Link>> silent;
     for (auto &[connection, node] : m_nodes) {
--- a/packages/fleet/src/nodelinks.h
+++ b/packages/fleet/src/nodelinks.h
@@ -52,7 +52,7 @@
     void tellAgreed(const catalog::AgreedState &agreed);
 
     // Sends a beat to each node that was heard of late, and closes the connections of the others.
-    void beat(const std::string &frame, Time now);
+    void heartbeat(const std::string &frame, Time now);
 
     // Does nothing where the connection is gone.
     void send(std::uint64_t connection, const Frame &frame);
--- a/packages/fleet/src/peerbook.cpp
+++ b/packages/fleet/src/peerbook.cpp
@@ -24,8 +24,8 @@
     return true;
 }
 
-std::vector<std::string> takeUpdate(PeerBook &book, const std::string &from,
-                                    const directory::DirectoryUpdate &update, Time now)
+std::vector<std::string> applyUpdate(PeerBook &book, const std::string &from,
+                                     const directory::DirectoryUpdate &update, Time now)
 {
     std::set<std::string> &lists = book.peers[from].lists;
     if (update.whole)
--- a/packages/fleet/src/peerbook.h
+++ b/packages/fleet/src/peerbook.h
@@ -69,8 +69,8 @@
 bool keep(PeerBook &book, const std::string &address, Time now);
 
 // A peer has told what changed in its list; the hosts that are to be dialled for it.
-std::vector<std::string> takeUpdate(PeerBook &book, const std::string &from,
-                                    const directory::DirectoryUpdate &update, Time now);
+std::vector<std::string> applyUpdate(PeerBook &book, const std::string &from,
+                                     const directory::DirectoryUpdate &update, Time now);
 
 void connected(PeerBook &book, const std::string &address, Time now);
 void heard(PeerBook &book, const std::string &address, Time now);
--- a/packages/fleet/src/settings.cpp
+++ b/packages/fleet/src/settings.cpp
@@ -101,9 +101,9 @@
 
 void readLag(TomlReader &policy, FleetSettings &settings)
 {
-    std::int64_t above = settings.lag.standBackAbove.count();
+    std::int64_t above = settings.lag.withdrawAbove.count();
     policy.whole("stand_back_above_milliseconds", above, 0, MostStandBackAbove.count());
-    settings.lag.standBackAbove = Milliseconds(above);
+    settings.lag.withdrawAbove = Milliseconds(above);
 }
 
 void readPolicy(TomlReader table, FleetSettings &settings)
@@ -141,10 +141,10 @@
     table.flag("forecast", policy.forecast);
     table.whole("refuse_at_arrival_percent", policy.refuseAtArrivalPercent, 0, 1000);
     table.whole("wait_percent", policy.waitPercent, 0, 100);
-    table.whole("floor_percent", policy.shares.floorPercent, 0, 100);
+    table.whole("floor_percent", policy.shares.guaranteedPercent, 0, 100);
     table.flag("learn_run_times", policy.learnRunTimes);
     table.flag("move_runs", policy.moveRuns);
-    table.whole("subset_size", settings.subset.least, 1, 100000);
+    table.whole("subset_size", settings.subset.minSize, 1, 100000);
     table.whole("entries_per_agent", settings.subset.entriesPerAgent, 1, 1000);
     readLag(table, settings);
     table.flag("judge_endpoint", settings.runner.judgeEndpoint);
--- a/packages/fleet/tests/entryshell_test.cpp
+++ b/packages/fleet/tests/entryshell_test.cpp
@@ -29,10 +29,10 @@
     dialect.readJob = [](const fabric::Request &, const std::string &rest, Error *) {
         jobs::JobSpec spec;
         spec.id = rest;
-        spec.traits.kept = false;
+        spec.traits.durable = false;
         jobs::StepSpec step;
         step.tasks = 1;
-        step.room = { 1000, 10, 0 };
+        step.demand = { 1000, 10, 0 };
         step.estimate = Milliseconds(1000);
         spec.steps = { step };
         return std::optional(spec);
@@ -160,15 +160,15 @@
         return update;
     }
 
-    jobs::Welcome welcome() const
+    jobs::SessionAccepted welcome() const
     {
-        jobs::Welcome welcome;
+        jobs::SessionAccepted welcome;
         welcome.endpoint.life = "life";
         welcome.endpoint.service = "service";
         welcome.endpoint.capacity = Capacity;
         if (sessions > 0 || roomAtOnce)
             welcome.endpoint.free = Capacity;
-        welcome.endpoint.mostStarts = 100;
+        welcome.endpoint.maxStarts = 100;
         return welcome;
     }
 
@@ -208,7 +208,7 @@
     // While a welcome lies in the entry's socket its loop is held up: longer than a look at callers
     // is trusted, and too short to count as a pause.
     static constexpr Milliseconds HeldUp { 10 };
-    static inline const jobs::Room Capacity { 4000, 10000, 0 };
+    static inline const jobs::ResourceVector Capacity { 4000, 10000, 0 };
     bool roomAtOnce = true;
     bool leavesAtReset = false;
     int sessions = 0;
--- a/packages/fleet/tests/peerbook_test.cpp
+++ b/packages/fleet/tests/peerbook_test.cpp
@@ -34,7 +34,7 @@
             node.address = address;
             update.nodes.push_back(node);
         }
-        return takeUpdate(book, from, update, now);
+        return applyUpdate(book, from, update, now);
     }
 
     PeerChanges pass(Milliseconds span)
--- a/packages/fleet/tests/settings_test.cpp
+++ b/packages/fleet/tests/settings_test.cpp
@@ -68,7 +68,7 @@
     EXPECT_EQ(settings->scheduler.dataCentre, "oviedo");
     EXPECT_EQ(settings->scheduler.awayPercent, 40U);
     EXPECT_EQ(settings->scheduler.farFactor, 3);
-    EXPECT_EQ(settings->subset.least, 12U);
+    EXPECT_EQ(settings->subset.minSize, 12U);
     EXPECT_EQ(settings->subset.entriesPerAgent, 3U);
     EXPECT_EQ(innerAddress(*settings), "10.1.0.13:7720");
     EXPECT_EQ(seedAddresses(*settings),
@@ -82,11 +82,11 @@
     EXPECT_EQ(settings->scheduler.refuseAtArrivalPercent, 150U);
     EXPECT_EQ(settings->scheduler.waitPercent, 0);
     EXPECT_EQ(settings->scheduler.waitingQueues, scheduler::WaitingQueues::AllButLeast);
-    EXPECT_EQ(settings->scheduler.shares.floorPercent, 65U);
+    EXPECT_EQ(settings->scheduler.shares.guaranteedPercent, 65U);
     EXPECT_EQ(settings->scheduler.placement, scheduler::Placement::MostRoom);
     EXPECT_FALSE(settings->scheduler.learnRunTimes);
     EXPECT_FALSE(settings->scheduler.moveRuns);
-    EXPECT_EQ(settings->lag.standBackAbove, Milliseconds(40));
+    EXPECT_EQ(settings->lag.withdrawAbove, Milliseconds(40));
     EXPECT_FALSE(settings->runner.judgeEndpoint);
 }
 
--- a/packages/forecast/include/foxwing/forecast/forecast.h
+++ b/packages/forecast/include/foxwing/forecast/forecast.h
@@ -30,16 +30,16 @@
 struct AgentNews
 {
     std::int64_t freeMilliCores = 0;
-    std::vector<jobs::WaitingRoom> waiting;
+    std::vector<jobs::PriorityBacklog> waiting;
     std::uint32_t freedPerSecond = 0;
     Time heardAt {};
 };
 
 // Load of one service, summed over its agents.
-struct Picture
+struct ServiceLoad
 {
     // By priority, most urgent first
-    std::vector<jobs::WaitingRoom> waiting;
+    std::vector<jobs::PriorityBacklog> waiting;
 
     // Free capacity of each endpoint that has any, and capacity released per second by all of
     // them; in thousandths of a core
@@ -55,7 +55,7 @@
 };
 
 // A job's demand, as input of an estimate.
-struct Wanted
+struct JobDemand
 {
     std::uint32_t priority = 0;
 
@@ -64,7 +64,7 @@
     std::int64_t milliCores = 0;
 
     // Work queued ahead of it at this entry, in thousandths of a core
-    std::int64_t beforeIt = 0;
+    std::int64_t queuedAhead = 0;
 };
 
 // [SECTION] Functions
@@ -75,21 +75,22 @@
 // Upper bound of an estimate; prevents overflow when waits are added up.
 constexpr Milliseconds LongestWait = std::chrono::hours(1);
 
-// Bounds of the result of comeBackAfter()
-constexpr Milliseconds LeastComeBack { 100 };
-constexpr Milliseconds MostComeBack { 4000 };
+// Bounds of the result of estimateRetryAfter()
+constexpr Milliseconds MinRetryAfter { 100 };
+constexpr Milliseconds MaxRetryAfter { 4000 };
 
-void addAgent(Picture &picture, const AgentNews &news, Time now);
+void addAgent(ServiceLoad &serviceLoad, const AgentNews &news, Time now);
 
 // Whether any work is waiting ahead of the job.
-bool hasWorkBefore(const Picture &picture, const Wanted &wanted);
+bool hasWorkAhead(const ServiceLoad &serviceLoad, const JobDemand &wanted);
 
 // Time until the work ahead of the job and the job itself have capacity. Empty if unknown: too
 // little is free now and no capacity was released recently.
-std::optional<Milliseconds> expectedWait(const Picture &picture, const Wanted &wanted);
+std::optional<Milliseconds> expectedWait(const ServiceLoad &serviceLoad, const JobDemand &wanted);
 
 // Delay after which a refused caller should retry: the expected wait, plus up to as much again.
 // `chance` is a random number from 0 to 1; it spreads the retries of different callers.
-Milliseconds comeBackAfter(const Picture &picture, const Wanted &wanted, double chance);
+Milliseconds estimateRetryAfter(const ServiceLoad &serviceLoad, const JobDemand &wanted,
+                                double chance);
 
 } // namespace foxwing::forecast
--- a/packages/forecast/src/forecast.cpp
+++ b/packages/forecast/src/forecast.cpp
@@ -15,42 +15,42 @@
 
 namespace {
 
-void addWaiting(Picture &picture, const jobs::WaitingRoom &told)
+void addWaiting(ServiceLoad &serviceLoad, const jobs::PriorityBacklog &told)
 {
-    const auto before = [](const jobs::WaitingRoom &row, std::uint32_t priority) {
+    const auto before = [](const jobs::PriorityBacklog &row, std::uint32_t priority) {
         return row.priority < priority;
     };
-    const auto row = std::lower_bound(picture.waiting.begin(), picture.waiting.end(), told.priority,
-                                      before);
-    if (row != picture.waiting.end() && row->priority == told.priority)
+    const auto row = std::lower_bound(serviceLoad.waiting.begin(), serviceLoad.waiting.end(),
+                                      told.priority, before);
+    if (row != serviceLoad.waiting.end() && row->priority == told.priority)
         row->milliCores += told.milliCores;
     else
-        picture.waiting.insert(row, told);
+        serviceLoad.waiting.insert(row, told);
 }
 
 } // namespace
 
-void addAgent(Picture &picture, const AgentNews &news, Time now)
+void addAgent(ServiceLoad &serviceLoad, const AgentNews &news, Time now)
 {
     const Microseconds age = now - news.heardAt;
     if (age > OldestNews)
         return;
-    picture.age = std::max(picture.age, age);
-    picture.freedPerSecond += news.freedPerSecond;
+    serviceLoad.age = std::max(serviceLoad.age, age);
+    serviceLoad.freedPerSecond += news.freedPerSecond;
     if (news.freeMilliCores > 0)
-        picture.free.push_back(news.freeMilliCores);
-    for (const jobs::WaitingRoom &row : news.waiting)
-        addWaiting(picture, row);
+        serviceLoad.free.push_back(news.freeMilliCores);
+    for (const jobs::PriorityBacklog &row : news.waiting)
+        addWaiting(serviceLoad, row);
 }
 
 // [SECTION] Wait
 
 namespace {
 
-double waitingAtAgents(const Picture &picture, std::uint32_t priority)
+double waitingAtAgents(const ServiceLoad &serviceLoad, std::uint32_t priority)
 {
     double milliCores = 0;
-    for (const jobs::WaitingRoom &row : picture.waiting) {
+    for (const jobs::PriorityBacklog &row : serviceLoad.waiting) {
         if (row.priority <= priority)
             milliCores += static_cast<double>(row.milliCores);
     }
@@ -58,11 +58,11 @@
 }
 
 // Free capacity in whole tasks of this size; an endpoint's remainder can't be used.
-double usableRoom(const Picture &picture, std::int64_t taskMilliCores)
+double usableRoom(const ServiceLoad &serviceLoad, std::int64_t taskMilliCores)
 {
     const std::int64_t task = std::max<std::int64_t>(1, taskMilliCores);
     double milliCores = 0;
-    for (const std::int64_t free : picture.free) {
+    for (const std::int64_t free : serviceLoad.free) {
         const std::int64_t tasks = free / task;
         milliCores += static_cast<double>(tasks * task);
     }
@@ -77,32 +77,33 @@
 
 } // namespace
 
-bool hasWorkBefore(const Picture &picture, const Wanted &wanted)
+bool hasWorkAhead(const ServiceLoad &serviceLoad, const JobDemand &wanted)
 {
-    return wanted.beforeIt > 0 || waitingAtAgents(picture, wanted.priority) > 0;
+    return wanted.queuedAhead > 0 || waitingAtAgents(serviceLoad, wanted.priority) > 0;
 }
 
-std::optional<Milliseconds> expectedWait(const Picture &picture, const Wanted &wanted)
+std::optional<Milliseconds> expectedWait(const ServiceLoad &serviceLoad, const JobDemand &wanted)
 {
     // The free capacity reported by agents already excludes their own waiting starts.
-    const double here = static_cast<double>(wanted.beforeIt + wanted.milliCores)
-            - usableRoom(picture, wanted.taskMilliCores);
+    const double here = static_cast<double>(wanted.queuedAhead + wanted.milliCores)
+            - usableRoom(serviceLoad, wanted.taskMilliCores);
     if (here <= 0)
         return Milliseconds(0);
-    const double pace = picture.freedPerSecond * picture.share;
+    const double pace = serviceLoad.freedPerSecond * serviceLoad.share;
     if (pace <= 0)
         return std::nullopt;
-    return rounded(waitingAtAgents(picture, wanted.priority) / picture.freedPerSecond
+    return rounded(waitingAtAgents(serviceLoad, wanted.priority) / serviceLoad.freedPerSecond
                    + here / pace);
 }
 
-Milliseconds comeBackAfter(const Picture &picture, const Wanted &wanted, double chance)
+Milliseconds estimateRetryAfter(const ServiceLoad &serviceLoad, const JobDemand &wanted,
+                                double chance)
 {
-    const Milliseconds wait = expectedWait(picture, wanted).value_or(MostComeBack);
+    const Milliseconds wait = expectedWait(serviceLoad, wanted).value_or(MaxRetryAfter);
     const double base = static_cast<double>(
-            std::clamp(wait, LeastComeBack, MostComeBack / 2).count());
+            std::clamp(wait, MinRetryAfter, MaxRetryAfter / 2).count());
     const double spread = std::clamp(chance, 0.0, 1.0);
-    return std::min(MostComeBack, Milliseconds(std::llround(base * (1 + spread))));
+    return std::min(MaxRetryAfter, Milliseconds(std::llround(base * (1 + spread))));
 }
 
 } // namespace foxwing::forecast
--- a/packages/forecast/tests/forecast_test.cpp
+++ b/packages/forecast/tests/forecast_test.cpp
@@ -15,32 +15,32 @@
 constexpr Time Now { Seconds(100) };
 
 AgentNews newsOf(std::int64_t free, std::uint32_t freedPerSecond,
-                 const std::vector<jobs::WaitingRoom> &waiting = {},
+                 const std::vector<jobs::PriorityBacklog> &waiting = {},
                  Milliseconds age = Milliseconds(0))
 {
     return { free, waiting, freedPerSecond, Now - age };
 }
 
-Picture pictureOf(const std::vector<AgentNews> &all)
+ServiceLoad pictureOf(const std::vector<AgentNews> &all)
 {
-    Picture picture;
+    ServiceLoad serviceLoad;
     for (const AgentNews &news : all)
-        addAgent(picture, news, Now);
-    return picture;
+        addAgent(serviceLoad, news, Now);
+    return serviceLoad;
 }
 
 // [SECTION] Picture
 
-TEST(Picture, AddsUpWhatAgentsTellByPriority)
+TEST(ServiceLoad, AddsUpWhatAgentsTellByPriority)
 {
-    const Picture picture = pictureOf({ newsOf(-500, 1000, { { 1, 300 }, { 3, 50 } }),
-                                        newsOf(700, 2000, { { 0, 100 }, { 1, 200 } }) });
-    ASSERT_EQ(picture.waiting.size(), 3U);
-    EXPECT_EQ(picture.waiting[0].priority, 0U);
-    EXPECT_EQ(picture.waiting[1].milliCores, 500);
-    EXPECT_EQ(picture.waiting[2].priority, 3U);
-    EXPECT_EQ(picture.freedPerSecond, 3000);
-    EXPECT_EQ(picture.free, std::vector<std::int64_t> { 700 });
+    const ServiceLoad serviceLoad = pictureOf({ newsOf(-500, 1000, { { 1, 300 }, { 3, 50 } }),
+                                                newsOf(700, 2000, { { 0, 100 }, { 1, 200 } }) });
+    ASSERT_EQ(serviceLoad.waiting.size(), 3U);
+    EXPECT_EQ(serviceLoad.waiting[0].priority, 0U);
+    EXPECT_EQ(serviceLoad.waiting[1].milliCores, 500);
+    EXPECT_EQ(serviceLoad.waiting[2].priority, 3U);
+    EXPECT_EQ(serviceLoad.freedPerSecond, 3000);
+    EXPECT_EQ(serviceLoad.free, std::vector<std::int64_t> { 700 });
 }
 
 struct AgeCase
@@ -55,10 +55,10 @@
 
 TEST_P(NewsAges, DecideWhetherAnAgentCounts)
 {
-    const Picture picture = pictureOf({ newsOf(100, 1000, { { 0, 10 } }, GetParam().age) });
-    EXPECT_EQ(picture.freedPerSecond, GetParam().counts ? 1000 : 0);
-    EXPECT_EQ(picture.waiting.empty(), !GetParam().counts);
-    EXPECT_EQ(picture.age, GetParam().counts ? GetParam().age : Milliseconds(0));
+    const ServiceLoad serviceLoad = pictureOf({ newsOf(100, 1000, { { 0, 10 } }, GetParam().age) });
+    EXPECT_EQ(serviceLoad.freedPerSecond, GetParam().counts ? 1000 : 0);
+    EXPECT_EQ(serviceLoad.waiting.empty(), !GetParam().counts);
+    EXPECT_EQ(serviceLoad.age, GetParam().counts ? GetParam().age : Milliseconds(0));
 }
 
 INSTANTIATE_TEST_SUITE_P(Forecast, NewsAges,
@@ -76,7 +76,7 @@
     const char *name;
     std::vector<AgentNews> news;
     double share;
-    Wanted wanted;
+    JobDemand wanted;
     std::optional<Milliseconds> wait;
 };
 
@@ -85,9 +85,9 @@
 
 TEST_P(Waits, FollowWhatGoesBeforeAndTheRoomThatComesFree)
 {
-    Picture picture = pictureOf(GetParam().news);
-    picture.share = GetParam().share;
-    EXPECT_EQ(expectedWait(picture, GetParam().wanted), GetParam().wait);
+    ServiceLoad serviceLoad = pictureOf(GetParam().news);
+    serviceLoad.share = GetParam().share;
+    EXPECT_EQ(expectedWait(serviceLoad, GetParam().wanted), GetParam().wait);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -150,7 +150,7 @@
 {
     const char *name;
     std::uint32_t freedPerSecond;
-    std::int64_t beforeIt;
+    std::int64_t queuedAhead;
     double chance;
     Milliseconds after;
 };
@@ -160,20 +160,20 @@
 
 TEST_P(ComingBack, FollowsTheWaitAndIsSpread)
 {
-    const Picture picture = pictureOf({ newsOf(0, GetParam().freedPerSecond) });
-    const Wanted wanted { 1, 100, 100, GetParam().beforeIt };
-    EXPECT_EQ(comeBackAfter(picture, wanted, GetParam().chance), GetParam().after);
+    const ServiceLoad serviceLoad = pictureOf({ newsOf(0, GetParam().freedPerSecond) });
+    const JobDemand wanted { 1, 100, 100, GetParam().queuedAhead };
+    EXPECT_EQ(estimateRetryAfter(serviceLoad, wanted, GetParam().chance), GetParam().after);
 }
 
 INSTANTIATE_TEST_SUITE_P(
         Forecast, ComingBack,
-        testing::Values(ComeBackCase { "SoonAtTheLeast", 100000, 0, 0, LeastComeBack },
+        testing::Values(ComeBackCase { "SoonAtTheLeast", 100000, 0, 0, MinRetryAfter },
                         ComeBackCase { "AfterTheWait", 1000, 400, 0, Milliseconds(500) },
                         ComeBackCase { "LaterByChance", 1000, 400, 0.5, Milliseconds(750) },
                         ComeBackCase { "TwiceAtTheMost", 1000, 400, 1, Milliseconds(1000) },
-                        ComeBackCase { "Bounded", 1000, 900000, 1, MostComeBack },
-                        ComeBackCase { "SpreadAtTheBoundToo", 1000, 900000, 0, MostComeBack / 2 },
-                        ComeBackCase { "NothingIsKnown", 0, 0, 0, MostComeBack / 2 }),
+                        ComeBackCase { "Bounded", 1000, 900000, 1, MaxRetryAfter },
+                        ComeBackCase { "SpreadAtTheBoundToo", 1000, 900000, 0, MaxRetryAfter / 2 },
+                        ComeBackCase { "NothingIsKnown", 0, 0, 0, MaxRetryAfter / 2 }),
         [](const auto &tested) { return tested.param.name; });
 
 } // namespace
--- a/packages/jobs/include/foxwing/jobs/job.h
+++ b/packages/jobs/include/foxwing/jobs/job.h
@@ -22,7 +22,7 @@
 // [SECTION] Room
 
 // Resources that a task takes or that an endpoint has.
-struct Room
+struct ResourceVector
 {
     // Thousandths of a core
     std::int64_t milliCores = 0;
@@ -30,36 +30,36 @@
     std::int64_t accelerators = 0;
 };
 template<class Fields>
-void describe(Fields &fields, Room &room)
+void describe(Fields &fields, ResourceVector &demand)
 {
-    fields("milliCores", room.milliCores);
-    fields("megabytes", room.megabytes);
-    fields("accelerators", room.accelerators);
+    fields("milliCores", demand.milliCores);
+    fields("megabytes", demand.megabytes);
+    fields("accelerators", demand.accelerators);
 }
 
-inline bool fits(const Room &needed, const Room &free)
+inline bool fits(const ResourceVector &needed, const ResourceVector &free)
 {
     return needed.milliCores <= free.milliCores && needed.megabytes <= free.megabytes
             && needed.accelerators <= free.accelerators;
 }
 
-inline Room &operator+=(Room &room, const Room &other)
+inline ResourceVector &operator+=(ResourceVector &demand, const ResourceVector &other)
 {
-    room.milliCores += other.milliCores;
-    room.megabytes += other.megabytes;
-    room.accelerators += other.accelerators;
-    return room;
+    demand.milliCores += other.milliCores;
+    demand.megabytes += other.megabytes;
+    demand.accelerators += other.accelerators;
+    return demand;
 }
 
-inline Room &operator-=(Room &room, const Room &other)
+inline ResourceVector &operator-=(ResourceVector &demand, const ResourceVector &other)
 {
-    room.milliCores -= other.milliCores;
-    room.megabytes -= other.megabytes;
-    room.accelerators -= other.accelerators;
-    return room;
+    demand.milliCores -= other.milliCores;
+    demand.megabytes -= other.megabytes;
+    demand.accelerators -= other.accelerators;
+    return demand;
 }
 
-inline bool operator==(const Room &left, const Room &right)
+inline bool operator==(const ResourceVector &left, const ResourceVector &right)
 {
     return left.milliCores == right.milliCores && left.megabytes == right.megabytes
             && left.accelerators == right.accelerators;
@@ -121,7 +121,7 @@
 struct StepSpec
 {
     std::uint32_t tasks = 0;
-    Room room;
+    ResourceVector demand;
 
     // The caller's estimate of one task's run time; often far off
     Milliseconds estimate { 0 };
@@ -136,23 +136,23 @@
     std::string rack;
 
     // Maximum number of this step's tasks on one endpoint; 0: unlimited
-    std::uint32_t mostPerEndpoint = 0;
+    std::uint32_t maxPerEndpoint = 0;
 };
 
 // Features beyond tasks that run once and return a result.
 struct JobTraits
 {
     // The caller queries the job's state later, so the job must outlive this process.
-    bool kept = true;
+    bool durable = true;
 
     // The tasks of a step only work when they all run together.
     bool gang = false;
 
     // Tasks run until the job is cancelled.
-    bool lasting = false;
+    bool longRunning = false;
 
     // Steps run repeatedly at set times.
-    bool timed = false;
+    bool recurring = false;
 };
 
 struct JobSpec
--- a/packages/jobs/include/foxwing/jobs/messages.h
+++ b/packages/jobs/include/foxwing/jobs/messages.h
@@ -27,14 +27,14 @@
 
     // Passed to each task unchanged
     std::string payload;
-    Room room;
+    ResourceVector demand;
     Milliseconds estimate { 0 };
 
     // Priority of the job's queue; smaller is more urgent
     std::uint32_t priority = 0;
 
     // How long a start may wait at the agent for free capacity; zero: refuse it at once.
-    Milliseconds mayWait { 0 };
+    Milliseconds maxWait { 0 };
 
     struct Start
     {
@@ -56,10 +56,10 @@
     fields("repeat", message.repeat);
     fields("step", message.step);
     fields("payload", message.payload);
-    fields("room", message.room);
+    fields("room", message.demand);
     fields("estimate", message.estimate);
     fields("priority", message.priority);
-    fields("mayWait", message.mayWait);
+    fields("mayWait", message.maxWait);
     fields("starts", message.starts);
 }
 
@@ -74,24 +74,24 @@
 }
 
 // Keeps the session alive when there is nothing else to send.
-struct SessionBeat
+struct SessionHeartbeat
 {
     std::uint64_t number = 0;
 
     // Work at the entry waits for capacity, so the agent should report changes of it soon.
-    bool wantsRoom = false;
+    bool needsCapacity = false;
 };
 template<class Fields>
-void describe(Fields &fields, SessionBeat &beat)
+void describe(Fields &fields, SessionHeartbeat &heartbeat)
 {
-    fields("number", beat.number);
-    fields("wantsRoom", beat.wantsRoom);
+    fields("number", heartbeat.number);
+    fields("wantsRoom", heartbeat.needsCapacity);
 }
 
 // [SECTION] From the agent
 
 // How a run ended.
-enum class RunEnd {
+enum class RunOutcome {
     Done,
 
     // Error of the task or of the endpoint
@@ -101,33 +101,33 @@
     Stopped,
 
     // Killed when the endpoint's lease expired
-    Lapsed,
+    LeaseExpired,
 
     // The endpoint left after announcing it.
     Lost,
 
     // The task is known not to have begun.
-    NeverBegan,
+    NeverStarted,
 
     // The endpoint disappeared without announcing that it leaves.
     Crashed,
 };
-constexpr RunEnd lastOf(RunEnd)
+constexpr RunOutcome lastOf(RunOutcome)
 {
-    return RunEnd::Crashed;
+    return RunOutcome::Crashed;
 }
 
-const char *toString(RunEnd end);
+const char *toString(RunOutcome end);
 
 // Why an agent refused a start. The task is known not to have begun.
-enum class RefusedStart {
+enum class StartRefusal {
     None,
-    NoRoom,
+    NoCapacity,
     Leaving,
     NotReady,
 
     // A run of the task with this number or a higher one has been seen.
-    OldRun,
+    StaleRun,
 
     // The endpoint rejected the start, or the time left was too short to begin it.
     Endpoint,
@@ -135,20 +135,20 @@
     // The data centre is cordoned.
     Cordoned,
 };
-constexpr RefusedStart lastOf(RefusedStart)
+constexpr StartRefusal lastOf(StartRefusal)
 {
-    return RefusedStart::Cordoned;
+    return StartRefusal::Cordoned;
 }
 
-const char *toString(RefusedStart why);
+const char *toString(StartRefusal why);
 
 struct RunReport
 {
     RunId id;
-    RunEnd end = RunEnd::Done;
+    RunOutcome end = RunOutcome::Done;
 
-    // NeverBegan only
-    RefusedStart refused = RefusedStart::None;
+    // NeverStarted only
+    StartRefusal refused = StartRefusal::None;
 
     // From the response to the start until the end, as measured by the agent
     Milliseconds took { 0 };
@@ -163,24 +163,24 @@
 }
 
 // A run that takes much longer than its estimate.
-struct LagReport
+struct StragglerReport
 {
     RunId id;
 
     // Remaining time at the current rate of progress; zero without any progress
-    Milliseconds left { 0 };
-    bool standsStill = false;
+    Milliseconds remaining { 0 };
+    bool stalled = false;
 
     // Most runs on the endpoint, of more than one job, are late too: the endpoint is slow rather
     // than the estimate wrong.
     bool endpointSlow = false;
 };
 template<class Fields>
-void describe(Fields &fields, LagReport &report)
+void describe(Fields &fields, StragglerReport &report)
 {
     fields("id", report.id);
-    fields("left", report.left);
-    fields("standsStill", report.standsStill);
+    fields("left", report.remaining);
+    fields("standsStill", report.stalled);
     fields("endpointSlow", report.endpointSlow);
 }
 
@@ -192,15 +192,15 @@
     std::string service;
     std::string dataCentre;
     std::vector<std::string> labels;
-    Room capacity;
-    Room free;
+    ResourceVector capacity;
+    ResourceVector free;
 
     // Maximum number of starts accepted now; less than capacity allows while the endpoint is on
     // trial
-    std::uint32_t mostStarts = 0;
+    std::uint32_t maxStarts = 0;
 
     // Run time relative to estimates, in thousandths; smaller is faster
-    std::uint32_t paceMille = 1000;
+    std::uint32_t slowdownPermille = 1000;
     bool leaving = false;
 };
 template<class Fields>
@@ -212,19 +212,19 @@
     fields("labels", view.labels);
     fields("capacity", view.capacity);
     fields("free", view.free);
-    fields("mostStarts", view.mostStarts);
-    fields("paceMille", view.paceMille);
+    fields("mostStarts", view.maxStarts);
+    fields("paceMille", view.slowdownPermille);
     fields("leaving", view.leaving);
 }
 
 // Starts of one priority that wait at an agent for capacity.
-struct WaitingRoom
+struct PriorityBacklog
 {
     std::uint32_t priority = 0;
     std::int64_t milliCores = 0;
 };
 template<class Fields>
-void describe(Fields &fields, WaitingRoom &waiting)
+void describe(Fields &fields, PriorityBacklog &waiting)
 {
     fields("priority", waiting.priority);
     fields("milliCores", waiting.milliCores);
@@ -243,7 +243,7 @@
     fields("crashes", report.crashes);
 }
 
-struct Welcome
+struct SessionAccepted
 {
     // Incarnation of the agent
     std::uint64_t incarnation = 0;
@@ -253,7 +253,7 @@
     std::vector<CrashReport> crashed;
 };
 template<class Fields>
-void describe(Fields &fields, Welcome &welcome)
+void describe(Fields &fields, SessionAccepted &welcome)
 {
     fields("incarnation", welcome.incarnation);
     fields("endpoint", welcome.endpoint);
@@ -264,23 +264,23 @@
 struct AgentUpdate
 {
     // Number of the last heartbeat received
-    std::uint64_t beat = 0;
+    std::uint64_t heartbeat = 0;
 
     // Number of this session's starts handled so far; `free` accounts for them.
-    std::uint64_t startsTaken = 0;
-    Room free;
-    std::uint32_t mostStarts = 0;
-    std::uint32_t paceMille = 1000;
+    std::uint64_t startsHandled = 0;
+    ResourceVector free;
+    std::uint32_t maxStarts = 0;
+    std::uint32_t slowdownPermille = 1000;
     bool leaving = false;
 
     // Waiting starts of all entries, one row per priority, most urgent first
-    std::vector<WaitingRoom> waiting;
+    std::vector<PriorityBacklog> waiting;
 
     // Rate at which runs of all entries recently released capacity, in thousandths of a core per
     // second
     std::uint32_t freedPerSecond = 0;
     std::vector<RunReport> ended;
-    std::vector<LagReport> lagging;
+    std::vector<StragglerReport> stragglers;
 
     // One element if it changed since the last update, otherwise empty
     std::vector<EndpointView> endpoint;
@@ -291,16 +291,16 @@
 template<class Fields>
 void describe(Fields &fields, AgentUpdate &update)
 {
-    fields("beat", update.beat);
-    fields("startsTaken", update.startsTaken);
+    fields("beat", update.heartbeat);
+    fields("startsTaken", update.startsHandled);
     fields("free", update.free);
-    fields("mostStarts", update.mostStarts);
-    fields("paceMille", update.paceMille);
+    fields("mostStarts", update.maxStarts);
+    fields("paceMille", update.slowdownPermille);
     fields("leaving", update.leaving);
     fields("waiting", update.waiting);
     fields("freedPerSecond", update.freedPerSecond);
     fields("ended", update.ended);
-    fields("lagging", update.lagging);
+    fields("lagging", update.stragglers);
     fields("endpoint", update.endpoint);
     fields("crashed", update.crashed);
 }
--- a/packages/jobs/src/messages.cpp
+++ b/packages/jobs/src/messages.cpp
@@ -9,43 +9,43 @@
 
 // [SECTION] Names
 
-const char *toString(RunEnd end)
+const char *toString(RunOutcome end)
 {
     switch (end) {
-    case RunEnd::Done:
+    case RunOutcome::Done:
         return "done";
-    case RunEnd::Failed:
+    case RunOutcome::Failed:
         return "failed";
-    case RunEnd::Stopped:
+    case RunOutcome::Stopped:
         return "stopped";
-    case RunEnd::Lapsed:
+    case RunOutcome::LeaseExpired:
         return "lapsed";
-    case RunEnd::Lost:
+    case RunOutcome::Lost:
         return "lost";
-    case RunEnd::Crashed:
+    case RunOutcome::Crashed:
         return "crashed";
-    case RunEnd::NeverBegan:
+    case RunOutcome::NeverStarted:
         break;
     }
     return "never-began";
 }
 
-const char *toString(RefusedStart why)
+const char *toString(StartRefusal why)
 {
     switch (why) {
-    case RefusedStart::None:
+    case StartRefusal::None:
         return "none";
-    case RefusedStart::NoRoom:
+    case StartRefusal::NoCapacity:
         return "no-room";
-    case RefusedStart::Leaving:
+    case StartRefusal::Leaving:
         return "leaving";
-    case RefusedStart::NotReady:
+    case StartRefusal::NotReady:
         return "not-ready";
-    case RefusedStart::OldRun:
+    case StartRefusal::StaleRun:
         return "old-run";
-    case RefusedStart::Cordoned:
+    case StartRefusal::Cordoned:
         return "cordoned";
-    case RefusedStart::Endpoint:
+    case StartRefusal::Endpoint:
         break;
     }
     return "endpoint";
--- a/packages/lag/include/foxwing/lag/lag.h
+++ b/packages/lag/include/foxwing/lag/lag.h
@@ -10,10 +10,10 @@
     It doesn't know whether those have withdrawn too, so it withdraws at random, briefly and rarely.
 
         LagState lag = makeLag(settings);
-        if (noteTurn(lag, dueAt, now)) ... log the change ...
-        if (isBehind(lag)) ... subtract the time a call has waited unread ...
-        if (standsBack(lag)) ... fail the readiness check ...
-        if (sendsCallersAway(lag)) ... close connections after their answers ...
+        if (recordTurn(lag, dueAt, now)) ... log the change ...
+        if (isLagging(lag)) ... subtract the time a call has waited unread ...
+        if (isWithdrawn(lag)) ... fail the readiness check ...
+        if (closesConnections(lag)) ... close connections after their answers ...
 
     [SECTION] Settings
     [SECTION] State
@@ -36,7 +36,7 @@
     std::uint64_t seed = 1;
 
     // The process withdraws above this average lag; zero: never.
-    Milliseconds standBackAbove { 0 };
+    Milliseconds withdrawAbove { 0 };
 
     // Lag has ended below this or below half of the bound above, whichever is less.
     Milliseconds takeAgainBelow { 5 };
@@ -48,7 +48,7 @@
     Milliseconds mostLate { 500 };
 
     // Slow turns during startup must not keep a new process out of service.
-    Milliseconds afterStart { 3000 };
+    Milliseconds startupGrace { 3000 };
 
     // Minimum duration of a withdrawal. Long enough for a load balancer that checks every second
     // and needs two failures to stop sending new connections.
@@ -87,7 +87,7 @@
     std::size_t next = 0;
 
     // Moving average of the lateness of turns
-    Microseconds behind { 0 };
+    Microseconds averageDelay { 0 };
 
     // Time of the last turn; unset before the first
     Time at {};
@@ -97,9 +97,9 @@
 
     // Whether it has withdrawn, since when, and the earliest time of the next withdrawal
     bool back = false;
-    Time backSince {};
+    Time withdrawnSince {};
     Time mayStandBackFrom {};
-    std::uint64_t timesBack = 0;
+    std::uint64_t withdrawals = 0;
 };
 
 // [SECTION] Functions
@@ -108,14 +108,14 @@
 
 // Records a turn that was due at dueAt and began now; the first one only starts the measurement.
 // True if the process has withdrawn or returned by it.
-bool noteTurn(LagState &lag, Time dueAt, Time now);
+bool recordTurn(LagState &lag, Time dueAt, Time now);
 
-bool standsBack(const LagState &lag);
+bool isWithdrawn(const LagState &lag);
 
 // Whether to close connections after their answers, so that callers use other processes.
-bool sendsCallersAway(const LagState &lag);
+bool closesConnections(const LagState &lag);
 
 // Whether calls wait long before they are read, whether or not the process has withdrawn.
-bool isBehind(const LagState &lag);
+bool isLagging(const LagState &lag);
 
 } // namespace foxwing::lag
--- a/packages/lag/src/lag.cpp
+++ b/packages/lag/src/lag.cpp
@@ -29,8 +29,8 @@
     lag.next = (lag.next + 1) % JudgedTurns;
     const double spans = toMilliseconds(now - lag.at) / toMilliseconds(lag.settings.span);
     const double weight = 1 - std::exp(-spans);
-    const double step = weight * toMilliseconds(middle(lag.late) - lag.behind);
-    lag.behind += std::chrono::duration_cast<Microseconds>(
+    const double step = weight * toMilliseconds(middle(lag.late) - lag.averageDelay);
+    lag.averageDelay += std::chrono::duration_cast<Microseconds>(
             std::chrono::duration<double, std::milli>(step));
 }
 
@@ -38,11 +38,11 @@
 
 void judge(LagState &lag)
 {
-    const Microseconds above = lag.settings.standBackAbove;
+    const Microseconds above = lag.settings.withdrawAbove;
     const Microseconds below = std::min<Microseconds>(lag.settings.takeAgainBelow, above / 2);
-    if (above.count() > 0 && lag.behind > above)
+    if (above.count() > 0 && lag.averageDelay > above)
         lag.slow = true;
-    else if (lag.behind < below)
+    else if (lag.averageDelay < below)
         lag.slow = false;
 }
 
@@ -56,7 +56,7 @@
 bool standBackIfDue(LagState &lag, Time now)
 {
     // The average falls slowly, so check that turns are still late.
-    const bool over = middle(lag.late) <= lag.settings.standBackAbove;
+    const bool over = middle(lag.late) <= lag.settings.withdrawAbove;
     if (!lag.slow || over || now < lag.mayStandBackFrom)
         return false;
     if (!drawsToStandBack(lag)) {
@@ -64,14 +64,14 @@
         return false;
     }
     lag.back = true;
-    lag.backSince = now;
-    ++lag.timesBack;
+    lag.withdrawnSince = now;
+    ++lag.withdrawals;
     return true;
 }
 
 bool takeAgainIfDue(LagState &lag, Time now)
 {
-    const Microseconds paused = now - lag.backSince;
+    const Microseconds paused = now - lag.withdrawnSince;
     if (paused < lag.settings.leastPause || (lag.slow && paused < lag.settings.mostPause))
         return false;
     lag.back = false;
@@ -93,11 +93,11 @@
     return lag;
 }
 
-bool noteTurn(LagState &lag, Time dueAt, Time now)
+bool recordTurn(LagState &lag, Time dueAt, Time now)
 {
     if (lag.at == Time {}) {
         lag.at = now;
-        lag.mayStandBackFrom = now + lag.settings.afterStart;
+        lag.mayStandBackFrom = now + lag.settings.startupGrace;
         return false;
     }
     measure(lag, now - dueAt, now);
@@ -106,17 +106,17 @@
     return lag.back ? takeAgainIfDue(lag, now) : standBackIfDue(lag, now);
 }
 
-bool standsBack(const LagState &lag)
+bool isWithdrawn(const LagState &lag)
 {
     return lag.back;
 }
 
-bool sendsCallersAway(const LagState &lag)
+bool closesConnections(const LagState &lag)
 {
-    return lag.back && lag.at >= lag.backSince + lag.settings.noticedAfter;
+    return lag.back && lag.at >= lag.withdrawnSince + lag.settings.noticedAfter;
 }
 
-bool isBehind(const LagState &lag)
+bool isLagging(const LagState &lag)
 {
     return lag.slow;
 }
--- a/packages/lag/tests/lag_test.cpp
+++ b/packages/lag/tests/lag_test.cpp
@@ -58,9 +58,9 @@
     {
         LagSettings settings;
         settings.seed = seed;
-        settings.standBackAbove = above;
+        settings.withdrawAbove = above;
         lag = makeLag(settings);
-        noteTurn(lag, now, now);
+        recordTurn(lag, now, now);
     }
 
     Milliseconds age() const { return std::chrono::duration_cast<Milliseconds>(now - Start); }
@@ -69,11 +69,11 @@
     {
         const Time dueAt = now + Interval;
         now = dueAt + lateness(load, age() + Interval, ++turns);
-        if (noteTurn(lag, dueAt, now) && standsBack(lag))
+        if (recordTurn(lag, dueAt, now) && isWithdrawn(lag))
             pauses.push_back({ age(), age() });
-        if (standsBack(lag))
+        if (isWithdrawn(lag))
             pauses.back().until = age();
-        wasBehind = wasBehind || isBehind(lag);
+        wasBehind = wasBehind || isLagging(lag);
     }
 
     void live(const Load &load, Milliseconds until)
@@ -153,7 +153,7 @@
     std::uint64_t mostPauses;
 
     // Whether it lags at any time, withdrawn or not
-    bool behind;
+    bool lagging;
 };
 
 class Loads : public testing::TestWithParam<LoadCase>
@@ -163,10 +163,10 @@
 {
     Process process;
     process.live(GetParam().load, GetParam().span);
-    EXPECT_GE(process.lag.timesBack, GetParam().leastPauses);
-    EXPECT_LE(process.lag.timesBack, GetParam().mostPauses);
-    EXPECT_EQ(process.lag.timesBack, process.pauses.size());
-    EXPECT_EQ(process.wasBehind, GetParam().behind);
+    EXPECT_GE(process.lag.withdrawals, GetParam().leastPauses);
+    EXPECT_LE(process.lag.withdrawals, GetParam().mostPauses);
+    EXPECT_EQ(process.lag.withdrawals, process.pauses.size());
+    EXPECT_EQ(process.wasBehind, GetParam().lagging);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -211,15 +211,15 @@
     EXPECT_GE(took, process.lag.settings.leastPause - Slow - Interval);
     EXPECT_LE(took, process.lag.settings.mostPause + Slow + Interval);
     EXPECT_FALSE(process.lag.slow);
-    EXPECT_LT(process.lag.behind, Milliseconds(1));
+    EXPECT_LT(process.lag.averageDelay, Milliseconds(1));
 }
 
 TEST(LagLoad, IsMeasuredButNotActedOnWithoutABound)
 {
     Process process(1, Milliseconds(0));
     process.live(always(Slow), Seconds(60));
-    EXPECT_GT(process.lag.behind, Milliseconds(60));
-    EXPECT_EQ(process.lag.timesBack, 0U);
+    EXPECT_GT(process.lag.averageDelay, Milliseconds(60));
+    EXPECT_EQ(process.lag.withdrawals, 0U);
     EXPECT_FALSE(process.wasBehind);
 }
 
@@ -241,7 +241,7 @@
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         Process process(seed);
         process.live(GetParam().load, Seconds(600));
-        EXPECT_GE(process.lag.timesBack, 1U);
+        EXPECT_GE(process.lag.withdrawals, 1U);
         for (const Milliseconds stretch : { Seconds(34), Seconds(60), Seconds(100), Seconds(300) })
             EXPECT_LE(process.mostPartBack(stretch), Eighth) << stretch.count();
     }
@@ -271,7 +271,7 @@
             process.live(load, age);
         const auto back = static_cast<std::size_t>(
                 std::count_if(all.begin(), all.end(),
-                              [](const Process &process) { return standsBack(process.lag); }));
+                              [](const Process &process) { return isWithdrawn(process.lag); }));
         most = std::max(most, back);
     }
     EXPECT_GE(most, Processes / 2);
@@ -296,12 +296,12 @@
 TEST_P(PausesOf, AreFollowedByWork)
 {
     Process process;
-    while (!standsBack(process.lag))
+    while (!isWithdrawn(process.lag))
         process.turn(always(Slow));
     process.live(always(Slow), process.age() + Seconds(3));
     process.turn(always(GetParam().late));
     process.live(always(Slow), process.age() + Seconds(2));
-    ASSERT_FALSE(standsBack(process.lag));
+    ASSERT_FALSE(isWithdrawn(process.lag));
     const Milliseconds ended = process.pauses[0].until;
     while (process.pauses.size() == 1 && process.age() < Seconds(10000))
         process.turn(always(Slow));
@@ -324,12 +324,12 @@
     constexpr Milliseconds Between { 15 };
     Process process;
     process.live(always(Between), Seconds(6));
-    EXPECT_FALSE(isBehind(process.lag));
+    EXPECT_FALSE(isLagging(process.lag));
     process.live(always(Slow), Seconds(9));
     process.live(always(Between), Seconds(15));
-    EXPECT_TRUE(isBehind(process.lag));
+    EXPECT_TRUE(isLagging(process.lag));
     process.live(always(Rest), Seconds(18));
-    EXPECT_FALSE(isBehind(process.lag));
+    EXPECT_FALSE(isLagging(process.lag));
 }
 
 // A series of freezes must not count as lag for long after their backlog is done.
@@ -337,9 +337,9 @@
 {
     Process process;
     process.live(always(Seconds(30)), Seconds(100));
-    EXPECT_LE(process.lag.behind, process.lag.settings.mostLate);
+    EXPECT_LE(process.lag.averageDelay, process.lag.settings.mostLate);
     process.live(always(Rest), process.age() + Seconds(4));
-    EXPECT_FALSE(isBehind(process.lag));
+    EXPECT_FALSE(isLagging(process.lag));
 }
 
 // Lag is reported even while the process may not withdraw.
@@ -347,8 +347,8 @@
 {
     Process process;
     process.live(always(Slow), Seconds(20));
-    EXPECT_FALSE(standsBack(process.lag));
-    EXPECT_TRUE(isBehind(process.lag));
+    EXPECT_FALSE(isWithdrawn(process.lag));
+    EXPECT_TRUE(isLagging(process.lag));
 }
 
 TEST(LagCalls, AreSentAwayOnceTheBalancerHasNoticed)
@@ -357,9 +357,9 @@
     Milliseconds first { 0 };
     while (process.age() < Seconds(30)) {
         process.turn(always(Slow));
-        if (sendsCallersAway(process.lag) && first.count() == 0)
+        if (closesConnections(process.lag) && first.count() == 0)
             first = process.age();
-        EXPECT_LE(sendsCallersAway(process.lag), standsBack(process.lag));
+        EXPECT_LE(closesConnections(process.lag), isWithdrawn(process.lag));
     }
     ASSERT_EQ(process.pauses.size(), 1U);
     const Milliseconds noticed = process.pauses[0].from + process.lag.settings.noticedAfter;
--- a/packages/load/src/fleetcost.cpp
+++ b/packages/load/src/fleetcost.cpp
@@ -22,7 +22,8 @@
 {
     const subset::SubsetSettings &settings = shape.subset;
     const std::size_t shared = settings.entriesPerAgent * shape.agents;
-    const std::size_t size = std::max(settings.least, (shared + shape.entries - 1) / shape.entries);
+    const std::size_t size = std::max(settings.minSize,
+                                      (shared + shape.entries - 1) / shape.entries);
     const bool whole = shape.agents * 100 <= size * settings.wholePercent;
     return whole ? shape.agents : size;
 }
--- a/packages/node/src/agentrole.cpp
+++ b/packages/node/src/agentrole.cpp
@@ -46,7 +46,7 @@
     carryOut(agent::handle(m_state, message, steadyNow()));
 }
 
-void AgentRole::takeUpdate(const control::Update &update)
+void AgentRole::applyUpdate(const control::Update &update)
 {
     if (update.view.number == 0)
         return;
--- a/packages/node/src/agentrole.h
+++ b/packages/node/src/agentrole.h
@@ -25,7 +25,7 @@
               PostOffice &post);
 
     void receive(const agent::ToAgent &message);
-    void takeUpdate(const control::Update &update);
+    void applyUpdate(const control::Update &update);
     void tick(bool configurationStale);
     void leave();
     bool drained() const;
--- a/packages/node/src/entryrole.cpp
+++ b/packages/node/src/entryrole.cpp
@@ -239,7 +239,7 @@
     }
 }
 
-void EntryRole::takeUpdate(const control::Update &update, Time beatSentAt)
+void EntryRole::applyUpdate(const control::Update &update, Time beatSentAt)
 {
     claims::hearMaster(m_state.claims, beatSentAt);
     for (const control::ShareGrant &grant : update.shares)
--- a/packages/node/src/entryrole.h
+++ b/packages/node/src/entryrole.h
@@ -33,7 +33,7 @@
     void receive(const claims::ClaimMessage &message);
     void receive(const entry::EntryMessage &message);
     void sendFailed(const agent::ToAgent &message);
-    void takeUpdate(const control::Update &update, Time beatSentAt);
+    void applyUpdate(const control::Update &update, Time beatSentAt);
     void fillBeat(control::Beat &beat);
     void tick();
 
--- a/packages/node/src/node.cpp
+++ b/packages/node/src/node.cpp
@@ -96,7 +96,7 @@
     control::Beat identity() const;
     void receive(Message &&message);
     void takeFailure(Message &&message);
-    void takeUpdate(const control::Update &update);
+    void applyUpdate(const control::Update &update);
     void sendBeat(Time now);
     void tick();
     void tickStopping(Time now);
@@ -200,7 +200,7 @@
         if (m_control)
             m_control->receive(*group);
     } else if (const auto *update = std::get_if<control::Update>(&message)) {
-        takeUpdate(*update);
+        applyUpdate(*update);
     }
 }
 
@@ -214,7 +214,7 @@
 
 // [SECTION] Beats
 
-void Node::Impl::takeUpdate(const control::Update &update)
+void Node::Impl::applyUpdate(const control::Update &update)
 {
     const std::optional<Time> sentAt = control::acceptUpdate(m_reporter, update);
     if (!sentAt)
@@ -223,9 +223,9 @@
     for (const claims::Member &member : update.view.members)
         m_post.learnAddress(member.replica.id, member.address);
     if (m_entry)
-        m_entry->takeUpdate(update, *sentAt);
+        m_entry->applyUpdate(update, *sentAt);
     if (m_agent)
-        m_agent->takeUpdate(update);
+        m_agent->applyUpdate(update);
 }
 
 void Node::Impl::sendBeat(Time now)
--- a/packages/runner/include/foxwing/runner/runner.h
+++ b/packages/runner/include/foxwing/runner/runner.h
@@ -188,9 +188,9 @@
 
     // Another agent, or an earlier life of this one, used a higher fence.
     Fenced,
-    OldRun,
+    StaleRun,
     TooLate,
-    NoRoom,
+    NoCapacity,
     OtherLife,
 
     // The endpoint turned it down and did nothing.
@@ -222,7 +222,7 @@
 {
     std::uint64_t number = 0;
     jobs::RunId id;
-    jobs::RunEnd end = jobs::RunEnd::Done;
+    jobs::RunOutcome end = jobs::RunOutcome::Done;
 };
 
 struct Look
@@ -255,7 +255,7 @@
     std::string service;
     std::string dataCentre;
     std::vector<std::string> labels;
-    jobs::Room capacity;
+    jobs::ResourceVector capacity;
     bool leaving = false;
 
     // Least time until it is gone, while leaving
@@ -277,7 +277,7 @@
 {
     std::uint64_t session = 0;
     std::string payload;
-    jobs::Room room;
+    jobs::ResourceVector demand;
     Milliseconds estimate { 0 };
     RunState state = RunState::Ordered;
 
@@ -301,7 +301,7 @@
     bool ofFormerLife = false;
 
     // How it ended if it was lost with that life
-    jobs::RunEnd formerEnd = jobs::RunEnd::Lost;
+    jobs::RunOutcome formerEnd = jobs::RunOutcome::Lost;
 
     std::uint32_t percent = 0;
     Time progressAt {};
@@ -320,7 +320,7 @@
     jobs::RunId id;
     std::uint64_t session = 0;
     std::string payload;
-    jobs::Room room;
+    jobs::ResourceVector demand;
     Milliseconds estimate { 0 };
     std::uint32_t priority = 0;
     Time until {};
@@ -331,26 +331,26 @@
 {
     std::string owner;
     Time heardAt {};
-    bool welcomed = false;
+    bool accepted = false;
 
     // Ended: its runs are being stopped.
     bool over = false;
-    std::uint64_t beat = 0;
-    std::uint64_t startsTaken = 0;
+    std::uint64_t heartbeat = 0;
+    std::uint64_t startsHandled = 0;
     std::uint64_t toldBeat = 0;
     std::uint64_t toldStarts = 0;
     bool refusedRoom = false;
 
     // Work waits for room at the entry.
-    bool wantsRoom = false;
+    bool needsCapacity = false;
     bool dirty = false;
     Time toldAt {};
-    jobs::Room toldFree;
+    jobs::ResourceVector toldFree;
     std::uint32_t toldMostStarts = 0;
     bool toldLeaving = false;
     std::uint64_t toldView = 0;
     std::vector<jobs::RunReport> ended;
-    std::vector<jobs::LagReport> lagging;
+    std::vector<jobs::StragglerReport> stragglers;
 
     // The last crash under a task that it was told of
     std::uint64_t toldCrash = 0;
@@ -477,7 +477,7 @@
     std::vector<StartOrder> starts;
     std::vector<StopOrder> stops;
     std::optional<LookOrder> look;
-    std::vector<std::pair<std::uint64_t, jobs::Welcome>> welcomes;
+    std::vector<std::pair<std::uint64_t, jobs::SessionAccepted>> welcomes;
     std::vector<std::pair<std::uint64_t, jobs::AgentUpdate>> updates;
 
     // Sessions whose connection is to be closed.
@@ -512,7 +512,7 @@
 RunnerActions stopRuns(RunnerState &runner, std::uint64_t session, const jobs::StopRuns &message,
                        Time now);
 RunnerActions sessionBeat(RunnerState &runner, std::uint64_t session,
-                          const jobs::SessionBeat &message, Time now);
+                          const jobs::SessionHeartbeat &message, Time now);
 
 // Answers of the endpoint. Each order is answered exactly once, if only by None.
 RunnerActions startAnswered(RunnerState &runner, const jobs::RunId &id, const Answered &answered,
--- a/packages/runner/src/answers.cpp
+++ b/packages/runner/src/answers.cpp
@@ -10,19 +10,19 @@
 namespace foxwing::runner {
 
 using eventlog::change;
-using jobs::RefusedStart;
-using jobs::RunEnd;
 using jobs::RunId;
+using jobs::RunOutcome;
+using jobs::StartRefusal;
 
 // [SECTION] Answers
 
 namespace {
 
-RefusedStart refusedFor(Answer answer)
+StartRefusal refusedFor(Answer answer)
 {
-    if (answer == Answer::OldRun)
-        return RefusedStart::OldRun;
-    return answer == Answer::NoRoom ? RefusedStart::NoRoom : RefusedStart::Endpoint;
+    if (answer == Answer::StaleRun)
+        return StartRefusal::StaleRun;
+    return answer == Answer::NoCapacity ? StartRefusal::NoCapacity : StartRefusal::Endpoint;
 }
 
 void markStarted(Run &run, Time now)
@@ -64,8 +64,8 @@
     if (answer == Answer::Busy || answer == Answer::Unreachable)
         noteBad(runner, now);
     if (run.tries <= 1 || answer == Answer::OtherLife) {
-        endRun(runner, id, RunEnd::NeverBegan, refusedFor(answer), now, actions);
-    } else if (answer == Answer::OldRun) {
+        endRun(runner, id, RunOutcome::NeverStarted, refusedFor(answer), now, actions);
+    } else if (answer == Answer::StaleRun) {
         // It has run, and its end is in a look that is on its way or in the next.
         run.seen = true;
         run.goneIfMissingIn = runner.lookNumber + 1;
@@ -140,7 +140,7 @@
     for (const EndedRow &row : look.ended) {
         runner.life.lastSeen = std::max(runner.life.lastSeen, row.number);
         runner.life.orphans.erase(row.id);
-        endRun(runner, row.id, row.end, RefusedStart::None, now, actions);
+        endRun(runner, row.id, row.end, StartRefusal::None, now, actions);
     }
 }
 
@@ -176,12 +176,12 @@
     run.progressAt = now;
 }
 
-RunEnd endWhenMissing(const Run &run)
+RunOutcome endWhenMissing(const Run &run)
 {
     // It may have begun in the life that is over.
     if (run.ofFormerLife)
         return run.formerEnd;
-    return run.seen ? RunEnd::Stopped : RunEnd::NeverBegan;
+    return run.seen ? RunOutcome::Stopped : RunOutcome::NeverStarted;
 }
 
 void takeRunning(RunnerState &runner, std::uint64_t number, const Look &look, Time now,
@@ -200,14 +200,14 @@
         noteProgress(runner, found->second, row.percent, now);
     }
     judgeRuns(runner, now, actions);
-    std::vector<std::pair<RunId, RunEnd>> gone;
+    std::vector<std::pair<RunId, RunOutcome>> gone;
     for (const auto &[id, run] : runner.runs) {
         const bool missing = listed.count(id) == 0 && run.goneIfMissingIn != 0;
         if (missing && number >= run.goneIfMissingIn)
             gone.emplace_back(id, endWhenMissing(run));
     }
     for (const auto &[id, end] : gone)
-        endRun(runner, id, end, RefusedStart::Endpoint, now, actions);
+        endRun(runner, id, end, StartRefusal::Endpoint, now, actions);
     stopOrphans(runner, orphans, look.born, actions);
 }
 
--- a/packages/runner/src/internal.h
+++ b/packages/runner/src/internal.h
@@ -18,8 +18,8 @@
 // [SECTION] Offer
 
 // Room that is free for new runs; zero while nothing may start.
-jobs::Room freeRoom(const RunnerState &runner);
-std::uint32_t mostStarts(const RunnerState &runner, Time now);
+jobs::ResourceVector freeRoom(const RunnerState &runner);
+std::uint32_t maxStarts(const RunnerState &runner, Time now);
 bool onTrial(const RunnerState &runner);
 bool isOutOfReach(const RunnerState &runner);
 
@@ -30,10 +30,10 @@
 // [SECTION] Waiting
 
 // Room that waiting starts of this priority and of more urgent ones are to get.
-jobs::Room waitingRoom(const RunnerState &runner, std::uint32_t priority);
+jobs::ResourceVector waitingRoom(const RunnerState &runner, std::uint32_t priority);
 
 // The starts that wait here as entries are told of them, most urgent first.
-std::vector<jobs::WaitingRoom> waitingRows(const RunnerState &runner);
+std::vector<jobs::PriorityBacklog> waitingRows(const RunnerState &runner);
 bool mayWaitHere(const RunnerState &runner, const jobs::StartTasks &message);
 bool isWaiting(const RunnerState &runner, const jobs::TaskId &task);
 void addWaiting(RunnerState &runner, WaitingStart start);
@@ -65,11 +65,11 @@
 
 // Tells the entry that the run certainly never began.
 void refuseStart(RunnerState &runner, std::uint64_t session, const jobs::RunId &id,
-                 jobs::RefusedStart why);
+                 jobs::StartRefusal why);
 
 // The run is over: its room is free and its entry is told.
-void endRun(RunnerState &runner, const jobs::RunId &id, jobs::RunEnd end,
-            jobs::RefusedStart refused, Time now, RunnerActions &actions);
+void endRun(RunnerState &runner, const jobs::RunId &id, jobs::RunOutcome end,
+            jobs::StartRefusal refused, Time now, RunnerActions &actions);
 void beginStopping(RunnerState &runner, const jobs::RunId &id, Run &run, const char *why, Time now,
                    RunnerActions &actions);
 void orderStop(RunnerState &runner, const jobs::RunId &id, Run &run, Time now,
@@ -95,11 +95,11 @@
 std::int64_t bornField(const std::optional<WallTime> &born);
 
 // Everything on the endpoint is certainly over.
-void endAll(RunnerState &runner, jobs::RunEnd end, const char *why, Time now,
+void endAll(RunnerState &runner, jobs::RunOutcome end, const char *why, Time now,
             RunnerActions &actions);
 
 // How runs ended that the present life has taken along.
-jobs::RunEnd endOfLife(const RunnerState &runner);
+jobs::RunOutcome endOfLife(const RunnerState &runner);
 
 // A list of runs came from another life than the present one.
 void lifeListed(RunnerState &runner, const LifeId &life, Time now, RunnerActions &actions);
--- a/packages/runner/src/judgement.cpp
+++ b/packages/runner/src/judgement.cpp
@@ -88,7 +88,7 @@
     const auto session = runner.sessions.find(run.session);
     if (session == runner.sessions.end())
         return;
-    session->second.lagging.push_back({ id, run.left, run.still, slow });
+    session->second.stragglers.push_back({ id, run.left, run.still, slow });
     session->second.dirty = true;
     actions.events.push_back(eventlog::Event("run-behind")
                                      .with("request", id.task.job)
--- a/packages/runner/src/lives.cpp
+++ b/packages/runner/src/lives.cpp
@@ -18,9 +18,9 @@
 namespace foxwing::runner {
 
 using eventlog::change;
-using jobs::RefusedStart;
-using jobs::RunEnd;
 using jobs::RunId;
+using jobs::RunOutcome;
+using jobs::StartRefusal;
 
 // [SECTION] Names
 
@@ -62,7 +62,7 @@
 
 // [SECTION] Lives
 
-void endAll(RunnerState &runner, RunEnd end, const char *why, Time now, RunnerActions &actions)
+void endAll(RunnerState &runner, RunOutcome end, const char *why, Time now, RunnerActions &actions)
 {
     if (runner.runs.empty() && runner.life.orphans.empty())
         return;
@@ -71,14 +71,14 @@
     fenceOffOrders(runner);
     while (!runner.runs.empty()) {
         const RunId id = runner.runs.begin()->first;
-        endRun(runner, id, end, RefusedStart::None, now, actions);
+        endRun(runner, id, end, StartRefusal::None, now, actions);
     }
     runner.life.orphans.clear();
 }
 
-RunEnd endOfLife(const RunnerState &runner)
+RunOutcome endOfLife(const RunnerState &runner)
 {
-    return runner.endpoint.leaving ? RunEnd::Lost : RunEnd::Crashed;
+    return runner.endpoint.leaving ? RunOutcome::Lost : RunOutcome::Crashed;
 }
 
 namespace {
--- a/packages/runner/src/offer.cpp
+++ b/packages/runner/src/offer.cpp
@@ -37,22 +37,22 @@
     return catalog::isCordoned(runner.cordons, runner.endpoint.dataCentre);
 }
 
-jobs::Room freeRoom(const RunnerState &runner)
+jobs::ResourceVector freeRoom(const RunnerState &runner)
 {
     if (!mayStart(runner))
         return {};
-    jobs::Room free = runner.endpoint.capacity;
+    jobs::ResourceVector free = runner.endpoint.capacity;
     for (const auto &[id, run] : runner.runs)
-        free -= run.room;
+        free -= run.demand;
     return free;
 }
 
 // Below zero while more waits than is free.
-static jobs::Room offeredRoom(const RunnerState &runner)
+static jobs::ResourceVector offeredRoom(const RunnerState &runner)
 {
-    jobs::Room free = freeRoom(runner);
+    jobs::ResourceVector free = freeRoom(runner);
     for (const WaitingStart &start : runner.waiting)
-        free -= start.room;
+        free -= start.demand;
     return free;
 }
 
@@ -64,7 +64,7 @@
     return oldest;
 }
 
-std::uint32_t mostStarts(const RunnerState &runner, Time now)
+std::uint32_t maxStarts(const RunnerState &runner, Time now)
 {
     // An entry must not be told of room while every start would be refused: it would send again
     // at once, and again.
@@ -85,8 +85,8 @@
     view.labels = runner.endpoint.labels;
     view.capacity = runner.endpoint.capacity;
     view.free = offeredRoom(runner);
-    view.mostStarts = mostStarts(runner, now);
-    view.paceMille = static_cast<std::uint32_t>(runner.life.pace * 1000);
+    view.maxStarts = maxStarts(runner, now);
+    view.slowdownPermille = static_cast<std::uint32_t>(runner.life.pace * 1000);
     view.leaving = runner.endpoint.leaving || runner.stopping;
     return view;
 }
@@ -109,15 +109,15 @@
 {
     if (!runner.life.clean || ownerHasOtherRuns(runner, number, session))
         return;
-    session.welcomed = true;
+    session.accepted = true;
     session.toldView = runner.viewNumber;
-    jobs::Welcome message;
+    jobs::SessionAccepted message;
     message.incarnation = runner.incarnation;
     message.endpoint = viewOf(runner, now);
     message.crashed = crashesAfter(runner, 0, now);
     session.toldCrash = runner.lastCrash;
     session.toldFree = message.endpoint.free;
-    session.toldMostStarts = message.endpoint.mostStarts;
+    session.toldMostStarts = message.endpoint.maxStarts;
     session.toldLeaving = message.endpoint.leaving;
     session.toldAt = now;
     actions.welcomes.emplace_back(number, std::move(message));
@@ -127,15 +127,15 @@
 // number, so that an agent's work for telling it does not.
 Microseconds tellInterval(const RunnerState &runner, const Session &session)
 {
-    if (!session.wantsRoom)
+    if (!session.needsCapacity)
         return runner.settings.calmInterval;
     const auto wanting = std::count_if(runner.sessions.begin(), runner.sessions.end(),
-                                       [](const auto &item) { return item.second.wantsRoom; });
+                                       [](const auto &item) { return item.second.needsCapacity; });
     return runner.settings.roomInterval * std::max<std::ptrdiff_t>(1, wanting / 4);
 }
 
 // At once for what concerns this entry alone: its ends and refusals.
-bool dueToTell(const RunnerState &runner, const Session &session, const jobs::Room &free,
+bool dueToTell(const RunnerState &runner, const Session &session, const jobs::ResourceVector &free,
                std::uint32_t most, Time now)
 {
     const bool leaving = runner.endpoint.leaving || runner.stopping;
@@ -145,34 +145,35 @@
         return true;
     if (session.refusedRoom && free.milliCores > session.toldFree.milliCores)
         return true;
-    if (session.beat != session.toldBeat && now >= session.toldAt + runner.settings.calmInterval)
+    if (session.heartbeat != session.toldBeat
+        && now >= session.toldAt + runner.settings.calmInterval)
         return true;
-    const bool changed = !(free == session.toldFree) || session.startsTaken != session.toldStarts;
+    const bool changed = !(free == session.toldFree) || session.startsHandled != session.toldStarts;
     return changed && now >= session.toldAt + tellInterval(runner, session);
 }
 
-void tell(RunnerState &runner, std::uint64_t number, Session &session, const jobs::Room &free,
-          std::uint32_t most, Time now, RunnerActions &actions)
+void tell(RunnerState &runner, std::uint64_t number, Session &session,
+          const jobs::ResourceVector &free, std::uint32_t most, Time now, RunnerActions &actions)
 {
     jobs::AgentUpdate update;
-    update.beat = session.beat;
-    update.startsTaken = session.startsTaken;
+    update.heartbeat = session.heartbeat;
+    update.startsHandled = session.startsHandled;
     update.free = free;
-    update.mostStarts = most;
-    update.paceMille = static_cast<std::uint32_t>(runner.life.pace * 1000);
+    update.maxStarts = most;
+    update.slowdownPermille = static_cast<std::uint32_t>(runner.life.pace * 1000);
     update.leaving = runner.endpoint.leaving || runner.stopping;
     update.waiting = waitingRows(runner);
     update.freedPerSecond = static_cast<std::uint32_t>(
             std::lround(perSecond(runner.freed, runner.settings.freedSpan, now)));
     update.ended.swap(session.ended);
-    update.lagging.swap(session.lagging);
+    update.stragglers.swap(session.stragglers);
     if (session.toldView != runner.viewNumber)
         update.endpoint.push_back(viewOf(runner, now));
     update.crashed = crashesAfter(runner, session.toldCrash, now);
     session.toldCrash = runner.lastCrash;
     session.toldView = runner.viewNumber;
-    session.toldBeat = session.beat;
-    session.toldStarts = session.startsTaken;
+    session.toldBeat = session.heartbeat;
+    session.toldStarts = session.startsHandled;
     session.toldFree = free;
     session.toldMostStarts = most;
     session.toldLeaving = update.leaving;
@@ -251,12 +252,12 @@
                         .with("pace_percent", static_cast<int>(runner.life.pace * 100))
                         .with("runs", std::uint64_t { runner.runs.size() }));
     }
-    const jobs::Room free = offeredRoom(runner);
-    const std::uint32_t most = mostStarts(runner, now);
+    const jobs::ResourceVector free = offeredRoom(runner);
+    const std::uint32_t most = maxStarts(runner, now);
     for (auto &[number, session] : runner.sessions) {
         if (session.over)
             continue;
-        if (!session.welcomed)
+        if (!session.accepted)
             welcome(runner, number, session, now, actions);
         else if (dueToTell(runner, session, free, most, now))
             tell(runner, number, session, free, most, now, actions);
--- a/packages/runner/src/runner.cpp
+++ b/packages/runner/src/runner.cpp
@@ -17,9 +17,9 @@
 
 using eventlog::change;
 using eventlog::Event;
-using jobs::RefusedStart;
-using jobs::RunEnd;
 using jobs::RunId;
+using jobs::RunOutcome;
+using jobs::StartRefusal;
 
 // [SECTION] Names
 
@@ -30,11 +30,11 @@
         return "ok";
     case Answer::Fenced:
         return "fenced";
-    case Answer::OldRun:
+    case Answer::StaleRun:
         return "old-run";
     case Answer::TooLate:
         return "too-late";
-    case Answer::NoRoom:
+    case Answer::NoCapacity:
         return "no-room";
     case Answer::OtherLife:
         return "other-life";
@@ -73,13 +73,13 @@
 
 namespace {
 
-void countEnd(RunnerState &runner, RunEnd end)
+void countEnd(RunnerState &runner, RunOutcome end)
 {
-    if (end == RunEnd::Done)
+    if (end == RunOutcome::Done)
         ++runner.done;
-    else if (end == RunEnd::Failed)
+    else if (end == RunOutcome::Failed)
         ++runner.failed;
-    else if (end == RunEnd::NeverBegan)
+    else if (end == RunOutcome::NeverStarted)
         ++runner.refused;
     else
         ++runner.stopped;
@@ -89,14 +89,14 @@
 
 // Room of failed runs is left out: an endpoint that fails all that it starts would seem to give
 // back more room than any other.
-static void noteFreed(RunnerState &runner, const Run &run, RunEnd end, Time now)
+static void noteFreed(RunnerState &runner, const Run &run, RunOutcome end, Time now)
 {
-    if (end == RunEnd::Done || end == RunEnd::Stopped)
-        addTo(runner.freed, runner.settings.freedSpan, static_cast<double>(run.room.milliCores),
+    if (end == RunOutcome::Done || end == RunOutcome::Stopped)
+        addTo(runner.freed, runner.settings.freedSpan, static_cast<double>(run.demand.milliCores),
               now);
 }
 
-void endRun(RunnerState &runner, const RunId &id, RunEnd end, RefusedStart refused, Time now,
+void endRun(RunnerState &runner, const RunId &id, RunOutcome end, StartRefusal refused, Time now,
             RunnerActions &actions)
 {
     const auto found = runner.runs.find(id);
@@ -106,16 +106,16 @@
     runner.runs.erase(found);
     countEnd(runner, end);
     noteFreed(runner, run, end, now);
-    if (end == RunEnd::Crashed)
+    if (end == RunOutcome::Crashed)
         noteCrash(runner, id.task, now);
     const bool began = run.startedAt != Time {};
     const auto took = std::chrono::duration_cast<Milliseconds>(began ? now - run.startedAt
                                                                      : Microseconds(0));
-    if (end == RunEnd::Done)
+    if (end == RunOutcome::Done)
         noteGood(runner, run, took);
-    if (end == RunEnd::Failed)
+    if (end == RunOutcome::Failed)
         noteBad(runner, now);
-    if (end != RunEnd::Done)
+    if (end != RunOutcome::Done)
         actions.events.push_back(runEvent("run-ended", id)
                                          .with("end", jobs::toString(end))
                                          .with("refused", jobs::toString(refused))
@@ -244,8 +244,8 @@
     endSilentSessions(runner, now, actions);
     repeatStops(runner, now, actions);
     if (!runner.runs.empty() && runner.life.looksFailed > 0 && leaseIsOver(runner, now))
-        endAll(runner, RunEnd::Lapsed, "the lease is over and the endpoint out of reach", now,
-               actions);
+        endAll(runner, RunOutcome::LeaseExpired, "the lease is over and the endpoint out of reach",
+               now, actions);
     finishEvent(runner, now, actions);
     return actions;
 }
--- a/packages/runner/src/sessions.cpp
+++ b/packages/runner/src/sessions.cpp
@@ -10,9 +10,9 @@
 namespace foxwing::runner {
 
 using eventlog::change;
-using jobs::RefusedStart;
-using jobs::RunEnd;
 using jobs::RunId;
+using jobs::RunOutcome;
+using jobs::StartRefusal;
 
 // [SECTION] Sessions
 
@@ -57,22 +57,22 @@
     return found;
 }
 
-RefusedStart checkStart(const RunnerState &runner, const RunId &id, const jobs::StartTasks &message,
+StartRefusal checkStart(const RunnerState &runner, const RunId &id, const jobs::StartTasks &message,
                         Time now)
 {
     if (runner.endpoint.leaving || runner.stopping)
-        return RefusedStart::Leaving;
+        return StartRefusal::Leaving;
     if (isCordoned(runner))
-        return RefusedStart::Cordoned;
-    if (mostStarts(runner, now) == 0)
-        return RefusedStart::NotReady;
+        return StartRefusal::Cordoned;
+    if (maxStarts(runner, now) == 0)
+        return StartRefusal::NotReady;
     const bool sameTask = std::any_of(runner.runs.begin(), runner.runs.end(),
                                       [&](const auto &run) { return run.first.task == id.task; });
     if (sameTask || isWaiting(runner, id.task))
-        return RefusedStart::NotReady;
-    jobs::Room free = freeRoom(runner);
+        return StartRefusal::NotReady;
+    jobs::ResourceVector free = freeRoom(runner);
     free -= waitingRoom(runner, message.priority);
-    return jobs::fits(message.room, free) ? RefusedStart::None : RefusedStart::NoRoom;
+    return jobs::fits(message.demand, free) ? StartRefusal::None : StartRefusal::NoCapacity;
 }
 
 } // namespace
@@ -95,7 +95,7 @@
     Run run;
     run.session = start.session;
     run.payload = start.payload;
-    run.room = start.room;
+    run.demand = start.demand;
     run.estimate = start.estimate;
     run.orderedAt = now;
     run.progressAt = now;
@@ -104,15 +104,15 @@
     ++runner.started;
 }
 
-void refuseStart(RunnerState &runner, std::uint64_t session, const RunId &id, RefusedStart why)
+void refuseStart(RunnerState &runner, std::uint64_t session, const RunId &id, StartRefusal why)
 {
     ++runner.refused;
     const auto found = runner.sessions.find(session);
     if (found == runner.sessions.end())
         return;
     found->second.dirty = true;
-    found->second.refusedRoom |= why == RefusedStart::NoRoom;
-    found->second.ended.push_back({ id, RunEnd::NeverBegan, why, Milliseconds(0) });
+    found->second.refusedRoom |= why == StartRefusal::NoCapacity;
+    found->second.ended.push_back({ id, RunOutcome::NeverStarted, why, Milliseconds(0) });
 }
 
 RunnerActions openSession(RunnerState &runner, std::uint64_t session, const std::string &owner,
@@ -145,22 +145,22 @@
 {
     RunnerActions actions;
     const auto found = hearSession(runner, session, now, actions);
-    if (found == runner.sessions.end() || !found->second.welcomed)
+    if (found == runner.sessions.end() || !found->second.accepted)
         return actions;
     for (const jobs::StartTasks::Start &wanted : message.starts) {
         const RunId id { { message.job, message.repeat, message.step, wanted.index }, wanted.run };
-        ++found->second.startsTaken;
+        ++found->second.startsHandled;
         const WaitingStart start { id,
                                    session,
                                    message.payload,
-                                   message.room,
+                                   message.demand,
                                    message.estimate,
                                    message.priority,
-                                   now + message.mayWait };
-        const RefusedStart why = checkStart(runner, id, message, now);
-        if (why == RefusedStart::None)
+                                   now + message.maxWait };
+        const StartRefusal why = checkStart(runner, id, message, now);
+        if (why == StartRefusal::None)
             startRun(runner, start, now, actions);
-        else if (why == RefusedStart::NoRoom && mayWaitHere(runner, message))
+        else if (why == StartRefusal::NoCapacity && mayWaitHere(runner, message))
             addWaiting(runner, start);
         else
             refuseStart(runner, session, id, why);
@@ -186,15 +186,15 @@
 }
 
 RunnerActions sessionBeat(RunnerState &runner, std::uint64_t session,
-                          const jobs::SessionBeat &message, Time now)
+                          const jobs::SessionHeartbeat &message, Time now)
 {
     RunnerActions actions;
     const auto found = hearSession(runner, session, now, actions);
     if (found != runner.sessions.end()) {
         Session &heard = found->second;
-        heard.beat = std::max(heard.beat, message.number);
-        heard.dirty |= message.wantsRoom && !heard.wantsRoom;
-        heard.wantsRoom = message.wantsRoom;
+        heard.heartbeat = std::max(heard.heartbeat, message.number);
+        heard.dirty |= message.needsCapacity && !heard.needsCapacity;
+        heard.needsCapacity = message.needsCapacity;
     }
     finishEvent(runner, now, actions);
     return actions;
--- a/packages/runner/src/waiting.cpp
+++ b/packages/runner/src/waiting.cpp
@@ -12,39 +12,39 @@
 
 namespace foxwing::runner {
 
-using jobs::RefusedStart;
 using jobs::RunId;
+using jobs::StartRefusal;
 
 // [SECTION] Waiting
 
-jobs::Room waitingRoom(const RunnerState &runner, std::uint32_t priority)
+jobs::ResourceVector waitingRoom(const RunnerState &runner, std::uint32_t priority)
 {
-    jobs::Room room;
+    jobs::ResourceVector demand;
     for (const WaitingStart &start : runner.waiting) {
         if (start.priority <= priority)
-            room += start.room;
+            demand += start.demand;
     }
-    return room;
+    return demand;
 }
 
-std::vector<jobs::WaitingRoom> waitingRows(const RunnerState &runner)
+std::vector<jobs::PriorityBacklog> waitingRows(const RunnerState &runner)
 {
-    std::vector<jobs::WaitingRoom> rows;
+    std::vector<jobs::PriorityBacklog> rows;
     for (const WaitingStart &start : runner.waiting) {
         const bool full = rows.size() >= runner.settings.mostWaitingRows;
         if (rows.empty() || (rows.back().priority != start.priority && !full))
             rows.push_back({ start.priority, 0 });
-        rows.back().milliCores += start.room.milliCores;
+        rows.back().milliCores += start.demand.milliCores;
     }
     return rows;
 }
 
 bool mayWaitHere(const RunnerState &runner, const jobs::StartTasks &message)
 {
-    if (message.mayWait.count() <= 0 || !jobs::fits(message.room, runner.endpoint.capacity))
+    if (message.maxWait.count() <= 0 || !jobs::fits(message.demand, runner.endpoint.capacity))
         return false;
     const std::int64_t waiting = waitingRoom(runner, message.priority).milliCores;
-    return (waiting + message.room.milliCores) * 100
+    return (waiting + message.demand.milliCores) * 100
             <= runner.endpoint.capacity.milliCores * runner.settings.waitingPercent;
 }
 
@@ -63,22 +63,22 @@
 
 void startWaiting(RunnerState &runner, Time now, RunnerActions &actions)
 {
-    const bool mayStart = mostStarts(runner, now) > 0;
-    const RefusedStart never = runner.endpoint.leaving || runner.stopping ? RefusedStart::Leaving
-            : isCordoned(runner)                                          ? RefusedStart::Cordoned
-                                                                          : RefusedStart::NotReady;
+    const bool mayStart = maxStarts(runner, now) > 0;
+    const StartRefusal never = runner.endpoint.leaving || runner.stopping ? StartRefusal::Leaving
+            : isCordoned(runner)                                          ? StartRefusal::Cordoned
+                                                                          : StartRefusal::NotReady;
     std::vector<WaitingStart> rest;
     rest.swap(runner.waiting);
     bool blocked = false;
     for (const WaitingStart &start : rest) {
-        if (!mayStart || mostStarts(runner, now) == 0) {
+        if (!mayStart || maxStarts(runner, now) == 0) {
             refuseStart(runner, start.session, start.id, never);
-        } else if (now >= start.until || !jobs::fits(start.room, runner.endpoint.capacity)) {
+        } else if (now >= start.until || !jobs::fits(start.demand, runner.endpoint.capacity)) {
             // Too late also where room is free by now: after a pause of this process its entry may
             // have started the task elsewhere long ago, and both would run. And where the room has
             // shrunk below it, it would only hold up the others.
-            refuseStart(runner, start.session, start.id, RefusedStart::NoRoom);
-        } else if (!blocked && jobs::fits(start.room, freeRoom(runner))) {
+            refuseStart(runner, start.session, start.id, StartRefusal::NoCapacity);
+        } else if (!blocked && jobs::fits(start.demand, freeRoom(runner))) {
             startRun(runner, start, now, actions);
         } else {
             // What comes free is kept for it: smaller ones would take it away for ever.
@@ -98,7 +98,7 @@
         return false;
     const std::uint64_t session = found->session;
     runner.waiting.erase(found);
-    refuseStart(runner, session, id, RefusedStart::NoRoom);
+    refuseStart(runner, session, id, StartRefusal::NoCapacity);
     return true;
 }
 
--- a/packages/runner/tests/bench.h
+++ b/packages/runner/tests/bench.h
@@ -18,9 +18,9 @@
 
 namespace foxwing::runner {
 
-using jobs::RefusedStart;
-using jobs::RunEnd;
 using jobs::RunId;
+using jobs::RunOutcome;
+using jobs::StartRefusal;
 
 // [SECTION] Names
 
@@ -91,7 +91,7 @@
     {
         jobs::StartTasks message;
         message.job = "job";
-        message.room = { cores, 10, 0 };
+        message.demand = { cores, 10, 0 };
         message.estimate = Milliseconds(100);
         message.starts = { { index, run } };
         return startTasks(runner, Entry, message, now);
@@ -102,10 +102,10 @@
     {
         jobs::StartTasks message;
         message.job = "job";
-        message.room = { cores, 10, 0 };
+        message.demand = { cores, 10, 0 };
         message.estimate = Milliseconds(100);
         message.priority = priority;
-        message.mayWait = Milliseconds(100);
+        message.maxWait = Milliseconds(100);
         message.starts = { { index, 1 } };
         return startTasks(runner, Entry, message, now);
     }
@@ -127,7 +127,7 @@
     RunnerActions end(std::uint32_t index)
     {
         Look look;
-        look.ended = { { ++lastEnd, runId(index), RunEnd::Done } };
+        look.ended = { { ++lastEnd, runId(index), RunOutcome::Done } };
         return answerLook(look);
     }
 
--- a/packages/runner/tests/judgement_test.cpp
+++ b/packages/runner/tests/judgement_test.cpp
@@ -16,7 +16,7 @@
     std::uint32_t firstPercent;
     std::uint32_t secondPercent;
     std::uint32_t thirdPercent;
-    std::size_t lagging;
+    std::size_t stragglers;
     bool slow;
 };
 
@@ -33,7 +33,7 @@
     for (std::uint32_t i = 0; i < 3; ++i) {
         jobs::StartTasks message;
         message.job = "job-" + std::to_string(i);
-        message.room = { 1000, 10, 0 };
+        message.demand = { 1000, 10, 0 };
         message.estimate = Milliseconds(100);
         message.starts = { { 0, 1 } };
         startTasks(bench.runner, Entry, message, bench.now);
@@ -43,11 +43,11 @@
     }
     bench.pass(Milliseconds(100));
     const RunnerActions actions = bench.answerLook(look);
-    std::vector<jobs::LagReport> lagging;
+    std::vector<jobs::StragglerReport> stragglers;
     for (const auto &[session, update] : actions.updates)
-        lagging.insert(lagging.end(), update.lagging.begin(), update.lagging.end());
-    ASSERT_EQ(lagging.size(), GetParam().lagging);
-    for (const jobs::LagReport &report : lagging)
+        stragglers.insert(stragglers.end(), update.stragglers.begin(), update.stragglers.end());
+    ASSERT_EQ(stragglers.size(), GetParam().stragglers);
+    for (const jobs::StragglerReport &report : stragglers)
         EXPECT_EQ(report.endpointSlow, GetParam().slow);
 }
 
@@ -63,7 +63,7 @@
 {
     Bench bench;
     std::uint32_t index = 0;
-    const auto runOne = [&](RunEnd end) {
+    const auto runOne = [&](RunOutcome end) {
         ++index;
         if (bench.start(index).starts.empty())
             return false;
@@ -73,13 +73,13 @@
         bench.answerLook(look);
         return true;
     };
-    while (runOne(RunEnd::Failed) && index < 20) { }
+    while (runOne(RunOutcome::Failed) && index < 20) { }
     EXPECT_LT(index, 6U);
-    EXPECT_EQ(viewOf(bench.runner, bench.now).mostStarts, 0U);
+    EXPECT_EQ(viewOf(bench.runner, bench.now).maxStarts, 0U);
     bench.pass(bench.runner.settings.trialRest);
-    EXPECT_EQ(viewOf(bench.runner, bench.now).mostStarts, 1U);
-    EXPECT_TRUE(runOne(RunEnd::Done));
-    EXPECT_GT(viewOf(bench.runner, bench.now).mostStarts, 1U);
+    EXPECT_EQ(viewOf(bench.runner, bench.now).maxStarts, 1U);
+    EXPECT_TRUE(runOne(RunOutcome::Done));
+    EXPECT_GT(viewOf(bench.runner, bench.now).maxStarts, 1U);
 }
 
 } // namespace
--- a/packages/runner/tests/lives_test.cpp
+++ b/packages/runner/tests/lives_test.cpp
@@ -41,7 +41,7 @@
         startAnswered(runner, runId(1), { Answer::Ok, clock() }, now);
         Look look = makeLook(Born, clock());
         look.running = { { runId(1), 10 } };
-        look.ended = { { 500, runId(9), RunEnd::Done } };
+        look.ended = { { 500, runId(9), RunOutcome::Done } };
         answerLook(look);
     }
 
@@ -75,12 +75,12 @@
 {
     LongLife bench;
     bench.beginAgain();
-    EXPECT_GT(viewOf(bench.runner, bench.now).mostStarts, 0U);
+    EXPECT_GT(viewOf(bench.runner, bench.now).maxStarts, 0U);
     EndpointReport leaving = makeReport("one-id", BornAgain, 3);
     leaving.leaving = true;
     endpointHeard(bench.runner, leaving, bench.now);
     EXPECT_TRUE(viewOf(bench.runner, bench.now).leaving);
-    EXPECT_EQ(endsIn(bench.start(2)).at(0).refused, RefusedStart::Leaving);
+    EXPECT_EQ(endsIn(bench.start(2)).at(0).refused, StartRefusal::Leaving);
 }
 
 TEST(RunnerLifeAgain, IsUsedThoughTheLifeBeforeWasLeaving)
@@ -171,7 +171,7 @@
     const auto ends = endsIn(bench.beginAgain());
     ASSERT_EQ(ends.size(), 1U);
     EXPECT_TRUE(ends[0].id == runId(1));
-    EXPECT_EQ(ends[0].end, RunEnd::Crashed);
+    EXPECT_EQ(ends[0].end, RunOutcome::Crashed);
     EXPECT_TRUE(bench.runner.runs.empty());
 }
 
@@ -201,10 +201,10 @@
 {
     LongLife bench;
     bench.settle(BornAgain, NewClock);
-    EXPECT_EQ(viewOf(bench.runner, bench.now).mostStarts, 0U);
+    EXPECT_EQ(viewOf(bench.runner, bench.now).maxStarts, 0U);
     EXPECT_TRUE(bench.start(2).starts.empty());
     bench.beginAgain();
-    EXPECT_GT(viewOf(bench.runner, bench.now).mostStarts, 0U);
+    EXPECT_GT(viewOf(bench.runner, bench.now).maxStarts, 0U);
     EXPECT_EQ(bench.start(3).starts.size(), 1U);
 }
 
@@ -285,7 +285,7 @@
     LongLife bench;
     const auto ends = endsIn(bench.replacedBy("other-id"));
     ASSERT_EQ(ends.size(), 1U);
-    EXPECT_EQ(ends[0].end, RunEnd::Crashed);
+    EXPECT_EQ(ends[0].end, RunOutcome::Crashed);
     EXPECT_EQ(bench.runner.endpoint.life.id, "other-id");
 }
 
--- a/packages/runner/tests/orders_test.cpp
+++ b/packages/runner/tests/orders_test.cpp
@@ -23,7 +23,7 @@
     EXPECT_EQ(again.starts[0].id, first.id);
     EXPECT_EQ(again.starts[0].payload, first.payload);
     EXPECT_GT(again.starts[0].deadline, first.deadline);
-    EXPECT_EQ(endsIn(bench.start(2, 1)).at(0).refused, RefusedStart::NoRoom);
+    EXPECT_EQ(endsIn(bench.start(2, 1)).at(0).refused, StartRefusal::NoCapacity);
     startAnswered(bench.runner, runId(1), { Answer::Ok, bench.clock() }, bench.now);
     EXPECT_EQ(bench.runner.runs.at(runId(1)).state, RunState::Running);
 }
@@ -51,7 +51,7 @@
     const auto ends = endsIn(bench.answerLook({}));
     EXPECT_TRUE(bench.runner.runs.empty());
     ASSERT_EQ(ends.size(), 1U);
-    EXPECT_EQ(ends[0].end, RunEnd::NeverBegan);
+    EXPECT_EQ(ends[0].end, RunOutcome::NeverStarted);
 }
 
 struct SecondTryCase
@@ -87,12 +87,12 @@
 
 INSTANTIATE_TEST_SUITE_P(
         Runner, SecondTries,
-        testing::Values(SecondTryCase { "NoRoom", Answer::NoRoom, false, true },
+        testing::Values(SecondTryCase { "NoRoom", Answer::NoCapacity, false, true },
                         SecondTryCase { "TooLate", Answer::TooLate, false, true },
                         SecondTryCase { "Busy", Answer::Busy, false, true },
                         SecondTryCase { "Invalid", Answer::Invalid, false, true },
                         SecondTryCase { "Unreachable", Answer::Unreachable, false, true },
-                        SecondTryCase { "OldRun", Answer::OldRun, false, false },
+                        SecondTryCase { "OldRun", Answer::StaleRun, false, false },
                         SecondTryCase { "OtherLife", Answer::OtherLife, true, false }),
         [](const auto &tested) { return tested.param.name; });
 
@@ -102,13 +102,13 @@
     Bench bench;
     bench.start(1);
     startAnswered(bench.runner, runId(1), { Answer::None, {} }, bench.now);
-    EXPECT_TRUE(endsIn(startAnswered(bench.runner, runId(1), { Answer::OldRun, {} }, bench.now))
+    EXPECT_TRUE(endsIn(startAnswered(bench.runner, runId(1), { Answer::StaleRun, {} }, bench.now))
                         .empty());
     Look look;
-    look.ended = { { 1, runId(1), RunEnd::Done } };
+    look.ended = { { 1, runId(1), RunOutcome::Done } };
     const auto ends = endsIn(bench.answerLook(look));
     ASSERT_EQ(ends.size(), 1U);
-    EXPECT_EQ(ends[0].end, RunEnd::Done);
+    EXPECT_EQ(ends[0].end, RunOutcome::Done);
 }
 
 // Waits of looks: an unanswered one must not keep ends back for long.
@@ -154,8 +154,8 @@
     actions = bench.answerLook(look);
     ASSERT_TRUE(actions.look);
     EXPECT_FALSE(actions.look->deadline);
-    EXPECT_EQ(viewOf(bench.runner, bench.now).mostStarts, 0U);
-    EXPECT_EQ(endsIn(bench.start(2))[0].refused, RefusedStart::NotReady);
+    EXPECT_EQ(viewOf(bench.runner, bench.now).maxStarts, 0U);
+    EXPECT_EQ(endsIn(bench.start(2))[0].refused, StartRefusal::NotReady);
 }
 
 // [SECTION] Lives and leases
@@ -167,7 +167,7 @@
     bench.start(2);
     const auto ends = endsIn(bench.replacedBy("life-2"));
     ASSERT_EQ(ends.size(), 2U);
-    EXPECT_EQ(ends[0].end, RunEnd::Crashed);
+    EXPECT_EQ(ends[0].end, RunOutcome::Crashed);
 }
 
 // What an endpoint takes along that had said that it leaves speaks against no task.
@@ -180,7 +180,7 @@
     endpointHeard(bench.runner, report, bench.now);
     const auto ends = endsIn(bench.replacedBy("life-2"));
     ASSERT_EQ(ends.size(), 1U);
-    EXPECT_EQ(ends[0].end, RunEnd::Lost);
+    EXPECT_EQ(ends[0].end, RunOutcome::Lost);
 }
 
 TEST(RunnerLives, AnEarlierHeartbeatChangesNothing)
@@ -206,7 +206,7 @@
     EXPECT_TRUE(endsIn(late).empty());
     EXPECT_EQ(bench.runner.endpoint.life.id, "life-2");
     EXPECT_EQ(bench.runner.runs.size(), 1U);
-    EXPECT_GT(viewOf(bench.runner, bench.now).mostStarts, 0U);
+    EXPECT_GT(viewOf(bench.runner, bench.now).maxStarts, 0U);
 }
 
 // Should the endpoint itself say that it is the other life, the next heartbeat counts again.
@@ -244,7 +244,7 @@
     RunnerActions actions = lookAnswered(runner, runner.lookNumber, look, now);
     ASSERT_EQ(actions.stops.size(), 1U);
     openSession(runner, Entry, "entry-1", now);
-    EXPECT_FALSE(runner.sessions.at(Entry).welcomed);
+    EXPECT_FALSE(runner.sessions.at(Entry).accepted);
     actions = tick(runner, now + runner.settings.lookPause);
     ASSERT_TRUE(actions.look);
     look.running.clear();
--- a/packages/runner/tests/sessions_test.cpp
+++ b/packages/runner/tests/sessions_test.cpp
@@ -37,7 +37,7 @@
     EXPECT_EQ(actions.stops.size(), 1U);
     EXPECT_TRUE(actions.welcomes.empty());
     Look look;
-    look.ended = { { 1, runId(1), RunEnd::Stopped } };
+    look.ended = { { 1, runId(1), RunOutcome::Stopped } };
     actions = bench.answerLook(look);
     ASSERT_EQ(actions.welcomes.size(), 1U);
     EXPECT_EQ(actions.welcomes[0].first, 2U);
@@ -70,7 +70,7 @@
             ++told[entry];
     };
     for (std::int64_t turn = 0; turn < 100; ++turn) {
-        bench.runner.runs[runId(1000)].room.milliCores = turn;
+        bench.runner.runs[runId(1000)].demand.milliCores = turn;
         count(bench.pass(Milliseconds(5)));
         count(bench.pass(Milliseconds(5)));
     }
@@ -98,7 +98,7 @@
     const RunnerActions wants = sessionBeat(bench.runner, Entry, { 2, true }, bench.now);
     ASSERT_EQ(wants.updates.size(), 1U);
     EXPECT_EQ(wants.updates[0].second.free.milliCores, 3000);
-    EXPECT_EQ(wants.updates[0].second.startsTaken, 1U);
+    EXPECT_EQ(wants.updates[0].second.startsHandled, 1U);
 }
 
 TEST(RunnerSessions, EndsAreToldAtOnceAndStartsWithTheNextNews)
@@ -109,7 +109,7 @@
     const RunnerActions actions = bench.end(1);
     ASSERT_EQ(actions.updates.size(), 1U);
     EXPECT_EQ(actions.updates[0].second.ended.size(), 1U);
-    EXPECT_EQ(actions.updates[0].second.startsTaken, 1U);
+    EXPECT_EQ(actions.updates[0].second.startsHandled, 1U);
 }
 
 // What the next update to the entry says.
@@ -143,15 +143,15 @@
     for (const std::uint32_t priority : GetParam().priorities) {
         jobs::StartTasks message;
         message.job = "job";
-        message.room = { 100, 10, 0 };
+        message.demand = { 100, 10, 0 };
         message.estimate = Milliseconds(100);
         message.priority = priority;
-        message.mayWait = Milliseconds(1000);
+        message.maxWait = Milliseconds(1000);
         message.starts = { { ++index, 1 } };
         startTasks(bench.runner, Entry, message, bench.now);
     }
     std::vector<std::pair<std::uint32_t, std::int64_t>> rows;
-    for (const jobs::WaitingRoom &row : nextUpdate(bench).waiting)
+    for (const jobs::PriorityBacklog &row : nextUpdate(bench).waiting)
         rows.emplace_back(row.priority, row.milliCores);
     EXPECT_EQ(rows, GetParam().rows);
 }
@@ -170,7 +170,7 @@
 struct FreedCase
 {
     const char *name;
-    RunEnd end;
+    RunOutcome end;
 
     // From the end to the update
     Milliseconds after;
@@ -195,10 +195,11 @@
 
 INSTANTIATE_TEST_SUITE_P(
         Runner, FreedPace,
-        testing::Values(FreedCase { "Done", RunEnd::Done, Milliseconds(100), 3000 * 0.7165 },
-                        FreedCase { "LongAgo", RunEnd::Done, Milliseconds(300), 3000 * 0.3679 },
-                        FreedCase { "Stopped", RunEnd::Stopped, Milliseconds(100), 3000 * 0.7165 },
-                        FreedCase { "Failed", RunEnd::Failed, Milliseconds(100), 0 }),
+        testing::Values(FreedCase { "Done", RunOutcome::Done, Milliseconds(100), 3000 * 0.7165 },
+                        FreedCase { "LongAgo", RunOutcome::Done, Milliseconds(300), 3000 * 0.3679 },
+                        FreedCase { "Stopped", RunOutcome::Stopped, Milliseconds(100),
+                                    3000 * 0.7165 },
+                        FreedCase { "Failed", RunOutcome::Failed, Milliseconds(100), 0 }),
         [](const auto &tested) { return tested.param.name; });
 
 } // namespace
--- a/packages/runner/tests/starting_test.cpp
+++ b/packages/runner/tests/starting_test.cpp
@@ -18,7 +18,7 @@
     const char *name;
     std::function<void(Bench &)> prepare;
     std::int64_t cores;
-    RefusedStart refused;
+    StartRefusal refused;
 };
 
 std::ostream &operator<<(std::ostream &out, const StartCase &tested)
@@ -34,46 +34,47 @@
     Bench bench;
     GetParam().prepare(bench);
     const RunnerActions actions = bench.start(7, GetParam().cores);
-    const bool taken = GetParam().refused == RefusedStart::None;
+    const bool taken = GetParam().refused == StartRefusal::None;
     EXPECT_EQ(actions.starts.size(), taken ? 1U : 0U);
     const auto ends = endsIn(actions);
     ASSERT_EQ(ends.size(), taken ? 0U : 1U);
     if (!taken) {
-        EXPECT_EQ(ends[0].end, RunEnd::NeverBegan);
+        EXPECT_EQ(ends[0].end, RunOutcome::NeverStarted);
         EXPECT_EQ(ends[0].refused, GetParam().refused);
     }
 }
 
 INSTANTIATE_TEST_SUITE_P(
         Runner, Starts,
-        testing::Values(
-                StartCase { "Empty", [](Bench &) {}, 4000, RefusedStart::None },
-                StartCase { "TooLarge", [](Bench &) {}, 4001, RefusedStart::NoRoom },
-                StartCase { "Full", [](Bench &b) { b.start(1, 3500); }, 600, RefusedStart::NoRoom },
-                StartCase { "Beside", [](Bench &b) { b.start(1, 3500); }, 500, RefusedStart::None },
-                StartCase { "SameTask", [](Bench &b) { b.start(7, 100); }, 100,
-                            RefusedStart::NotReady },
-                StartCase { "EndpointLeaving",
-                            [](Bench &b) {
-                                EndpointReport report = makeReport("life-1", 2);
-                                report.leaving = true;
-                                endpointHeard(b.runner, report, b.now);
-                            },
-                            100, RefusedStart::Leaving },
-                StartCase { "AgentStopping", [](Bench &b) { beginStop(b.runner, b.now); }, 100,
-                            RefusedStart::Leaving },
-                StartCase { "NotLookedAtYet", [](Bench &b) { b.replacedBy("life-2"); }, 100,
-                            RefusedStart::NotReady },
-                StartCase { "OutOfReach",
-                            [](Bench &b) {
-                                b.failLook = true;
-                                const auto most = b.runner.settings.looksBeforeOutOfReach;
-                                for (std::uint32_t i = 0; i < most; ++i) {
-                                    b.answerLook({});
-                                    b.pass(Milliseconds(100));
-                                }
-                            },
-                            100, RefusedStart::NotReady }),
+        testing::Values(StartCase { "Empty", [](Bench &) {}, 4000, StartRefusal::None },
+                        StartCase { "TooLarge", [](Bench &) {}, 4001, StartRefusal::NoCapacity },
+                        StartCase { "Full", [](Bench &b) { b.start(1, 3500); }, 600,
+                                    StartRefusal::NoCapacity },
+                        StartCase { "Beside", [](Bench &b) { b.start(1, 3500); }, 500,
+                                    StartRefusal::None },
+                        StartCase { "SameTask", [](Bench &b) { b.start(7, 100); }, 100,
+                                    StartRefusal::NotReady },
+                        StartCase { "EndpointLeaving",
+                                    [](Bench &b) {
+                                        EndpointReport report = makeReport("life-1", 2);
+                                        report.leaving = true;
+                                        endpointHeard(b.runner, report, b.now);
+                                    },
+                                    100, StartRefusal::Leaving },
+                        StartCase { "AgentStopping", [](Bench &b) { beginStop(b.runner, b.now); },
+                                    100, StartRefusal::Leaving },
+                        StartCase { "NotLookedAtYet", [](Bench &b) { b.replacedBy("life-2"); }, 100,
+                                    StartRefusal::NotReady },
+                        StartCase { "OutOfReach",
+                                    [](Bench &b) {
+                                        b.failLook = true;
+                                        const auto most = b.runner.settings.looksBeforeOutOfReach;
+                                        for (std::uint32_t i = 0; i < most; ++i) {
+                                            b.answerLook({});
+                                            b.pass(Milliseconds(100));
+                                        }
+                                    },
+                                    100, StartRefusal::NotReady }),
         [](const auto &tested) { return tested.param.name; });
 
 TEST(RunnerStarts, RoomIsTakenUntilTheEndIsListed)
@@ -89,10 +90,10 @@
     bench.answerLook(still);
     EXPECT_EQ(bench.start(3).starts.size(), 0U);
     Look gone;
-    gone.ended = { { 1, runId(1), RunEnd::Stopped } };
+    gone.ended = { { 1, runId(1), RunOutcome::Stopped } };
     const auto ends = endsIn(bench.answerLook(gone));
     ASSERT_EQ(ends.size(), 1U);
-    EXPECT_EQ(ends[0].end, RunEnd::Stopped);
+    EXPECT_EQ(ends[0].end, RunOutcome::Stopped);
     EXPECT_EQ(bench.start(4).starts.size(), 1U);
     EXPECT_EQ(bench.runner.life.lastSeen, 1U);
 }
@@ -101,7 +102,7 @@
 {
     const char *name;
     Answer answer;
-    RefusedStart refused;
+    StartRefusal refused;
 };
 
 class Refusals : public testing::TestWithParam<RefusalCase>
@@ -114,19 +115,19 @@
     const auto ends = endsIn(
             startAnswered(bench.runner, runId(1), { GetParam().answer, {} }, bench.now));
     ASSERT_EQ(ends.size(), 1U);
-    EXPECT_EQ(ends[0].end, RunEnd::NeverBegan);
+    EXPECT_EQ(ends[0].end, RunOutcome::NeverStarted);
     EXPECT_EQ(ends[0].refused, GetParam().refused);
     EXPECT_TRUE(bench.runner.runs.empty());
 }
 
 INSTANTIATE_TEST_SUITE_P(
         Runner, Refusals,
-        testing::Values(RefusalCase { "Old", Answer::OldRun, RefusedStart::OldRun },
-                        RefusalCase { "Late", Answer::TooLate, RefusedStart::Endpoint },
-                        RefusalCase { "Room", Answer::NoRoom, RefusedStart::NoRoom },
-                        RefusalCase { "Busy", Answer::Busy, RefusedStart::Endpoint },
-                        RefusalCase { "Fenced", Answer::Fenced, RefusedStart::Endpoint },
-                        RefusalCase { "OtherLife", Answer::OtherLife, RefusedStart::Endpoint }),
+        testing::Values(RefusalCase { "Old", Answer::StaleRun, StartRefusal::StaleRun },
+                        RefusalCase { "Late", Answer::TooLate, StartRefusal::Endpoint },
+                        RefusalCase { "Room", Answer::NoCapacity, StartRefusal::NoCapacity },
+                        RefusalCase { "Busy", Answer::Busy, StartRefusal::Endpoint },
+                        RefusalCase { "Fenced", Answer::Fenced, StartRefusal::Endpoint },
+                        RefusalCase { "OtherLife", Answer::OtherLife, StartRefusal::Endpoint }),
         [](const auto &tested) { return tested.param.name; });
 
 TEST(RunnerStarts, AFenceThatIsTooLowIsRaised)
@@ -191,7 +192,7 @@
 {
     const char *name;
     std::function<RunnerActions(Bench &)> happens;
-    std::optional<RefusedStart> told;
+    std::optional<StartRefusal> told;
 };
 
 std::ostream &operator<<(std::ostream &out, const WaitingEndCase &tested)
@@ -211,11 +212,11 @@
     const RunnerActions actions = GetParam().happens(bench);
     EXPECT_TRUE(actions.starts.empty());
     EXPECT_TRUE(bench.runner.waiting.empty());
-    std::optional<RefusedStart> told;
+    std::optional<StartRefusal> told;
     for (const jobs::RunReport &report : endsIn(actions)) {
         if (report.id.task.index != 11)
             continue;
-        EXPECT_EQ(report.end, RunEnd::NeverBegan);
+        EXPECT_EQ(report.end, RunOutcome::NeverStarted);
         told = report.refused;
     }
     EXPECT_EQ(told, GetParam().told);
@@ -226,21 +227,21 @@
         Runner, WaitingEnds,
         testing::Values(
                 WaitingEndCase { "TooLong", [](Bench &b) { return b.pass(Milliseconds(100)); },
-                                 RefusedStart::NoRoom },
+                                 StartRefusal::NoCapacity },
                 WaitingEndCase { "Stopped",
                                  [](Bench &b) {
                                      return stopRuns(b.runner, Entry, { { runId(11) } }, b.now);
                                  },
-                                 RefusedStart::NoRoom },
+                                 StartRefusal::NoCapacity },
                 WaitingEndCase { "EndpointLeaves",
                                  [](Bench &b) {
                                      EndpointReport report = makeReport("life-1", 2);
                                      report.leaving = true;
                                      return endpointHeard(b.runner, report, b.now);
                                  },
-                                 RefusedStart::Leaving },
+                                 StartRefusal::Leaving },
                 WaitingEndCase { "AnotherLife", [](Bench &b) { return b.replacedBy("life-2"); },
-                                 RefusedStart::NotReady },
+                                 StartRefusal::NotReady },
                 WaitingEndCase { "EntryGone",
                                  [](Bench &b) { return closeSession(b.runner, Entry, b.now); },
                                  {} }),
@@ -318,8 +319,8 @@
     report.capacity.milliCores = 2000;
     const auto ends = endsIn(endpointHeard(bench.runner, report, bench.now));
     ASSERT_EQ(ends.size(), 1U);
-    EXPECT_EQ(ends[0].end, RunEnd::NeverBegan);
-    EXPECT_EQ(ends[0].refused, RefusedStart::NoRoom);
+    EXPECT_EQ(ends[0].end, RunOutcome::NeverStarted);
+    EXPECT_EQ(ends[0].refused, StartRefusal::NoCapacity);
 }
 
 TEST(RunnerWaiting, RoomIsKeptForWhatWaits)
@@ -330,7 +331,7 @@
     const RunnerActions later = bench.start(2, 300);
     EXPECT_TRUE(later.starts.empty());
     ASSERT_EQ(endsIn(later).size(), 1U);
-    EXPECT_EQ(endsIn(later)[0].refused, RefusedStart::NoRoom);
+    EXPECT_EQ(endsIn(later)[0].refused, StartRefusal::NoCapacity);
     EXPECT_EQ(viewOf(bench.runner, bench.now).free.milliCores, -200);
 }
 
@@ -341,7 +342,7 @@
     bench.startOrWait(11, 600);
     const auto ends = endsIn(bench.startOrWait(11, 600));
     ASSERT_EQ(ends.size(), 1U);
-    EXPECT_EQ(ends[0].refused, RefusedStart::NotReady);
+    EXPECT_EQ(ends[0].refused, StartRefusal::NotReady);
 }
 
 // An agent that stood still finds its waiting starts long after their entry has started them
@@ -392,11 +393,11 @@
     now += GetParam().after;
     openSession(runner, Entry, "entry-1", now);
     tick(runner, now);
-    EXPECT_EQ(viewOf(runner, now).mostStarts > 0, GetParam().takesStarts);
+    EXPECT_EQ(viewOf(runner, now).maxStarts > 0, GetParam().takesStarts);
     EXPECT_EQ(viewOf(runner, now).free.milliCores > 0, GetParam().takesStarts);
     jobs::StartTasks message;
     message.job = "job";
-    message.room = { 1000, 10, 0 };
+    message.demand = { 1000, 10, 0 };
     message.estimate = Milliseconds(100);
     message.starts = { { 0, 1 } };
     EXPECT_EQ(startTasks(runner, Entry, message, now).starts.size(),
@@ -453,7 +454,7 @@
     const std::vector<jobs::RunReport> ends = endsIn(actions);
     ASSERT_EQ(ends.size(), 1U);
     EXPECT_EQ(ends[0].id, runId(11));
-    EXPECT_EQ(ends[0].refused, RefusedStart::Cordoned);
+    EXPECT_EQ(ends[0].refused, StartRefusal::Cordoned);
     EXPECT_TRUE(actions.stops.empty());
     EXPECT_EQ(bench.runner.runs.count(runId(1)), 1U);
 }
--- a/packages/scheduler/include/foxwing/scheduler/scheduler.h
+++ b/packages/scheduler/include/foxwing/scheduler/scheduler.h
@@ -353,21 +353,21 @@
 struct Agent
 {
     jobs::EndpointView endpoint;
-    bool welcomed = false;
+    bool accepted = false;
 
     // The last word to it and from it
     Time sentAt {};
     Time heardAt {};
-    std::uint64_t beat = 0;
+    std::uint64_t heartbeat = 0;
     bool toldWantsRoom = false;
 
     // Starts sent in this session, and how many of them are in the agent's view of its room
     std::uint64_t startsSent = 0;
-    std::uint64_t startsTaken = 0;
+    std::uint64_t startsHandled = 0;
     struct Pending
     {
         std::uint64_t number = 0;
-        jobs::Room room;
+        jobs::ResourceVector demand;
     };
     std::vector<Pending> pending;
 
@@ -378,7 +378,7 @@
     Time leastFreeSince {};
 
     // Starts of all entries that wait there, and the room that comes free there, as it told last
-    std::vector<jobs::WaitingRoom> waiting;
+    std::vector<jobs::PriorityBacklog> waiting;
     std::uint32_t freedPerSecond = 0;
 };
 
@@ -552,7 +552,7 @@
 struct AgentSend
 {
     std::string agent;
-    std::variant<jobs::StartTasks, jobs::StopRuns, jobs::SessionBeat> message;
+    std::variant<jobs::StartTasks, jobs::StopRuns, jobs::SessionHeartbeat> message;
 };
 
 struct SchedulerActions
@@ -580,7 +580,7 @@
 // A connection to an agent; starts go there only after its welcome.
 SchedulerActions agentConnected(SchedulerState &scheduler, const std::string &agent, Time now);
 SchedulerActions agentWelcomed(SchedulerState &scheduler, const std::string &agent,
-                               const jobs::Welcome &welcome, Time now);
+                               const jobs::SessionAccepted &welcome, Time now);
 SchedulerActions agentUpdated(SchedulerState &scheduler, const std::string &agent,
                               const jobs::AgentUpdate &update, Time now);
 SchedulerActions agentLost(SchedulerState &scheduler, const std::string &agent, Time now);
--- a/packages/scheduler/src/admission.cpp
+++ b/packages/scheduler/src/admission.cpp
@@ -99,20 +99,21 @@
             || job.terms.service != wanted.terms.service)
             continue;
         const jobs::StepSpec &step = job.spec.steps.front();
-        waiting += static_cast<double>(job.waiting) * static_cast<double>(step.room.milliCores)
+        waiting += static_cast<double>(job.waiting) * static_cast<double>(step.demand.milliCores)
                 * static_cast<double>(step.estimate.count());
     }
-    double room = 0;
+    double capacity = 0;
     for (const auto &[name, agent] : scheduler.agents) {
-        if (agent.welcomed && agent.endpoint.service == wanted.terms.service
-            && agent.endpoint.mostStarts > 0 && !isCordoned(scheduler, agent))
-            room += static_cast<double>(agent.endpoint.capacity.milliCores);
+        if (agent.accepted && agent.endpoint.service == wanted.terms.service
+            && agent.endpoint.maxStarts > 0 && !isCordoned(scheduler, agent))
+            capacity += static_cast<double>(agent.endpoint.capacity.milliCores);
     }
-    if (room <= 0)
+    if (capacity <= 0)
         return Microseconds(0);
     // Declared rooms can be absurd; beyond an hour it makes no difference.
     constexpr double MostMilliseconds = 3.6e6;
-    return scaled(Milliseconds(1), std::min(MostMilliseconds, waiting * scheduler.entries / room));
+    return scaled(Milliseconds(1),
+                  std::min(MostMilliseconds, waiting * scheduler.entries / capacity));
 }
 
 // Whether what waits here and goes before this job takes, at the pace at which room came free here
@@ -130,7 +131,7 @@
             || (key.group == Rank::OnTime && job.queuedPriority > priority))
             continue;
         waiting += static_cast<double>(job.waiting)
-                * static_cast<double>(job.spec.steps.front().room.milliCores);
+                * static_cast<double>(job.spec.steps.front().demand.milliCores);
     }
     const double perMillisecond = freedPerMillisecond(scheduler, freed->second, now);
     const auto slack = std::chrono::duration_cast<Milliseconds>(wanted.onTimeUntil - now);
@@ -162,7 +163,7 @@
 {
     bool any = false;
     for (const auto &[name, agent] : scheduler.agents) {
-        if (!agent.welcomed || agent.endpoint.service != job.terms.service)
+        if (!agent.accepted || agent.endpoint.service != job.terms.service)
             continue;
         any = true;
         if (suits(agent, job, step))
@@ -205,7 +206,7 @@
     if (scheduler.jobs.size() >= scheduler.settings.mostJobs)
         return "this entry holds as many jobs as it may";
     const jobs::JobTraits &traits = job.spec.traits;
-    if (traits.kept || traits.gang || traits.lasting || traits.timed)
+    if (traits.durable || traits.gang || traits.longRunning || traits.recurring)
         return "this kind of job is not served yet";
     const std::uint64_t tasks = taskCount(job.spec);
     if (tasks == 0 || tasks > scheduler.settings.mostTasksPerJob)
@@ -221,8 +222,8 @@
 {
     // A job that never was in the table is answered through it, so that all answers are alike.
     const std::uint64_t number = job.number;
-    Job &kept = scheduler.jobs.emplace(number, std::move(job)).first->second;
-    answerJob(scheduler, kept, outcome, why, now, actions);
+    Job &stored = scheduler.jobs.emplace(number, std::move(job)).first->second;
+    answerJob(scheduler, stored, outcome, why, now, actions);
 }
 
 // Counts the job as asked for, and refuses it if the work before it takes too long.
@@ -284,8 +285,8 @@
     addTasks(scheduler, job);
     job.waitsFor = known == scheduler.byId.end() ? 0 : known->second;
     scheduler.byId[spec.id] = job.number;
-    Job &kept = scheduler.jobs.emplace(job.number, std::move(job)).first->second;
-    enqueue(scheduler, kept);
+    Job &stored = scheduler.jobs.emplace(job.number, std::move(job)).first->second;
+    enqueue(scheduler, stored);
     place(scheduler, now, actions);
     return actions;
 }
--- a/packages/scheduler/src/ending.cpp
+++ b/packages/scheduler/src/ending.cpp
@@ -13,8 +13,8 @@
 namespace foxwing::scheduler {
 
 using eventlog::Event;
-using jobs::RefusedStart;
-using jobs::RunEnd;
+using jobs::RunOutcome;
+using jobs::StartRefusal;
 
 // [SECTION] Jobs
 
@@ -95,13 +95,13 @@
     std::int64_t mostFree = 0;
     Time oldest = now;
     for (const auto &[name, agent] : scheduler.agents) {
-        if (!agent.welcomed || agent.endpoint.leaving || agent.endpoint.mostStarts == 0
+        if (!agent.accepted || agent.endpoint.leaving || agent.endpoint.maxStarts == 0
             || agent.endpoint.service != job.terms.service || isCordoned(scheduler, agent))
             continue;
-        const jobs::Room room = roomAt(agent);
+        const jobs::ResourceVector available = roomAt(agent);
         ++endpoints;
-        free += room.milliCores;
-        mostFree = std::max(mostFree, room.milliCores);
+        free += available.milliCores;
+        mostFree = std::max(mostFree, available.milliCores);
         oldest = std::min(oldest, agent.heardAt);
     }
     event.with("endpoints", endpoints)
@@ -110,7 +110,7 @@
             .with("room_age_ms", now - oldest)
             .with("jobs_waiting", std::uint64_t { scheduler.queue.size() });
     if (!job.spec.steps.empty())
-        event.with("needs_millicores", job.spec.steps.front().room.milliCores);
+        event.with("needs_millicores", job.spec.steps.front().demand.milliCores);
     if (usesForecast(scheduler))
         addForecast(scheduler, job, now, event);
 }
@@ -119,7 +119,7 @@
 Milliseconds retryAfter(SchedulerState &scheduler, const Job &job, Time now)
 {
     if (usesForecast(scheduler))
-        return comeBackAfter(scheduler, job, now);
+        return estimateRetryAfter(scheduler, job, now);
     constexpr Milliseconds Least { 100 };
     constexpr Milliseconds Most { 2000 };
     constexpr Milliseconds PerWaitingJob { 10 };
@@ -231,13 +231,13 @@
 
 // [SECTION] Freed room
 
-void noteFreed(SchedulerState &scheduler, const Job &job, const jobs::Room &room, RunEnd end,
-               Time now)
+void noteFreed(SchedulerState &scheduler, const Job &job, const jobs::ResourceVector &demand,
+               RunOutcome end, Time now)
 {
     FreedRoom &freed = scheduler.freed[job.terms.service];
-    const auto milliCores = static_cast<double>(room.milliCores);
+    const auto milliCores = static_cast<double>(demand.milliCores);
     addTo(freed.ofLate, scheduler.settings.freedSpan, milliCores, now);
-    if (end == RunEnd::Done || end == RunEnd::Stopped)
+    if (end == RunOutcome::Done || end == RunOutcome::Stopped)
         addTo(freed.own[job.terms.priority], scheduler.settings.shareSpan, milliCores, now);
 }
 
@@ -316,11 +316,11 @@
 
 // Room that came free in a cordoned data centre is no room for what waits.
 void noteRoomOf(SchedulerState &scheduler, const std::string &agent, const Job &job,
-                const Task &task, RunEnd end, Time now)
+                const Task &task, RunOutcome end, Time now)
 {
     const auto from = scheduler.agents.find(agent);
     if (from != scheduler.agents.end() && !isCordoned(scheduler, from->second))
-        noteFreed(scheduler, job, job.spec.steps[task.step].room, end, now);
+        noteFreed(scheduler, job, job.spec.steps[task.step].demand, end, now);
 }
 
 } // namespace
@@ -333,35 +333,35 @@
     if (!task || task->state != TaskState::Placed || task->agent != agent)
         return;
     const std::uint64_t number = job->number;
-    if (report.end == RunEnd::NeverBegan)
+    if (report.end == RunOutcome::NeverStarted)
         ++scheduler.counters.startsRefused;
     else
         job->mayHaveBegun = true;
-    if (report.end != RunEnd::NeverBegan)
+    if (report.end != RunOutcome::NeverStarted)
         noteRoomOf(scheduler, agent, *job, *task, report.end, now);
-    if (report.end == RunEnd::Done && !job->over) {
+    if (report.end == RunOutcome::Done && !job->over) {
         taskDone(scheduler, *job, *task, report.took, now, actions);
-    } else if (report.end == RunEnd::Failed && !job->over) {
+    } else if (report.end == RunOutcome::Failed && !job->over) {
         actions.events.push_back(taskEvent("task-failed", *job, *task).with("ran_ms", report.took));
         taskFailed(scheduler, *job, *task, now, actions);
-    } else if (report.end == RunEnd::Crashed && !job->over) {
+    } else if (report.end == RunOutcome::Crashed && !job->over) {
         taskCrashed(scheduler, *job, *task, now, actions);
     } else {
-        const bool surprise = !job->over && report.refused != RefusedStart::NoRoom;
+        const bool surprise = !job->over && report.refused != StartRefusal::NoCapacity;
         if (surprise)
             actions.events.push_back(taskEvent("task-again", *job, *task)
                                              .with("end", jobs::toString(report.end))
                                              .with("refused", jobs::toString(report.refused))
                                              .with("since_placed_ms", now - task->placedAt));
-        if (surprise && report.end != RunEnd::Stopped)
+        if (surprise && report.end != RunOutcome::Stopped)
             task->avoid.push_back(agent);
         freeTask(scheduler, *job, *task);
     }
     removeIfFinished(scheduler, number);
 }
 
-void runLags(SchedulerState &scheduler, const std::string &agent, const jobs::LagReport &report,
-             Time now, SchedulerActions &actions)
+void runLags(SchedulerState &scheduler, const std::string &agent,
+             const jobs::StragglerReport &report, Time now, SchedulerActions &actions)
 {
     Job *job = nullptr;
     Task *task = findTask(scheduler, report.id, &job);
@@ -370,29 +370,29 @@
         return;
     const jobs::StepSpec &step = job->spec.steps[task->step];
     const Milliseconds fresh = task->expected;
-    const bool quicker = report.standsStill
+    const bool quicker = report.stalled
             || (report.endpointSlow
-                && fresh < report.left * static_cast<int>(scheduler.settings.moveBelowPercent)
+                && fresh < report.remaining * static_cast<int>(scheduler.settings.moveBelowPercent)
                                 / 100);
     const bool hasRoom = std::any_of(scheduler.agents.begin(), scheduler.agents.end(),
                                      [&](const auto &other) {
-                                         return other.first != agent && other.second.welcomed
+                                         return other.first != agent && other.second.accepted
                                                  && suits(other.second, *job, step)
-                                                 && jobs::fits(step.room, roomAt(other.second));
+                                                 && jobs::fits(step.demand, roomAt(other.second));
                                      });
-    if (!scheduler.settings.moveRuns || !quicker || (!hasRoom && !report.standsStill))
+    if (!scheduler.settings.moveRuns || !quicker || (!hasRoom && !report.stalled))
         return;
     actions.events.push_back(taskEvent("task-moved", *job, *task)
-                                     .with("left_ms", report.left)
+                                     .with("left_ms", report.remaining)
                                      .with("fresh_ms", fresh)
-                                     .with("stands_still", report.standsStill ? 1 : 0)
+                                     .with("stands_still", report.stalled ? 1 : 0)
                                      .with("since_placed_ms", now - task->placedAt));
     ++scheduler.counters.runsMoved;
     // It may be the estimate that is wrong: the next run is measured against what this one showed.
-    if (!report.standsStill)
+    if (!report.stalled)
         task->expected = std::max(task->expected,
                                   std::chrono::duration_cast<Milliseconds>(now - task->placedAt)
-                                          + report.left);
+                                          + report.remaining);
     task->avoid.push_back(agent);
     stopTask(scheduler, *job, *task, actions);
 }
--- a/packages/scheduler/src/floors.cpp
+++ b/packages/scheduler/src/floors.cpp
@@ -29,7 +29,7 @@
     constexpr double Most = 1e15;
     double work = 0;
     for (const jobs::StepSpec &step : spec.steps)
-        work += static_cast<double>(step.tasks) * static_cast<double>(step.room.milliCores)
+        work += static_cast<double>(step.tasks) * static_cast<double>(step.demand.milliCores)
                 * static_cast<double>(step.estimate.count());
     return static_cast<std::int64_t>(std::clamp(work, 0.0, Most));
 }
@@ -45,12 +45,12 @@
         standing.effective = terms.priority;
     standing.service = terms.service;
     standing.priority = terms.priority;
-    shares::noteAsked(scheduler.shares, terms.queue, workOf(job.spec), now);
+    shares::recordRequested(scheduler.shares, terms.queue, workOf(job.spec), now);
 }
 
 void noteRefusedJob(SchedulerState &scheduler, const Job &job, Time now)
 {
-    shares::noteRefused(scheduler.shares, job.terms.queue, workOf(job.spec), now);
+    shares::recordRefused(scheduler.shares, job.terms.queue, workOf(job.spec), now);
 }
 
 // [SECTION] Standings
@@ -97,7 +97,7 @@
             change(standing.belowFloor ? "queue-below-floor" : "queue-above-floor")
                     .with("queue", queue)
                     .with("served_percent", shares::servedPercent(scheduler.shares, queue, now))
-                    .with("floor_percent", scheduler.shares.settings.floorPercent));
+                    .with("floor_percent", scheduler.shares.settings.guaranteedPercent));
 }
 
 } // namespace
@@ -105,7 +105,7 @@
 void updateStandings(SchedulerState &scheduler, Time now, SchedulerActions &actions)
 {
     for (auto &[queue, standing] : scheduler.standings) {
-        const bool below = shares::isBelowFloor(scheduler.shares, queue, now);
+        const bool below = shares::isBelowGuarantee(scheduler.shares, queue, now);
         if (below == standing.belowFloor)
             continue;
         standing.belowFloor = below;
--- a/packages/scheduler/src/internal.h
+++ b/packages/scheduler/src/internal.h
@@ -45,10 +45,10 @@
 bool isCordoned(const SchedulerState &scheduler, const Agent &agent);
 
 // Room that this entry may count on at an agent.
-jobs::Room roomAt(const Agent &agent);
+jobs::ResourceVector roomAt(const Agent &agent);
 
 // The same for a job: one that waits on though it is late takes only room that nobody else wants.
-jobs::Room roomFor(const SchedulerState &scheduler, const Agent &agent, const Job &job);
+jobs::ResourceVector roomFor(const SchedulerState &scheduler, const Agent &agent, const Job &job);
 
 // Whether the endpoint may run the step at all, whatever runs on it now.
 bool suits(const Agent &agent, const Job &job, const jobs::StepSpec &step);
@@ -60,8 +60,8 @@
 // [SECTION] Freed room
 
 // A run of the job has ended like this and given its room back.
-void noteFreed(SchedulerState &scheduler, const Job &job, const jobs::Room &room, jobs::RunEnd end,
-               Time now);
+void noteFreed(SchedulerState &scheduler, const Job &job, const jobs::ResourceVector &demand,
+               jobs::RunOutcome end, Time now);
 
 // Of the room that came free of late, only this part goes on coming free.
 void scaleFreed(SchedulerState &scheduler, const std::string &service, double part);
@@ -74,7 +74,8 @@
 bool usesForecast(const SchedulerState &scheduler);
 
 // What the agents of the service have told, without those that take nothing.
-forecast::Picture pictureOf(const SchedulerState &scheduler, const std::string &service, Time now);
+forecast::ServiceLoad pictureOf(const SchedulerState &scheduler, const std::string &service,
+                                Time now);
 
 // Part of the freed room that comes to this entry, for jobs of any priority.
 double wholeShare(const SchedulerState &scheduler, const std::string &service, Time now);
@@ -91,7 +92,7 @@
 void noteLateStart(SchedulerState &scheduler, const Job &job, std::int64_t milliCores, Time now);
 
 // When a caller that is refused now should come back, by the forecast.
-Milliseconds comeBackAfter(SchedulerState &scheduler, const Job &job, Time now);
+Milliseconds estimateRetryAfter(SchedulerState &scheduler, const Job &job, Time now);
 
 // Adds up what agents tell of freed room.
 void addTold(SchedulerState &scheduler, Time now);
@@ -136,8 +137,8 @@
                Time now, SchedulerActions &actions);
 void runEnded(SchedulerState &scheduler, const std::string &agent, const jobs::RunReport &report,
               Time now, SchedulerActions &actions);
-void runLags(SchedulerState &scheduler, const std::string &agent, const jobs::LagReport &report,
-             Time now, SchedulerActions &actions);
+void runLags(SchedulerState &scheduler, const std::string &agent,
+             const jobs::StragglerReport &report, Time now, SchedulerActions &actions);
 
 // The task's run is certainly over without a result: it may be started again.
 void freeTask(SchedulerState &scheduler, Job &job, Task &task);
--- a/packages/scheduler/src/order.cpp
+++ b/packages/scheduler/src/order.cpp
@@ -20,7 +20,7 @@
     std::int64_t work = 0;
     for (const Task &task : job.tasks) {
         if (task.state == TaskState::Waiting)
-            work += job.spec.steps[task.step].room.milliCores * task.expected.count();
+            work += job.spec.steps[task.step].demand.milliCores * task.expected.count();
     }
     return work;
 }
--- a/packages/scheduler/src/outlook.cpp
+++ b/packages/scheduler/src/outlook.cpp
@@ -24,23 +24,24 @@
 
 bool takesWork(const SchedulerState &scheduler, const Agent &agent, const std::string &service)
 {
-    return agent.welcomed && !agent.endpoint.leaving && agent.endpoint.mostStarts > 0
+    return agent.accepted && !agent.endpoint.leaving && agent.endpoint.maxStarts > 0
             && agent.endpoint.service == service && !isCordoned(scheduler, agent);
 }
 
 } // namespace
 
-forecast::Picture pictureOf(const SchedulerState &scheduler, const std::string &service, Time now)
+forecast::ServiceLoad pictureOf(const SchedulerState &scheduler, const std::string &service,
+                                Time now)
 {
-    forecast::Picture picture;
+    forecast::ServiceLoad serviceLoad;
     for (const auto &[name, agent] : scheduler.agents) {
         if (takesWork(scheduler, agent, service))
-            forecast::addAgent(picture,
+            forecast::addAgent(serviceLoad,
                                { roomAt(agent).milliCores, agent.waiting, agent.freedPerSecond,
                                  agent.heardAt },
                                now);
     }
-    return picture;
+    return serviceLoad;
 }
 
 // [SECTION] Share
@@ -54,7 +55,7 @@
 {
     std::set<std::string> names;
     for (const auto &[name, agent] : scheduler.agents) {
-        if (agent.welcomed)
+        if (agent.accepted)
             names.insert(agent.endpoint.service);
     }
     return names;
@@ -117,7 +118,7 @@
 
 std::int64_t roomOf(const jobs::StepSpec &step, std::uint32_t tasks)
 {
-    const double milliCores = static_cast<double>(step.room.milliCores) * tasks;
+    const double milliCores = static_cast<double>(step.demand.milliCores) * tasks;
     return static_cast<std::int64_t>(std::min(MostMilliCores, milliCores));
 }
 
@@ -128,9 +129,10 @@
     return roomOf(step, job.tasks.empty() ? step.tasks : job.waiting);
 }
 
-forecast::Wanted wantedBy(const Job &job, std::int64_t before)
+forecast::JobDemand wantedBy(const Job &job, std::int64_t before)
 {
-    return { job.terms.priority, job.spec.steps.front().room.milliCores, roomWanted(job), before };
+    return { job.terms.priority, job.spec.steps.front().demand.milliCores, roomWanted(job),
+             before };
 }
 
 std::int64_t workBefore(const SchedulerState &scheduler, const Job &wanted, const QueueKey &place)
@@ -152,38 +154,38 @@
 {
     if (job.spec.steps.empty())
         return std::nullopt;
-    forecast::Picture picture = pictureOf(scheduler, job.terms.service, now);
-    picture.share = shareFor(scheduler, job.terms.service, job.terms.priority, now);
-    const forecast::Wanted wanted = wantedBy(job,
-                                             workBefore(scheduler, job, keyOf(scheduler, job)));
+    forecast::ServiceLoad serviceLoad = pictureOf(scheduler, job.terms.service, now);
+    serviceLoad.share = shareFor(scheduler, job.terms.service, job.terms.priority, now);
+    const forecast::JobDemand wanted = wantedBy(job,
+                                                workBefore(scheduler, job, keyOf(scheduler, job)));
     // The next in turn is tried whatever its own size.
-    if (!forecast::hasWorkBefore(picture, wanted))
+    if (!forecast::hasWorkAhead(serviceLoad, wanted))
         return Milliseconds(0);
-    return forecast::expectedWait(picture, wanted);
+    return forecast::expectedWait(serviceLoad, wanted);
 }
 
 std::optional<Milliseconds> waitLate(const SchedulerState &scheduler, const Job &job, Time now)
 {
     if (job.spec.steps.empty())
         return std::nullopt;
-    forecast::Picture picture = pictureOf(scheduler, job.terms.service, now);
-    picture.share = wholeShare(scheduler, job.terms.service, now);
+    forecast::ServiceLoad serviceLoad = pictureOf(scheduler, job.terms.service, now);
+    serviceLoad.share = wholeShare(scheduler, job.terms.service, now);
     QueueKey place = keyOf(scheduler, job);
     place.group = Rank::Late;
     place.rank = job.lateUntil.time_since_epoch().count();
-    return forecast::expectedWait(picture, wantedBy(job, workBefore(scheduler, job, place)));
+    return forecast::expectedWait(serviceLoad, wantedBy(job, workBefore(scheduler, job, place)));
 }
 
-Milliseconds comeBackAfter(SchedulerState &scheduler, const Job &job, Time now)
+Milliseconds estimateRetryAfter(SchedulerState &scheduler, const Job &job, Time now)
 {
     std::uniform_real_distribution<double> chance(0, 1);
     const double drawn = chance(scheduler.random);
     if (job.spec.steps.empty())
-        return forecast::LeastComeBack;
-    forecast::Picture picture = pictureOf(scheduler, job.terms.service, now);
-    picture.share = shareFor(scheduler, job.terms.service, job.terms.priority, now);
+        return forecast::MinRetryAfter;
+    forecast::ServiceLoad serviceLoad = pictureOf(scheduler, job.terms.service, now);
+    serviceLoad.share = shareFor(scheduler, job.terms.service, job.terms.priority, now);
     const std::int64_t before = workBefore(scheduler, job, keyOf(scheduler, job));
-    return forecast::comeBackAfter(picture, wantedBy(job, before), drawn);
+    return forecast::estimateRetryAfter(serviceLoad, wantedBy(job, before), drawn);
 }
 
 Outlook outlook(const SchedulerState &scheduler, Time now)
@@ -191,15 +193,15 @@
     constexpr std::int64_t OneCore = 1000;
     Outlook all;
     for (const std::string &service : services(scheduler)) {
-        forecast::Picture picture = pictureOf(scheduler, service, now);
-        picture.share = wholeShare(scheduler, service, now);
-        forecast::Wanted wanted { scheduler.leastUrgent, OneCore, OneCore, 0 };
+        forecast::ServiceLoad serviceLoad = pictureOf(scheduler, service, now);
+        serviceLoad.share = wholeShare(scheduler, service, now);
+        forecast::JobDemand wanted { scheduler.leastUrgent, OneCore, OneCore, 0 };
         for (const QueueKey &key : scheduler.queue) {
             const Job &job = scheduler.jobs.at(key.number);
-            wanted.beforeIt += job.terms.service == service ? roomWanted(job) : 0;
+            wanted.queuedAhead += job.terms.service == service ? roomWanted(job) : 0;
         }
-        all.age = std::max(all.age, picture.age);
-        const auto wait = forecast::expectedWait(picture, wanted);
+        all.age = std::max(all.age, serviceLoad.age);
+        const auto wait = forecast::expectedWait(serviceLoad, wanted);
         all.wait = wait ? std::max(*wait, all.wait.value_or(Milliseconds(0))) : all.wait;
     }
     all.waitingLate = static_cast<std::size_t>(
@@ -215,7 +217,7 @@
 // One service, with the work that goes before the job that is looked at.
 struct Line
 {
-    forecast::Picture picture;
+    forecast::ServiceLoad serviceLoad;
     std::int64_t before = 0;
 
     // Late jobs that are let wait, and what they want
@@ -225,7 +227,7 @@
 
 bool beginsInTime(const Line &line, const Job &job, Time now)
 {
-    const auto wait = forecast::expectedWait(line.picture, wantedBy(job, line.before));
+    const auto wait = forecast::expectedWait(line.serviceLoad, wantedBy(job, line.before));
     return wait && now + *wait <= job.lateUntil;
 }
 
@@ -246,8 +248,8 @@
     if (now < spell.since + settings.lateSpan || line.late < settings.lateProbes)
         return true;
     const double left = std::chrono::duration<double>(job.lateUntil - now).count();
-    const double room = perSecond(spell.taken, settings.lateSpan, now) * left;
-    return static_cast<double>(line.lateBefore + roomWanted(job)) <= room;
+    const double capacity = perSecond(spell.taken, settings.lateSpan, now) * left;
+    return static_cast<double>(line.lateBefore + roomWanted(job)) <= capacity;
 }
 
 // Whether a late job may wait behind those before it in the line.
@@ -274,8 +276,8 @@
         const std::string &service = job.terms.service;
         const auto [line, isNew] = lines.try_emplace(service);
         if (isNew) {
-            line->second.picture = pictureOf(scheduler, service, now);
-            line->second.picture.share = wholeShare(scheduler, service, now);
+            line->second.serviceLoad = pictureOf(scheduler, service, now);
+            line->second.serviceLoad.share = wholeShare(scheduler, service, now);
         }
         const bool late = key.group == Rank::Late;
         if (late && !joinsLate(scheduler, line->second, job, now))
@@ -297,13 +299,13 @@
 namespace {
 
 // What the job takes when it begins: the steps that wait for no other.
-forecast::Wanted wantedToBegin(const Job &job)
+forecast::JobDemand wantedToBegin(const Job &job)
 {
-    forecast::Wanted wanted { job.terms.priority, 0, 0, 0 };
+    forecast::JobDemand wanted { job.terms.priority, 0, 0, 0 };
     for (const jobs::StepSpec &step : job.spec.steps) {
         if (!step.after.empty())
             continue;
-        wanted.taskMilliCores = std::max(wanted.taskMilliCores, step.room.milliCores);
+        wanted.taskMilliCores = std::max(wanted.taskMilliCores, step.demand.milliCores);
         wanted.milliCores += roomOf(step, step.tasks);
     }
     return wanted;
@@ -313,14 +315,14 @@
 
 bool fitsWhole(const SchedulerState &scheduler, const Job &job, Time now)
 {
-    forecast::Picture picture;
+    forecast::ServiceLoad serviceLoad;
     for (const auto &[name, agent] : scheduler.agents) {
         if (takesWork(scheduler, agent, job.terms.service))
-            forecast::addAgent(picture,
+            forecast::addAgent(serviceLoad,
                                { roomFor(scheduler, agent, job).milliCores, {}, 0, agent.heardAt },
                                now);
     }
-    return forecast::expectedWait(picture, wantedToBegin(job)) == Milliseconds(0);
+    return forecast::expectedWait(serviceLoad, wantedToBegin(job)) == Milliseconds(0);
 }
 
 } // namespace foxwing::scheduler
--- a/packages/scheduler/src/placing.cpp
+++ b/packages/scheduler/src/placing.cpp
@@ -13,22 +13,22 @@
 
 // [SECTION] Endpoints
 
-jobs::Room roomAt(const Agent &agent)
+jobs::ResourceVector roomAt(const Agent &agent)
 {
-    jobs::Room room = agent.endpoint.free;
+    jobs::ResourceVector free = agent.endpoint.free;
     for (const Agent::Pending &pending : agent.pending)
-        room -= pending.room;
-    return room;
+        free -= pending.demand;
+    return free;
 }
 
-jobs::Room roomFor(const SchedulerState &scheduler, const Agent &agent, const Job &job)
+jobs::ResourceVector roomFor(const SchedulerState &scheduler, const Agent &agent, const Job &job)
 {
-    jobs::Room room = roomAt(agent);
+    jobs::ResourceVector free = roomAt(agent);
     if (scheduler.settings.serveLate && job.group == Rank::Late) {
         const std::int64_t rested = std::min(agent.leastFree, agent.leastFreeBefore);
-        room.milliCores -= agent.endpoint.free.milliCores - rested;
+        free.milliCores -= agent.endpoint.free.milliCores - rested;
     }
-    return room;
+    return free;
 }
 
 bool isCordoned(const SchedulerState &scheduler, const Agent &agent)
@@ -81,7 +81,7 @@
 // Smaller is better. Speed first, and the own data centre; then a little for endpoints that are
 // less full, since work of other entries goes where there is room too; and a little chance, so that
 // entries differ.
-double costOf(SchedulerState &scheduler, const Agent &agent, const jobs::Room &free,
+double costOf(SchedulerState &scheduler, const Agent &agent, const jobs::ResourceVector &free,
               const jobs::StepSpec &step, const Task &task)
 {
     constexpr double LoadWeight = 0.3;
@@ -95,7 +95,7 @@
     const double load = 1 - static_cast<double>(free.milliCores) / capacity;
     if (scheduler.settings.placement == Placement::MostRoom || task.crashes > 0)
         return load;
-    const double pace = static_cast<double>(agent.endpoint.paceMille) / 1000;
+    const double pace = static_cast<double>(agent.endpoint.slowdownPermille) / 1000;
     const double far = hasLabel(agent, step.rack) ? 1 : scheduler.settings.farFactor;
     return pace * far * (1 + LoadWeight * load) + awayCost(scheduler, agent)
             + ChanceWeight * chance(scheduler.random);
@@ -103,8 +103,8 @@
 
 bool mayTake(const SchedulerState &scheduler, const Agent &agent)
 {
-    return agent.welcomed && !agent.endpoint.leaving
-            && agent.pending.size() < agent.endpoint.mostStarts && !isCordoned(scheduler, agent);
+    return agent.accepted && !agent.endpoint.leaving
+            && agent.pending.size() < agent.endpoint.maxStarts && !isCordoned(scheduler, agent);
 }
 
 bool mayTakeTask(const SchedulerState &scheduler, const Agent &agent, const Job &job,
@@ -112,7 +112,7 @@
 {
     const jobs::StepSpec &step = job.spec.steps[task.step];
     return mayTake(scheduler, agent) && suits(agent, job, step)
-            && belowStepLimit(job, task.step, step.mostPerEndpoint, id);
+            && belowStepLimit(job, task.step, step.maxPerEndpoint, id);
 }
 
 // The agents that are looked at.
@@ -136,12 +136,12 @@
     Agent *best = nullptr;
     double bestCost = 0;
     for (auto &[id, agent] : agents) {
-        const std::int64_t lacks = step.room.milliCores - roomAt(agent).milliCores;
+        const std::int64_t lacks = step.demand.milliCores - roomAt(agent).milliCores;
         const std::int64_t capacity = agent.endpoint.capacity.milliCores;
         if (!mayTakeTask(scheduler, agent, job, task, id) || isAvoided(task, id)
             || isQuiet(scheduler, agent, now) || lacks * 100 > capacity * most)
             continue;
-        const double cost = static_cast<double>(agent.endpoint.paceMille) / 1000
+        const double cost = static_cast<double>(agent.endpoint.slowdownPermille) / 1000
                 + LackWeight * static_cast<double>(lacks)
                         / static_cast<double>(std::max<std::int64_t>(1, capacity));
         if (best && cost >= bestCost)
@@ -162,8 +162,8 @@
     bool bestAvoided = false;
     for (auto &[id, agent] : agents) {
         ++scheduler.counters.endpointsTried;
-        const jobs::Room free = roomFor(scheduler, agent, job);
-        if (!jobs::fits(step.room, free) || !mayTakeTask(scheduler, agent, job, task, id))
+        const jobs::ResourceVector free = roomFor(scheduler, agent, job);
+        if (!jobs::fits(step.demand, free) || !mayTakeTask(scheduler, agent, job, task, id))
             continue;
         const bool avoided = isAvoided(task, id) || isQuiet(scheduler, agent, now);
         const double cost = costOf(scheduler, agent, free, step, task);
@@ -182,7 +182,7 @@
 bool suits(const Agent &agent, const Job &job, const jobs::StepSpec &step)
 {
     return agent.endpoint.service == job.terms.service && hasLabel(agent, step.label)
-            && jobs::fits(step.room, agent.endpoint.capacity);
+            && jobs::fits(step.demand, agent.endpoint.capacity);
 }
 
 // [SECTION] Placing
@@ -214,10 +214,10 @@
     message.job = job.spec.id;
     message.step = task.step;
     message.payload = job.spec.payload;
-    message.room = spec.room;
+    message.demand = spec.demand;
     message.estimate = task.expected;
     message.priority = job.queuedPriority;
-    message.mayWait = wait;
+    message.maxWait = wait;
     messages.emplace_back(agent, std::move(message));
     return messages.back().second;
 }
@@ -253,7 +253,7 @@
     ++job.outstanding;
     ++job.runs;
     ++scheduler.counters.starts;
-    agent.pending.push_back({ ++agent.startsSent, job.spec.steps[task.step].room });
+    agent.pending.push_back({ ++agent.startsSent, job.spec.steps[task.step].demand });
     agent.sentAt = now;
 }
 
@@ -278,7 +278,7 @@
             break;
         }
         notePlaced(scheduler, *agent, name, job, task, now);
-        milliCores += job.spec.steps[task.step].room.milliCores;
+        milliCores += job.spec.steps[task.step].demand.milliCores;
         messageFor(messages, name, job, task, wait).starts.push_back({ task.index, task.run });
     }
     if (!messages.empty() && job.firstPlacedAt == Time {})
@@ -303,7 +303,7 @@
 {
     scheduler.wantsRoomUntil = now + scheduler.settings.wantRoomFor;
     for (auto &[name, agent] : scheduler.agents) {
-        if (agent.welcomed && !agent.toldWantsRoom)
+        if (agent.accepted && !agent.toldWantsRoom)
             beatAgent(scheduler, name, agent, now, actions);
     }
 }
--- a/packages/scheduler/src/scheduler.cpp
+++ b/packages/scheduler/src/scheduler.cpp
@@ -114,7 +114,8 @@
 {
     agent.sentAt = now;
     agent.toldWantsRoom = now < scheduler.wantsRoomUntil;
-    actions.sends.push_back({ name, jobs::SessionBeat { ++agent.beat, agent.toldWantsRoom } });
+    actions.sends.push_back(
+            { name, jobs::SessionHeartbeat { ++agent.heartbeat, agent.toldWantsRoom } });
 }
 
 SchedulerActions agentConnected(SchedulerState &scheduler, const std::string &agent, Time now)
@@ -128,12 +129,12 @@
 }
 
 SchedulerActions agentWelcomed(SchedulerState &scheduler, const std::string &name,
-                               const jobs::Welcome &welcome, Time now)
+                               const jobs::SessionAccepted &welcome, Time now)
 {
     SchedulerActions actions;
     Agent &agent = scheduler.agents[name];
     agent.endpoint = welcome.endpoint;
-    agent.welcomed = true;
+    agent.accepted = true;
     agent.heardAt = now;
     actions.events.push_back(change("agent-welcomed")
                                      .with("agent", name)
@@ -177,24 +178,24 @@
     if (!update.endpoint.empty())
         agent.endpoint = update.endpoint.front();
     agent.endpoint.free = update.free;
-    agent.endpoint.mostStarts = update.mostStarts;
-    agent.endpoint.paceMille = update.paceMille;
+    agent.endpoint.maxStarts = update.maxStarts;
+    agent.endpoint.slowdownPermille = update.slowdownPermille;
     agent.endpoint.leaving = update.leaving;
     agent.waiting = update.waiting;
     agent.freedPerSecond = update.freedPerSecond;
-    agent.startsTaken = std::max(agent.startsTaken, update.startsTaken);
+    agent.startsHandled = std::max(agent.startsHandled, update.startsHandled);
     const auto taken = [&](const Agent::Pending &pending) {
-        return pending.number <= agent.startsTaken;
+        return pending.number <= agent.startsHandled;
     };
     agent.pending.erase(std::remove_if(agent.pending.begin(), agent.pending.end(), taken),
                         agent.pending.end());
 }
 
 // Whether a start that found no room may find some now.
-bool grew(const jobs::Room &before, const jobs::Room &room)
+bool grew(const jobs::ResourceVector &before, const jobs::ResourceVector &after)
 {
-    return room.milliCores > before.milliCores || room.megabytes > before.megabytes
-            || room.accelerators > before.accelerators;
+    return after.milliCores > before.milliCores || after.megabytes > before.megabytes
+            || after.accelerators > before.accelerators;
 }
 
 } // namespace
@@ -204,25 +205,25 @@
 {
     SchedulerActions actions;
     const auto found = scheduler.agents.find(name);
-    if (found == scheduler.agents.end() || !found->second.welcomed)
+    if (found == scheduler.agents.end() || !found->second.accepted)
         return actions;
     Agent &agent = found->second;
     agent.heardAt = now;
-    const jobs::Room roomBefore = roomAt(agent);
-    const std::uint32_t startsBefore = agent.endpoint.mostStarts;
+    const jobs::ResourceVector roomBefore = roomAt(agent);
+    const std::uint32_t startsBefore = agent.endpoint.maxStarts;
     takeRoom(agent, update);
     noteLeastFree(scheduler.settings, agent, now);
     for (const jobs::RunReport &report : update.ended)
         runEnded(scheduler, name, report, now, actions);
     takeCrashes(scheduler, name, update.crashed, now, actions);
-    for (const jobs::LagReport &report : update.lagging)
+    for (const jobs::StragglerReport &report : update.stragglers)
         runLags(scheduler, name, report, now, actions);
     // Most news tells of less room. With sixteen jobs that wait and eighty endpoints, one piece of
     // news had 1,280 endpoints looked at; now none if there is less room, and sixteen if there is
     // more.
     if (scheduler.untried || !update.endpoint.empty())
         place(scheduler, now, actions);
-    else if (grew(roomBefore, roomAt(agent)) || agent.endpoint.mostStarts > startsBefore)
+    else if (grew(roomBefore, roomAt(agent)) || agent.endpoint.maxStarts > startsBefore)
         placeAt(scheduler, name, now, actions);
     return actions;
 }
@@ -273,12 +274,13 @@
 // Room of the endpoints that may take work, by service.
 std::map<std::string, double> usableRoom(const SchedulerState &scheduler)
 {
-    std::map<std::string, double> room;
+    std::map<std::string, double> capacity;
     for (const auto &[name, agent] : scheduler.agents) {
-        if (agent.welcomed && !isCordoned(scheduler, agent))
-            room[agent.endpoint.service] += static_cast<double>(agent.endpoint.capacity.milliCores);
+        if (agent.accepted && !isCordoned(scheduler, agent))
+            capacity[agent.endpoint.service] += static_cast<double>(
+                    agent.endpoint.capacity.milliCores);
     }
-    return room;
+    return capacity;
 }
 
 } // namespace
@@ -293,9 +295,9 @@
     std::map<std::string, double> after = usableRoom(scheduler);
     // Jobs that can't be served by what is left are refused at once, and not after the pace at
     // which room comes free has been learned anew.
-    for (const auto &[service, room] : before) {
-        if (after[service] < room)
-            scaleFreed(scheduler, service, after[service] / room);
+    for (const auto &[service, capacity] : before) {
+        if (after[service] < capacity)
+            scaleFreed(scheduler, service, after[service] / capacity);
     }
     place(scheduler, now, actions);
     return actions;
@@ -308,7 +310,7 @@
 void beatAgents(SchedulerState &scheduler, Time now, SchedulerActions &actions)
 {
     for (auto &[name, agent] : scheduler.agents) {
-        if (now >= agent.heardAt + scheduler.settings.agentSilence && agent.welcomed) {
+        if (now >= agent.heardAt + scheduler.settings.agentSilence && agent.accepted) {
             actions.closes.push_back(name);
             continue;
         }
@@ -417,7 +419,7 @@
 bool reachesEndpoints(const SchedulerState &scheduler)
 {
     return std::any_of(scheduler.agents.begin(), scheduler.agents.end(), [](const auto &item) {
-        return item.second.welcomed && !item.second.endpoint.life.empty();
+        return item.second.accepted && !item.second.endpoint.life.empty();
     });
 }
 
--- a/packages/scheduler/tests/admission_test.cpp
+++ b/packages/scheduler/tests/admission_test.cpp
@@ -27,7 +27,7 @@
     bench.traits = GetParam().traits;
     jobs::StepSpec step;
     step.tasks = 1;
-    step.room = { GetParam().taskCores, 10, 0 };
+    step.demand = { GetParam().taskCores, 10, 0 };
     step.estimate = Milliseconds(100);
     const SchedulerActions actions = bench.submit("job", { step });
     ASSERT_EQ(actions.answers.size(), GetParam().outcome ? 1U : 0U);
@@ -89,9 +89,9 @@
     Bench bench({ 3000 }, settings);
     bench.priority = 1;
     bench.submit("running", 3);
-    bench.report("agent-0", { endOf("running", 0, 1, RunEnd::Done) }, 0);
-    bench.report("agent-0", { endOf("running", 1, 1, RunEnd::Done) }, 0);
-    bench.report("agent-0", { endOf("running", 2, 1, RunEnd::Done) }, 0);
+    bench.report("agent-0", { endOf("running", 0, 1, RunOutcome::Done) }, 0);
+    bench.report("agent-0", { endOf("running", 1, 1, RunOutcome::Done) }, 0);
+    bench.report("agent-0", { endOf("running", 2, 1, RunOutcome::Done) }, 0);
     bench.now += Milliseconds(55);
     for (int i = 0; i < GetParam().waiting; ++i)
         bench.submit("waiting-" + std::to_string(i), 1);
@@ -118,7 +118,7 @@
     Bench bench({ 4000 });
     jobs::StepSpec step;
     step.tasks = 100000;
-    step.room = { 1000, 10, 0 };
+    step.demand = { 1000, 10, 0 };
     step.estimate = Milliseconds(100);
     const SchedulerActions actions = bench.submit("job", std::vector<jobs::StepSpec>(10000, step));
     ASSERT_EQ(actions.answers.size(), 1U);
@@ -140,7 +140,7 @@
     bench.submit("job", 1);
     EXPECT_EQ(stopsIn(abandon(bench.scheduler, bench.number, bench.now)), 1U);
     EXPECT_EQ(startsIn(bench.submit("job", 1)), 0U);
-    EXPECT_EQ(startsIn(bench.report("agent-0", { endOf("job", 0, 1, RunEnd::Stopped) })), 1U);
+    EXPECT_EQ(startsIn(bench.report("agent-0", { endOf("job", 0, 1, RunOutcome::Stopped) })), 1U);
 }
 
 // A chain of jobs of one id: the first is abandoned with its run on, each of the others goes before
@@ -172,9 +172,10 @@
     }
     EXPECT_EQ(startsIn(bench.submit("job", 1)), 0U);
     EXPECT_EQ(startsIn(bench.pass(Milliseconds(20))), 0U);
-    const SchedulerActions ended = bench.report("agent-0", { endOf("job", 0, 1, RunEnd::Stopped) });
+    const SchedulerActions ended = bench.report("agent-0",
+                                                { endOf("job", 0, 1, RunOutcome::Stopped) });
     EXPECT_EQ(startsIn(ended), 1U);
-    bench.report("agent-0", { endOf("job", 0, 1, RunEnd::Done) });
+    bench.report("agent-0", { endOf("job", 0, 1, RunOutcome::Done) });
     EXPECT_TRUE(bench.scheduler.jobs.empty());
     EXPECT_TRUE(bench.scheduler.byId.empty());
 }
@@ -193,7 +194,7 @@
     spec.traits = bench.traits;
     jobs::StepSpec step;
     step.tasks = 1;
-    step.room = { 1000, 10, 0 };
+    step.demand = { 1000, 10, 0 };
     step.estimate = Milliseconds(100);
     spec.steps = { step };
     return submit(bench.scheduler, spec, terms, bench.now, &bench.number);
@@ -224,7 +225,8 @@
     terms.patienceUntil = bench.now + Milliseconds(100);
     EXPECT_EQ(startsIn(submitOne(bench, terms)), 0U);
     bench.now += GetParam().after;
-    const SchedulerActions freed = bench.report("agent-0", { endOf("first", 0, 1, RunEnd::Done) });
+    const SchedulerActions freed = bench.report("agent-0",
+                                                { endOf("first", 0, 1, RunOutcome::Done) });
     EXPECT_EQ(startsIn(freed), GetParam().starts);
 }
 
--- a/packages/scheduler/tests/bench.h
+++ b/packages/scheduler/tests/bench.h
@@ -16,8 +16,8 @@
 
 namespace foxwing::scheduler {
 
-using jobs::RefusedStart;
-using jobs::RunEnd;
+using jobs::RunOutcome;
+using jobs::StartRefusal;
 
 // [SECTION] Bench
 
@@ -28,7 +28,7 @@
     view.service = "align";
     view.capacity = { cores, 10000, 0 };
     view.free = view.capacity;
-    view.mostStarts = 1000;
+    view.maxStarts = 1000;
     return view;
 }
 
@@ -44,7 +44,7 @@
     SchedulerActions welcome(const std::string &name, const jobs::EndpointView &view)
     {
         agentConnected(scheduler, name, now);
-        jobs::Welcome message;
+        jobs::SessionAccepted message;
         message.endpoint = view;
         return agentWelcomed(scheduler, name, message, now);
     }
@@ -54,7 +54,7 @@
     {
         jobs::StepSpec step;
         step.tasks = tasks;
-        step.room = { 1000, 10, 0 };
+        step.demand = { 1000, 10, 0 };
         step.estimate = Milliseconds(100);
         return submit(id, { step });
     }
@@ -86,9 +86,9 @@
                             std::int64_t free = 100000)
     {
         jobs::AgentUpdate update;
-        update.startsTaken = scheduler.agents.at(agent).startsSent;
+        update.startsHandled = scheduler.agents.at(agent).startsSent;
         update.free = { free, 10000, 0 };
-        update.mostStarts = 1000;
+        update.maxStarts = 1000;
         update.ended = ended;
         return agentUpdated(scheduler, agent, update, now);
     }
@@ -131,7 +131,7 @@
 }
 
 inline jobs::RunReport endOf(const std::string &job, std::uint32_t index, std::uint32_t run,
-                             RunEnd end, RefusedStart refused = RefusedStart::None)
+                             RunOutcome end, StartRefusal refused = StartRefusal::None)
 {
     return { { { job, 0, 0, index }, run }, end, refused, Milliseconds(100) };
 }
--- a/packages/scheduler/tests/crashes_test.cpp
+++ b/packages/scheduler/tests/crashes_test.cpp
@@ -39,12 +39,12 @@
 SchedulerActions tellCrash(Bench &bench, const std::string &agent, const jobs::CrashReport &report,
                            bool welcome)
 {
-    jobs::Welcome opened;
+    jobs::SessionAccepted opened;
     opened.endpoint = makeView(4000);
     opened.crashed = { report };
     jobs::AgentUpdate update;
     update.free = { 4000, 10000, 0 };
-    update.mostStarts = 1000;
+    update.maxStarts = 1000;
     update.crashed = { report };
     return welcome ? agentWelcomed(bench.scheduler, agent, opened, bench.now)
                    : agentUpdated(bench.scheduler, agent, update, bench.now);
@@ -110,7 +110,8 @@
     const SchedulerActions actions = bench.submit("job", 1);
     ASSERT_EQ(startsIn(actions), 1U);
     const SchedulerActions crashed = bench.report(actions.sends.at(0).agent,
-                                                  { endOf("job", 0, 1, RunEnd::Crashed) }, 4000);
+                                                  { endOf("job", 0, 1, RunOutcome::Crashed) },
+                                                  4000);
     ASSERT_EQ(crashed.answers.size(), 1U);
     EXPECT_EQ(crashed.answers[0].outcome, JobOutcome::TimedOut);
 }
--- a/packages/scheduler/tests/ending_test.cpp
+++ b/packages/scheduler/tests/ending_test.cpp
@@ -14,8 +14,8 @@
 struct EndCase
 {
     const char *name;
-    RunEnd end;
-    RefusedStart refused;
+    RunOutcome end;
+    StartRefusal refused;
     std::size_t startsAgain;
     std::optional<JobOutcome> outcome;
 };
@@ -40,23 +40,23 @@
 
 INSTANTIATE_TEST_SUITE_P(
         Scheduler, Ends,
-        testing::Values(EndCase { "Done", RunEnd::Done, RefusedStart::None, 0,
-                                  JobOutcome::Completed },
-                        EndCase { "FailedOnce", RunEnd::Failed, RefusedStart::None, 1, {} },
-                        EndCase { "Lapsed", RunEnd::Lapsed, RefusedStart::None, 1, {} },
-                        EndCase { "Lost", RunEnd::Lost, RefusedStart::None, 1, {} },
-                        EndCase { "Crashed", RunEnd::Crashed, RefusedStart::None, 1, {} },
-                        EndCase { "NoRoom", RunEnd::NeverBegan, RefusedStart::NoRoom, 1, {} },
-                        EndCase { "OldRun", RunEnd::NeverBegan, RefusedStart::OldRun, 1, {} }),
+        testing::Values(
+                EndCase { "Done", RunOutcome::Done, StartRefusal::None, 0, JobOutcome::Completed },
+                EndCase { "FailedOnce", RunOutcome::Failed, StartRefusal::None, 1, {} },
+                EndCase { "Lapsed", RunOutcome::LeaseExpired, StartRefusal::None, 1, {} },
+                EndCase { "Lost", RunOutcome::Lost, StartRefusal::None, 1, {} },
+                EndCase { "Crashed", RunOutcome::Crashed, StartRefusal::None, 1, {} },
+                EndCase { "NoRoom", RunOutcome::NeverStarted, StartRefusal::NoCapacity, 1, {} },
+                EndCase { "OldRun", RunOutcome::NeverStarted, StartRefusal::StaleRun, 1, {} }),
         [](const auto &tested) { return tested.param.name; });
 
 TEST(SchedulerEnds, ATaskThatFailsAsOftenAsItMayFailsItsJobAndStopsTheRest)
 {
     Bench bench({ 8000 });
     bench.submit("job", 3);
-    bench.report("agent-0", { endOf("job", 1, 1, RunEnd::Failed) });
+    bench.report("agent-0", { endOf("job", 1, 1, RunOutcome::Failed) });
     const SchedulerActions actions = bench.report("agent-0",
-                                                  { endOf("job", 1, 2, RunEnd::Failed) });
+                                                  { endOf("job", 1, 2, RunOutcome::Failed) });
     ASSERT_EQ(actions.answers.size(), 1U);
     EXPECT_EQ(actions.answers[0].outcome, JobOutcome::Failed);
     EXPECT_EQ(stopsIn(actions), 2U);
@@ -67,7 +67,7 @@
     Bench bench({ 4000, 4000 });
     const SchedulerActions first = bench.submit("job", 1);
     const std::string agent = first.sends.at(0).agent;
-    const SchedulerActions again = bench.report(agent, { endOf("job", 0, 1, RunEnd::Failed) });
+    const SchedulerActions again = bench.report(agent, { endOf("job", 0, 1, RunOutcome::Failed) });
     ASSERT_EQ(startsIn(again), 1U);
     EXPECT_NE(again.sends.at(0).agent, agent);
 }
@@ -77,7 +77,7 @@
     const char *name;
 
     // Ends of the task's runs, one after the other
-    std::vector<RunEnd> ends;
+    std::vector<RunOutcome> ends;
     std::optional<JobOutcome> outcome;
 };
 
@@ -89,7 +89,7 @@
     Bench bench({ 4000, 4000, 4000, 4000 });
     SchedulerActions actions = bench.submit("job", 1);
     std::uint32_t run = 0;
-    for (const RunEnd end : GetParam().ends) {
+    for (const RunOutcome end : GetParam().ends) {
         ASSERT_EQ(startsIn(actions), 1U);
         actions = bench.report(actions.sends.at(0).agent, { endOf("job", 0, ++run, end) }, 4000);
     }
@@ -102,19 +102,21 @@
 
 INSTANTIATE_TEST_SUITE_P(
         Scheduler, Crashes,
-        testing::Values(CrashCase { "Two", { RunEnd::Crashed, RunEnd::Crashed }, {} },
-                        CrashCase { "Three",
-                                    { RunEnd::Crashed, RunEnd::Crashed, RunEnd::Crashed },
-                                    JobOutcome::TimedOut },
+        testing::Values(CrashCase { "Two", { RunOutcome::Crashed, RunOutcome::Crashed }, {} },
+                        CrashCase {
+                                "Three",
+                                { RunOutcome::Crashed, RunOutcome::Crashed, RunOutcome::Crashed },
+                                JobOutcome::TimedOut },
                         CrashCase { "TwoThenDone",
-                                    { RunEnd::Crashed, RunEnd::Crashed, RunEnd::Done },
+                                    { RunOutcome::Crashed, RunOutcome::Crashed, RunOutcome::Done },
                                     JobOutcome::Completed },
                         CrashCase { "TwoAndOtherEnds",
-                                    { RunEnd::Lapsed, RunEnd::Crashed, RunEnd::Stopped,
-                                      RunEnd::Crashed },
+                                    { RunOutcome::LeaseExpired, RunOutcome::Crashed,
+                                      RunOutcome::Stopped, RunOutcome::Crashed },
                                     {} },
                         CrashCase { "EndpointsThatLeft",
-                                    { RunEnd::Lost, RunEnd::Lost, RunEnd::Lost, RunEnd::Lost },
+                                    { RunOutcome::Lost, RunOutcome::Lost, RunOutcome::Lost,
+                                      RunOutcome::Lost },
                                     {} }),
         [](const auto &tested) { return tested.param.name; });
 
@@ -123,8 +125,8 @@
     Bench bench({ 4000, 4000, 4000 });
     SchedulerActions actions = bench.submit("job", 1);
     for (std::uint32_t run = 1; run <= bench.scheduler.settings.mostCrashes; ++run)
-        actions = bench.report(actions.sends.at(0).agent, { endOf("job", 0, run, RunEnd::Crashed) },
-                               4000);
+        actions = bench.report(actions.sends.at(0).agent,
+                               { endOf("job", 0, run, RunOutcome::Crashed) }, 4000);
     const SchedulerActions again = bench.submit("job", 1);
     ASSERT_EQ(again.answers.size(), 1U);
     EXPECT_EQ(again.answers[0].outcome, JobOutcome::TimedOut);
@@ -148,9 +150,10 @@
     for (auto &[name, agent] : bench.scheduler.agents) {
         agent.endpoint.free.milliCores = name == idle ? 7000 : 4000;
         // Slow, which speaks against it for any other task.
-        agent.endpoint.paceMille = name == idle ? 3000 : 500;
+        agent.endpoint.slowdownPermille = name == idle ? 3000 : 500;
     }
-    const SchedulerActions actions = bench.report(crashed, { endOf("job", 0, 1, RunEnd::Crashed) },
+    const SchedulerActions actions = bench.report(crashed,
+                                                  { endOf("job", 0, 1, RunOutcome::Crashed) },
                                                   8000);
     ASSERT_EQ(startsIn(actions), 1U);
     EXPECT_EQ(actions.sends.at(0).agent, idle);
@@ -160,8 +163,8 @@
 {
     Bench bench({ 4000 });
     bench.submit("job", 1);
-    bench.report("agent-0", { endOf("job", 0, 1, RunEnd::Lost) });
-    EXPECT_TRUE(bench.report("agent-0", { endOf("job", 0, 1, RunEnd::Done) }).answers.empty());
+    bench.report("agent-0", { endOf("job", 0, 1, RunOutcome::Lost) });
+    EXPECT_TRUE(bench.report("agent-0", { endOf("job", 0, 1, RunOutcome::Done) }).answers.empty());
 }
 
 struct GivingUpCase
@@ -232,7 +235,7 @@
     spec.traits = bench.traits;
     spec.steps.resize(1);
     spec.steps[0].tasks = 1;
-    spec.steps[0].room = { 1000, 10, 0 };
+    spec.steps[0].demand = { 1000, 10, 0 };
     spec.steps[0].estimate = GetParam().estimate;
     ASSERT_EQ(startsIn(submit(bench.scheduler, spec, terms, bench.now, &bench.number)), 1U);
     const SchedulerActions actions = bench.pass(GetParam().after);
@@ -316,9 +319,9 @@
     Bench bench({ 4000, 4000 }, settings);
     const std::string agent = bench.submit("job", 1).sends.at(0).agent;
     jobs::AgentUpdate update;
-    update.startsTaken = 1;
-    update.mostStarts = 1000;
-    update.lagging = { { { { "job", 0, 0, 0 }, 1 }, Milliseconds(0), true, false } };
+    update.startsHandled = 1;
+    update.maxStarts = 1000;
+    update.stragglers = { { { { "job", 0, 0, 0 }, 1 }, Milliseconds(0), true, false } };
     EXPECT_EQ(stopsIn(agentUpdated(bench.scheduler, agent, update, bench.now)), 0U);
 }
 
@@ -340,9 +343,9 @@
     Bench bench(std::vector<std::int64_t>(GetParam().agents, 4000));
     const std::string agent = bench.submit("job", 1).sends.at(0).agent;
     jobs::AgentUpdate update;
-    update.startsTaken = 1;
-    update.mostStarts = 1000;
-    update.lagging = {
+    update.startsHandled = 1;
+    update.maxStarts = 1000;
+    update.stragglers = {
         { { { "job", 0, 0, 0 }, 1 }, GetParam().left, GetParam().still, GetParam().slow }
     };
     const SchedulerActions actions = agentUpdated(bench.scheduler, agent, update, bench.now);
--- a/packages/scheduler/tests/floors_test.cpp
+++ b/packages/scheduler/tests/floors_test.cpp
@@ -25,7 +25,7 @@
 {
     SchedulerSettings settings;
     settings.waitingQueues = WaitingQueues::AllButLeast;
-    settings.shares.floorPercent = percent;
+    settings.shares.guaranteedPercent = percent;
     return settings;
 }
 
@@ -36,7 +36,7 @@
     spec.id = id;
     spec.steps = { {} };
     spec.steps[0].tasks = 1;
-    spec.steps[0].room = { 1000, 10, 0 };
+    spec.steps[0].demand = { 1000, 10, 0 };
     spec.steps[0].estimate = Milliseconds(100);
     spec.traits = bench.traits;
     bench.priority = priority;
@@ -52,8 +52,8 @@
     for (const std::uint32_t priority : queues) {
         submitTo(bench, priority, "first-" + std::to_string(priority));
         if (below.count(priority) > 0)
-            shares::noteRefused(bench.scheduler.shares, "queue-" + std::to_string(priority), 100000,
-                                bench.now);
+            shares::recordRefused(bench.scheduler.shares, "queue-" + std::to_string(priority),
+                                  100000, bench.now);
     }
     bench.pass(Milliseconds(1));
 }
@@ -137,7 +137,7 @@
     Bench bench({ 1000000 }, withFloor(Floor));
     setStandings(bench, { 0, 1, 2 }, {});
     bench.scheduler.standings.at("queue-1").service = "other";
-    shares::noteRefused(bench.scheduler.shares, "queue-2", 100000, bench.now);
+    shares::recordRefused(bench.scheduler.shares, "queue-2", 100000, bench.now);
     bench.pass(Milliseconds(1));
     EXPECT_EQ(standing(bench, 2).effective, 2U);
     EXPECT_FALSE(standing(bench, 1).yields);
@@ -189,8 +189,8 @@
         submitTo(bench, priority, "job-" + std::to_string(priority));
     bench.scheduler.settings.waitPercent = 0;
     for (const std::uint32_t priority : GetParam().below)
-        shares::noteRefused(bench.scheduler.shares, "queue-" + std::to_string(priority), 1000000,
-                            bench.now);
+        shares::recordRefused(bench.scheduler.shares, "queue-" + std::to_string(priority), 1000000,
+                              bench.now);
     bench.pass(Milliseconds(1));
     std::vector<std::string> order;
     for (const QueueKey &key : bench.scheduler.queue)
@@ -277,7 +277,7 @@
     Bench bench({ 1000 });
     GetParam().happens(bench);
     const shares::QueueShare share = bench.scheduler.shares.queues["queue"];
-    EXPECT_EQ(share.askedJobs, GetParam().asked);
+    EXPECT_EQ(share.requestedJobs, GetParam().asked);
     EXPECT_EQ(share.refusedJobs, GetParam().refused);
 }
 
@@ -285,7 +285,7 @@
 {
     jobs::StepSpec step;
     step.tasks = 1;
-    step.room = { 2000, 10, 0 };
+    step.demand = { 2000, 10, 0 };
     step.estimate = Milliseconds(100);
     bench.submit("too-large", { step });
 }
@@ -343,7 +343,7 @@
 {
     Bench bench({ 1000000 }, withFloor(Floor));
     setStandings(bench, { 0, 1, 2 }, {});
-    shares::noteRefused(bench.scheduler.shares, "queue-2", 100000, bench.now);
+    shares::recordRefused(bench.scheduler.shares, "queue-2", 100000, bench.now);
     EXPECT_EQ(countOf(bench.pass(Milliseconds(1)), "queue-below-floor"), 1U);
     EXPECT_EQ(countOf(bench.pass(Milliseconds(1)), "queue-below-floor"), 0U);
     EXPECT_EQ(countOf(bench.pass(Milliseconds(7000)), "queue-above-floor"), 1U);
--- a/packages/scheduler/tests/order_test.cpp
+++ b/packages/scheduler/tests/order_test.cpp
@@ -29,14 +29,15 @@
     bench.submit("running", 1);
     jobs::StepSpec step;
     step.tasks = 1;
-    step.room = { 1000, 10, 0 };
+    step.demand = { 1000, 10, 0 };
     step.estimate = Milliseconds(200);
     bench.submit("patient", { step });
     bench.now += Milliseconds(5);
     step.estimate = Milliseconds(50);
     bench.submit("urgent", { step });
     const SchedulerActions actions = bench.report("agent-0",
-                                                  { endOf("running", 0, 1, RunEnd::Done) }, 1000);
+                                                  { endOf("running", 0, 1, RunOutcome::Done) },
+                                                  1000);
     ASSERT_EQ(startsIn(actions), 1U);
     EXPECT_EQ(std::get<jobs::StartTasks>(actions.sends.at(0).message).job, GetParam().first);
 }
@@ -70,7 +71,8 @@
     bench.now += Milliseconds(1);
     bench.submit("narrow", 1);
     const SchedulerActions actions = bench.report("agent-0",
-                                                  { endOf("running", 0, 1, RunEnd::Done) }, 1000);
+                                                  { endOf("running", 0, 1, RunOutcome::Done) },
+                                                  1000);
     ASSERT_EQ(startsIn(actions), 1U);
     EXPECT_EQ(std::get<jobs::StartTasks>(actions.sends.at(0).message).job, GetParam().first);
 }
@@ -110,11 +112,11 @@
     SchedulerState scheduler = makeScheduler({});
     Time now(Seconds(100));
     for (int i = 0; i < 3; ++i) {
-        jobs::Welcome welcome;
+        jobs::SessionAccepted welcome;
         welcome.endpoint = makeView(4000);
         welcome.endpoint.service = names.service;
         welcome.endpoint.dataCentre = names.dataCentre;
-        welcome.endpoint.paceMille = 800 + 300 * static_cast<std::uint32_t>(i);
+        welcome.endpoint.slowdownPermille = 800 + 300 * static_cast<std::uint32_t>(i);
         agentConnected(scheduler, "agent-" + std::to_string(i), now);
         agentWelcomed(scheduler, "agent-" + std::to_string(i), welcome, now);
     }
@@ -133,7 +135,7 @@
         now += Milliseconds(10);
         jobs::StepSpec step;
         step.tasks = 1 + static_cast<std::uint32_t>(i % 5);
-        step.room = { 700, 10, 0 };
+        step.demand = { 700, 10, 0 };
         step.estimate = Milliseconds(50 + 17 * (i % 7));
         jobs::JobSpec spec;
         spec.id = names.job + std::to_string(i);
@@ -152,9 +154,9 @@
             agent.heardAt = now;
         jobs::AgentUpdate update;
         const std::string name = "agent-" + std::to_string(i % 3);
-        update.startsTaken = scheduler.agents.at(name).startsSent;
+        update.startsHandled = scheduler.agents.at(name).startsSent;
         update.free = { std::int64_t { 700 } * (i % 4), 10000, 0 };
-        update.mostStarts = 1000;
+        update.maxStarts = 1000;
         note(agentUpdated(scheduler, name, update, now));
         note(tick(scheduler, now));
     }
@@ -181,7 +183,7 @@
     bench.submit("running", 1);
     jobs::StepSpec step;
     step.tasks = 1;
-    step.room = { 1000, 10, 0 };
+    step.demand = { 1000, 10, 0 };
     step.estimate = Milliseconds(50);
     bench.priority = 2;
     bench.submit("pressing", { step });
@@ -189,7 +191,8 @@
     bench.priority = 0;
     bench.submit("first-class", { step });
     const SchedulerActions actions = bench.report("agent-0",
-                                                  { endOf("running", 0, 1, RunEnd::Done) }, 1000);
+                                                  { endOf("running", 0, 1, RunOutcome::Done) },
+                                                  1000);
     ASSERT_EQ(startsIn(actions), 1U);
     EXPECT_EQ(std::get<jobs::StartTasks>(actions.sends.at(0).message).job, "first-class");
 }
@@ -238,7 +241,7 @@
     for (int i = 0; i < 300; ++i) {
         const std::string id = "past-" + std::to_string(i);
         bench.submit(id, 1);
-        jobs::RunReport report = endOf(id, 0, 1, RunEnd::Done);
+        jobs::RunReport report = endOf(id, 0, 1, RunOutcome::Done);
         report.took = Milliseconds(200);
         bench.report("agent-0", { report });
     }
@@ -253,7 +256,7 @@
 {
     Bench bench({ 100000 });
     bench.submit("job", 1);
-    jobs::RunReport report = endOf("job", 0, 1, RunEnd::Done);
+    jobs::RunReport report = endOf("job", 0, 1, RunOutcome::Done);
     report.took = Milliseconds(200);
     bench.report("agent-0", { report });
     keepQueues(bench.scheduler, { "queue" });
@@ -267,13 +270,13 @@
     Bench bench({ 1000 });
     jobs::StepSpec step;
     step.tasks = 2;
-    step.room = { 1000, 10, 0 };
+    step.demand = { 1000, 10, 0 };
     step.estimate = Milliseconds(200);
     bench.submit("begun", { step });
     step.estimate = Milliseconds(20);
     bench.submit("urgent", { step });
-    const SchedulerActions actions = bench.report("agent-0", { endOf("begun", 0, 1, RunEnd::Done) },
-                                                  1000);
+    const SchedulerActions actions = bench.report("agent-0",
+                                                  { endOf("begun", 0, 1, RunOutcome::Done) }, 1000);
     ASSERT_EQ(startsIn(actions), 1U);
     EXPECT_EQ(std::get<jobs::StartTasks>(actions.sends.at(0).message).job, "begun");
 }
--- a/packages/scheduler/tests/outlook_test.cpp
+++ b/packages/scheduler/tests/outlook_test.cpp
@@ -37,9 +37,9 @@
     SchedulerActions tell(std::int64_t free)
     {
         jobs::AgentUpdate update;
-        update.startsTaken = scheduler.agents.at("agent-0").startsSent;
+        update.startsHandled = scheduler.agents.at("agent-0").startsSent;
         update.free = { free, 10000, 0 };
-        update.mostStarts = 1000;
+        update.maxStarts = 1000;
         update.waiting = waiting;
         update.freedPerSecond = freedPerSecond;
         return agentUpdated(scheduler, "agent-0", update, now);
@@ -68,7 +68,7 @@
         spec.traits = traits;
         spec.steps.resize(1);
         spec.steps[0].tasks = tasks;
-        spec.steps[0].room = { taskCores, 10, 0 };
+        spec.steps[0].demand = { taskCores, 10, 0 };
         spec.steps[0].estimate = Milliseconds(100);
         JobTerms its = terms();
         if (patience)
@@ -78,7 +78,7 @@
         return scheduler::submit(scheduler, spec, its, now, &number);
     }
 
-    std::vector<jobs::WaitingRoom> waiting;
+    std::vector<jobs::PriorityBacklog> waiting;
     std::uint32_t freedPerSecond = 0;
     std::optional<Milliseconds> timeout;
     std::int64_t taskCores = 1000;
@@ -132,8 +132,8 @@
     if (!GetParam().refused)
         return;
     EXPECT_EQ(actions.answers[0].outcome, JobOutcome::NotRun);
-    EXPECT_GE(actions.answers[0].retryAfter, forecast::LeastComeBack);
-    EXPECT_LE(actions.answers[0].retryAfter, forecast::MostComeBack);
+    EXPECT_GE(actions.answers[0].retryAfter, forecast::MinRetryAfter);
+    EXPECT_LE(actions.answers[0].retryAfter, forecast::MaxRetryAfter);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -307,7 +307,7 @@
     ASSERT_TRUE(bench.wait(Milliseconds(200), 0).answers.empty());
     jobs::StepSpec step;
     step.tasks = 1;
-    step.room = { 1000, 10, 0 };
+    step.demand = { 1000, 10, 0 };
     step.estimate = Milliseconds(1000);
     if (GetParam().onTimeWaits)
         bench.submit("on-time", { step });
@@ -346,7 +346,7 @@
     spec.traits = bench.traits;
     spec.steps.resize(2);
     spec.steps[0].tasks = spec.steps[1].tasks = 1;
-    spec.steps[0].room = spec.steps[1].room = { 1000, 10, 0 };
+    spec.steps[0].demand = spec.steps[1].demand = { 1000, 10, 0 };
     spec.steps[0].estimate = spec.steps[1].estimate = Milliseconds(50);
     spec.steps[1].after = { 0 };
     JobTerms terms = bench.terms();
@@ -363,7 +363,7 @@
     settings.mostPassedOver = 1;
     BusyBench bench(settings);
     bench.freedPerSecond = 20000;
-    bench.report("agent-0", { endOf("running", 0, 1, RunEnd::Done) }, 1000);
+    bench.report("agent-0", { endOf("running", 0, 1, RunOutcome::Done) }, 1000);
     bench.submit("begun", 2);
     bench.wait(Milliseconds(500), 0);
     // All room that comes free is this entry's.
@@ -388,11 +388,11 @@
     bench.wait(Milliseconds(200), 0);
     for (const AgentSend &send : bench.wait(Milliseconds(120), 1000).sends) {
         if (const auto *start = std::get_if<jobs::StartTasks>(&send.message)) {
-            EXPECT_EQ(start->mayWait, Milliseconds(0));
+            EXPECT_EQ(start->maxWait, Milliseconds(0));
         }
     }
     EXPECT_EQ(bench.scheduler.counters.servedLate, 0U);
-    bench.report("agent-0", { endOf("late", 0, 1, RunEnd::Done) });
+    bench.report("agent-0", { endOf("late", 0, 1, RunOutcome::Done) });
     EXPECT_EQ(bench.scheduler.counters.servedLate, 1U);
 }
 
--- a/packages/scheduler/tests/placing_test.cpp
+++ b/packages/scheduler/tests/placing_test.cpp
@@ -23,7 +23,7 @@
 {
     Bench bench({});
     jobs::EndpointView slow = makeView(4000);
-    slow.paceMille = 1500;
+    slow.slowdownPermille = 1500;
     bench.welcome("agent-slow", slow);
     bench.welcome("agent-fast", makeView(4000));
     const SchedulerActions actions = bench.submit("job", 2);
@@ -57,7 +57,7 @@
     bench.welcome("agent-0", view);
     jobs::StepSpec step;
     step.tasks = 1;
-    step.room = { 1000, 10, 0 };
+    step.demand = { 1000, 10, 0 };
     step.estimate = Milliseconds(100);
     step.label = "b";
     EXPECT_EQ(startsIn(bench.submit("job", { step })), GetParam().starts ? 1U : 0U);
@@ -71,7 +71,7 @@
                            false },
                 SuitCase { "NoLabel", [](jobs::EndpointView &v) { v.labels = { "a" }; }, false },
                 SuitCase { "Leaving", [](jobs::EndpointView &v) { v.leaving = true; }, false },
-                SuitCase { "OnTrial", [](jobs::EndpointView &v) { v.mostStarts = 0; }, false },
+                SuitCase { "OnTrial", [](jobs::EndpointView &v) { v.maxStarts = 0; }, false },
                 SuitCase { "Full", [](jobs::EndpointView &v) { v.free.milliCores = 999; }, false }),
         [](const auto &tested) { return tested.param.name; });
 
@@ -126,7 +126,7 @@
     bench.submit("job", 12);
     for (std::uint32_t index = 0; index < 12; ++index) {
         const std::string agent = bench.scheduler.jobs.begin()->second.tasks[index].agent;
-        bench.report(agent, { endOf("job", index, 1, RunEnd::Done) });
+        bench.report(agent, { endOf("job", index, 1, RunOutcome::Done) });
     }
     const double before = bench.scheduler.freed.begin()->second.ofLate.amount;
     bench.cordon(1, { "north" });
@@ -138,9 +138,9 @@
     Bench bench({ 8000, 8000 });
     jobs::StepSpec step;
     step.tasks = 6;
-    step.room = { 1000, 10, 0 };
+    step.demand = { 1000, 10, 0 };
     step.estimate = Milliseconds(100);
-    step.mostPerEndpoint = 2;
+    step.maxPerEndpoint = 2;
     EXPECT_EQ(startsIn(bench.submit("job", { step })), 4U);
 }
 
@@ -149,14 +149,14 @@
     Bench bench({ 8000 });
     jobs::StepSpec first;
     first.tasks = 2;
-    first.room = { 1000, 10, 0 };
+    first.demand = { 1000, 10, 0 };
     first.estimate = Milliseconds(100);
     jobs::StepSpec second = first;
     second.tasks = 3;
     second.after = { 0 };
     EXPECT_EQ(startsIn(bench.submit("job", { first, second })), 2U);
-    EXPECT_EQ(startsIn(bench.report("agent-0", { endOf("job", 0, 1, RunEnd::Done) })), 0U);
-    EXPECT_EQ(startsIn(bench.report("agent-0", { endOf("job", 1, 1, RunEnd::Done) })), 3U);
+    EXPECT_EQ(startsIn(bench.report("agent-0", { endOf("job", 0, 1, RunOutcome::Done) })), 0U);
+    EXPECT_EQ(startsIn(bench.report("agent-0", { endOf("job", 1, 1, RunOutcome::Done) })), 3U);
 }
 
 // Eighty full endpoints, sixteen jobs that wait, and one endpoint that tells its room.
@@ -192,12 +192,12 @@
                                          NewsCase { "RoomForThree", 500, 3500, 32, 3 }),
                          [](const auto &tested) { return tested.param.name; });
 
-std::size_t wishesIn(const SchedulerActions &actions, bool wantsRoom)
+std::size_t wishesIn(const SchedulerActions &actions, bool needsCapacity)
 {
     return static_cast<std::size_t>(
             std::count_if(actions.sends.begin(), actions.sends.end(), [&](const AgentSend &send) {
-                const auto *beat = std::get_if<jobs::SessionBeat>(&send.message);
-                return beat && beat->wantsRoom == wantsRoom;
+                const auto *heartbeat = std::get_if<jobs::SessionHeartbeat>(&send.message);
+                return heartbeat && heartbeat->needsCapacity == needsCapacity;
             }));
 }
 
@@ -245,7 +245,7 @@
         jobs::EndpointView view = makeView(4000);
         view.dataCentre = std::string(place).substr(0, 1);
         const bool home = view.dataCentre == "a";
-        view.paceMille = home ? tested.homePace : 1000;
+        view.slowdownPermille = home ? tested.homePace : 1000;
         view.leaving = home && tested.homeLeaves;
         bench.welcome(place, view);
     }
@@ -337,7 +337,7 @@
         return;
     const auto &message = std::get<jobs::StartTasks>(actions.sends.at(0).message);
     EXPECT_EQ(message.priority, GetParam().priority);
-    EXPECT_EQ(message.mayWait, settings.mostWait);
+    EXPECT_EQ(message.maxWait, settings.mostWait);
 }
 
 INSTANTIATE_TEST_SUITE_P(Scheduler, Waits,
@@ -358,7 +358,7 @@
     EXPECT_FALSE(releaseAgent(bench.scheduler, busy));
     EXPECT_TRUE(releaseAgent(bench.scheduler, idle));
     EXPECT_EQ(bench.scheduler.agents.count(idle), 0U);
-    bench.report(busy, { endOf("job", 0, 1, RunEnd::Done) });
+    bench.report(busy, { endOf("job", 0, 1, RunOutcome::Done) });
     EXPECT_TRUE(releaseAgent(bench.scheduler, busy));
 }
 
@@ -368,7 +368,7 @@
     Bench bench({ 10000 });
     jobs::StepSpec step;
     step.tasks = 1;
-    step.room = { 20000, 10, 0 };
+    step.demand = { 20000, 10, 0 };
     step.estimate = Milliseconds(100);
     jobs::JobSpec spec;
     spec.id = "large";
@@ -408,8 +408,8 @@
     bench.submit("job", 1);
     EXPECT_TRUE(bench.pass(Milliseconds(100)).answers.empty());
     const SchedulerActions actions = bench.report("agent-0",
-                                                  { endOf("job", 0, 1, RunEnd::NeverBegan,
-                                                          RefusedStart::NoRoom) },
+                                                  { endOf("job", 0, 1, RunOutcome::NeverStarted,
+                                                          StartRefusal::NoCapacity) },
                                                   0);
     const SchedulerActions next = bench.pass(Milliseconds(1));
     ASSERT_EQ(actions.answers.size() + next.answers.size(), 1U);
