--- a/packages/shares/include/foxwing/shares/shares.h
+++ b/packages/shares/include/foxwing/shares/shares.h
@@ -7,9 +7,9 @@
     before others until it is back above the guarantee.
 
         ShareState shares;
-        noteAsked(shares, "route-check", work, now);
-        noteRefused(shares, "route-check", work, now);
-        if (isBelowFloor(shares, "route-check", now)) ... let its next job go first ...
+        recordRequested(shares, "route-check", work, now);
+        recordRefused(shares, "route-check", work, now);
+        if (isBelowGuarantee(shares, "route-check", now)) ... let its next job go first ...
 
     [SECTION] Settings
     [SECTION] State
@@ -31,7 +31,7 @@
 struct ShareSettings
 {
     // Guaranteed share of each queue's requested work, in percent; zero: priorities alone decide.
-    std::uint32_t floorPercent = 0;
+    std::uint32_t guaranteedPercent = 0;
 
     // Time constant of the decaying sums. It should cover several jobs of each queue, so that a
     // single job doesn't change the result, and be shorter than an overload.
@@ -49,7 +49,7 @@
     Time at {};
 
     // Number of jobs since the queue was declared
-    std::uint64_t askedJobs = 0;
+    std::uint64_t requestedJobs = 0;
     std::uint64_t refusedJobs = 0;
 };
 
@@ -62,16 +62,16 @@
 // [SECTION] Functions
 
 // A job with this amount of work arrived.
-void noteAsked(ShareState &shares, const std::string &queue, std::int64_t work, Time now);
+void recordRequested(ShareState &shares, const std::string &queue, std::int64_t work, Time now);
 
 // The job was refused for lack of capacity.
-void noteRefused(ShareState &shares, const std::string &queue, std::int64_t work, Time now);
+void recordRefused(ShareState &shares, const std::string &queue, std::int64_t work, Time now);
 
 // Share of recently requested work that was not refused; waiting work counts as served. 100 for a
 // queue without recent requests.
 std::uint32_t servedPercent(const ShareState &shares, const std::string &queue, Time now);
 
-bool isBelowFloor(const ShareState &shares, const std::string &queue, Time now);
+bool isBelowGuarantee(const ShareState &shares, const std::string &queue, Time now);
 
 // Removes queues that are no longer declared.
 void keepQueues(ShareState &shares, const std::set<std::string> &declared);
--- a/packages/shares/src/shares.cpp
+++ b/packages/shares/src/shares.cpp
@@ -41,14 +41,14 @@
 
 // [SECTION] Functions
 
-void noteAsked(ShareState &shares, const std::string &queue, std::int64_t work, Time now)
+void recordRequested(ShareState &shares, const std::string &queue, std::int64_t work, Time now)
 {
     QueueShare &share = fadedShare(shares, queue, now);
     share.asked += static_cast<double>(std::max<std::int64_t>(0, work));
-    ++share.askedJobs;
+    ++share.requestedJobs;
 }
 
-void noteRefused(ShareState &shares, const std::string &queue, std::int64_t work, Time now)
+void recordRefused(ShareState &shares, const std::string &queue, std::int64_t work, Time now)
 {
     QueueShare &share = fadedShare(shares, queue, now);
     share.refused += static_cast<double>(std::max<std::int64_t>(0, work));
@@ -70,9 +70,9 @@
     return static_cast<std::uint32_t>(std::lround(All * (1 - refused)));
 }
 
-bool isBelowFloor(const ShareState &shares, const std::string &queue, Time now)
+bool isBelowGuarantee(const ShareState &shares, const std::string &queue, Time now)
 {
-    return servedPercent(shares, queue, now) < shares.settings.floorPercent;
+    return servedPercent(shares, queue, now) < shares.settings.guaranteedPercent;
 }
 
 void keepQueues(ShareState &shares, const std::set<std::string> &declared)
--- a/packages/shares/tests/shares_test.cpp
+++ b/packages/shares/tests/shares_test.cpp
@@ -21,7 +21,7 @@
 ShareState withFloor(std::uint32_t percent)
 {
     ShareState shares;
-    shares.settings.floorPercent = percent;
+    shares.settings.guaranteedPercent = percent;
     return shares;
 }
 
@@ -49,11 +49,11 @@
 {
     ShareState shares = withFloor(GetParam().floor);
     for (const std::int64_t work : GetParam().asked)
-        noteAsked(shares, "queue", work, Begin);
+        recordRequested(shares, "queue", work, Begin);
     for (const std::int64_t work : GetParam().refused)
-        noteRefused(shares, "queue", work, Begin);
+        recordRefused(shares, "queue", work, Begin);
     EXPECT_EQ(servedPercent(shares, "queue", Begin), GetParam().served);
-    EXPECT_EQ(isBelowFloor(shares, "queue", Begin), GetParam().below);
+    EXPECT_EQ(isBelowGuarantee(shares, "queue", Begin), GetParam().below);
     EXPECT_EQ(servedPercent(shares, "other", Begin), 100U);
 }
 
@@ -96,12 +96,12 @@
 TEST_P(Fading, ForgetsWhatIsOld)
 {
     ShareState shares = withFloor(60);
-    noteAsked(shares, "queue", 100, Begin);
-    noteRefused(shares, "queue", 100, Begin);
+    recordRequested(shares, "queue", 100, Begin);
+    recordRefused(shares, "queue", 100, Begin);
     const Time second = Begin + GetParam().between;
     if (GetParam().between.count() > 0)
-        noteAsked(shares, "queue", 100, second);
-    EXPECT_EQ(isBelowFloor(shares, "queue", second + GetParam().after), GetParam().below);
+        recordRequested(shares, "queue", 100, second);
+    EXPECT_EQ(isBelowGuarantee(shares, "queue", second + GetParam().after), GetParam().below);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -117,8 +117,8 @@
 TEST(Shares, StandAnEarlierTime)
 {
     ShareState shares = withFloor(60);
-    noteAsked(shares, "queue", 100, Begin + Seconds(1));
-    noteRefused(shares, "queue", 100, Begin);
+    recordRequested(shares, "queue", 100, Begin + Seconds(1));
+    recordRefused(shares, "queue", 100, Begin);
     EXPECT_EQ(servedPercent(shares, "queue", Begin), 0U);
     EXPECT_EQ(shares.queues.at("queue").at, Begin + Seconds(1));
 }
@@ -129,8 +129,8 @@
 {
     ShareState shares = withFloor(60);
     for (const char *queue : { "kept", "gone" }) {
-        noteAsked(shares, queue, 100, Begin);
-        noteRefused(shares, queue, 100, Begin);
+        recordRequested(shares, queue, 100, Begin);
+        recordRefused(shares, queue, 100, Begin);
     }
     keepQueues(shares, { "kept", "new" });
     EXPECT_EQ(servedPercent(shares, "kept", Begin), 0U);
@@ -141,10 +141,10 @@
 TEST(Shares, CountJobsThatNeverFade)
 {
     ShareState shares = withFloor(60);
-    noteAsked(shares, "queue", 100, Begin);
-    noteAsked(shares, "queue", 100, Begin + Seconds(60));
-    noteRefused(shares, "queue", 100, Begin + Seconds(120));
-    EXPECT_EQ(shares.queues.at("queue").askedJobs, 2U);
+    recordRequested(shares, "queue", 100, Begin);
+    recordRequested(shares, "queue", 100, Begin + Seconds(60));
+    recordRefused(shares, "queue", 100, Begin + Seconds(120));
+    EXPECT_EQ(shares.queues.at("queue").requestedJobs, 2U);
     EXPECT_EQ(shares.queues.at("queue").refusedJobs, 1U);
 }
 
--- a/packages/subset/include/foxwing/subset/subset.h
+++ b/packages/subset/include/foxwing/subset/subset.h
@@ -12,7 +12,7 @@
     idle sessions one by one.
 
         SubsetState subset = makeSubset(settings, "entry-7", "north");
-        takeUpdate(subset, controlHost, update);
+        applyUpdate(subset, controlHost, update);
         const SubsetChanges changes = choose(subset, now);
         ... connect to changes.added, close idle sessions of changes.spare ...
 
@@ -38,7 +38,7 @@
 {
     // Minimum number of agents of each service, where the fleet has as many. Losing one of them
     // then costs less than a fiftieth of the reachable capacity.
-    std::size_t least = 64;
+    std::size_t minSize = 64;
 
     // Average number of entries with a session to an agent. With few entries, each uses more agents
     // than the minimum; otherwise no entry would reach some of them.
@@ -55,8 +55,8 @@
     // steps, in which new sessions show whether they suffice. After a restart of control hosts few
     // entries may be known for a moment; the pause prevents connecting to all agents then.
     std::size_t stepPercent = 50;
-    Milliseconds growPause { 200 };
-    Milliseconds shrinkPause { 10000 };
+    Milliseconds growInterval { 200 };
+    Milliseconds shrinkInterval { 10000 };
 
     // Maximum size while work finds no free capacity, as a multiple of the usual size
     std::size_t mostGrowth = 4;
@@ -92,7 +92,7 @@
     Time awaySince {};
 
     // The session is open but the agent is no longer chosen, and since when
-    bool spare = false;
+    bool surplus = false;
     Time spareSince {};
 
     // Chosen for a job's requirement until then
@@ -136,7 +136,7 @@
     // Labels that it must have; empty: any endpoint
     std::string label;
     std::string rack;
-    jobs::Room room;
+    jobs::ResourceVector demand;
 };
 
 struct SubsetChanges
@@ -146,7 +146,7 @@
 
     // No longer needed: close the session once no run of this entry is left there, then call
     // dropped().
-    std::vector<std::string> spare;
+    std::vector<std::string> surplus;
 
     // No longer listed and not connected
     std::vector<std::string> gone;
@@ -158,11 +158,11 @@
                        const std::string &dataCentre);
 
 // Applies a control host's update of agents and of the number of entries.
-void takeUpdate(SubsetState &subset, const std::string &from,
-                const directory::DirectoryUpdate &update);
+void applyUpdate(SubsetState &subset, const std::string &from,
+                 const directory::DirectoryUpdate &update);
 
 // Removes a control host that is no longer a peer, with the agents that only it lists.
-void forgetControlHost(SubsetState &subset, const std::string &host);
+void removeControlHost(SubsetState &subset, const std::string &host);
 void takeCordons(SubsetState &subset, const catalog::Cordons &cordons);
 
 void connected(SubsetState &subset, const std::string &agent);
@@ -172,11 +172,11 @@
 void dropped(SubsetState &subset, const std::string &agent);
 
 // Work has found no free capacity in the subset.
-void wantMore(SubsetState &subset, Time now);
+void requestGrowth(SubsetState &subset, Time now);
 
 // Ensures that the subset has an agent that meets a job's requirement: if it has none, the next
 // choice adds some. False if no listed agent meets it.
-bool reach(SubsetState &subset, const Need &need, Time now);
+bool requireAgents(SubsetState &subset, const Need &need, Time now);
 
 // Computes the changes to the sessions. Cheap if the input has not changed.
 SubsetChanges choose(SubsetState &subset, Time now);
@@ -185,6 +185,6 @@
 bool goesFirst(const ListedAgent *left, const ListedAgent *right);
 
 // Number of agents with a session that is open or being opened.
-std::size_t keptAgents(const SubsetState &subset);
+std::size_t sessionCount(const SubsetState &subset);
 
 } // namespace foxwing::subset
--- a/packages/subset/src/choosing.cpp
+++ b/packages/subset/src/choosing.cpp
@@ -32,12 +32,12 @@
 {
     const std::size_t entries = countedEntries(subset);
     const std::size_t shared = subset.settings.entriesPerAgent * subset.agents.size();
-    return std::max(subset.settings.least, (shared + entries - 1) / entries);
+    return std::max(subset.settings.minSize, (shared + entries - 1) / entries);
 }
 
 std::size_t stepOf(const SubsetState &subset)
 {
-    return std::max<std::size_t>(1, subset.settings.least * subset.settings.stepPercent / 100);
+    return std::max<std::size_t>(1, subset.settings.minSize * subset.settings.stepPercent / 100);
 }
 
 // Adds a growth step while work finds no capacity, and removes one when none has been requested
@@ -46,11 +46,11 @@
 {
     const SubsetSettings &settings = subset.settings;
     const std::size_t most = usual * (settings.mostGrowth - 1) / stepOf(subset);
-    const bool wanted = subset.wantedAt != Time {} && now < subset.wantedAt + settings.growPause;
-    if (wanted && subset.widening < most && now >= subset.changedAt + settings.growPause) {
+    const bool wanted = subset.wantedAt != Time {} && now < subset.wantedAt + settings.growInterval;
+    if (wanted && subset.widening < most && now >= subset.changedAt + settings.growInterval) {
         ++subset.widening;
-    } else if (!wanted && subset.widening > 0 && now >= subset.wantedAt + settings.shrinkPause
-               && now >= subset.changedAt + settings.shrinkPause) {
+    } else if (!wanted && subset.widening > 0 && now >= subset.wantedAt + settings.shrinkInterval
+               && now >= subset.changedAt + settings.shrinkInterval) {
         --subset.widening;
         subset.changedAt = now;
     }
@@ -65,7 +65,7 @@
         subset.size = aim;
         return;
     }
-    if (now < subset.changedAt + subset.settings.growPause)
+    if (now < subset.changedAt + subset.settings.growInterval)
         return;
     subset.size = std::min(aim, subset.size + stepOf(subset));
     subset.changedAt = now;
@@ -146,7 +146,7 @@
 
 void noteChosen(const std::string &address, ListedAgent &agent, Time now, SubsetChanges &changes)
 {
-    agent.spare = false;
+    agent.surplus = false;
     if (agent.kept)
         return;
     agent.kept = true;
@@ -159,19 +159,19 @@
 {
     if (!agent.kept)
         return;
-    if (!agent.spare) {
-        agent.spare = true;
+    if (!agent.surplus) {
+        agent.surplus = true;
         agent.spareSince = now;
     }
     if (now >= agent.spareSince + subset.settings.spareFor)
-        changes.spare.push_back(address);
+        changes.surplus.push_back(address);
 }
 
 // Number of entries that use each of this entry's agents, on average.
 std::uint32_t sharing(const SubsetState &subset)
 {
     const std::size_t entries = countedEntries(subset);
-    const std::size_t kept = keptAgents(subset);
+    const std::size_t kept = sessionCount(subset);
     const std::size_t agents = subset.agents.size();
     if (kept == 0 || kept >= agents)
         return static_cast<std::uint32_t>(entries);
--- a/packages/subset/src/subset.cpp
+++ b/packages/subset/src/subset.cpp
@@ -22,7 +22,7 @@
     subset.settings = settings;
     subset.entry = entry;
     subset.dataCentre = dataCentre;
-    subset.size = settings.least;
+    subset.size = settings.minSize;
     return subset;
 }
 
@@ -56,8 +56,8 @@
 
 } // namespace
 
-void takeUpdate(SubsetState &subset, const std::string &from,
-                const directory::DirectoryUpdate &update)
+void applyUpdate(SubsetState &subset, const std::string &from,
+                 const directory::DirectoryUpdate &update)
 {
     subset.entriesBy[from] = update.entries;
     if (update.whole)
@@ -74,7 +74,7 @@
     subset.changed = true;
 }
 
-void forgetControlHost(SubsetState &subset, const std::string &host)
+void removeControlHost(SubsetState &subset, const std::string &host)
 {
     subset.entriesBy.erase(host);
     unlistAll(subset, host);
@@ -116,7 +116,7 @@
         return;
     found->second.kept = false;
     found->second.connected = false;
-    found->second.spare = false;
+    found->second.surplus = false;
     subset.changed = true;
 }
 
@@ -125,7 +125,7 @@
     return left->weight > right->weight;
 }
 
-std::size_t keptAgents(const SubsetState &subset)
+std::size_t sessionCount(const SubsetState &subset)
 {
     return static_cast<std::size_t>(
             std::count_if(subset.agents.begin(), subset.agents.end(),
@@ -134,7 +134,7 @@
 
 // [SECTION] Needs
 
-void wantMore(SubsetState &subset, Time now)
+void requestGrowth(SubsetState &subset, Time now)
 {
     subset.wantedAt = now;
 }
@@ -148,12 +148,12 @@
         return label.empty() || std::find(labels.begin(), labels.end(), label) != labels.end();
     };
     return agent.node.service == need.service && has(need.label) && has(need.rack)
-            && jobs::fits(need.room, agent.node.capacity);
+            && jobs::fits(need.demand, agent.node.capacity);
 }
 
 } // namespace
 
-bool reach(SubsetState &subset, const Need &need, Time now)
+bool requireAgents(SubsetState &subset, const Need &need, Time now)
 {
     std::vector<ListedAgent *> meeting;
     for (auto &[address, agent] : subset.agents) {
@@ -161,7 +161,7 @@
             continue;
         // Surplus agents and those added for an earlier requirement don't count: they would be
         // removed.
-        if (agent.kept && !agent.spare && agent.neededUntil == Time {})
+        if (agent.kept && !agent.surplus && agent.neededUntil == Time {})
             return true;
         meeting.push_back(&agent);
     }
--- a/packages/subset/tests/subset_test.cpp
+++ b/packages/subset/tests/subset_test.cpp
@@ -18,7 +18,7 @@
 // [SECTION] Fleet
 
 const Time Start { Seconds(1000) };
-const jobs::Room Room16 { 16000, 32768, 0 };
+const jobs::ResourceVector Room16 { 16000, 32768, 0 };
 
 std::string dataCentre(std::size_t number)
 {
@@ -67,7 +67,7 @@
         const SubsetChanges changes = choose(subset, now);
         for (const std::string &agent : changes.added)
             connected(subset, agent);
-        for (const std::string &agent : changes.spare)
+        for (const std::string &agent : changes.surplus)
             dropped(subset, agent);
     }
 }
@@ -94,7 +94,7 @@
 SubsetState settledEntry(Time &now)
 {
     SubsetState subset = makeEntry(0, 5);
-    takeUpdate(subset, "control-1", wholeList(800, 184, 5));
+    applyUpdate(subset, "control-1", wholeList(800, 184, 5));
     live(subset, now, Seconds(1));
     return subset;
 }
@@ -136,11 +136,11 @@
     for (std::size_t i = 0; i < tested.entries; ++i) {
         SubsetState subset = makeSubset(SubsetSettings(), "entry-" + std::to_string(i),
                                         dataCentre(i % tested.entriesIn));
-        takeUpdate(subset, "control-1", list);
+        applyUpdate(subset, "control-1", list);
         Time now = Start;
         // Grows by 32 agents per 0.2 s.
         live(subset, now, Seconds(1) + Milliseconds(200) * (tested.sessionsOfEntry / 32));
-        EXPECT_EQ(keptAgents(subset), tested.sessionsOfEntry);
+        EXPECT_EQ(sessionCount(subset), tested.sessionsOfEntry);
         for (const std::string &agent : kept(subset))
             ++reached[agent];
     }
@@ -171,10 +171,10 @@
     std::set<std::string> reached;
     for (std::size_t i = 0; i < 100; ++i) {
         SubsetState subset = makeEntry(i, 4);
-        takeUpdate(subset, "control-1", list);
+        applyUpdate(subset, "control-1", list);
         Time now = Start;
         for (int turn = 0; turn < 30; ++turn) {
-            wantMore(subset, now);
+            requestGrowth(subset, now);
             live(subset, now, Milliseconds(100));
         }
         const std::set<std::string> mine = kept(subset);
@@ -200,7 +200,7 @@
     constexpr std::size_t Entries = 100;
     for (std::size_t i = 0; i < Entries; ++i) {
         SubsetState subset = makeEntry(i, 5);
-        takeUpdate(subset, "control-1", wholeList(800, Entries, 5));
+        applyUpdate(subset, "control-1", wholeList(800, Entries, 5));
         Time now = Start;
         live(subset, now, Seconds(1));
         const auto before = kept(subset);
@@ -210,7 +210,7 @@
         update.nodes = { makeAgent(800, 5) };
         update.gone = { agentAddress(3) };
         connectionLost(subset, agentAddress(3), now);
-        takeUpdate(subset, "control-1", update);
+        applyUpdate(subset, "control-1", update);
         live(subset, now, Seconds(7));
         for (const std::string &agent : kept(subset))
             moved += before.count(agent) == 0 ? 1 : 0;
@@ -233,7 +233,7 @@
     live(subset, now, Milliseconds(900));
     EXPECT_EQ(kept(subset), before);
     live(subset, now, Milliseconds(200));
-    EXPECT_EQ(keptAgents(subset), before.size() + 10);
+    EXPECT_EQ(sessionCount(subset), before.size() + 10);
     for (const std::string &agent : before)
         connected(subset, agent);
     live(subset, now, Seconds(6));
@@ -256,7 +256,7 @@
         }
     }
     EXPECT_EQ(keptIn(subset, "dc-0"), 48U);
-    EXPECT_EQ(keptAgents(subset), 48U + 64U);
+    EXPECT_EQ(sessionCount(subset), 48U + 64U);
 }
 
 TEST(Subset, CordonedAgentsAreReplacedAtOnce)
@@ -265,7 +265,7 @@
     SubsetState subset = settledEntry(now);
     takeCordons(subset, { 1, { "dc-0" } });
     live(subset, now, Milliseconds(20));
-    EXPECT_EQ(keptAgents(subset) - keptIn(subset, "dc-0"), 64U);
+    EXPECT_EQ(sessionCount(subset) - keptIn(subset, "dc-0"), 64U);
     live(subset, now, Seconds(6));
     EXPECT_EQ(keptIn(subset, "dc-0"), 0U);
 }
@@ -274,14 +274,14 @@
 {
     Time now = Start;
     SubsetState subset = makeEntry(0, 5);
-    takeUpdate(subset, "control-1", wholeList(20, 3, 5));
-    takeUpdate(subset, "control-2", wholeList(19, 3, 5));
+    applyUpdate(subset, "control-1", wholeList(20, 3, 5));
+    applyUpdate(subset, "control-2", wholeList(19, 3, 5));
     live(subset, now, Milliseconds(100));
-    forgetControlHost(subset, "control-1");
+    removeControlHost(subset, "control-1");
     connectionLost(subset, agentAddress(19), now);
     const SubsetChanges changes = choose(subset, now);
     EXPECT_EQ(changes.gone, std::vector<std::string> { agentAddress(19) });
-    EXPECT_EQ(keptAgents(subset), 19U);
+    EXPECT_EQ(sessionCount(subset), 19U);
 }
 
 // [SECTION] Growth
@@ -291,12 +291,12 @@
     Time now = Start;
     SubsetState subset = settledEntry(now);
     for (int i = 0; i < 50; ++i) {
-        wantMore(subset, now);
+        requestGrowth(subset, now);
         live(subset, now, Milliseconds(100));
     }
-    EXPECT_EQ(keptAgents(subset), 4U * 64U);
+    EXPECT_EQ(sessionCount(subset), 4U * 64U);
     live(subset, now, Seconds(100));
-    EXPECT_EQ(keptAgents(subset), 64U);
+    EXPECT_EQ(sessionCount(subset), 64U);
 }
 
 // A control host that has just started knows few entries but most agents.
@@ -304,13 +304,13 @@
 {
     Time now = Start;
     SubsetState subset = makeEntry(0, 5);
-    takeUpdate(subset, "control-1", wholeList(700, 4, 5));
+    applyUpdate(subset, "control-1", wholeList(700, 4, 5));
     live(subset, now, Milliseconds(500));
-    takeUpdate(subset, "control-1", wholeList(800, 184, 5));
+    applyUpdate(subset, "control-1", wholeList(800, 184, 5));
     live(subset, now, Milliseconds(20));
-    EXPECT_LE(keptAgents(subset), 3U * 64U);
+    EXPECT_LE(sessionCount(subset), 3U * 64U);
     live(subset, now, Seconds(6));
-    EXPECT_EQ(keptAgents(subset), 64U);
+    EXPECT_EQ(sessionCount(subset), 64U);
 }
 
 TEST(Subset, TheRoomIsSharedWithThoseWhoReachIt)
@@ -319,7 +319,7 @@
     const SubsetState subset = settledEntry(now);
     EXPECT_EQ(subset.sharingEntries, 15U);
     SubsetState whole = makeEntry(0, 5);
-    takeUpdate(whole, "control-1", wholeList(20, 7, 5));
+    applyUpdate(whole, "control-1", wholeList(20, 7, 5));
     live(whole, now, Milliseconds(100));
     EXPECT_EQ(whole.sharingEntries, 7U);
 }
@@ -333,11 +333,11 @@
     directory::DirectoryUpdate update = wholeList(800, 184, 5);
     for (std::size_t i = 0; i < 10; ++i)
         update.nodes[i * 80].service = "rare";
-    takeUpdate(subset, "control-1", update);
+    applyUpdate(subset, "control-1", update);
     live(subset, now, Seconds(1));
     for (std::size_t i = 0; i < 10; ++i)
         EXPECT_TRUE(subset.agents.at(agentAddress(i * 80)).kept);
-    EXPECT_EQ(keptAgents(subset), 74U);
+    EXPECT_EQ(sessionCount(subset), 74U);
 }
 
 struct NeedCase
@@ -365,14 +365,14 @@
     // The only match is in another data centre.
     update.nodes[1].labels = { "special" };
     update.nodes[1].capacity.accelerators = 8;
-    takeUpdate(subset, "control-1", update);
+    applyUpdate(subset, "control-1", update);
     live(subset, now, Seconds(1));
     ASSERT_FALSE(subset.agents.at(agentAddress(1)).kept);
-    EXPECT_EQ(reach(subset, GetParam().need, now), GetParam().met);
+    EXPECT_EQ(requireAgents(subset, GetParam().need, now), GetParam().met);
     live(subset, now, Milliseconds(100));
-    EXPECT_EQ(keptAgents(subset), 64U + GetParam().added);
+    EXPECT_EQ(sessionCount(subset), 64U + GetParam().added);
     live(subset, now, Seconds(40));
-    EXPECT_EQ(keptAgents(subset), 64U);
+    EXPECT_EQ(sessionCount(subset), 64U);
 }
 
 INSTANTIATE_TEST_SUITE_P(
--- a/tests/fleet/endpoint.cpp
+++ b/tests/fleet/endpoint.cpp
@@ -27,7 +27,7 @@
     return Milliseconds(static_cast<std::int64_t>(passed)) + m_offset;
 }
 
-void FakeEndpoint::end(const jobs::RunId &id, jobs::RunEnd how)
+void FakeEndpoint::end(const jobs::RunId &id, jobs::RunOutcome how)
 {
     m_runs.erase(id);
     std::uint32_t &highest = m_highestEnded[id.task];
@@ -37,15 +37,15 @@
 
 void FakeEndpoint::advance(Time now)
 {
-    std::vector<std::pair<jobs::RunId, jobs::RunEnd>> over;
+    std::vector<std::pair<jobs::RunId, jobs::RunOutcome>> over;
     const bool lapsed = clock(now) > m_leaseUntil;
     for (const auto &[id, run] : m_runs) {
         if (lapsed)
-            over.emplace_back(id, jobs::RunEnd::Lapsed);
+            over.emplace_back(id, jobs::RunOutcome::LeaseExpired);
         else if (now >= run.doneAt && run.stopping)
-            over.emplace_back(id, jobs::RunEnd::Stopped);
+            over.emplace_back(id, jobs::RunOutcome::Stopped);
         else if (now >= run.doneAt)
-            over.emplace_back(id, run.fails ? jobs::RunEnd::Failed : jobs::RunEnd::Done);
+            over.emplace_back(id, run.fails ? jobs::RunOutcome::Failed : jobs::RunOutcome::Done);
     }
     for (const auto &[id, how] : over)
         end(id, how);
@@ -100,7 +100,7 @@
         return { Answer::Ok, clock(now) };
     const auto highest = m_highestEnded.find(order.id.task);
     if (highest != m_highestEnded.end() && order.id.run <= highest->second)
-        return { Answer::OldRun, clock(now) };
+        return { Answer::StaleRun, clock(now) };
     EndpointRun run;
     run.startedAt = now;
     const auto takes = std::chrono::duration_cast<Microseconds>(work * slowness);
--- a/tests/fleet/endpoint.h
+++ b/tests/fleet/endpoint.h
@@ -68,7 +68,7 @@
 
 private:
     void forgetAll();
-    void end(const jobs::RunId &id, jobs::RunEnd how);
+    void end(const jobs::RunId &id, jobs::RunOutcome how);
     std::optional<runner::Answer> refuse(const std::string &lifeWanted, std::uint64_t fence);
 
     double m_rate;
--- a/tests/fleet/replay_test.cpp
+++ b/tests/fleet/replay_test.cpp
@@ -72,7 +72,7 @@
         if (what == "wait")
             wait(words);
         else if (what == "beat")
-            beat(readRequest(words));
+            heartbeat(readRequest(words));
         else if (what == "call")
             call(readRequest(words));
         else if (what == "gone")
@@ -124,7 +124,7 @@
         }
     }
 
-    void beat(const fabric::Request &request)
+    void heartbeat(const fabric::Request &request)
     {
         Error reason;
         const auto heard = platform::dialect().readEndpointCall(request, &reason);
@@ -212,8 +212,8 @@
                 carryOut(runner::startTasks(m_agent, TheSession, *start, m_now));
             else if (const auto *stop = std::get_if<jobs::StopRuns>(&send.message))
                 carryOut(runner::stopRuns(m_agent, TheSession, *stop, m_now));
-            else if (const auto *beat = std::get_if<jobs::SessionBeat>(&send.message))
-                carryOut(runner::sessionBeat(m_agent, TheSession, *beat, m_now));
+            else if (const auto *heartbeat = std::get_if<jobs::SessionHeartbeat>(&send.message))
+                carryOut(runner::sessionBeat(m_agent, TheSession, *heartbeat, m_now));
         }
     }
 
--- a/tests/fleet/size_test.cpp
+++ b/tests/fleet/size_test.cpp
@@ -55,7 +55,7 @@
     subset::SubsetState subset = subset::makeSubset(subset::SubsetSettings(),
                                                     "entry-" + std::to_string(entry),
                                                     "dc-" + std::to_string(entry % DataCentres));
-    subset::takeUpdate(subset, "control", list);
+    subset::applyUpdate(subset, "control", list);
     // It grows in steps, up to all agents.
     std::vector<std::string> chosen;
     std::vector<std::string> added;
@@ -64,8 +64,8 @@
         added = subset::choose(subset, now).added;
         chosen.insert(chosen.end(), added.begin(), added.end());
         for (const std::string &agent : added)
-            subset::connected(subset, agent);
-        now += subset.settings.growPause;
+            subset::sessionOpened(subset, agent);
+        now += subset.settings.growInterval;
     } while (!added.empty());
     return chosen;
 }
@@ -77,7 +77,7 @@
     view.service = "render";
     view.capacity = { 16000, 32768, 0 };
     view.free = view.capacity;
-    view.mostStarts = 100;
+    view.maxStarts = 100;
     return view;
 }
 
@@ -102,14 +102,14 @@
         ++cost.sent;
         jobs::AgentUpdate update;
         update.free = viewOfEndpoint().free;
-        update.mostStarts = viewOfEndpoint().mostStarts;
+        update.maxStarts = viewOfEndpoint().maxStarts;
         if (const auto *start = std::get_if<jobs::StartTasks>(&send.message)) {
-            update.startsTaken = entry.agents.at(send.agent).startsSent;
+            update.startsHandled = entry.agents.at(send.agent).startsSent;
             for (const jobs::StartTasks::Start &started : start->starts)
                 update.ended.push_back(
                         { { { start->job, 0, start->step, started.index }, started.run },
-                          jobs::RunEnd::Done,
-                          jobs::RefusedStart::None,
+                          jobs::RunOutcome::Done,
+                          jobs::StartRefusal::None,
                           start->estimate });
         }
         ++cost.heard;
@@ -136,7 +136,7 @@
         spec.id = "job-" + std::to_string(++jobs);
         jobs::StepSpec step;
         step.tasks = 8;
-        step.room = { 1600, 64, 0 };
+        step.demand = { 1600, 64, 0 };
         step.estimate = Milliseconds(60);
         spec.steps.push_back(step);
         scheduler::JobTerms terms;
@@ -165,7 +165,7 @@
     agent.cordonsKnown = true;
     agent.endpoint.life.id = "life";
     agent.endpoint.capacity = viewOfEndpoint().capacity;
-    std::uint64_t beat = 0;
+    std::uint64_t heartbeat = 0;
     Time nextBeat = Start;
     for (std::uint64_t session = 1; session <= sessions; ++session)
         runner::openSession(agent, session, "entry-" + std::to_string(session), Start);
@@ -174,10 +174,11 @@
         if (now < nextBeat)
             continue;
         nextBeat += beatInterval;
-        ++beat;
+        ++heartbeat;
         for (std::uint64_t session = 1; session <= sessions; ++session) {
             ++cost.heard;
-            cost.sent += runner::sessionBeat(agent, session, { beat, false }, now).updates.size();
+            cost.sent += runner::sessionBeat(agent, session, { heartbeat, false }, now)
+                                 .updates.size();
         }
     }
     return cost;
--- a/tests/fleet/world.cpp
+++ b/tests/fleet/world.cpp
@@ -106,7 +106,7 @@
     jobs::StepSpec step;
     step.tasks = static_cast<std::uint32_t>(tasks(m_random));
     step.estimate = Milliseconds(span(m_random));
-    step.room = { cores(m_random), 64, 0 };
+    step.demand = { cores(m_random), 64, 0 };
     spec.steps = { step };
     m_specs[spec.id] = spec;
     ++m_outcome.submitted;
@@ -358,7 +358,8 @@
                carryOut(agentNumber, runner::stopRuns(state, id, *stop, now));
            else
                carryOut(agentNumber,
-                        runner::sessionBeat(state, id, std::get<jobs::SessionBeat>(message), now));
+                        runner::sessionBeat(state, id, std::get<jobs::SessionHeartbeat>(message),
+                                            now));
        });
 }
 
@@ -385,7 +386,7 @@
         agent.state = runner::makeRunner(m_settings.runner, agent.life, m_lastFence);
         agent.toldLeavingAt.reset();
         tellAgent(number);
-        beat(number);
+        heartbeat(number);
         tickAgent(number);
     });
 }
@@ -397,10 +398,11 @@
     on(agent, TickInterval, [this, number] { tickAgent(number); });
 }
 
-void World::beat(int number)
+void World::heartbeat(int number)
 {
     report(number);
-    on(*m_agents[static_cast<std::size_t>(number)], BeatInterval, [this, number] { beat(number); });
+    on(*m_agents[static_cast<std::size_t>(number)], BeatInterval,
+       [this, number] { heartbeat(number); });
 }
 
 // One heartbeat, which the agent acknowledges.
--- a/tests/fleet/world.h
+++ b/tests/fleet/world.h
@@ -195,7 +195,7 @@
     void answered(int entry, const scheduler::JobAnswer &answer);
     template<class Order, class Do, class Answered>
     void order(int agent, const Order &order, Milliseconds wait, Do run, Answered back);
-    void beat(int agent);
+    void heartbeat(int agent);
     void report(int agent);
 
     // Control, which knows the cordons
--- a/tests/fleet/worldfaults.cpp
+++ b/tests/fleet/worldfaults.cpp
@@ -365,9 +365,9 @@
     std::set<jobs::TaskId> running;
     for (const auto &agent : m_agents) {
         agent->endpoint->advance(m_now);
-        jobs::Room used;
+        jobs::ResourceVector used;
         for (const auto &[id, run] : agent->endpoint->runs()) {
-            used += m_specs.at(id.task.job).steps[id.task.step].room;
+            used += m_specs.at(id.task.job).steps[id.task.step].demand;
             if (!running.insert(id.task).second)
                 violate(m_outcome.runsOverlapped, "two runs of " + id.task.job);
             const std::string &job = id.task.job;
--- a/tests/fleet/worldparts.h
+++ b/tests/fleet/worldparts.h
@@ -47,7 +47,7 @@
 
 // Within it an agent in reach of its endpoint learns that a run is over: looks come every 60 ms.
 constexpr Milliseconds LearnsOfEndBound { 2000 };
-inline const jobs::Room Capacity { 16000, 65536, 0 };
+inline const jobs::ResourceVector Capacity { 16000, 65536, 0 };
 
 // Starts of a task that crashes endpoints may be under way when the third has crashed.
 constexpr int CrashesEnough = 3;
--- a/tests/fuzz/frames_test.cpp
+++ b/tests/fuzz/frames_test.cpp
@@ -30,7 +30,7 @@
 {
     jobs::AgentUpdate update;
     update.endpoint = { makeView() };
-    update.ended = { { { { "job", 0, 1, 2 }, 3 }, jobs::RunEnd::Lost, {}, Milliseconds(5) } };
+    update.ended = { { { { "job", 0, 1, 2 }, 3 }, jobs::RunOutcome::Lost, {}, Milliseconds(5) } };
     update.crashed = { { { "job", 0, 1, 2 }, 3 } };
     jobs::StartTasks start;
     start.job = "5c0e7a21d94b36f8";
@@ -38,7 +38,7 @@
     start.starts = { { 1, 2 }, { 3, 4 } };
     fleet::AgreedPush push;
     push.cordons = { 7, { "north", "south" } };
-    jobs::Welcome welcome;
+    jobs::SessionAccepted welcome;
     welcome.endpoint = makeView();
     welcome.crashed = update.crashed;
     directory::NodeInfo node;
--- a/tests/rig/main.cpp
+++ b/tests/rig/main.cpp
@@ -34,7 +34,7 @@
 {
     return { name, [percent](RigSettings &s) {
                 s.scheduler.waitingQueues = foxwing::scheduler::WaitingQueues::AllButLeast;
-                s.scheduler.shares.floorPercent = percent;
+                s.scheduler.shares.guaranteedPercent = percent;
             } };
 }
 
--- a/tests/rig/rig.cpp
+++ b/tests/rig/rig.cpp
@@ -43,7 +43,7 @@
 
 struct Running
 {
-    jobs::Room room;
+    jobs::ResourceVector demand;
     Time startedAt {};
     Time doneAt {};
     bool stopping = false;
@@ -54,7 +54,7 @@
 {
     runner::RunnerState state;
     double speed = 1;
-    jobs::Room capacity;
+    jobs::ResourceVector capacity;
     int dataCentre = 0;
     bool fails = false;
     bool outOfReach = false;
@@ -106,14 +106,14 @@
     double rateFactor(const std::string &queue) const;
     Call makeCall(std::size_t queue);
     void answered(std::size_t entry, const scheduler::JobAnswer &answer);
-    bool hasRoomSomewhere(const jobs::Room &room) const;
+    bool hasRoomSomewhere(const jobs::ResourceVector &demand) const;
 
     // Entries and agents
     Microseconds way(std::size_t entry, std::size_t host) const;
     void openSession(std::size_t entry, std::size_t host);
     void tickEntry(std::size_t entry);
     void tickHost(std::size_t host);
-    void beat(std::size_t host);
+    void heartbeat(std::size_t host);
     void carryOut(std::size_t entry, scheduler::SchedulerActions &&actions);
     void carryOut(std::size_t host, runner::RunnerActions &&actions);
     void deliver(std::size_t entry, std::size_t host, const scheduler::AgentSend &send);
@@ -122,7 +122,7 @@
     Milliseconds clock() const;
     void start(std::size_t host, const runner::StartOrder &order);
     void stop(std::size_t host, const runner::StopOrder &order);
-    void endRun(std::size_t host, const jobs::RunId &id, jobs::RunEnd how);
+    void endRun(std::size_t host, const jobs::RunId &id, jobs::RunOutcome how);
     void answerLook(std::size_t host);
     void strike(const EndpointTrouble &trouble, bool begins);
     void cordon(const CordonSpan &span, bool begins);
@@ -227,7 +227,7 @@
         carryOut(host,
                  runner::cordonsHeard(m_hosts[host].state, {}, runner::CordonSource::Control,
                                       m_now));
-        beat(host);
+        heartbeat(host);
         tickHost(host);
         for (std::size_t entry = 0; entry < m_entries.size(); ++entry)
             openSession(entry, host);
@@ -302,7 +302,7 @@
     const double width = std::round(load.width * logNormal(Spread));
     jobs::StepSpec step;
     step.tasks = std::clamp(static_cast<std::uint32_t>(std::max(1.0, width)), 1U, load.mostWidth);
-    step.room = { static_cast<std::int64_t>(load.milliCores * logNormal(RoomSpread)), 64, 0 };
+    step.demand = { static_cast<std::int64_t>(load.milliCores * logNormal(RoomSpread)), 64, 0 };
     const bool tail = load.tailPart > 0
             && std::uniform_real_distribution<double>(0, 1)(m_random) < load.tailPart;
     const double work = static_cast<double>(load.work.count()) * std::min(4.0, logNormal(Spread))
@@ -372,14 +372,14 @@
     carryOut(entry, std::move(actions));
 }
 
-bool Rig::hasRoomSomewhere(const jobs::Room &room) const
+bool Rig::hasRoomSomewhere(const jobs::ResourceVector &demand) const
 {
     return std::any_of(m_hosts.begin(), m_hosts.end(), [&](const Host &host) {
-        jobs::Room free = host.capacity;
+        jobs::ResourceVector free = host.capacity;
         for (const auto &[id, run] : host.runs)
-            free -= run.room;
+            free -= run.demand;
         return !host.fails && !host.outOfReach && !runner::isCordoned(host.state)
-                && jobs::fits(room, free);
+                && jobs::fits(demand, free);
     });
 }
 
@@ -409,7 +409,7 @@
         report.refusedAfter.push_back(took);
         if (took <= AtOnce)
             m_report.refusedAtOnce.insert(call.spec.id);
-        m_report.refusedWithRoom += hasRoomSomewhere(call.spec.steps[0].room) ? 1 : 0;
+        m_report.refusedWithRoom += hasRoomSomewhere(call.spec.steps[0].demand) ? 1 : 0;
         break;
     case scheduler::JobOutcome::Failed:
     case scheduler::JobOutcome::TimedOut:
@@ -454,8 +454,8 @@
             carryOut(host, runner::stopRuns(state, entry + 1, *stop, m_now));
         else
             carryOut(host,
-                     runner::sessionBeat(state, entry + 1, std::get<jobs::SessionBeat>(message),
-                                         m_now));
+                     runner::sessionBeat(state, entry + 1,
+                                         std::get<jobs::SessionHeartbeat>(message), m_now));
     });
 }
 
@@ -477,7 +477,7 @@
     at(m_now + TickInterval, [this, host] { tickHost(host); });
 }
 
-void Rig::beat(std::size_t number)
+void Rig::heartbeat(std::size_t number)
 {
     Host &host = m_hosts[number];
     runner::EndpointReport report;
@@ -488,7 +488,7 @@
     report.sequence = ++host.beats;
     report.clock = clock();
     carryOut(number, runner::endpointHeard(host.state, report, m_now));
-    at(m_now + BeatInterval, [this, number] { beat(number); });
+    at(m_now + BeatInterval, [this, number] { heartbeat(number); });
 }
 
 void Rig::carryOut(std::size_t number, runner::RunnerActions &&actions)
@@ -533,14 +533,14 @@
     Host &host = m_hosts[number];
     const Call &call = m_calls.at(order.id.task.job);
     Running run;
-    run.room = call.spec.steps[0].room;
+    run.demand = call.spec.steps[0].demand;
     run.startedAt = m_now;
     run.fails = host.fails;
     const auto takes = std::chrono::duration_cast<Microseconds>(call.work[order.id.task.index]
                                                                 / host.speed);
     run.doneAt = m_now + (run.fails ? Microseconds(1000) : takes);
     host.runs[order.id] = run;
-    const auto how = run.fails ? jobs::RunEnd::Failed : jobs::RunEnd::Done;
+    const auto how = run.fails ? jobs::RunOutcome::Failed : jobs::RunOutcome::Done;
     at(run.doneAt, [this, number, id = order.id, how] {
         const auto found = m_hosts[number].runs.find(id);
         if (found != m_hosts[number].runs.end() && !found->second.stopping)
@@ -560,7 +560,7 @@
     if (found != m_hosts[number].runs.end() && !found->second.stopping) {
         found->second.stopping = true;
         at(m_now + StopTakes,
-           [this, number, id = order.id] { endRun(number, id, jobs::RunEnd::Stopped); });
+           [this, number, id = order.id] { endRun(number, id, jobs::RunOutcome::Stopped); });
     }
     at(m_now + OrderDelay, [this, number, id = order.id] {
         carryOut(number,
@@ -569,7 +569,7 @@
     });
 }
 
-void Rig::endRun(std::size_t number, const jobs::RunId &id, jobs::RunEnd how)
+void Rig::endRun(std::size_t number, const jobs::RunId &id, jobs::RunOutcome how)
 {
     Host &host = m_hosts[number];
     host.runs.erase(id);
@@ -642,9 +642,9 @@
     for (const Host &host : m_hosts) {
         if (!waiting || host.fails || host.outOfReach || runner::isCordoned(host.state))
             continue;
-        jobs::Room free = host.capacity;
+        jobs::ResourceVector free = host.capacity;
         for (const auto &[id, run] : host.runs)
-            free -= run.room;
+            free -= run.demand;
         m_idle += static_cast<double>(free.milliCores);
         m_room += static_cast<double>(host.capacity.milliCores);
     }
--- a/tests/rig/rig_test.cpp
+++ b/tests/rig/rig_test.cpp
@@ -205,7 +205,7 @@
 {
     return [percent](RigSettings &settings) {
         settings.scheduler.waitingQueues = scheduler::WaitingQueues::AllButLeast;
-        settings.scheduler.shares.floorPercent = percent;
+        settings.scheduler.shares.guaranteedPercent = percent;
     };
 }
 
--- a/tests/schedules/world.cpp
+++ b/tests/schedules/world.cpp
@@ -195,7 +195,7 @@
     process.reporter = control::makeReporter(identity);
 }
 
-void takeUpdate(World &world, Process &process, const control::Update &update)
+void applyUpdate(World &world, Process &process, const control::Update &update)
 {
     const std::optional<Time> sentAt = control::acceptUpdate(process.reporter, update);
     if (!sentAt)
@@ -280,7 +280,7 @@
         carryOut(world, process, control::handleBeat(*process.control, *beat, world.now, wall));
     }
     if (const auto *update = std::get_if<control::Update>(&message); update && !process.control)
-        takeUpdate(world, process, *update);
+        applyUpdate(world, process, *update);
 }
 
 void tickProcess(World &world, Process &process)
