--- a/packages/fleet/src/settings.cpp
+++ b/packages/fleet/src/settings.cpp
@@ -26,7 +26,7 @@
 // again.
 constexpr Milliseconds ResendMargin { 100 };
 
-// No turn counts as later than LagSettings::mostLate; a bound near it would hardly be reached.
+// No turn counts as later than LagSettings::maxDelay; a bound near it would hardly be reached.
 constexpr Milliseconds MostStandBackAbove { 400 };
 
 void readNode(TomlReader table, FleetSettings &settings)
--- a/packages/forecast/include/foxwing/forecast/forecast.h
+++ b/packages/forecast/include/foxwing/forecast/forecast.h
@@ -1,16 +1,16 @@
 /*
     Estimates how long work will wait for capacity, from the reports of all agents: the starts of
-    all entries that wait there, and the rate at which capacity is released.
+    all entries that wait there, and the rate at which capacity is freed.
 
     All entries compute the same estimate from the same reports. It decides which jobs are refused
     on arrival, which late jobs may still wait, and when a refused caller should retry.
 
-        Picture picture;
-        addAgent(picture, news, now);        // for each agent of the service
-        picture.share = share;
-        const std::optional<Milliseconds> wait = expectedWait(picture, wanted);
+        ServiceLoad serviceLoad;
+        addAgent(serviceLoad, report, now);        // for each agent of the service
+        serviceLoad.share = share;
+        const std::optional<Milliseconds> wait = expectedWait(serviceLoad, demand);
 
-    [SECTION] Picture
+    [SECTION] Input
     [SECTION] Functions
 */
 #pragma once
@@ -24,10 +24,10 @@
 
 namespace foxwing::forecast {
 
-// [SECTION] Picture
+// [SECTION] Input
 
 // Latest report of one agent.
-struct AgentNews
+struct AgentReport
 {
     std::int64_t freeMilliCores = 0;
     std::vector<jobs::PriorityBacklog> waiting;
@@ -41,12 +41,12 @@
     // By priority, most urgent first
     std::vector<jobs::PriorityBacklog> waiting;
 
-    // Free capacity of each endpoint that has any, and capacity released per second by all of
-    // them; in thousandths of a core
+    // Free capacity of each endpoint that has any, and capacity freed per second by all of them;
+    // in thousandths of a core
     std::vector<std::int64_t> free;
     double freedPerSecond = 0;
 
-    // Fraction of released capacity that goes to this entry; the queues of other entries are
+    // Fraction of freed capacity that goes to this entry; the queues of other entries are
     // unknown.
     double share = 1;
 
@@ -70,27 +70,27 @@
 // [SECTION] Functions
 
 // Older reports are ignored: the agent may be disconnected.
-constexpr Milliseconds OldestNews { 500 };
+constexpr Milliseconds MaxReportAge { 500 };
 
 // Upper bound of an estimate; prevents overflow when waits are added up.
-constexpr Milliseconds LongestWait = std::chrono::hours(1);
+constexpr Milliseconds MaxWait = std::chrono::hours(1);
 
 // Bounds of the result of estimateRetryAfter()
 constexpr Milliseconds MinRetryAfter { 100 };
 constexpr Milliseconds MaxRetryAfter { 4000 };
 
-void addAgent(ServiceLoad &serviceLoad, const AgentNews &news, Time now);
+void addAgent(ServiceLoad &serviceLoad, const AgentReport &report, Time now);
 
 // Whether any work is waiting ahead of the job.
-bool hasWorkAhead(const ServiceLoad &serviceLoad, const JobDemand &wanted);
+bool hasWorkAhead(const ServiceLoad &serviceLoad, const JobDemand &demand);
 
 // Time until the work ahead of the job and the job itself have capacity. Empty if unknown: too
-// little is free now and no capacity was released recently.
-std::optional<Milliseconds> expectedWait(const ServiceLoad &serviceLoad, const JobDemand &wanted);
+// little is free now and no capacity was freed recently.
+std::optional<Milliseconds> expectedWait(const ServiceLoad &serviceLoad, const JobDemand &demand);
 
 // Delay after which a refused caller should retry: the expected wait, plus up to as much again.
-// `chance` is a random number from 0 to 1; it spreads the retries of different callers.
-Milliseconds estimateRetryAfter(const ServiceLoad &serviceLoad, const JobDemand &wanted,
-                                double chance);
+// `jitter`, a random number from 0 to 1, spreads the retries of different callers.
+Milliseconds estimateRetryAfter(const ServiceLoad &serviceLoad, const JobDemand &demand,
+                                double jitter);
 
 } // namespace foxwing::forecast
--- a/packages/forecast/src/forecast.cpp
+++ b/packages/forecast/src/forecast.cpp
@@ -1,7 +1,7 @@
 /*
-    Wait estimates: waiting work divided by the rate of released capacity.
+    Wait estimates: waiting work divided by the rate of freed capacity.
 
-    [SECTION] Picture
+    [SECTION] Input
     [SECTION] Wait
 */
 #include <foxwing/forecast/forecast.h>
@@ -11,43 +11,43 @@
 
 namespace foxwing::forecast {
 
-// [SECTION] Picture
+// [SECTION] Input
 
 namespace {
 
-void addWaiting(ServiceLoad &serviceLoad, const jobs::PriorityBacklog &told)
+void addBacklog(ServiceLoad &serviceLoad, const jobs::PriorityBacklog &backlog)
 {
-    const auto before = [](const jobs::PriorityBacklog &row, std::uint32_t priority) {
+    const auto isMoreUrgent = [](const jobs::PriorityBacklog &row, std::uint32_t priority) {
         return row.priority < priority;
     };
     const auto row = std::lower_bound(serviceLoad.waiting.begin(), serviceLoad.waiting.end(),
-                                      told.priority, before);
-    if (row != serviceLoad.waiting.end() && row->priority == told.priority)
-        row->milliCores += told.milliCores;
+                                      backlog.priority, isMoreUrgent);
+    if (row != serviceLoad.waiting.end() && row->priority == backlog.priority)
+        row->milliCores += backlog.milliCores;
     else
-        serviceLoad.waiting.insert(row, told);
+        serviceLoad.waiting.insert(row, backlog);
 }
 
 } // namespace
 
-void addAgent(ServiceLoad &serviceLoad, const AgentNews &news, Time now)
+void addAgent(ServiceLoad &serviceLoad, const AgentReport &report, Time now)
 {
-    const Microseconds age = now - news.heardAt;
-    if (age > OldestNews)
+    const Microseconds age = now - report.heardAt;
+    if (age > MaxReportAge)
         return;
     serviceLoad.age = std::max(serviceLoad.age, age);
-    serviceLoad.freedPerSecond += news.freedPerSecond;
-    if (news.freeMilliCores > 0)
-        serviceLoad.free.push_back(news.freeMilliCores);
-    for (const jobs::PriorityBacklog &row : news.waiting)
-        addWaiting(serviceLoad, row);
+    serviceLoad.freedPerSecond += report.freedPerSecond;
+    if (report.freeMilliCores > 0)
+        serviceLoad.free.push_back(report.freeMilliCores);
+    for (const jobs::PriorityBacklog &row : report.waiting)
+        addBacklog(serviceLoad, row);
 }
 
 // [SECTION] Wait
 
 namespace {
 
-double waitingAtAgents(const ServiceLoad &serviceLoad, std::uint32_t priority)
+double agentBacklog(const ServiceLoad &serviceLoad, std::uint32_t priority)
 {
     double milliCores = 0;
     for (const jobs::PriorityBacklog &row : serviceLoad.waiting) {
@@ -58,7 +58,7 @@
 }
 
 // Free capacity in whole tasks of this size; an endpoint's remainder can't be used.
-double usableRoom(const ServiceLoad &serviceLoad, std::int64_t taskMilliCores)
+double usableCapacity(const ServiceLoad &serviceLoad, std::int64_t taskMilliCores)
 {
     const std::int64_t task = std::max<std::int64_t>(1, taskMilliCores);
     double milliCores = 0;
@@ -71,38 +71,38 @@
 
 Milliseconds rounded(double seconds)
 {
-    const double most = std::chrono::duration<double>(LongestWait).count();
-    return Milliseconds(std::llround(std::min(seconds, most) * 1000));
+    const double maxSeconds = std::chrono::duration<double>(MaxWait).count();
+    return Milliseconds(std::llround(std::min(seconds, maxSeconds) * 1000));
 }
 
 } // namespace
 
-bool hasWorkAhead(const ServiceLoad &serviceLoad, const JobDemand &wanted)
+bool hasWorkAhead(const ServiceLoad &serviceLoad, const JobDemand &demand)
 {
-    return wanted.queuedAhead > 0 || waitingAtAgents(serviceLoad, wanted.priority) > 0;
+    return demand.queuedAhead > 0 || agentBacklog(serviceLoad, demand.priority) > 0;
 }
 
-std::optional<Milliseconds> expectedWait(const ServiceLoad &serviceLoad, const JobDemand &wanted)
+std::optional<Milliseconds> expectedWait(const ServiceLoad &serviceLoad, const JobDemand &demand)
 {
     // The free capacity reported by agents already excludes their own waiting starts.
-    const double here = static_cast<double>(wanted.queuedAhead + wanted.milliCores)
-            - usableRoom(serviceLoad, wanted.taskMilliCores);
-    if (here <= 0)
+    const double localDemand = static_cast<double>(demand.queuedAhead + demand.milliCores)
+            - usableCapacity(serviceLoad, demand.taskMilliCores);
+    if (localDemand <= 0)
         return Milliseconds(0);
-    const double pace = serviceLoad.freedPerSecond * serviceLoad.share;
-    if (pace <= 0)
+    const double localRate = serviceLoad.freedPerSecond * serviceLoad.share;
+    if (localRate <= 0)
         return std::nullopt;
-    return rounded(waitingAtAgents(serviceLoad, wanted.priority) / serviceLoad.freedPerSecond
-                   + here / pace);
+    return rounded(agentBacklog(serviceLoad, demand.priority) / serviceLoad.freedPerSecond
+                   + localDemand / localRate);
 }
 
-Milliseconds estimateRetryAfter(const ServiceLoad &serviceLoad, const JobDemand &wanted,
-                                double chance)
+Milliseconds estimateRetryAfter(const ServiceLoad &serviceLoad, const JobDemand &demand,
+                                double jitter)
 {
-    const Milliseconds wait = expectedWait(serviceLoad, wanted).value_or(MaxRetryAfter);
+    const Milliseconds wait = expectedWait(serviceLoad, demand).value_or(MaxRetryAfter);
     const double base = static_cast<double>(
             std::clamp(wait, MinRetryAfter, MaxRetryAfter / 2).count());
-    const double spread = std::clamp(chance, 0.0, 1.0);
+    const double spread = std::clamp(jitter, 0.0, 1.0);
     return std::min(MaxRetryAfter, Milliseconds(std::llround(base * (1 + spread))));
 }
 
--- a/packages/forecast/tests/forecast_test.cpp
+++ b/packages/forecast/tests/forecast_test.cpp
@@ -1,9 +1,9 @@
 /*
     Expected waits, and retry delays for refused callers.
 
-    [SECTION] Picture
+    [SECTION] Input
     [SECTION] Wait
-    [SECTION] Coming back
+    [SECTION] Retry delay
 */
 #include <gtest/gtest.h>
 
@@ -14,27 +14,28 @@
 
 constexpr Time Now { Seconds(100) };
 
-AgentNews newsOf(std::int64_t free, std::uint32_t freedPerSecond,
-                 const std::vector<jobs::PriorityBacklog> &waiting = {},
-                 Milliseconds age = Milliseconds(0))
+AgentReport makeReport(std::int64_t free, std::uint32_t freedPerSecond,
+                       const std::vector<jobs::PriorityBacklog> &waiting = {},
+                       Milliseconds age = Milliseconds(0))
 {
     return { free, waiting, freedPerSecond, Now - age };
 }
 
-ServiceLoad pictureOf(const std::vector<AgentNews> &all)
+ServiceLoad makeServiceLoad(const std::vector<AgentReport> &reports)
 {
     ServiceLoad serviceLoad;
-    for (const AgentNews &news : all)
-        addAgent(serviceLoad, news, Now);
+    for (const AgentReport &report : reports)
+        addAgent(serviceLoad, report, Now);
     return serviceLoad;
 }
 
-// [SECTION] Picture
+// [SECTION] Input
 
-TEST(ServiceLoad, AddsUpWhatAgentsTellByPriority)
+TEST(ServiceLoad, SumsReportsByPriority)
 {
-    const ServiceLoad serviceLoad = pictureOf({ newsOf(-500, 1000, { { 1, 300 }, { 3, 50 } }),
-                                                newsOf(700, 2000, { { 0, 100 }, { 1, 200 } }) });
+    const ServiceLoad serviceLoad = makeServiceLoad(
+            { makeReport(-500, 1000, { { 1, 300 }, { 3, 50 } }),
+              makeReport(700, 2000, { { 0, 100 }, { 1, 200 } }) });
     ASSERT_EQ(serviceLoad.waiting.size(), 3U);
     EXPECT_EQ(serviceLoad.waiting[0].priority, 0U);
     EXPECT_EQ(serviceLoad.waiting[1].milliCores, 500);
@@ -50,22 +51,23 @@
     bool counts;
 };
 
-class NewsAges : public testing::TestWithParam<AgeCase>
+class ReportAges : public testing::TestWithParam<AgeCase>
 { };
 
-TEST_P(NewsAges, DecideWhetherAnAgentCounts)
+TEST_P(ReportAges, DecideWhetherReportsCount)
 {
-    const ServiceLoad serviceLoad = pictureOf({ newsOf(100, 1000, { { 0, 10 } }, GetParam().age) });
+    const ServiceLoad serviceLoad = makeServiceLoad(
+            { makeReport(100, 1000, { { 0, 10 } }, GetParam().age) });
     EXPECT_EQ(serviceLoad.freedPerSecond, GetParam().counts ? 1000 : 0);
     EXPECT_EQ(serviceLoad.waiting.empty(), !GetParam().counts);
     EXPECT_EQ(serviceLoad.age, GetParam().counts ? GetParam().age : Milliseconds(0));
 }
 
-INSTANTIATE_TEST_SUITE_P(Forecast, NewsAges,
+INSTANTIATE_TEST_SUITE_P(Forecast, ReportAges,
                          testing::Values(AgeCase { "Fresh", Milliseconds(0), true },
-                                         AgeCase { "AtTheBound", Milliseconds(500), true },
-                                         AgeCase { "CutOff", Milliseconds(501), false },
-                                         AgeCase { "FromBeforeAFreeze", Milliseconds(60000),
+                                         AgeCase { "AtTheLimit", Milliseconds(500), true },
+                                         AgeCase { "JustTooOld", Milliseconds(501), false },
+                                         AgeCase { "FromBeforeASuspension", Milliseconds(60000),
                                                    false }),
                          [](const auto &tested) { return tested.param.name; });
 
@@ -74,106 +76,109 @@
 struct WaitCase
 {
     const char *name;
-    std::vector<AgentNews> news;
+    std::vector<AgentReport> reports;
     double share;
-    JobDemand wanted;
+    JobDemand demand;
     std::optional<Milliseconds> wait;
 };
 
 class Waits : public testing::TestWithParam<WaitCase>
 { };
 
-TEST_P(Waits, FollowWhatGoesBeforeAndTheRoomThatComesFree)
+TEST_P(Waits, FollowTheBacklogAndTheFreedCapacity)
 {
-    ServiceLoad serviceLoad = pictureOf(GetParam().news);
+    ServiceLoad serviceLoad = makeServiceLoad(GetParam().reports);
     serviceLoad.share = GetParam().share;
-    EXPECT_EQ(expectedWait(serviceLoad, GetParam().wanted), GetParam().wait);
+    EXPECT_EQ(expectedWait(serviceLoad, GetParam().demand), GetParam().wait);
 }
 
 INSTANTIATE_TEST_SUITE_P(
         Forecast, Waits,
         testing::Values(
-                WaitCase { "NothingIsKnown", {}, 1, { 1, 100, 100, 0 }, {} },
-                WaitCase { "NothingCameFree", { newsOf(0, 0) }, 1, { 1, 100, 100, 0 }, {} },
-                WaitCase {
-                        "RoomForAll", { newsOf(250, 0) }, 1, { 1, 100, 200, 0 }, Milliseconds(0) },
-                WaitCase { "PiecesTooSmall",
-                           { newsOf(90, 1000), newsOf(90, 0) },
+                WaitCase { "NoReports", {}, 1, { 1, 100, 100, 0 }, {} },
+                WaitCase { "NoCapacityFreed", { makeReport(0, 0) }, 1, { 1, 100, 100, 0 }, {} },
+                WaitCase { "EnoughCapacity",
+                           { makeReport(250, 0) },
+                           1,
+                           { 1, 100, 200, 0 },
+                           Milliseconds(0) },
+                WaitCase { "FragmentsTooSmall",
+                           { makeReport(90, 1000), makeReport(90, 0) },
                            1,
                            { 1, 100, 100, 0 },
                            Milliseconds(100) },
-                WaitCase { "ItsOwnTasks",
-                           { newsOf(0, 1000) },
+                WaitCase { "OwnTasksOnly",
+                           { makeReport(0, 1000) },
                            1,
                            { 1, 100, 300, 0 },
                            Milliseconds(300) },
-                WaitCase { "WorkBeforeIt",
-                           { newsOf(0, 1000) },
+                WaitCase { "WorkQueuedAhead",
+                           { makeReport(0, 1000) },
                            1,
                            { 1, 100, 100, 400 },
                            Milliseconds(500) },
                 WaitCase { "MoreUrgentAtAgents",
-                           { newsOf(-200, 1000, { { 0, 200 } }) },
+                           { makeReport(-200, 1000, { { 0, 200 } }) },
                            1,
                            { 1, 100, 100, 0 },
                            Milliseconds(300) },
                 WaitCase { "LessUrgentAtAgents",
-                           { newsOf(-200, 1000, { { 2, 200 } }) },
+                           { makeReport(-200, 1000, { { 2, 200 } }) },
                            1,
                            { 1, 100, 100, 0 },
                            Milliseconds(100) },
-                WaitCase { "AFifthComesHere",
-                           { newsOf(-200, 1000, { { 0, 200 } }) },
+                WaitCase { "ShareOfOneFifth",
+                           { makeReport(-200, 1000, { { 0, 200 } }) },
                            0.2,
                            { 1, 100, 100, 0 },
                            Milliseconds(700) },
-                WaitCase { "AllAgentsAreCutOff",
-                           { newsOf(1000, 1000, {}, Milliseconds(600)) },
+                WaitCase { "AllReportsTooOld",
+                           { makeReport(1000, 1000, {}, Milliseconds(600)) },
                            1,
                            { 1, 100, 100, 0 },
                            {} },
-                WaitCase { "HalfOfThemIsSeen",
-                           { newsOf(0, 1000), newsOf(0, 1000, {}, Milliseconds(600)) },
+                WaitCase { "OneOfTwoReportsTooOld",
+                           { makeReport(0, 1000), makeReport(0, 1000, {}, Milliseconds(600)) },
                            1,
                            { 1, 100, 500, 500 },
                            Milliseconds(1000) },
-                WaitCase { "BeyondAnyWait",
-                           { newsOf(0, 1) },
+                WaitCase { "LimitedToMaxWait",
+                           { makeReport(0, 1) },
                            0.001,
                            { 1, 100, 1000000000, 0 },
-                           LongestWait }),
+                           MaxWait }),
         [](const auto &tested) { return tested.param.name; });
 
-// [SECTION] Coming back
+// [SECTION] Retry delay
 
-struct ComeBackCase
+struct RetryCase
 {
     const char *name;
     std::uint32_t freedPerSecond;
     std::int64_t queuedAhead;
-    double chance;
+    double jitter;
     Milliseconds after;
 };
 
-class ComingBack : public testing::TestWithParam<ComeBackCase>
+class RetryDelays : public testing::TestWithParam<RetryCase>
 { };
 
-TEST_P(ComingBack, FollowsTheWaitAndIsSpread)
+TEST_P(RetryDelays, FollowTheWaitWithJitter)
 {
-    const ServiceLoad serviceLoad = pictureOf({ newsOf(0, GetParam().freedPerSecond) });
-    const JobDemand wanted { 1, 100, 100, GetParam().queuedAhead };
-    EXPECT_EQ(estimateRetryAfter(serviceLoad, wanted, GetParam().chance), GetParam().after);
+    const ServiceLoad serviceLoad = makeServiceLoad({ makeReport(0, GetParam().freedPerSecond) });
+    const JobDemand demand { 1, 100, 100, GetParam().queuedAhead };
+    EXPECT_EQ(estimateRetryAfter(serviceLoad, demand, GetParam().jitter), GetParam().after);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-        Forecast, ComingBack,
-        testing::Values(ComeBackCase { "SoonAtTheLeast", 100000, 0, 0, MinRetryAfter },
-                        ComeBackCase { "AfterTheWait", 1000, 400, 0, Milliseconds(500) },
-                        ComeBackCase { "LaterByChance", 1000, 400, 0.5, Milliseconds(750) },
-                        ComeBackCase { "TwiceAtTheMost", 1000, 400, 1, Milliseconds(1000) },
-                        ComeBackCase { "Bounded", 1000, 900000, 1, MaxRetryAfter },
-                        ComeBackCase { "SpreadAtTheBoundToo", 1000, 900000, 0, MaxRetryAfter / 2 },
-                        ComeBackCase { "NothingIsKnown", 0, 0, 0, MaxRetryAfter / 2 }),
+        Forecast, RetryDelays,
+        testing::Values(RetryCase { "Minimum", 100000, 0, 0, MinRetryAfter },
+                        RetryCase { "AfterTheWait", 1000, 400, 0, Milliseconds(500) },
+                        RetryCase { "HalfJitter", 1000, 400, 0.5, Milliseconds(750) },
+                        RetryCase { "FullJitter", 1000, 400, 1, Milliseconds(1000) },
+                        RetryCase { "Maximum", 1000, 900000, 1, MaxRetryAfter },
+                        RetryCase { "MaximumWithoutJitter", 1000, 900000, 0, MaxRetryAfter / 2 },
+                        RetryCase { "UnknownWait", 0, 0, 0, MaxRetryAfter / 2 }),
         [](const auto &tested) { return tested.param.name; });
 
 } // namespace
--- a/packages/jobs/include/foxwing/jobs/job.h
+++ b/packages/jobs/include/foxwing/jobs/job.h
@@ -4,7 +4,7 @@
     A job's tasks are identified by step and index. Each start of a task is a run; the runs of one
     task are numbered from 1 and never overlap.
 
-    [SECTION] Room
+    [SECTION] Resources
     [SECTION] Tasks
     [SECTION] Jobs
 */
@@ -19,7 +19,7 @@
 
 namespace foxwing::jobs {
 
-// [SECTION] Room
+// [SECTION] Resources
 
 // Resources that a task takes or that an endpoint has.
 struct ResourceVector
@@ -30,11 +30,11 @@
     std::int64_t accelerators = 0;
 };
 template<class Fields>
-void describe(Fields &fields, ResourceVector &demand)
+void describe(Fields &fields, ResourceVector &resources)
 {
-    fields("milliCores", demand.milliCores);
-    fields("megabytes", demand.megabytes);
-    fields("accelerators", demand.accelerators);
+    fields("milliCores", resources.milliCores);
+    fields("megabytes", resources.megabytes);
+    fields("accelerators", resources.accelerators);
 }
 
 inline bool fits(const ResourceVector &needed, const ResourceVector &free)
@@ -43,20 +43,20 @@
             && needed.accelerators <= free.accelerators;
 }
 
-inline ResourceVector &operator+=(ResourceVector &demand, const ResourceVector &other)
+inline ResourceVector &operator+=(ResourceVector &resources, const ResourceVector &other)
 {
-    demand.milliCores += other.milliCores;
-    demand.megabytes += other.megabytes;
-    demand.accelerators += other.accelerators;
-    return demand;
+    resources.milliCores += other.milliCores;
+    resources.megabytes += other.megabytes;
+    resources.accelerators += other.accelerators;
+    return resources;
 }
 
-inline ResourceVector &operator-=(ResourceVector &demand, const ResourceVector &other)
+inline ResourceVector &operator-=(ResourceVector &resources, const ResourceVector &other)
 {
-    demand.milliCores -= other.milliCores;
-    demand.megabytes -= other.megabytes;
-    demand.accelerators -= other.accelerators;
-    return demand;
+    resources.milliCores -= other.milliCores;
+    resources.megabytes -= other.megabytes;
+    resources.accelerators -= other.accelerators;
+    return resources;
 }
 
 inline bool operator==(const ResourceVector &left, const ResourceVector &right)
--- a/packages/jobs/include/foxwing/jobs/messages.h
+++ b/packages/jobs/include/foxwing/jobs/messages.h
@@ -1,9 +1,9 @@
 /*
     Messages between an entry and an agent about runs.
 
-    An entry opens a session; the agent answers with Welcome once all runs of this entry's earlier
-    sessions have ended. A session ends with its connection, or when either side has received
-    nothing from the other for a while; the agent then stops the session's runs.
+    An entry opens a session; the agent answers with SessionAccepted once all runs of this entry's
+    earlier sessions have ended. A session ends with its connection, or when either side has
+    received nothing from the other for a while; the agent then stops the session's runs.
 
     [SECTION] From the entry
     [SECTION] From the agent
@@ -117,7 +117,7 @@
     return RunOutcome::Crashed;
 }
 
-const char *toString(RunOutcome end);
+const char *toString(RunOutcome outcome);
 
 // Why an agent refused a start. The task is known not to have begun.
 enum class StartRefusal {
@@ -140,7 +140,7 @@
     return StartRefusal::Cordoned;
 }
 
-const char *toString(StartRefusal why);
+const char *toString(StartRefusal refusal);
 
 struct RunReport
 {
@@ -151,7 +151,7 @@
     StartRefusal refused = StartRefusal::None;
 
     // From the response to the start until the end, as measured by the agent
-    Milliseconds took { 0 };
+    Milliseconds duration { 0 };
 };
 template<class Fields>
 void describe(Fields &fields, RunReport &report)
@@ -159,7 +159,7 @@
     fields("id", report.id);
     fields("end", report.end);
     fields("refused", report.refused);
-    fields("took", report.took);
+    fields("took", report.duration);
 }
 
 // A run that takes much longer than its estimate.
@@ -196,7 +196,7 @@
     ResourceVector free;
 
     // Maximum number of starts accepted now; less than capacity allows while the endpoint is on
-    // trial
+    // probation
     std::uint32_t maxStarts = 0;
 
     // Run time relative to estimates, in thousandths; smaller is faster
@@ -224,10 +224,10 @@
     std::int64_t milliCores = 0;
 };
 template<class Fields>
-void describe(Fields &fields, PriorityBacklog &waiting)
+void describe(Fields &fields, PriorityBacklog &backlog)
 {
-    fields("priority", waiting.priority);
-    fields("milliCores", waiting.milliCores);
+    fields("priority", backlog.priority);
+    fields("milliCores", backlog.milliCores);
 }
 
 // How often the agent's endpoint crashed while it ran the task, as far as the agent remembers
@@ -253,11 +253,11 @@
     std::vector<CrashReport> crashed;
 };
 template<class Fields>
-void describe(Fields &fields, SessionAccepted &welcome)
+void describe(Fields &fields, SessionAccepted &accepted)
 {
-    fields("incarnation", welcome.incarnation);
-    fields("endpoint", welcome.endpoint);
-    fields("crashed", welcome.crashed);
+    fields("incarnation", accepted.incarnation);
+    fields("endpoint", accepted.endpoint);
+    fields("crashed", accepted.crashed);
 }
 
 // Changes at the agent. Contains all that happened before `free` was computed.
@@ -276,8 +276,7 @@
     // Waiting starts of all entries, one row per priority, most urgent first
     std::vector<PriorityBacklog> waiting;
 
-    // Rate at which runs of all entries recently released capacity, in thousandths of a core per
-    // second
+    // Capacity recently freed by runs of all entries, in thousandths of a core per second
     std::uint32_t freedPerSecond = 0;
     std::vector<RunReport> ended;
     std::vector<StragglerReport> stragglers;
--- a/packages/jobs/src/messages.cpp
+++ b/packages/jobs/src/messages.cpp
@@ -9,9 +9,9 @@
 
 // [SECTION] Names
 
-const char *toString(RunOutcome end)
+const char *toString(RunOutcome outcome)
 {
-    switch (end) {
+    switch (outcome) {
     case RunOutcome::Done:
         return "done";
     case RunOutcome::Failed:
@@ -30,9 +30,9 @@
     return "never-began";
 }
 
-const char *toString(StartRefusal why)
+const char *toString(StartRefusal refusal)
 {
-    switch (why) {
+    switch (refusal) {
     case StartRefusal::None:
         return "none";
     case StartRefusal::NoCapacity:
--- a/packages/lag/include/foxwing/lag/lag.h
+++ b/packages/lag/include/foxwing/lag/lag.h
@@ -2,8 +2,8 @@
     Event-loop lag of this process, and whether it should withdraw from load balancing.
 
     A process that gets too little CPU time answers late without noticing, since it measures a call
-    from when it reads it. The lateness of event-loop turns shows the delay: each turn begins late
-    by the time that the loop spent before it.
+    from when it reads it. The delay of event-loop turns shows it: each turn begins late by the time
+    that the loop spent before.
 
     While the process lags, a call's time counts from when it was received instead of when it was
     read. The process also withdraws for a bounded time: it asks its callers to use other processes.
@@ -38,67 +38,67 @@
     // The process withdraws above this average lag; zero: never.
     Milliseconds withdrawAbove { 0 };
 
-    // Lag has ended below this or below half of the bound above, whichever is less.
-    Milliseconds takeAgainBelow { 5 };
+    // It no longer lags when the average is below this and below half of withdrawAbove.
+    Milliseconds resumeBelow { 5 };
 
     // Time constant of the average
-    Milliseconds span { 500 };
+    Milliseconds window { 500 };
 
-    // Upper limit for the lateness of one turn, so that the average falls in bounded time
-    Milliseconds mostLate { 500 };
+    // Maximum delay counted for one turn, so that the average falls in bounded time
+    Milliseconds maxDelay { 500 };
 
     // Slow turns during startup must not keep a new process out of service.
     Milliseconds startupGrace { 3000 };
 
     // Minimum duration of a withdrawal. Long enough for a load balancer that checks every second
     // and needs two failures to stop sending new connections.
-    Milliseconds leastPause { 2500 };
+    Milliseconds minWithdrawal { 2500 };
 
     // Maximum duration, exceeded by at most one turn: a process that always lags must not stay out
     // of service.
-    Milliseconds mostPause { 3800 };
+    Milliseconds maxWithdrawal { 3800 };
 
     // Minimum time in service between two withdrawals, as a multiple of the duration of the last
     // one. Bounds the time out of service of a process that always lags.
-    std::uint32_t workForPauses = 15;
+    std::uint32_t serviceRatio = 15;
 
     // Connections are closed this long after the start of a withdrawal. Earlier, the load balancer
     // could send a reconnecting caller back to this process.
-    Milliseconds noticedAfter { 2000 };
+    Milliseconds closeAfter { 2000 };
 
     // Probability that a lagging process withdraws, in percent, so that not all do at once. The
     // others draw again after the interval below, when the first are back.
-    std::uint32_t standBackPercent = 75;
-    Milliseconds askAgainAfter { 4000 };
+    std::uint32_t withdrawPercent = 75;
+    Milliseconds redrawInterval { 4000 };
 };
 
 // [SECTION] State
 
 // Window of the median filter, which ignores single long turns.
-constexpr std::size_t JudgedTurns = 3;
+constexpr std::size_t MedianTurns = 3;
 
 struct LagState
 {
     LagSettings settings;
     std::mt19937_64 random;
 
-    // Lateness of the last turns (ring buffer)
-    std::array<Microseconds, JudgedTurns> late {};
+    // Delays of the last turns (ring buffer)
+    std::array<Microseconds, MedianTurns> delays {};
     std::size_t next = 0;
 
-    // Moving average of the lateness of turns
+    // Moving average of the turns' delays
     Microseconds averageDelay { 0 };
 
     // Time of the last turn; unset before the first
-    Time at {};
+    Time lastTurnAt {};
 
     // Whether the process lags, with hysteresis
-    bool slow = false;
+    bool lagging = false;
 
     // Whether it has withdrawn, since when, and the earliest time of the next withdrawal
-    bool back = false;
+    bool withdrawn = false;
     Time withdrawnSince {};
-    Time mayStandBackFrom {};
+    Time nextWithdrawalAt {};
     std::uint64_t withdrawals = 0;
 };
 
--- a/packages/lag/src/lag.cpp
+++ b/packages/lag/src/lag.cpp
@@ -1,5 +1,5 @@
 /*
-    Average lateness of event-loop turns, and the decision to withdraw or return.
+    Average delay of event-loop turns, and the decision to withdraw or return.
 
     [SECTION] Measurement
     [SECTION] Decision
@@ -16,68 +16,70 @@
 
 // [SECTION] Measurement
 
-Microseconds middle(std::array<Microseconds, JudgedTurns> late)
+Microseconds median(std::array<Microseconds, MedianTurns> delays)
 {
-    std::sort(late.begin(), late.end());
-    return late[JudgedTurns / 2];
+    std::sort(delays.begin(), delays.end());
+    return delays[MedianTurns / 2];
 }
 
 // Updates the average; a turn's weight depends on the time since the turn before.
-void measure(LagState &lag, Microseconds late, Time now)
+void updateAverage(LagState &lag, Microseconds delay, Time now)
 {
-    lag.late[lag.next] = std::clamp<Microseconds>(late, Microseconds(0), lag.settings.mostLate);
-    lag.next = (lag.next + 1) % JudgedTurns;
-    const double spans = toMilliseconds(now - lag.at) / toMilliseconds(lag.settings.span);
-    const double weight = 1 - std::exp(-spans);
-    const double step = weight * toMilliseconds(middle(lag.late) - lag.averageDelay);
+    lag.delays[lag.next] = std::clamp<Microseconds>(delay, Microseconds(0), lag.settings.maxDelay);
+    lag.next = (lag.next + 1) % MedianTurns;
+    const double windows = toMilliseconds(now - lag.lastTurnAt)
+            / toMilliseconds(lag.settings.window);
+    const double weight = 1 - std::exp(-windows);
+    const double change = weight * toMilliseconds(median(lag.delays) - lag.averageDelay);
     lag.averageDelay += std::chrono::duration_cast<Microseconds>(
-            std::chrono::duration<double, std::milli>(step));
+            std::chrono::duration<double, std::milli>(change));
 }
 
 // [SECTION] Decision
 
-void judge(LagState &lag)
+void updateLagging(LagState &lag)
 {
-    const Microseconds above = lag.settings.withdrawAbove;
-    const Microseconds below = std::min<Microseconds>(lag.settings.takeAgainBelow, above / 2);
-    if (above.count() > 0 && lag.averageDelay > above)
-        lag.slow = true;
-    else if (lag.averageDelay < below)
-        lag.slow = false;
+    const Microseconds upper = lag.settings.withdrawAbove;
+    const Microseconds lower = std::min<Microseconds>(lag.settings.resumeBelow, upper / 2);
+    if (upper.count() > 0 && lag.averageDelay > upper)
+        lag.lagging = true;
+    else if (lag.averageDelay < lower)
+        lag.lagging = false;
 }
 
-bool drawsToStandBack(LagState &lag)
+bool drawsToWithdraw(LagState &lag)
 {
     // Remainder instead of a standard distribution, whose results differ between libraries.
-    constexpr std::uint64_t All = 100;
-    return lag.random() % All < lag.settings.standBackPercent;
+    constexpr std::uint64_t Hundred = 100;
+    return lag.random() % Hundred < lag.settings.withdrawPercent;
 }
 
-bool standBackIfDue(LagState &lag, Time now)
+bool withdrawIfDue(LagState &lag, Time now)
 {
     // The average falls slowly, so check that turns are still late.
-    const bool over = middle(lag.late) <= lag.settings.withdrawAbove;
-    if (!lag.slow || over || now < lag.mayStandBackFrom)
+    const bool onTime = median(lag.delays) <= lag.settings.withdrawAbove;
+    if (!lag.lagging || onTime || now < lag.nextWithdrawalAt)
         return false;
-    if (!drawsToStandBack(lag)) {
-        lag.mayStandBackFrom = now + lag.settings.askAgainAfter;
+    if (!drawsToWithdraw(lag)) {
+        lag.nextWithdrawalAt = now + lag.settings.redrawInterval;
         return false;
     }
-    lag.back = true;
+    lag.withdrawn = true;
     lag.withdrawnSince = now;
     ++lag.withdrawals;
     return true;
 }
 
-bool takeAgainIfDue(LagState &lag, Time now)
+bool resumeIfDue(LagState &lag, Time now)
 {
-    const Microseconds paused = now - lag.withdrawnSince;
-    if (paused < lag.settings.leastPause || (lag.slow && paused < lag.settings.mostPause))
+    const Microseconds duration = now - lag.withdrawnSince;
+    if (duration < lag.settings.minWithdrawal
+        || (lag.lagging && duration < lag.settings.maxWithdrawal))
         return false;
-    lag.back = false;
+    lag.withdrawn = false;
     // A suspended host has not been withdrawn for all of the time suspended.
-    const Microseconds counted = std::min<Microseconds>(paused, lag.settings.mostPause);
-    lag.mayStandBackFrom = now + counted * lag.settings.workForPauses;
+    const Microseconds counted = std::min<Microseconds>(duration, lag.settings.maxWithdrawal);
+    lag.nextWithdrawalAt = now + counted * lag.settings.serviceRatio;
     return true;
 }
 
@@ -95,30 +97,30 @@
 
 bool recordTurn(LagState &lag, Time dueAt, Time now)
 {
-    if (lag.at == Time {}) {
-        lag.at = now;
-        lag.mayStandBackFrom = now + lag.settings.startupGrace;
+    if (lag.lastTurnAt == Time {}) {
+        lag.lastTurnAt = now;
+        lag.nextWithdrawalAt = now + lag.settings.startupGrace;
         return false;
     }
-    measure(lag, now - dueAt, now);
-    lag.at = now;
-    judge(lag);
-    return lag.back ? takeAgainIfDue(lag, now) : standBackIfDue(lag, now);
+    updateAverage(lag, now - dueAt, now);
+    lag.lastTurnAt = now;
+    updateLagging(lag);
+    return lag.withdrawn ? resumeIfDue(lag, now) : withdrawIfDue(lag, now);
 }
 
 bool isWithdrawn(const LagState &lag)
 {
-    return lag.back;
+    return lag.withdrawn;
 }
 
 bool closesConnections(const LagState &lag)
 {
-    return lag.back && lag.at >= lag.withdrawnSince + lag.settings.noticedAfter;
+    return lag.withdrawn && lag.lastTurnAt >= lag.withdrawnSince + lag.settings.closeAfter;
 }
 
 bool isLagging(const LagState &lag)
 {
-    return lag.slow;
+    return lag.lagging;
 }
 
 } // namespace foxwing::lag
--- a/packages/scheduler/src/ending.cpp
+++ b/packages/scheduler/src/ending.cpp
@@ -340,9 +340,10 @@
     if (report.end != RunOutcome::NeverStarted)
         noteRoomOf(scheduler, agent, *job, *task, report.end, now);
     if (report.end == RunOutcome::Done && !job->over) {
-        taskDone(scheduler, *job, *task, report.took, now, actions);
+        taskDone(scheduler, *job, *task, report.duration, now, actions);
     } else if (report.end == RunOutcome::Failed && !job->over) {
-        actions.events.push_back(taskEvent("task-failed", *job, *task).with("ran_ms", report.took));
+        actions.events.push_back(
+                taskEvent("task-failed", *job, *task).with("ran_ms", report.duration));
         taskFailed(scheduler, *job, *task, now, actions);
     } else if (report.end == RunOutcome::Crashed && !job->over) {
         taskCrashed(scheduler, *job, *task, now, actions);
--- a/packages/scheduler/tests/order_test.cpp
+++ b/packages/scheduler/tests/order_test.cpp
@@ -242,7 +242,7 @@
         const std::string id = "past-" + std::to_string(i);
         bench.submit(id, 1);
         jobs::RunReport report = endOf(id, 0, 1, RunOutcome::Done);
-        report.took = Milliseconds(200);
+        report.duration = Milliseconds(200);
         bench.report("agent-0", { report });
     }
     bench.submit("next", 1);
@@ -257,7 +257,7 @@
     Bench bench({ 100000 });
     bench.submit("job", 1);
     jobs::RunReport report = endOf("job", 0, 1, RunOutcome::Done);
-    report.took = Milliseconds(200);
+    report.duration = Milliseconds(200);
     bench.report("agent-0", { report });
     keepQueues(bench.scheduler, { "queue" });
     EXPECT_EQ(bench.scheduler.runTimes.size(), 1U);
--- a/packages/shares/include/foxwing/shares/shares.h
+++ b/packages/shares/include/foxwing/shares/shares.h
@@ -9,7 +9,7 @@
         ShareState shares;
         recordRequested(shares, "route-check", work, now);
         recordRefused(shares, "route-check", work, now);
-        if (isBelowGuarantee(shares, "route-check", now)) ... let its next job go first ...
+        if (isBelowGuarantee(shares, "route-check", now)) ... serve its next job first ...
 
     [SECTION] Settings
     [SECTION] State
@@ -35,7 +35,7 @@
 
     // Time constant of the decaying sums. It should cover several jobs of each queue, so that a
     // single job doesn't change the result, and be shorter than an overload.
-    Milliseconds span { 2000 };
+    Milliseconds window { 2000 };
 };
 
 // [SECTION] State
@@ -44,9 +44,9 @@
 struct QueueShare
 {
     // Exponentially decaying sums of work, in thousandths of a core times milliseconds
-    double asked = 0;
+    double requested = 0;
     double refused = 0;
-    Time at {};
+    Time updatedAt {};
 
     // Number of jobs since the queue was declared
     std::uint64_t requestedJobs = 0;
--- a/packages/shares/src/shares.cpp
+++ b/packages/shares/src/shares.cpp
@@ -16,24 +16,24 @@
 
 namespace {
 
-// A queue without jobs for this many spans counts as fully served. Both sums decay at the same
+// A queue without jobs for this many windows counts as fully served. Both sums decay at the same
 // rate, so their ratio alone would never recover from a refusal.
-constexpr int ForgottenAfterSpans = 3;
+constexpr int RetentionWindows = 3;
 
-void fade(const ShareSettings &settings, QueueShare &share, Time now)
+void decay(const ShareSettings &settings, QueueShare &share, Time now)
 {
-    const double spans = std::chrono::duration<double>(now - share.at)
-            / std::chrono::duration<double>(settings.span);
-    const double part = std::exp(-std::max(0.0, spans));
-    share.asked *= part;
-    share.refused *= part;
-    share.at = std::max(share.at, now);
+    const double windows = std::chrono::duration<double>(now - share.updatedAt)
+            / std::chrono::duration<double>(settings.window);
+    const double factor = std::exp(-std::max(0.0, windows));
+    share.requested *= factor;
+    share.refused *= factor;
+    share.updatedAt = std::max(share.updatedAt, now);
 }
 
-QueueShare &fadedShare(ShareState &shares, const std::string &queue, Time now)
+QueueShare &decayedShare(ShareState &shares, const std::string &queue, Time now)
 {
     QueueShare &share = shares.queues[queue];
-    fade(shares.settings, share, now);
+    decay(shares.settings, share, now);
     return share;
 }
 
@@ -43,31 +43,31 @@
 
 void recordRequested(ShareState &shares, const std::string &queue, std::int64_t work, Time now)
 {
-    QueueShare &share = fadedShare(shares, queue, now);
-    share.asked += static_cast<double>(std::max<std::int64_t>(0, work));
+    QueueShare &share = decayedShare(shares, queue, now);
+    share.requested += static_cast<double>(std::max<std::int64_t>(0, work));
     ++share.requestedJobs;
 }
 
 void recordRefused(ShareState &shares, const std::string &queue, std::int64_t work, Time now)
 {
-    QueueShare &share = fadedShare(shares, queue, now);
+    QueueShare &share = decayedShare(shares, queue, now);
     share.refused += static_cast<double>(std::max<std::int64_t>(0, work));
     ++share.refusedJobs;
 }
 
 std::uint32_t servedPercent(const ShareState &shares, const std::string &queue, Time now)
 {
-    constexpr double All = 100;
+    constexpr double Hundred = 100;
     const auto found = shares.queues.find(queue);
     if (found == shares.queues.end())
-        return static_cast<std::uint32_t>(All);
+        return static_cast<std::uint32_t>(Hundred);
     const QueueShare &share = found->second;
-    const bool quiet = now - share.at > shares.settings.span * ForgottenAfterSpans;
-    if (quiet || share.asked <= 0)
-        return static_cast<std::uint32_t>(All);
+    const bool idle = now - share.updatedAt > shares.settings.window * RetentionWindows;
+    if (idle || share.requested <= 0)
+        return static_cast<std::uint32_t>(Hundred);
     // A refusal follows its request and has decayed less, so the ratio may exceed 1.
-    const double refused = std::min(1.0, share.refused / share.asked);
-    return static_cast<std::uint32_t>(std::lround(All * (1 - refused)));
+    const double refused = std::min(1.0, share.refused / share.requested);
+    return static_cast<std::uint32_t>(std::lround(Hundred * (1 - refused)));
 }
 
 bool isBelowGuarantee(const ShareState &shares, const std::string &queue, Time now)
--- a/packages/subset/include/foxwing/subset/subset.h
+++ b/packages/subset/include/foxwing/subset/subset.h
@@ -14,7 +14,7 @@
         SubsetState subset = makeSubset(settings, "entry-7", "north");
         applyUpdate(subset, controlHost, update);
         const SubsetChanges changes = choose(subset, now);
-        ... connect to changes.added, close idle sessions of changes.spare ...
+        ... connect to changes.added, close idle sessions of changes.surplus ...
 
     [SECTION] Settings
     [SECTION] State
@@ -49,7 +49,7 @@
     std::size_t wholePercent = 150;
 
     // Part of the subset in the entry's own data centre, in percent
-    std::size_t homePercent = 75;
+    std::size_t localPercent = 75;
 
     // Step by which the subset grows and shrinks, in percent of the minimum, and pauses between
     // steps, in which new sessions show whether they suffice. After a restart of control hosts few
@@ -59,17 +59,17 @@
     Milliseconds shrinkInterval { 10000 };
 
     // Maximum size while work finds no free capacity, as a multiple of the usual size
-    std::size_t mostGrowth = 4;
+    std::size_t maxGrowth = 4;
 
     // A chosen agent that is unreachable for this long no longer counts towards the size.
     Milliseconds replaceAfter { 1000 };
 
     // An agent that is no longer chosen keeps its session for this long in case it is chosen again.
-    Milliseconds spareFor { 5000 };
+    Milliseconds surplusRetention { 5000 };
 
     // Number of agents added for a requirement that no agent in the subset meets, and for how long
-    std::size_t perNeed = 4;
-    Milliseconds needFor { 30000 };
+    std::size_t agentsPerRequirement = 4;
+    Milliseconds requirementRetention { 30000 };
 };
 
 // [SECTION] State
@@ -85,18 +85,18 @@
     std::set<std::string> listedBy;
 
     // A session is open or being opened.
-    bool kept = false;
+    bool hasSession = false;
     bool connected = false;
 
     // Start of the current time with a session but no connection
-    Time awaySince {};
+    Time disconnectedSince {};
 
     // The session is open but the agent is no longer chosen, and since when
     bool surplus = false;
-    Time spareSince {};
+    Time surplusSince {};
 
     // Chosen for a job's requirement until then
-    Time neededUntil {};
+    Time requiredUntil {};
 };
 
 struct SubsetState
@@ -109,16 +109,16 @@
     std::map<std::string, ListedAgent> agents;
 
     // Number of live entries as counted by each control host
-    std::map<std::string, std::uint32_t> entriesBy;
+    std::map<std::string, std::uint32_t> entryCounts;
 
     // Data centres whose agents accept no new work
     catalog::Cordons cordons;
 
     // Target number of agents of each service, and the growth steps above the usual size in it
     std::size_t size = 0;
-    std::size_t widening = 0;
-    Time changedAt {};
-    Time wantedAt {};
+    std::size_t growthSteps = 0;
+    Time resizedAt {};
+    Time growthRequestedAt {};
 
     // Estimated number of entries that share the subset's capacity, including this one
     std::uint32_t sharingEntries = 1;
@@ -129,7 +129,7 @@
 };
 
 // What a task requires of an endpoint
-struct Need
+struct Requirement
 {
     std::string service;
 
@@ -165,7 +165,7 @@
 void removeControlHost(SubsetState &subset, const std::string &host);
 void takeCordons(SubsetState &subset, const catalog::Cordons &cordons);
 
-void connected(SubsetState &subset, const std::string &agent);
+void sessionOpened(SubsetState &subset, const std::string &agent);
 void connectionLost(SubsetState &subset, const std::string &agent, Time now);
 
 // Its session was closed because it was no longer needed.
@@ -176,13 +176,13 @@
 
 // Ensures that the subset has an agent that meets a job's requirement: if it has none, the next
 // choice adds some. False if no listed agent meets it.
-bool requireAgents(SubsetState &subset, const Need &need, Time now);
+bool requireAgents(SubsetState &subset, const Requirement &requirement, Time now);
 
 // Computes the changes to the sessions. Cheap if the input has not changed.
 SubsetChanges choose(SubsetState &subset, Time now);
 
 // Whether this entry prefers `left` to `right`.
-bool goesFirst(const ListedAgent *left, const ListedAgent *right);
+bool ranksBefore(const ListedAgent *left, const ListedAgent *right);
 
 // Number of agents with a session that is open or being opened.
 std::size_t sessionCount(const SubsetState &subset);
--- a/packages/subset/src/subset.cpp
+++ b/packages/subset/src/subset.cpp
@@ -3,7 +3,7 @@
 
     [SECTION] Updates
     [SECTION] Sessions
-    [SECTION] Needs
+    [SECTION] Requirements
 */
 #include <foxwing/subset/subset.h>
 
@@ -28,20 +28,20 @@
 
 namespace {
 
-void unlist(SubsetState &subset, const std::string &address, const std::string &host)
+void removeListing(SubsetState &subset, const std::string &address, const std::string &host)
 {
     const auto found = subset.agents.find(address);
     if (found != subset.agents.end() && found->second.listedBy.erase(host) > 0)
         subset.changed = true;
 }
 
-void unlistAll(SubsetState &subset, const std::string &host)
+void removeListings(SubsetState &subset, const std::string &host)
 {
     for (auto &[address, agent] : subset.agents)
         subset.changed |= agent.listedBy.erase(host) > 0;
 }
 
-void list(SubsetState &subset, const directory::NodeInfo &node, const std::string &host)
+void addListing(SubsetState &subset, const directory::NodeInfo &node, const std::string &host)
 {
     ListedAgent &agent = subset.agents[node.address];
     if (agent.weight == 0)
@@ -59,25 +59,25 @@
 void applyUpdate(SubsetState &subset, const std::string &from,
                  const directory::DirectoryUpdate &update)
 {
-    subset.entriesBy[from] = update.entries;
+    subset.entryCounts[from] = update.entries;
     if (update.whole)
-        unlistAll(subset, from);
+        removeListings(subset, from);
     for (const std::string &address : update.gone)
-        unlist(subset, address, from);
+        removeListing(subset, address, from);
     for (const directory::NodeInfo &node : update.nodes) {
         // An address may return with another role.
         if (node.role == directory::Role::Agent)
-            list(subset, node, from);
+            addListing(subset, node, from);
         else
-            unlist(subset, node.address, from);
+            removeListing(subset, node.address, from);
     }
     subset.changed = true;
 }
 
 void removeControlHost(SubsetState &subset, const std::string &host)
 {
-    subset.entriesBy.erase(host);
-    unlistAll(subset, host);
+    subset.entryCounts.erase(host);
+    removeListings(subset, host);
 }
 
 void takeCordons(SubsetState &subset, const catalog::Cordons &cordons)
@@ -90,7 +90,7 @@
 
 // [SECTION] Sessions
 
-void connected(SubsetState &subset, const std::string &agent)
+void sessionOpened(SubsetState &subset, const std::string &agent)
 {
     const auto found = subset.agents.find(agent);
     if (found == subset.agents.end())
@@ -105,7 +105,7 @@
     if (found == subset.agents.end())
         return;
     found->second.connected = false;
-    found->second.awaySince = now;
+    found->second.disconnectedSince = now;
     subset.changed = true;
 }
 
@@ -114,13 +114,13 @@
     const auto found = subset.agents.find(agent);
     if (found == subset.agents.end())
         return;
-    found->second.kept = false;
+    found->second.hasSession = false;
     found->second.connected = false;
     found->second.surplus = false;
     subset.changed = true;
 }
 
-bool goesFirst(const ListedAgent *left, const ListedAgent *right)
+bool ranksBefore(const ListedAgent *left, const ListedAgent *right)
 {
     return left->weight > right->weight;
 }
@@ -129,49 +129,50 @@
 {
     return static_cast<std::size_t>(
             std::count_if(subset.agents.begin(), subset.agents.end(),
-                          [](const auto &item) { return item.second.kept; }));
+                          [](const auto &item) { return item.second.hasSession; }));
 }
 
-// [SECTION] Needs
+// [SECTION] Requirements
 
 void requestGrowth(SubsetState &subset, Time now)
 {
-    subset.wantedAt = now;
+    subset.growthRequestedAt = now;
 }
 
 namespace {
 
-bool meets(const ListedAgent &agent, const Need &need)
+bool matches(const ListedAgent &agent, const Requirement &requirement)
 {
     const std::vector<std::string> &labels = agent.node.labels;
-    const auto has = [&](const std::string &label) {
+    const auto hasLabel = [&](const std::string &label) {
         return label.empty() || std::find(labels.begin(), labels.end(), label) != labels.end();
     };
-    return agent.node.service == need.service && has(need.label) && has(need.rack)
-            && jobs::fits(need.demand, agent.node.capacity);
+    return agent.node.service == requirement.service && hasLabel(requirement.label)
+            && hasLabel(requirement.rack) && jobs::fits(requirement.demand, agent.node.capacity);
 }
 
 } // namespace
 
-bool requireAgents(SubsetState &subset, const Need &need, Time now)
+bool requireAgents(SubsetState &subset, const Requirement &requirement, Time now)
 {
-    std::vector<ListedAgent *> meeting;
+    std::vector<ListedAgent *> candidates;
     for (auto &[address, agent] : subset.agents) {
-        if (!meets(agent, need) || catalog::isCordoned(subset.cordons, agent.node.dataCentre))
+        if (!matches(agent, requirement)
+            || catalog::isCordoned(subset.cordons, agent.node.dataCentre))
             continue;
         // Surplus agents and those added for an earlier requirement don't count: they would be
         // removed.
-        if (agent.kept && !agent.surplus && agent.neededUntil == Time {})
+        if (agent.hasSession && !agent.surplus && agent.requiredUntil == Time {})
             return true;
-        meeting.push_back(&agent);
+        candidates.push_back(&agent);
     }
-    const std::size_t wanted = std::min(subset.settings.perNeed, meeting.size());
-    std::partial_sort(meeting.begin(), meeting.begin() + static_cast<std::ptrdiff_t>(wanted),
-                      meeting.end(), goesFirst);
-    for (std::size_t i = 0; i < wanted; ++i)
-        meeting[i]->neededUntil = now + subset.settings.needFor;
-    subset.changed |= wanted > 0;
-    return wanted > 0;
+    const std::size_t count = std::min(subset.settings.agentsPerRequirement, candidates.size());
+    std::partial_sort(candidates.begin(), candidates.begin() + static_cast<std::ptrdiff_t>(count),
+                      candidates.end(), ranksBefore);
+    for (std::size_t i = 0; i < count; ++i)
+        candidates[i]->requiredUntil = now + subset.settings.requirementRetention;
+    subset.changed |= count > 0;
+    return count > 0;
 }
 
 } // namespace foxwing::subset
