--- a/packages/agent/include/foxwing/agent/agent.h
+++ b/packages/agent/include/foxwing/agent/agent.h
@@ -1,8 +1,8 @@
 /*
-    The agent: one small process beside each endpoint, and the last guard before a task starts.
+    The agent: one small process beside each endpoint, with the final check before a task starts.
 
-    Make an AgentState with makeAgent(), feed it messages, endpoint events and ticks, and carry out
-    the AgentActions that each call returns. Nothing in here reads a clock or talks to anybody:
+    Make an AgentState with makeAgent(), feed it messages, endpoint events and ticks, and apply the
+    AgentActions that each call returns. Nothing in here reads a clock or does I/O:
 
         AgentState agent = makeAgent(settings);
         AgentActions actions = handle(agent, Message(start), now);
@@ -10,8 +10,9 @@
             ...
 
     A task starts only if the message names this incarnation of the agent, comes from the owner that
-    holds the slot lease in its present epoch, is not fenced, not voided, not seen, and a slot is
-    free. Everything else is answered with a proof that it did not start.
+    holds the slot lease in its current epoch, is not fenced, voided or a duplicate, and a slot is
+    free. Any other start is refused with NotStarted, a guarantee that this attempt never starts; a
+    duplicate gets the result of its attempt, if there is one.
 
     [SECTION] Settings
     [SECTION] State
@@ -40,32 +41,32 @@
     std::string service;
     std::string dataCentre;
 
-    // Tasks that the endpoint runs at the same time.
+    // Number of tasks that the endpoint runs concurrently.
     std::uint32_t slots = 8;
 
     // An owner that has not answered an offer for this long loses the lease.
     Milliseconds leaseSpan { 1500 };
 
-    // Offers are renewed this often; must be well under leaseSpan.
+    // Interval between lease offers; must be well under leaseSpan.
     Milliseconds offerInterval { 400 };
 
-    // An unsettled result is sent again after this long, then with doubled waits.
+    // An unsettled result is resent after this interval, which doubles each time up to the maximum.
     Milliseconds resendInterval { 500 };
     Milliseconds longestResendInterval { 8000 };
 
-    // A job is remembered for this long after its last task here ended. Must be at least as long as
-    // entries keep claims, so that no forgotten start can be repeated.
+    // A job is kept this long after its last task here ended. Must be at least the claim retention
+    // of the entries, so that no start is repeated after its record has expired.
     Seconds retention { 900 };
 
-    // A settled result is kept this long, and within this many bytes, for an entry that takes over.
+    // Limits in time and bytes on settled results, which are kept for an entry that takes over.
     Seconds settledSpan { 30 };
     std::size_t settledBytes = 16U << 20U;
 
-    // Bytes of results whose owners have not settled them; above it nothing new is started.
+    // Limit on the bytes of unsettled results; once it is reached, no new task starts.
     std::size_t unsettledBytes = 64U << 20U;
 };
 
-// An entry that could own this agent's slots, as control last told.
+// An entry that can own this agent's slots, as last reported by control.
 struct EntryHint
 {
     std::string id;
@@ -130,7 +131,7 @@
     Time nextOffer {};
 };
 
-// What a team used here, counted once for each start.
+// Usage of one team at this agent, counted once per start.
 struct TeamUsage
 {
     std::uint64_t starts = 0;
@@ -157,7 +158,7 @@
     std::vector<EntryHint> entries;
     bool leaving = false;
 
-    // A configuration that could not be confirmed for too long: nothing new is started.
+    // The configuration has not been confirmed for too long: no new task starts.
     bool configurationStale = false;
 
     // Work
@@ -182,7 +183,7 @@
     FromAgent message;
 };
 
-// Call the endpoint with this task; report the end with endpointDone().
+// Call the endpoint with this task; report the outcome with endpointDone().
 struct EndpointCall
 {
     TaskRef ref;
@@ -191,7 +192,7 @@
     Microseconds timeLeft { 0 };
 };
 
-// Tell the endpoint to stop this task; its call still ends by itself.
+// Ask the endpoint to stop this task; its call still ends with endpointDone().
 struct EndpointStop
 {
     TaskRef ref;
@@ -206,31 +207,32 @@
 
 // [SECTION] Functions
 
-// A fresh agent that knows nothing. The incarnation must differ from every earlier one of this id.
+// An agent without a lease or jobs. The incarnation must differ from every earlier one of this id.
 AgentState makeAgent(const AgentSettings &settings);
 
-// One message from an entry.
+// Handles one message from an entry.
 AgentActions handle(AgentState &agent, const ToAgent &message, Time now);
 
-// The endpoint answered, or the call to it ended in some other way.
+// Reports the end of a call to the endpoint: an answer, a failure or a cancellation.
 AgentActions endpointDone(AgentState &agent, const TaskRef &ref, TaskEnd end, std::string body,
                           Time now);
 
-// Control's newest list of entries; a dead owner loses the lease at once.
+// Sets the live entries as reported by control. An owner not among them loses the lease at once.
 AgentActions setEntries(AgentState &agent, std::vector<EntryHint> entries, Time now);
 
-// The endpoint leaves: nothing new starts from now on, what runs is finished.
+// The endpoint is leaving: no new task starts, running tasks are finished.
 AgentActions leave(AgentState &agent, Time now);
 
-// Renews leases, repeats results, ends overdue tasks, forgets old jobs. Call it every few
-// milliseconds; doing so more often changes nothing.
+// Renews the lease, resends results, stops overdue tasks and removes expired jobs. Call it every
+// few milliseconds; calling it more often has no further effect.
 AgentActions tick(AgentState &agent, Time now);
 
-// Whether nothing runs and every result is settled, so that the process may end.
+// Whether no task runs and every result is settled, so that the process may exit.
 bool drained(const AgentState &agent);
 
 // The entry that should own an agent: the highest rendezvous weight among those of its own data
-// centre, or among all if there are none. Empty when there are no entries.
+// centre, or among all if there are none. `excluded` is chosen only if it is the only entry. Null
+// if there are no entries.
 const EntryHint *preferredOwner(const std::string &agentId, const std::string &dataCentre,
                                 const std::vector<EntryHint> &entries, const std::string &excluded);
 
--- a/packages/agent/include/foxwing/agent/messages.h
+++ b/packages/agent/include/foxwing/agent/messages.h
@@ -1,8 +1,8 @@
 /*
-    What an agent is told and what it tells.
+    Messages between entries and agents.
 
-    Agents talk to entries only. All messages are one-way and may be lost, doubled or late; none of
-    them is needed to keep the promise that a task starts once, only to make progress.
+    Agents communicate with entries only. All messages are one-way and may be lost, duplicated or
+    delayed. Progress depends on them; the guarantee that a task starts at most once does not.
 
     [SECTION] References
     [SECTION] To the agent
@@ -32,7 +32,7 @@
     // Position of the task in its job, from 0.
     std::uint32_t task = 0;
 
-    // Grows by one each time an earlier attempt was proved never to have started.
+    // Increases by one each time the previous attempt is proved never to have started.
     std::uint32_t attempt = 0;
 };
 template<class Fields>
@@ -49,7 +49,7 @@
     Failed,
     Cancelled,
     DeadlinePassed,
-    // The endpoint could not be reached at all: certain not to have run.
+    // The endpoint could not be reached, so the task did not run.
     Unreachable,
 };
 constexpr TaskEnd lastOf(TaskEnd)
@@ -57,13 +57,13 @@
     return TaskEnd::Unreachable;
 }
 
-// Why an agent did not start a task. Each is a proof that this attempt never will.
+// Why an agent refused to start a task. Each cause guarantees that this attempt never starts.
 enum class RefusalCause {
     WrongIncarnation,
     WrongLease,
     Fenced,
     AlreadyVoided,
-    // Another attempt of the same task ran here: the only refusal that forbids a retry.
+    // Another attempt of the same task runs or ran here: the only refusal that forbids a retry.
     OtherAttemptStarted,
     NoFreeSlot,
     Leaving,
@@ -76,7 +76,7 @@
     return RefusalCause::EndpointUnreachable;
 }
 
-// What an agent knows of one task when it is asked by a new owner.
+// State of one task, reported to a new owner of its job.
 struct KnownTask
 {
     TaskRef ref;
@@ -85,7 +85,7 @@
     TaskEnd end = TaskEnd::Failed;
     std::string body;
 
-    // False once a settled result was forgotten.
+    // False once the body of a settled result has been dropped.
     bool bodyKept = true;
 };
 template<class Fields>
@@ -110,14 +110,14 @@
     TaskRef ref;
     std::string team;
 
-    // Who asks, and by what right
+    // Sender, and the epochs that authorise it
     std::string owner;
     std::uint64_t ownerIncarnation = 0;
     std::uint64_t jobEpoch = 0;
     std::uint64_t leaseEpoch = 0;
     std::uint64_t agentIncarnation = 0;
 
-    // The work; timeLeft is counted from the arrival at the agent.
+    // The work; timeLeft counts from the arrival at the agent.
     Microseconds timeLeft { 0 };
     std::string payload;
 };
@@ -167,7 +167,7 @@
     fields("agentIncarnation", message.agentIncarnation);
 }
 
-// The owner has these results; the agent may forget the bodies.
+// The owner has received these results; the agent may drop the bodies.
 struct Settle
 {
     static constexpr const char *Type = "settle";
@@ -179,7 +179,7 @@
     fields("refs", message.refs);
 }
 
-// A new owner takes a job over: refuse every earlier epoch, and tell what you know of the job.
+// A new owner takes a job over: refuse every earlier epoch, and report the state of its tasks.
 struct Fence
 {
     static constexpr const char *Type = "fence";
@@ -195,7 +195,7 @@
     fields("owner", fence.owner);
 }
 
-// The owner holds the lease that the agent offered.
+// The owner accepts the lease that the agent offered.
 struct LeaseTaken
 {
     static constexpr const char *Type = "lease-taken";
@@ -213,7 +213,7 @@
     fields("agentIncarnation", taken.agentIncarnation);
 }
 
-// The owner gives the lease up in favour of another entry.
+// The owner hands the lease over to another entry.
 struct Yield
 {
     static constexpr const char *Type = "yield";
@@ -233,7 +233,8 @@
 
 // [SECTION] From the agent
 
-// All slots of this worker are yours until you stop answering or a higher epoch is offered.
+// Leases all slots of this agent to the receiver, until it stops answering or a higher epoch is
+// offered.
 struct LeaseOffer
 {
     static constexpr const char *Type = "lease-offer";
@@ -244,10 +245,10 @@
     std::string dataCentre;
     std::uint32_t slots = 0;
 
-    // Slots taken by tasks of any owner, the earlier ones included.
+    // Slots in use by tasks of any owner, former owners included.
     std::uint32_t busy = 0;
 
-    // The endpoint is leaving: finish what runs, send nothing new.
+    // The agent is leaving: running tasks are finished, new starts are refused.
     bool leaving = false;
 };
 template<class Fields>
@@ -263,7 +264,7 @@
     fields("leaving", offer.leaving);
 }
 
-// The task ran to its end. Repeated until settled.
+// The task ran and ended. Resent until settled.
 struct Finished
 {
     static constexpr const char *Type = "finished";
@@ -287,7 +288,7 @@
     fields("runTime", finished.runTime);
 }
 
-// The task did not start and this attempt never will.
+// The task did not start, and this attempt never will.
 struct NotStarted
 {
     static constexpr const char *Type = "not-started";
@@ -305,7 +306,7 @@
     fields("cause", message.cause);
 }
 
-// The task runs here: the answer to a Void that came too late.
+// The task has started here: the answer to a Void that came too late.
 struct Started
 {
     static constexpr const char *Type = "started";
@@ -321,7 +322,7 @@
     fields("agentIncarnation", message.agentIncarnation);
 }
 
-// Sent to entries whose tasks still run here although the slots are leased to another entry by now.
+// Sent to former owners whose tasks still run here while another entry holds the lease.
 struct Alive
 {
     static constexpr const char *Type = "alive";
@@ -335,7 +336,7 @@
     fields("agentIncarnation", alive.agentIncarnation);
 }
 
-// The answer to a Fence: all that this incarnation of the agent knows of the job.
+// The answer to a Fence: state of all tasks of the job that this incarnation of the agent knows.
 struct Fenced
 {
     static constexpr const char *Type = "fenced";
--- a/packages/agent/src/agent.cpp
+++ b/packages/agent/src/agent.cpp
@@ -1,5 +1,5 @@
 /*
-    The agent's decisions.
+    Implementation of the agent: starts, refusals, results and their retention.
 
     [SECTION] Records
     [SECTION] Answers
@@ -106,7 +106,7 @@
 
 // [SECTION] Messages
 
-// The reason why a start must be refused, if there is one.
+// Why a start must be refused; none if it may run.
 std::optional<RefusalCause> refusal(const AgentState &agent, const Start &start)
 {
     const AgentSettings &settings = agent.settings;
@@ -132,7 +132,7 @@
     return std::nullopt;
 }
 
-// Answers a start that was seen before. Never starts anything.
+// Answers a duplicate start. Never starts a task.
 void answerSeen(AgentState &agent, const Start &start, Assignment &assignment, Time now,
                 AgentActions &actions)
 {
@@ -170,7 +170,7 @@
     const std::optional<RefusalCause> cause = refusal(agent, start);
     if (!cause)
         return beginTask(agent, start, now, actions);
-    // A refusal is a promise: the same message may come again when the cause is gone.
+    // A refusal is final: a duplicate that arrives once the cause is gone must not start the task.
     recordVoid(agent, start.ref, now);
     refuse(agent, start, *cause, actions);
 }
@@ -188,7 +188,7 @@
                 AgentActions &actions)
 {
     if (message.agentIncarnation != agent.settings.incarnation)
-        return; // the owner learns from the next offer that the earlier incarnation is gone
+        return; // the next offer tells the owner that the earlier incarnation is gone
     const Assignment *seen = findAssignment(agent, message.ref);
     if (!seen)
         recordVoid(agent, message.ref, now);
--- a/packages/agent/src/lease.cpp
+++ b/packages/agent/src/lease.cpp
@@ -1,8 +1,8 @@
 /*
-    Slot leases: the agent chooses the one entry that may start work on its slots.
+    Slot leases: the agent chooses the one entry that may start tasks on its slots.
 
-    The epoch rises whenever the owner changes, and a start in an earlier epoch is refused, so an
-    owner that slept through its lease can do no harm when it wakes up.
+    The epoch increases whenever the owner changes, and a start in an earlier epoch is refused. So
+    an owner that was paused until its lease expired cannot start tasks when it resumes.
 
     [SECTION] Choice
     [SECTION] Renewal
@@ -86,7 +86,7 @@
     agent.lease.nextOffer = now + settings.offerInterval;
 }
 
-// Earlier owners hear nothing of the lease any more; without this they would give up their tasks.
+// Former owners no longer receive offers; without these messages they would give up their tasks.
 void reassureEarlierOwners(const AgentState &agent, AgentActions &actions)
 {
     std::vector<std::string> told { agent.lease.owner };
--- a/packages/agent/src/lease.h
+++ b/packages/agent/src/lease.h
@@ -1,5 +1,5 @@
 /*
-    Inside the agent: who owns its slots.
+    Lease of the agent's slots, internal to the agent.
 
     [SECTION] Functions
 */
@@ -11,19 +11,19 @@
 
 // [SECTION] Functions
 
-// Takes the owner's word that it holds the present epoch.
+// Extends the lease when its owner confirms that it holds the current epoch.
 void takeLeaseAnswer(AgentState &agent, const LeaseTaken &taken, Time now);
 
-// Moves the lease away from an owner that is gone or silent, and offers it when due.
+// Moves the lease from an owner that is gone or does not answer, and sends offers when due.
 void renewLease(AgentState &agent, Time now, AgentActions &actions);
 
-// Whether a start comes from the owner in the present epoch.
+// Whether a start comes from the owner in the current epoch.
 bool leaseCovers(const AgentState &agent, const Start &start);
 
-// Moves the lease to the entry that its owner names.
+// Moves the lease to the entry that its current owner names.
 void takeYield(AgentState &agent, const Yield &yield, Time now, AgentActions &actions);
 
-// Makes the next renewLease() send an offer at once.
+// Makes the next renewLease() send an offer, even before the interval has passed.
 void offerSoon(AgentState &agent, Time now);
 
 } // namespace foxwing::agent
--- a/packages/agent/tests/agent_test.cpp
+++ b/packages/agent/tests/agent_test.cpp
@@ -1,5 +1,5 @@
 /*
-    What an agent starts, what it refuses, and what it says about it.
+    Tests of the agent: which starts it refuses, how it reports results, who holds its lease.
 
     [SECTION] Helpers
     [SECTION] Refusals
@@ -61,7 +61,7 @@
 class Refusal : public testing::TestWithParam<RefusedStart>
 { };
 
-TEST_P(Refusal, IsSaidAndHoldsForEver)
+TEST_P(Refusal, IsReportedAndFinal)
 {
     AgentState agent = leasedAgent();
     Start start = goodStart();
@@ -71,7 +71,7 @@
     const auto *refused = only<NotStarted>(actions);
     ASSERT_NE(refused, nullptr);
     EXPECT_EQ(refused->cause, GetParam().cause);
-    // The same attempt must not start later either, once the cause is gone.
+    // The same attempt must not start once the cause is gone either.
     agent = AgentState(agent);
     agent.leaving = false;
     agent.running.clear();
@@ -86,7 +86,8 @@
                 RefusedStart { "OtherIncarnation",
                                [](AgentState &, Start &start) { start.agentIncarnation = 6; },
                                RefusalCause::WrongIncarnation },
-                RefusedStart { "OldLease", [](AgentState &, Start &start) { start.leaseEpoch = 0; },
+                RefusedStart { "StaleLease",
+                               [](AgentState &, Start &start) { start.leaseEpoch = 0; },
                                RefusalCause::WrongLease },
                 RefusedStart { "OtherOwner",
                                [](AgentState &, Start &start) { start.owner = "entry-b"; },
@@ -111,7 +112,7 @@
                                RefusalCause::AlreadyVoided },
                 RefusedStart { "Leaving", [](AgentState &agent, Start &) { leave(agent, Begin); },
                                RefusalCause::Leaving },
-                RefusedStart { "NoTime",
+                RefusedStart { "NoTimeLeft",
                                [](AgentState &, Start &start) { start.timeLeft = Microseconds(0); },
                                RefusalCause::DeadlinePassed },
                 RefusedStart { "NoSlot",
@@ -129,7 +130,7 @@
 
 // [SECTION] Results
 
-TEST(Agent, StartsOnceHoweverOftenItIsAsked)
+TEST(Agent, RunsDuplicateStartsOnce)
 {
     AgentState agent = leasedAgent();
     EXPECT_EQ(handle(agent, goodStart(), Begin).calls.size(), 1U);
@@ -143,7 +144,7 @@
     EXPECT_EQ(agent.usage["team"].starts, 1U);
 }
 
-TEST(Agent, RepeatsResultsUntilTheyAreSettled)
+TEST(Agent, ResendsResultsUntilSettled)
 {
     AgentState agent = leasedAgent();
     handle(agent, goodStart(), Begin);
@@ -160,7 +161,7 @@
     EXPECT_EQ(agent.unsettledBytes, 0U);
 }
 
-TEST(Agent, TellsANewOwnerWhatItKnows)
+TEST(Agent, ReportsTasksToANewOwner)
 {
     AgentState agent = leasedAgent();
     handle(agent, goodStart(0), Begin);
@@ -179,7 +180,7 @@
     EXPECT_EQ(done.sends.at(0).to, "entry-b");
 }
 
-TEST(Agent, ForgetsWhatIsOldAndStaysSmall)
+TEST(Agent, ExpiresJobsAndSettledResults)
 {
     AgentState agent = leasedAgent();
     Time now = Begin;
@@ -202,7 +203,7 @@
     handle(agent, goodStart(), Begin);
     EXPECT_TRUE(tick(agent, Begin + Milliseconds(999)).stops.empty());
     EXPECT_EQ(tick(agent, Begin + Milliseconds(1000)).stops.size(), 1U);
-    EXPECT_TRUE(tick(agent, Begin + Milliseconds(1010)).stops.empty()) << "told once";
+    EXPECT_TRUE(tick(agent, Begin + Milliseconds(1010)).stops.empty()) << "the stop is sent once";
     const AgentActions done = endpointDone(agent, goodStart().ref, TaskEnd::Cancelled, "",
                                            Begin + Milliseconds(1020));
     EXPECT_EQ(only<Finished>(done)->end, TaskEnd::DeadlinePassed);
@@ -210,7 +211,7 @@
 
 // [SECTION] Leases
 
-TEST(Agent, MovesItsLeaseFromASilentOwner)
+TEST(Agent, MovesLeaseFromUnresponsiveOwner)
 {
     AgentState agent = leasedAgent();
     setEntries(agent, { { "entry-a", 1, "" }, { "entry-b", 1, "" } }, Begin);
@@ -222,7 +223,7 @@
     EXPECT_GT(agent.lease.epoch, epoch);
 }
 
-TEST(Agent, YieldsOnlyOnItsOwnersWord)
+TEST(Agent, TransfersLeaseOnlyForItsOwner)
 {
     AgentState agent = leasedAgent();
     setEntries(agent, { { "entry-a", 1, "" }, { "entry-b", 1, "" } }, Begin);
--- a/packages/claims/include/foxwing/claims/claims.h
+++ b/packages/claims/include/foxwing/claims/claims.h
@@ -1,12 +1,12 @@
 /*
-    Claims: who may start a submission, kept in the memory of two entries in different data centres.
+    Claims: which entry may run a submission, kept in memory by entries in different data centres.
 
-    An entry asks the home of the submission's shard. The home makes a record, copies it to the
-   other replicas, and grants the claim when all of them have it; that costs one round trip inside
-   the region and no synced write. When an entry dies, control makes a new view, the survivors pass
-   the shards on, and an owner that died with its entry is replaced by whoever asks next, in a
-   higher epoch. What is lost with all replicas of a shard is fenced off by date: ids made before
-   the loss are answered "unknown" and never started.
+    An entry sends a request to the primary of the submission's shard. The primary makes a record,
+    replicates it, and grants the claim once all replicas have it; that costs one round trip within
+    the region and no synchronous write to disk. When an entry dies, control makes a new view and
+    the surviving replicas transfer the shards. An owner that died is replaced by the next entry
+    that requests the claim, in a higher epoch. If all replicas of a shard are lost, ids created
+    before the loss are answered "unknown" and never started.
 
         ClaimTable table = makeClaimTable(settings);
         ClaimActions actions = setView(table, view, now, wallNow);
@@ -39,17 +39,17 @@
     // Records are kept this long; older ids are answered "unknown".
     Seconds retention { 300 };
 
-    // Ids from further in the future than this are refused.
+    // Ids dated further in the future than this are refused.
     Milliseconds clockSkew { 2000 };
 
-    // A home that has not heard from control for this long grants nothing. Must be shorter than the
-    // time after which control takes an entry for dead.
+    // A primary that got no answer from control for this long grants no claims. Must be shorter
+    // than the time after which control declares an entry dead.
     Milliseconds masterLease { 1500 };
 
-    // Unanswered copies and parts are sent again after this long.
+    // Unacknowledged records and shard parts are resent after this interval.
     Milliseconds resendInterval { 150 };
 
-    // Records in one part of a shard.
+    // Maximum number of records in one part of a shard.
     std::uint32_t partSize = 400;
 };
 
@@ -62,13 +62,13 @@
     bool isRelease = false;
 };
 
-// A record, and at the home whom it still waits for.
+// A record and, at the primary, the state of its replication.
 struct HeldRecord
 {
     Record record;
 
-    // Every replica is known to have it, so it may be spoken of. Only homes get to know; a new home
-    // finds out when it is asked for the record.
+    // Every replica is known to have it, so requests may be answered from it. Only primaries know
+    // this; a new primary replicates the record again when it is first requested.
     bool committed = false;
     bool replicating = false;
     std::vector<std::string> unacknowledged;
@@ -87,18 +87,18 @@
 {
     std::unordered_map<std::string, HeldRecord> records;
 
-    // The view in which this process holds every claim of the shard; 0 for none.
+    // The view in which this process has every claim of the shard; 0 for none.
     std::uint64_t heldIn = 0;
     std::int64_t floor = 0;
 
-    // At the home: other replicas that said they hold it in the present view.
+    // At the primary: other replicas that reported to have the shard in the current view.
     std::set<std::string> heldBy;
 
-    // Parts received in the present view, for each sender.
+    // Parts received in the current view, by sender.
     std::unordered_map<std::string, std::set<std::uint32_t>> received;
 };
 
-// For forgetting records in the order they were made.
+// For expiring records in the order of their creation.
 struct RecordAge
 {
     std::int64_t claimedAt = 0;
@@ -122,10 +122,10 @@
     View view;
     std::vector<Shard> shards { ShardCount };
 
-    // Replicas of each shard in the present view.
+    // Replicas of each shard in the current view.
     std::vector<std::vector<Replica>> replicas { ShardCount };
 
-    // Control was heard from at this time.
+    // When the last request that control answered was sent.
     Time masterHeardAt {};
     bool masterHeard = false;
 
@@ -153,33 +153,33 @@
 
 ClaimTable makeClaimTable(const ClaimSettings &settings);
 
-// Takes a newer view, or a newer update of the present one. Older ones have no effect.
+// Applies a newer view, or a newer update of the current one. Older ones have no effect.
 ClaimActions setView(ClaimTable &table, const View &view, Time now);
 
-// Control answered at this time: renews the right to grant.
+// Renews the right to grant claims; `now` is when the request that control answered was sent.
 void hearMaster(ClaimTable &table, Time now);
 
-// A message about claims that is meant for a home or a replica: all but AskAnswer and Released,
-// which belong to whoever asked.
+// Handles a message for a primary or a replica: all but AskAnswer and Released, which are for the
+// requester.
 ClaimActions handle(ClaimTable &table, const ClaimMessage &message, Time now, WallTime wallNow);
 
-// Repeats copies and parts, forgets old records.
+// Resends records and shard parts, removes expired records.
 ClaimActions tick(ClaimTable &table, Time now, WallTime wallNow);
 
-// The home of a submission in the present view, or an empty id if there is no entry.
+// The primary of a submission in the current view, or an empty id if there is no entry.
 Replica homeOf(const ClaimTable &table, const std::string &job);
 
-// Shards of which this entry is the home and that all their replicas hold, for control to put into
-// service.
+// Inactive shards of which this entry is the primary and that all their replicas have, for control
+// to activate.
 std::vector<std::uint32_t> readyShards(const ClaimTable &table);
 
-// Whether a shard is in service with this entry as its home.
+// Whether a shard is active with this entry as its primary.
 bool servesShard(const ClaimTable &table, std::uint32_t shard);
 
-// Whether every shard is in service, as far as this entry was told.
+// Whether every shard is active in the newest view that this entry has received.
 bool allShardsActive(const ClaimTable &table);
 
-// How many records this entry holds.
+// Number of records at this entry.
 std::size_t recordCount(const ClaimTable &table);
 
 } // namespace foxwing::claims
--- a/packages/claims/include/foxwing/claims/messages.h
+++ b/packages/claims/include/foxwing/claims/messages.h
@@ -1,7 +1,7 @@
 /*
-    What entries tell each other about claims.
+    Messages between entries about claims.
 
-    All messages are one-way; the sender repeats until it is answered.
+    All messages are one-way; the sender resends until it is answered.
 
     [SECTION] Records
     [SECTION] Claiming
@@ -30,17 +30,17 @@
     // Digest of the request's body: the same id with another body is a conflict.
     std::string digest;
 
-    // Who runs it, and for the how-manieth owner that is.
+    // The entry that runs it; the epoch starts at 1 and increases with each change of owner.
     Replica owner;
     std::uint64_t epoch = 1;
 
-    // The ask that made this owner, so that a repeated ask gets the same answer.
+    // Nonce of the request that made this owner, so that a resent request gets the same answer.
     std::uint64_t nonce = 0;
 
-    // When the claim was made, by the home's clock; milliseconds since 1970.
+    // When the claim was made, by the primary's clock; milliseconds since 1970.
     std::int64_t claimedAt = 0;
 
-    // Ended as "not run": nothing of it ever starts.
+    // Ended as "not run": no task of it ever starts.
     bool notRun = false;
 };
 template<class Fields>
@@ -58,11 +58,11 @@
 // [SECTION] Claiming
 
 enum class AskKind {
-    // Claim it for the asker, or say who has it.
+    // Claim the job for the requester, or return its owner.
     Claim,
-    // It was refused: if nobody has it, make sure that nobody ever will.
+    // The job was refused: if it is unclaimed, record it as "not run" so that nobody can claim it.
     Refuse,
-    // Only say who has it.
+    // Only return the owner.
     Look,
 };
 constexpr AskKind lastOf(AskKind)
@@ -90,21 +90,21 @@
 }
 
 enum class Verdict {
-    // The asker is the owner, in the epoch given.
+    // The requester is the owner, in the epoch given.
     Granted,
-    // Another entry is.
+    // Another entry is the owner.
     Owned,
     // The id was used with another body.
     Conflict,
     // Ended as "not run".
     NotRun,
-    // Nobody has it (answers to Look only).
+    // Nobody has claimed it (answers to Look only).
     Absent,
-    // Its owner is lost, and the asker did not ask to take it over.
+    // Its owner is lost, and the request was not to take it over.
     OwnerLost,
-    // Claims of that age may have been forgotten; it must not be started.
+    // The claim may have been lost or expired; the job must not be started.
     Unknown,
-    // Not in service here at present.
+    // The receiver cannot serve the shard at the moment; ask again.
     Retry,
 };
 constexpr Verdict lastOf(Verdict)
@@ -133,7 +133,7 @@
     fields("claimedAt", answer.claimedAt);
 }
 
-// The owner ends a job of which nothing ever started.
+// The owner ends a job of which no task ever started.
 struct Release
 {
     static constexpr const char *Type = "claim-release";
@@ -243,7 +243,7 @@
     fields("part", taken.part);
 }
 
-// A replica has all claims of these shards in this view; to the home of each.
+// A replica has all claims of these shards in this view; sent to the primary of each.
 struct ShardsHeld
 {
     static constexpr const char *Type = "shards-held";
--- a/packages/claims/include/foxwing/claims/view.h
+++ b/packages/claims/include/foxwing/claims/view.h
@@ -1,11 +1,11 @@
 /*
-    Views: which entries hold the claims of which shard.
+    Views: which entries are the replicas of which shard of the claims.
 
     Control numbers the views. A view lists the live entries; the replicas of each shard follow from
-    the list by rendezvous hashing. Beside that a view names each shard's base: the replicas of the
-    last view in which the shard was in service. Whoever holds a shard next must first get its
-    claims from one of them. This is the reconfiguration of "Vertical Paxos and Primary-Backup
-    Replication" (Lamport, Malkhi, Zhou, PODC 2009) with control as the configuration master.
+    the list by rendezvous hashing. A view also names the base of each shard: the replicas of the
+    last view in which the shard was active. New replicas must first get the claims from one of
+    them. This is the reconfiguration of "Vertical Paxos and Primary-Backup Replication" (Lamport,
+    Malkhi, Zhou, PODC 2009) with control as the configuration master.
 
     [SECTION] Types
     [SECTION] Functions
@@ -23,10 +23,10 @@
 
 // [SECTION] Types
 
-// Claims are spread over this many shards; fixed for the life of a cluster.
+// Number of shards that claims are partitioned into; fixed for the lifetime of a cluster.
 constexpr std::uint32_t ShardCount = 64;
 
-// One life of one entry process.
+// One incarnation of an entry process.
 struct Replica
 {
     std::string id;
@@ -60,13 +60,13 @@
 
 struct ShardBase
 {
-    // Who had the shard when it was last in service; empty if all of them are lost.
+    // Replicas of the shard when it was last active; empty if all of them are lost.
     std::vector<Replica> replicas;
 
-    // The view in which that was; the shard is in service now if it is the present one.
+    // The view in which that was; the shard is active now if it is the current view.
     std::uint64_t activeIn = 0;
 
-    // Claims of ids made up to this date may be lost. Milliseconds since 1970; 0 for none.
+    // Claims of ids created up to this time may be lost. Milliseconds since 1970; 0 for none.
     std::int64_t floor = 0;
 };
 template<class Fields>
@@ -81,7 +81,7 @@
 {
     std::uint64_t number = 0;
 
-    // Grows with each change to the bases within one view.
+    // Increases with each change to the bases within one view.
     std::uint64_t update = 0;
     std::uint32_t replicaCount = 2;
     std::vector<Member> members;
@@ -101,13 +101,13 @@
 
 std::uint32_t shardOf(const std::string &job);
 
-// The replicas of a shard in a view, the home first, the others in other data centres if possible.
+// The replicas of a shard in a view: first the primary, the others in other data centres if
+// possible.
 std::vector<Replica> replicasOf(const View &view, std::uint32_t shard);
 
-// Whether this life of an entry is a member.
+// Whether this incarnation of an entry is a member.
 bool isMember(const View &view, const Replica &replica);
 
-// Whether a view is newer than another.
 bool isNewer(const View &view, const View &than);
 
 } // namespace foxwing::claims
--- a/packages/claims/src/claims.cpp
+++ b/packages/claims/src/claims.cpp
@@ -1,10 +1,10 @@
 /*
-    Granting, copying and forgetting claims.
+    Granting, replicating and expiring claims.
 
     [SECTION] Service
     [SECTION] Answers
     [SECTION] Replication
-    [SECTION] Asks
+    [SECTION] Requests
     [SECTION] Entry points
 */
 #include <foxwing/claims/claims.h>
@@ -27,7 +27,7 @@
     return table.masterHeard && now < table.masterHeardAt + table.settings.masterLease;
 }
 
-// When the id of "team/submission" was made; none for an id that is no submission id.
+// Creation time that the id in "team/submission" contains; none if it is not a submission id.
 std::optional<WallTime> madeAt(const std::string &job)
 {
     const std::size_t slash = job.rfind('/');
@@ -35,7 +35,7 @@
     return submissionTime(job.substr(slash == std::string::npos ? 0 : slash + 1), &ignored);
 }
 
-// Whether a record of an id this old may have been lost or forgotten.
+// Whether a record of an id of this age may have been lost or expired.
 bool mayBeForgotten(const ClaimTable &table, const Shard &shard, const std::string &job,
                     WallTime wallNow)
 {
@@ -73,7 +73,7 @@
         actions.sends.push_back({ waiter.to, released });
         return;
     }
-    // Only the present owner's ask carries its nonce, so the id alone tells whether it is granted.
+    // Only the current owner's request has the nonce of the record, so comparing the id is enough.
     const Replica asker { waiter.to,
                           held.record.owner.id == waiter.to ? held.record.owner.incarnation : 0 };
     answer(waiter, held, asker, actions);
@@ -108,7 +108,7 @@
     held.waiters.clear();
 }
 
-// A new or changed record goes to the other replicas; waiters are answered when all have it.
+// Sends a new or changed record to the other replicas; waiters are answered once all have it.
 void replicate(ClaimTable &table, HeldRecord &held, Time now, ClaimActions &actions)
 {
     held.committed = false;
@@ -130,7 +130,7 @@
     const std::uint32_t number = shardOf(copy.record.job);
     Shard &shard = table.shards[number];
     if (copy.view != table.view.number || shard.heldIn != table.view.number)
-        return; // the home repeats it until this entry has caught up
+        return; // the primary resends it until this entry has caught up
     HeldRecord &held = shard.records[copy.record.job];
     if (copy.record.epoch >= held.record.epoch) {
         held.record = copy.record;
@@ -161,7 +161,7 @@
         commit(held, actions);
 }
 
-// [SECTION] Asks
+// [SECTION] Requests
 
 void makeRecord(ClaimTable &table, HeldRecord &held, const Ask &ask, WallTime wallNow)
 {
@@ -241,7 +241,7 @@
 {
     const std::uint32_t number = shardOf(release.job);
     if (!servesShard(table, number) || !masterLeaseHolds(table, now))
-        return; // the owner repeats it, to whoever is the home by then
+        return; // the owner resends it, to the primary of the view by then
     Shard &shard = table.shards[number];
     const auto found = shard.records.find(release.job);
     const bool stillOwner = found != shard.records.end()
@@ -279,7 +279,7 @@
 
 void forgetOld(ClaimTable &table, WallTime wallNow)
 {
-    // Twice the skew: the id may be ahead of this clock, and the next home's clock behind it.
+    // Twice the skew: the id may be ahead of this clock, and the next primary's clock behind it.
     const WallTime limit = wallNow - table.settings.retention - 2 * table.settings.clockSkew;
     const std::int64_t oldest = limit.time_since_epoch().count();
     while (!table.ages.empty() && table.ages.front().claimedAt < oldest) {
--- a/packages/claims/src/shardtransfer.cpp
+++ b/packages/claims/src/shardtransfer.cpp
@@ -1,9 +1,9 @@
 /*
     Transfer of shards between views.
 
-    A replica of the base sends its claims to every new replica that is not of the base. It has
-   moved to the new view by then, so it takes part in no grant of the old one, and all grants of the
-   old one are among what it sends: a grant needs every replica of its view.
+    A replica of the base sends its claims to every new replica that is not in the base. It has
+    moved to the new view by then and takes part in no further grant of the old one. As a grant
+    needs every replica of its view, the claims that it sends include all grants of the old view.
 
     [SECTION] Sending
     [SECTION] Receiving
@@ -57,7 +57,7 @@
     }
 }
 
-// What a process of the base holds is all there is; others start from nothing.
+// A replica of the base has every claim of the shard; any other one starts without claims.
 void enterShard(ClaimTable &table, std::uint32_t number, Time now)
 {
     Shard &shard = table.shards[number];
@@ -78,7 +78,7 @@
     shard.heldIn = wanted && base.replicas.empty() ? table.view.number : 0;
 }
 
-// Replication that was under way in the old view must begin anew: the askers ask again.
+// Cancels replication in progress in the old view; requesters send their requests again.
 void dropReplication(ClaimTable &table)
 {
     for (const std::string &job : table.uncommitted) {
--- a/packages/claims/src/shardtransfer.h
+++ b/packages/claims/src/shardtransfer.h
@@ -1,5 +1,5 @@
 /*
-    Inside the claims: passing shards on when the view changes.
+    Transfer of shards when the view changes, internal to the claims.
 
     [SECTION] Functions
 */
@@ -13,14 +13,14 @@
 
 bool contains(const std::vector<Replica> &replicas, const Replica &replica);
 
-// Works out what this entry holds in the new view and what it must send to others.
+// Determines which shards this entry has in the new view and queues the parts that it must send.
 void beginTransfer(ClaimTable &table, Time now, ClaimActions &actions);
 
 void handlePart(ClaimTable &table, const ShardPart &part, ClaimActions &actions);
 void handlePartTaken(ClaimTable &table, const ShardPartTaken &taken);
 void handleHeld(ClaimTable &table, const ShardsHeld &held);
 
-// Repeats parts that were not taken, and tells homes which shards are held here.
+// Resends unacknowledged parts, and reports to the primaries which shards are complete here.
 void tickTransfer(ClaimTable &table, Time now, ClaimActions &actions);
 
 } // namespace foxwing::claims
--- a/packages/claims/src/view.cpp
+++ b/packages/claims/src/view.cpp
@@ -29,7 +29,7 @@
     });
     std::vector<Replica> chosen;
     std::vector<std::string> dataCentres;
-    // First one replica in each data centre, then, if more are wanted, any.
+    // One replica in each data centre first; if more are needed, any entry.
     for (int round = 0; round < 2; ++round) {
         for (const Member *member : ranked) {
             const bool near = std::find(dataCentres.begin(), dataCentres.end(), member->dataCentre)
