--- a/packages/agent/include/foxwing/agent/agent.h
+++ b/packages/agent/include/foxwing/agent/agent.h
@@ -45,21 +45,21 @@
     std::uint32_t slots = 8;
 
     // An owner that has not answered an offer for this long loses the lease.
-    Milliseconds leaseSpan { 1500 };
+    Milliseconds leaseDuration { 1500 };
 
-    // Interval between lease offers; must be well under leaseSpan.
+    // Interval between lease offers; must be well under leaseDuration.
     Milliseconds offerInterval { 400 };
 
     // An unsettled result is resent after this interval, which doubles each time up to the maximum.
     Milliseconds resendInterval { 500 };
-    Milliseconds longestResendInterval { 8000 };
+    Milliseconds maxResendInterval { 8000 };
 
     // A job is kept this long after its last task here ended. Must be at least the claim retention
     // of the entries, so that no start is repeated after its record has expired.
     Seconds retention { 900 };
 
     // Limits in time and bytes on settled results, which are kept for an entry that takes over.
-    Seconds settledSpan { 30 };
+    Seconds settledRetention { 30 };
     std::size_t settledBytes = 16U << 20U;
 
     // Limit on the bytes of unsettled results; once it is reached, no new task starts.
@@ -67,7 +67,7 @@
 };
 
 // An entry that can own this agent's slots, as last reported by control.
-struct EntryHint
+struct OwnerCandidate
 {
     std::string id;
     std::uint64_t incarnation = 0;
@@ -101,7 +101,7 @@
     std::string body;
     bool bodyKept = true;
     Time nextSend {};
-    Milliseconds sendWait { 0 };
+    Milliseconds resendDelay { 0 };
 };
 
 struct JobRecord
@@ -127,7 +127,7 @@
     std::string owner;
     std::uint64_t ownerIncarnation = 0;
     std::uint64_t epoch = 0;
-    Time heldUntil {};
+    Time expiresAt {};
     Time nextOffer {};
 };
 
@@ -155,7 +155,7 @@
 
     // Ownership
     Lease lease;
-    std::vector<EntryHint> entries;
+    std::vector<OwnerCandidate> entries;
     bool leaving = false;
 
     // The configuration has not been confirmed for too long: no new task starts.
@@ -218,7 +218,7 @@
                           Time now);
 
 // Sets the live entries as reported by control. An owner not among them loses the lease at once.
-AgentActions setEntries(AgentState &agent, std::vector<EntryHint> entries, Time now);
+AgentActions setEntries(AgentState &agent, std::vector<OwnerCandidate> entries, Time now);
 
 // The endpoint is leaving: no new task starts, running tasks are finished.
 AgentActions leave(AgentState &agent, Time now);
@@ -233,7 +233,8 @@
 // The entry that should own an agent: the highest rendezvous weight among those of its own data
 // centre, or among all if there are none. `excluded` is chosen only if it is the only entry. Null
 // if there are no entries.
-const EntryHint *preferredOwner(const std::string &agentId, const std::string &dataCentre,
-                                const std::vector<EntryHint> &entries, const std::string &excluded);
+const OwnerCandidate *preferredOwner(const std::string &agentId, const std::string &dataCentre,
+                                     const std::vector<OwnerCandidate> &entries,
+                                     const std::string &excluded);
 
 } // namespace foxwing::agent
--- a/packages/agent/include/foxwing/agent/messages.h
+++ b/packages/agent/include/foxwing/agent/messages.h
@@ -77,7 +77,7 @@
 }
 
 // State of one task, reported to a new owner of its job.
-struct KnownTask
+struct TaskStatus
 {
     TaskRef ref;
     bool finished = false;
@@ -89,7 +89,7 @@
     bool bodyKept = true;
 };
 template<class Fields>
-void describe(Fields &fields, KnownTask &known)
+void describe(Fields &fields, TaskStatus &known)
 {
     fields("ref", known.ref);
     fields("finished", known.finished);
@@ -196,7 +196,7 @@
 }
 
 // The owner accepts the lease that the agent offered.
-struct LeaseTaken
+struct LeaseAccepted
 {
     static constexpr const char *Type = "lease-taken";
     std::string owner;
@@ -205,7 +205,7 @@
     std::uint64_t agentIncarnation = 0;
 };
 template<class Fields>
-void describe(Fields &fields, LeaseTaken &taken)
+void describe(Fields &fields, LeaseAccepted &taken)
 {
     fields("owner", taken.owner);
     fields("ownerIncarnation", taken.ownerIncarnation);
@@ -214,7 +214,7 @@
 }
 
 // The owner hands the lease over to another entry.
-struct Yield
+struct TransferLease
 {
     static constexpr const char *Type = "yield";
     std::string from;
@@ -223,7 +223,7 @@
     std::uint64_t agentIncarnation = 0;
 };
 template<class Fields>
-void describe(Fields &fields, Yield &yield)
+void describe(Fields &fields, TransferLease &yield)
 {
     fields("from", yield.from);
     fields("to", yield.to);
@@ -323,14 +323,14 @@
 }
 
 // Sent to former owners whose tasks still run here while another entry holds the lease.
-struct Alive
+struct KeepAlive
 {
     static constexpr const char *Type = "alive";
     std::string agent;
     std::uint64_t agentIncarnation = 0;
 };
 template<class Fields>
-void describe(Fields &fields, Alive &alive)
+void describe(Fields &fields, KeepAlive &alive)
 {
     fields("agent", alive.agent);
     fields("agentIncarnation", alive.agentIncarnation);
@@ -344,7 +344,7 @@
     std::uint64_t jobEpoch = 0;
     std::string agent;
     std::uint64_t agentIncarnation = 0;
-    std::vector<KnownTask> tasks;
+    std::vector<TaskStatus> tasks;
 };
 template<class Fields>
 void describe(Fields &fields, Fenced &fenced)
@@ -358,7 +358,7 @@
 
 // [SECTION] Variants
 
-using ToAgent = std::variant<Start, Void, Cancel, Settle, Fence, LeaseTaken, Yield>;
-using FromAgent = std::variant<LeaseOffer, Finished, NotStarted, Started, Alive, Fenced>;
+using ToAgent = std::variant<Start, Void, Cancel, Settle, Fence, LeaseAccepted, TransferLease>;
+using FromAgent = std::variant<LeaseOffer, Finished, NotStarted, Started, KeepAlive, Fenced>;
 
 } // namespace foxwing::agent
--- a/packages/agent/src/agent.cpp
+++ b/packages/agent/src/agent.cpp
@@ -100,8 +100,8 @@
     finished.body = assignment.body;
     finished.runTime = assignment.runTime;
     actions.sends.push_back({ owner, std::move(finished) });
-    assignment.nextSend = now + assignment.sendWait;
-    assignment.sendWait = std::min(assignment.sendWait * 2, agent.settings.longestResendInterval);
+    assignment.nextSend = now + assignment.resendDelay;
+    assignment.resendDelay = std::min(assignment.resendDelay * 2, agent.settings.maxResendInterval);
 }
 
 // [SECTION] Messages
@@ -154,7 +154,7 @@
     assignment.attempt = start.ref.attempt;
     assignment.startedAt = now;
     assignment.deadline = now + start.timeLeft;
-    assignment.sendWait = agent.settings.resendInterval;
+    assignment.resendDelay = agent.settings.resendInterval;
     job.assignments.push_back(std::move(assignment));
     agent.running.push_back(start.ref);
     ++agent.counters.starts;
@@ -231,9 +231,9 @@
     }
 }
 
-KnownTask knownTask(const std::string &job, const Assignment &assignment)
+TaskStatus knownTask(const std::string &job, const Assignment &assignment)
 {
-    KnownTask known;
+    TaskStatus known;
     known.ref = { job, assignment.task, assignment.attempt };
     known.finished = assignment.phase == Phase::Finished || assignment.phase == Phase::Settled;
     known.voided = assignment.phase == Phase::Voided;
@@ -287,7 +287,7 @@
     const AgentSettings &settings = agent.settings;
     while (!agent.settled.empty()) {
         const SettledResult &oldest = agent.settled.front();
-        const bool old = now >= oldest.settledAt + settings.settledSpan;
+        const bool old = now >= oldest.settledAt + settings.settledRetention;
         if (!old && agent.settledBytes <= settings.settledBytes)
             return;
         Assignment *assignment = findAssignment(agent, oldest.ref);
@@ -355,9 +355,9 @@
         handleSettle(agent, *settle, now);
     else if (const auto *fence = std::get_if<Fence>(&message))
         handleFence(agent, *fence, now, actions);
-    else if (const auto *taken = std::get_if<LeaseTaken>(&message))
+    else if (const auto *taken = std::get_if<LeaseAccepted>(&message))
         takeLeaseAnswer(agent, *taken, now);
-    else if (const auto *yield = std::get_if<Yield>(&message))
+    else if (const auto *yield = std::get_if<TransferLease>(&message))
         takeYield(agent, *yield, now, actions);
     return actions;
 }
@@ -391,7 +391,7 @@
     return actions;
 }
 
-AgentActions setEntries(AgentState &agent, std::vector<EntryHint> entries, Time now)
+AgentActions setEntries(AgentState &agent, std::vector<OwnerCandidate> entries, Time now)
 {
     AgentActions actions;
     agent.entries = std::move(entries);
--- a/packages/agent/src/lease.cpp
+++ b/packages/agent/src/lease.cpp
@@ -18,13 +18,14 @@
 
 // [SECTION] Choice
 
-const EntryHint *preferredOwner(const std::string &agentId, const std::string &dataCentre,
-                                const std::vector<EntryHint> &entries, const std::string &excluded)
+const OwnerCandidate *preferredOwner(const std::string &agentId, const std::string &dataCentre,
+                                     const std::vector<OwnerCandidate> &entries,
+                                     const std::string &excluded)
 {
-    const EntryHint *best = nullptr;
+    const OwnerCandidate *best = nullptr;
     bool bestIsNear = false;
     std::uint64_t bestWeight = 0;
-    for (const EntryHint &entry : entries) {
+    for (const OwnerCandidate &entry : entries) {
         if (entry.id == excluded && entries.size() > 1)
             continue;
         const bool near = entry.dataCentre == dataCentre;
@@ -44,26 +45,28 @@
 
 bool ownerIsListed(const AgentState &agent)
 {
-    return std::any_of(agent.entries.begin(), agent.entries.end(), [&](const EntryHint &entry) {
-        return entry.id == agent.lease.owner && entry.incarnation == agent.lease.ownerIncarnation;
-    });
+    return std::any_of(agent.entries.begin(), agent.entries.end(),
+                       [&](const OwnerCandidate &entry) {
+                           return entry.id == agent.lease.owner
+                                   && entry.incarnation == agent.lease.ownerIncarnation;
+                       });
 }
 
-void moveLease(AgentState &agent, const EntryHint &owner, Time now)
+void moveLease(AgentState &agent, const OwnerCandidate &owner, Time now)
 {
     agent.lease.owner = owner.id;
     agent.lease.ownerIncarnation = owner.incarnation;
     ++agent.lease.epoch;
     ++agent.counters.ownerChanges;
-    agent.lease.heldUntil = now + agent.settings.leaseSpan;
+    agent.lease.expiresAt = now + agent.settings.leaseDuration;
     agent.lease.nextOffer = now;
 }
 
 void chooseOwner(AgentState &agent, const std::string &excluded, Time now)
 {
     const AgentSettings &settings = agent.settings;
-    const EntryHint *owner = preferredOwner(settings.id, settings.dataCentre, agent.entries,
-                                            excluded);
+    const OwnerCandidate *owner = preferredOwner(settings.id, settings.dataCentre, agent.entries,
+                                                 excluded);
     if (owner)
         moveLease(agent, *owner, now);
     else
@@ -95,7 +98,7 @@
         if (std::find(told.begin(), told.end(), owner) != told.end())
             continue;
         told.push_back(owner);
-        const Alive alive { agent.settings.id, agent.settings.incarnation };
+        const KeepAlive alive { agent.settings.id, agent.settings.incarnation };
         actions.sends.push_back({ owner, alive });
     }
 }
@@ -104,20 +107,20 @@
 
 // [SECTION] Renewal
 
-void takeLeaseAnswer(AgentState &agent, const LeaseTaken &taken, Time now)
+void takeLeaseAnswer(AgentState &agent, const LeaseAccepted &taken, Time now)
 {
     const bool current = taken.agentIncarnation == agent.settings.incarnation
             && taken.leaseEpoch == agent.lease.epoch && taken.owner == agent.lease.owner
             && taken.ownerIncarnation == agent.lease.ownerIncarnation;
     if (current)
-        agent.lease.heldUntil = now + agent.settings.leaseSpan;
+        agent.lease.expiresAt = now + agent.settings.leaseDuration;
 }
 
 void renewLease(AgentState &agent, Time now, AgentActions &actions)
 {
     if (agent.lease.owner.empty() || !ownerIsListed(agent))
         chooseOwner(agent, {}, now);
-    else if (now >= agent.lease.heldUntil)
+    else if (now >= agent.lease.expiresAt)
         chooseOwner(agent, agent.lease.owner, now);
     if (!agent.lease.owner.empty() && now >= agent.lease.nextOffer) {
         offerLease(agent, now, actions);
@@ -125,12 +128,14 @@
     }
 }
 
-void takeYield(AgentState &agent, const Yield &yield, Time now, AgentActions &actions)
+void takeYield(AgentState &agent, const TransferLease &yield, Time now, AgentActions &actions)
 {
     const bool current = yield.agentIncarnation == agent.settings.incarnation
             && yield.leaseEpoch == agent.lease.epoch && yield.from == agent.lease.owner;
     const auto heir = std::find_if(agent.entries.begin(), agent.entries.end(),
-                                   [&](const EntryHint &entry) { return entry.id == yield.to; });
+                                   [&](const OwnerCandidate &entry) {
+                                       return entry.id == yield.to;
+                                   });
     if (!current || heir == agent.entries.end())
         return;
     moveLease(agent, *heir, now);
--- a/packages/agent/src/lease.h
+++ b/packages/agent/src/lease.h
@@ -12,7 +12,7 @@
 // [SECTION] Functions
 
 // Extends the lease when its owner confirms that it holds the current epoch.
-void takeLeaseAnswer(AgentState &agent, const LeaseTaken &taken, Time now);
+void takeLeaseAnswer(AgentState &agent, const LeaseAccepted &taken, Time now);
 
 // Moves the lease from an owner that is gone or does not answer, and sends offers when due.
 void renewLease(AgentState &agent, Time now, AgentActions &actions);
@@ -21,7 +21,7 @@
 bool leaseCovers(const AgentState &agent, const Start &start);
 
 // Moves the lease to the entry that its current owner names.
-void takeYield(AgentState &agent, const Yield &yield, Time now, AgentActions &actions);
+void takeYield(AgentState &agent, const TransferLease &yield, Time now, AgentActions &actions);
 
 // Makes the next renewLease() send an offer, even before the interval has passed.
 void offerSoon(AgentState &agent, Time now);
--- a/packages/agent/tests/agent_test.cpp
+++ b/packages/agent/tests/agent_test.cpp
@@ -230,11 +230,11 @@
     const std::string owner = agent.lease.owner;
     const std::string other = owner == "entry-a" ? "entry-b" : "entry-a";
     const std::uint64_t epoch = agent.lease.epoch;
-    handle(agent, Yield { other, other, epoch, 7 }, Begin);
-    handle(agent, Yield { owner, other, epoch - 1, 7 }, Begin);
-    handle(agent, Yield { owner, "nobody", epoch, 7 }, Begin);
+    handle(agent, TransferLease { other, other, epoch, 7 }, Begin);
+    handle(agent, TransferLease { owner, other, epoch - 1, 7 }, Begin);
+    handle(agent, TransferLease { owner, "nobody", epoch, 7 }, Begin);
     EXPECT_EQ(agent.lease.owner, owner);
-    handle(agent, Yield { owner, other, epoch, 7 }, Begin);
+    handle(agent, TransferLease { owner, other, epoch, 7 }, Begin);
     EXPECT_EQ(agent.lease.owner, other);
     EXPECT_EQ(agent.lease.epoch, epoch + 1);
 }
--- a/packages/claims/include/foxwing/claims/claims.h
+++ b/packages/claims/include/foxwing/claims/claims.h
@@ -34,7 +34,7 @@
 
 struct ClaimSettings
 {
-    Replica self;
+    EntryIdentity self;
 
     // Records are kept this long; older ids are answered "unknown".
     Seconds retention { 300 };
@@ -44,7 +44,7 @@
 
     // A primary that got no answer from control for this long grants no claims. Must be shorter
     // than the time after which control declares an entry dead.
-    Milliseconds masterLease { 1500 };
+    Milliseconds controlLease { 1500 };
 
     // Unacknowledged records and shard parts are resent after this interval.
     Milliseconds resendInterval { 150 };
@@ -89,7 +89,7 @@
 
     // The view in which this process has every claim of the shard; 0 for none.
     std::uint64_t heldIn = 0;
-    std::int64_t floor = 0;
+    std::int64_t lossCutoff = 0;
 
     // At the primary: other replicas that reported to have the shard in the current view.
     std::set<std::string> heldBy;
@@ -123,11 +123,11 @@
     std::vector<Shard> shards { ShardCount };
 
     // Replicas of each shard in the current view.
-    std::vector<std::vector<Replica>> replicas { ShardCount };
+    std::vector<std::vector<EntryIdentity>> replicas { ShardCount };
 
     // When the last request that control answered was sent.
-    Time masterHeardAt {};
-    bool masterHeard = false;
+    Time controlHeardAt {};
+    bool controlHeard = false;
 
     std::vector<std::string> uncommitted;
     std::vector<OutgoingPart> outgoing;
@@ -157,17 +157,17 @@
 ClaimActions setView(ClaimTable &table, const View &view, Time now);
 
 // Renews the right to grant claims; `now` is when the request that control answered was sent.
-void hearMaster(ClaimTable &table, Time now);
+void renewControlLease(ClaimTable &table, Time now);
 
-// Handles a message for a primary or a replica: all but AskAnswer and Released, which are for the
-// requester.
+// Handles a message for a primary or a replica: all but ClaimResponse and Released, which are for
+// the requester.
 ClaimActions handle(ClaimTable &table, const ClaimMessage &message, Time now, WallTime wallNow);
 
 // Resends records and shard parts, removes expired records.
 ClaimActions tick(ClaimTable &table, Time now, WallTime wallNow);
 
 // The primary of a submission in the current view, or an empty id if there is no entry.
-Replica homeOf(const ClaimTable &table, const std::string &job);
+EntryIdentity primaryOf(const ClaimTable &table, const std::string &job);
 
 // Inactive shards of which this entry is the primary and that all their replicas have, for control
 // to activate.
--- a/packages/claims/include/foxwing/claims/messages.h
+++ b/packages/claims/include/foxwing/claims/messages.h
@@ -31,7 +31,7 @@
     std::string digest;
 
     // The entry that runs it; the epoch starts at 1 and increases with each change of owner.
-    Replica owner;
+    EntryIdentity owner;
     std::uint64_t epoch = 1;
 
     // Nonce of the request that made this owner, so that a resent request gets the same answer.
@@ -57,30 +57,30 @@
 
 // [SECTION] Claiming
 
-enum class AskKind {
+enum class ClaimRequestKind {
     // Claim the job for the requester, or return its owner.
     Claim,
     // The job was refused: if it is unclaimed, record it as "not run" so that nobody can claim it.
     Refuse,
     // Only return the owner.
-    Look,
+    Lookup,
 };
-constexpr AskKind lastOf(AskKind)
+constexpr ClaimRequestKind lastOf(ClaimRequestKind)
 {
-    return AskKind::Look;
+    return ClaimRequestKind::Lookup;
 }
 
-struct Ask
+struct ClaimRequest
 {
     static constexpr const char *Type = "claim-ask";
-    Replica from;
+    EntryIdentity from;
     std::string job;
     std::string digest;
     std::uint64_t nonce = 0;
-    AskKind kind = AskKind::Claim;
+    ClaimRequestKind kind = ClaimRequestKind::Claim;
 };
 template<class Fields>
-void describe(Fields &fields, Ask &ask)
+void describe(Fields &fields, ClaimRequest &ask)
 {
     fields("from", ask.from);
     fields("job", ask.job);
@@ -89,17 +89,17 @@
     fields("kind", ask.kind);
 }
 
-enum class Verdict {
+enum class ClaimStatus {
     // The requester is the owner, in the epoch given.
     Granted,
     // Another entry is the owner.
-    Owned,
+    OwnedByOther,
     // The id was used with another body.
     Conflict,
     // Ended as "not run".
     NotRun,
-    // Nobody has claimed it (answers to Look only).
-    Absent,
+    // Nobody has claimed it (answers to Lookup only).
+    Unclaimed,
     // Its owner is lost, and the request was not to take it over.
     OwnerLost,
     // The claim may have been lost or expired; the job must not be started.
@@ -107,27 +107,27 @@
     // The receiver cannot serve the shard at the moment; ask again.
     Retry,
 };
-constexpr Verdict lastOf(Verdict)
+constexpr ClaimStatus lastOf(ClaimStatus)
 {
-    return Verdict::Retry;
+    return ClaimStatus::Retry;
 }
 
-struct AskAnswer
+struct ClaimResponse
 {
     static constexpr const char *Type = "claim-answer";
     std::string job;
     std::uint64_t nonce = 0;
-    Verdict verdict = Verdict::Retry;
-    Replica owner;
+    ClaimStatus status = ClaimStatus::Retry;
+    EntryIdentity owner;
     std::uint64_t epoch = 0;
     std::int64_t claimedAt = 0;
 };
 template<class Fields>
-void describe(Fields &fields, AskAnswer &answer)
+void describe(Fields &fields, ClaimResponse &answer)
 {
     fields("job", answer.job);
     fields("nonce", answer.nonce);
-    fields("verdict", answer.verdict);
+    fields("verdict", answer.status);
     fields("owner", answer.owner);
     fields("epoch", answer.epoch);
     fields("claimedAt", answer.claimedAt);
@@ -137,7 +137,7 @@
 struct Release
 {
     static constexpr const char *Type = "claim-release";
-    Replica from;
+    EntryIdentity from;
     std::string job;
     std::uint64_t epoch = 0;
 };
@@ -168,7 +168,7 @@
 
 // [SECTION] Replication
 
-struct Copy
+struct Replicate
 {
     static constexpr const char *Type = "claim-copy";
     std::string from;
@@ -176,14 +176,14 @@
     Record record;
 };
 template<class Fields>
-void describe(Fields &fields, Copy &copy)
+void describe(Fields &fields, Replicate &copy)
 {
     fields("from", copy.from);
     fields("view", copy.view);
     fields("record", copy.record);
 }
 
-struct Copied
+struct ReplicateAck
 {
     static constexpr const char *Type = "claim-copied";
     std::string from;
@@ -193,7 +193,7 @@
     bool notRun = false;
 };
 template<class Fields>
-void describe(Fields &fields, Copied &copied)
+void describe(Fields &fields, ReplicateAck &copied)
 {
     fields("from", copied.from);
     fields("view", copied.view);
@@ -226,7 +226,7 @@
     fields("records", part.records);
 }
 
-struct ShardPartTaken
+struct ShardPartAck
 {
     static constexpr const char *Type = "shard-part-taken";
     std::string from;
@@ -235,7 +235,7 @@
     std::uint32_t part = 0;
 };
 template<class Fields>
-void describe(Fields &fields, ShardPartTaken &taken)
+void describe(Fields &fields, ShardPartAck &taken)
 {
     fields("from", taken.from);
     fields("view", taken.view);
@@ -244,7 +244,7 @@
 }
 
 // A replica has all claims of these shards in this view; sent to the primary of each.
-struct ShardsHeld
+struct ShardsReady
 {
     static constexpr const char *Type = "shards-held";
     std::string from;
@@ -252,7 +252,7 @@
     std::vector<std::uint32_t> shards;
 };
 template<class Fields>
-void describe(Fields &fields, ShardsHeld &held)
+void describe(Fields &fields, ShardsReady &held)
 {
     fields("from", held.from);
     fields("view", held.view);
@@ -261,7 +261,7 @@
 
 // [SECTION] Variant
 
-using ClaimMessage = std::variant<Ask, AskAnswer, Release, Released, Copy, Copied, ShardPart,
-                                  ShardPartTaken, ShardsHeld>;
+using ClaimMessage = std::variant<ClaimRequest, ClaimResponse, Release, Released, Replicate,
+                                  ReplicateAck, ShardPart, ShardPartAck, ShardsReady>;
 
 } // namespace foxwing::claims
--- a/packages/claims/include/foxwing/claims/view.h
+++ b/packages/claims/include/foxwing/claims/view.h
@@ -27,18 +27,18 @@
 constexpr std::uint32_t ShardCount = 64;
 
 // One incarnation of an entry process.
-struct Replica
+struct EntryIdentity
 {
     std::string id;
     std::uint64_t incarnation = 0;
 
-    bool operator==(const Replica &other) const
+    bool operator==(const EntryIdentity &other) const
     {
         return id == other.id && incarnation == other.incarnation;
     }
 };
 template<class Fields>
-void describe(Fields &fields, Replica &replica)
+void describe(Fields &fields, EntryIdentity &replica)
 {
     fields("id", replica.id);
     fields("incarnation", replica.incarnation);
@@ -46,7 +46,7 @@
 
 struct Member
 {
-    Replica replica;
+    EntryIdentity replica;
     std::string address;
     std::string dataCentre;
 };
@@ -61,20 +61,20 @@
 struct ShardBase
 {
     // Replicas of the shard when it was last active; empty if all of them are lost.
-    std::vector<Replica> replicas;
+    std::vector<EntryIdentity> replicas;
 
     // The view in which that was; the shard is active now if it is the current view.
-    std::uint64_t activeIn = 0;
+    std::uint64_t lastActiveView = 0;
 
     // Claims of ids created up to this time may be lost. Milliseconds since 1970; 0 for none.
-    std::int64_t floor = 0;
+    std::int64_t lossCutoff = 0;
 };
 template<class Fields>
 void describe(Fields &fields, ShardBase &base)
 {
     fields("replicas", base.replicas);
-    fields("activeIn", base.activeIn);
-    fields("floor", base.floor);
+    fields("activeIn", base.lastActiveView);
+    fields("floor", base.lossCutoff);
 }
 
 struct View
@@ -103,10 +103,10 @@
 
 // The replicas of a shard in a view: first the primary, the others in other data centres if
 // possible.
-std::vector<Replica> replicasOf(const View &view, std::uint32_t shard);
+std::vector<EntryIdentity> replicasOf(const View &view, std::uint32_t shard);
 
 // Whether this incarnation of an entry is a member.
-bool isMember(const View &view, const Replica &replica);
+bool isMember(const View &view, const EntryIdentity &replica);
 
 bool isNewer(const View &view, const View &than);
 
--- a/packages/claims/src/claims.cpp
+++ b/packages/claims/src/claims.cpp
@@ -24,7 +24,7 @@
 
 bool masterLeaseHolds(const ClaimTable &table, Time now)
 {
-    return table.masterHeard && now < table.masterHeardAt + table.settings.masterLease;
+    return table.controlHeard && now < table.controlHeardAt + table.settings.controlLease;
 }
 
 // Creation time that the id in "team/submission" contains; none if it is not a submission id.
@@ -42,27 +42,27 @@
     const std::optional<WallTime> made = madeAt(job);
     if (!made)
         return true;
-    return made->time_since_epoch().count() <= shard.floor
+    return made->time_since_epoch().count() <= shard.lossCutoff
             || *made + table.settings.retention <= wallNow;
 }
 
 // [SECTION] Answers
 
-void answer(const Waiter &waiter, const HeldRecord &held, const Replica &asker,
+void answer(const Waiter &waiter, const HeldRecord &held, const EntryIdentity &asker,
             ClaimActions &actions)
 {
     const Record &record = held.record;
-    AskAnswer message;
+    ClaimResponse message;
     message.job = record.job;
     message.nonce = waiter.nonce;
     message.owner = record.owner;
     message.epoch = record.epoch;
     message.claimedAt = record.claimedAt;
-    message.verdict = Verdict::Owned;
+    message.status = ClaimStatus::OwnedByOther;
     if (record.notRun)
-        message.verdict = Verdict::NotRun;
+        message.status = ClaimStatus::NotRun;
     else if (record.owner == asker && record.nonce == waiter.nonce)
-        message.verdict = Verdict::Granted;
+        message.status = ClaimStatus::Granted;
     actions.sends.push_back({ waiter.to, message });
 }
 
@@ -74,17 +74,18 @@
         return;
     }
     // Only the current owner's request has the nonce of the record, so comparing the id is enough.
-    const Replica asker { waiter.to,
-                          held.record.owner.id == waiter.to ? held.record.owner.incarnation : 0 };
+    const EntryIdentity asker { waiter.to,
+                                held.record.owner.id == waiter.to ? held.record.owner.incarnation
+                                                                  : 0 };
     answer(waiter, held, asker, actions);
 }
 
-void answerVerdict(const Ask &ask, Verdict verdict, ClaimActions &actions)
+void answerVerdict(const ClaimRequest &ask, ClaimStatus status, ClaimActions &actions)
 {
-    AskAnswer message;
+    ClaimResponse message;
     message.job = ask.job;
     message.nonce = ask.nonce;
-    message.verdict = verdict;
+    message.status = status;
     actions.sends.push_back({ ask.from.id, message });
 }
 
@@ -93,7 +94,7 @@
 void sendCopies(ClaimTable &table, HeldRecord &held, Time now, ClaimActions &actions)
 {
     for (const std::string &replica : held.unacknowledged) {
-        const Copy copy { table.settings.self.id, table.view.number, held.record };
+        const Replicate copy { table.settings.self.id, table.view.number, held.record };
         actions.sends.push_back({ replica, copy });
     }
     held.nextSend = now + table.settings.resendInterval;
@@ -113,7 +114,7 @@
 {
     held.committed = false;
     held.unacknowledged.clear();
-    for (const Replica &replica : table.replicas[shardOf(held.record.job)]) {
+    for (const EntryIdentity &replica : table.replicas[shardOf(held.record.job)]) {
         if (!(replica == table.settings.self))
             held.unacknowledged.push_back(replica.id);
     }
@@ -125,7 +126,7 @@
     sendCopies(table, held, now, actions);
 }
 
-void handleCopy(ClaimTable &table, const Copy &copy, ClaimActions &actions)
+void handleCopy(ClaimTable &table, const Replicate &copy, ClaimActions &actions)
 {
     const std::uint32_t number = shardOf(copy.record.job);
     Shard &shard = table.shards[number];
@@ -137,7 +138,7 @@
         held.committed = false;
         table.ages.push_back({ copy.record.claimedAt, copy.record.job });
     }
-    Copied copied;
+    ReplicateAck copied;
     copied.from = table.settings.self.id;
     copied.view = copy.view;
     copied.job = copy.record.job;
@@ -146,7 +147,7 @@
     actions.sends.push_back({ copy.from, copied });
 }
 
-void handleCopied(ClaimTable &table, const Copied &copied, ClaimActions &actions)
+void handleCopied(ClaimTable &table, const ReplicateAck &copied, ClaimActions &actions)
 {
     Shard &shard = table.shards[shardOf(copied.job)];
     const auto found = shard.records.find(copied.job);
@@ -163,7 +164,7 @@
 
 // [SECTION] Requests
 
-void makeRecord(ClaimTable &table, HeldRecord &held, const Ask &ask, WallTime wallNow)
+void makeRecord(ClaimTable &table, HeldRecord &held, const ClaimRequest &ask, WallTime wallNow)
 {
     Record &record = held.record;
     record.job = ask.job;
@@ -171,19 +172,19 @@
     record.owner = ask.from;
     record.nonce = ask.nonce;
     record.claimedAt = wallNow.time_since_epoch().count();
-    record.notRun = ask.kind == AskKind::Refuse;
+    record.notRun = ask.kind == ClaimRequestKind::Refuse;
     table.ages.push_back({ record.claimedAt, record.job });
     ++table.counters.granted;
 }
 
-void handleNew(ClaimTable &table, Shard &shard, const Ask &ask, Time now, WallTime wallNow,
+void handleNew(ClaimTable &table, Shard &shard, const ClaimRequest &ask, Time now, WallTime wallNow,
                ClaimActions &actions)
 {
-    if (ask.kind == AskKind::Look)
-        return answerVerdict(ask, Verdict::Absent, actions);
+    if (ask.kind == ClaimRequestKind::Lookup)
+        return answerVerdict(ask, ClaimStatus::Unclaimed, actions);
     if (mayBeForgotten(table, shard, ask.job, wallNow)) {
         ++table.counters.unknown;
-        return answerVerdict(ask, Verdict::Unknown, actions);
+        return answerVerdict(ask, ClaimStatus::Unknown, actions);
     }
     HeldRecord &held = shard.records[ask.job];
     makeRecord(table, held, ask, wallNow);
@@ -191,7 +192,8 @@
     replicate(table, held, now, actions);
 }
 
-void takeOver(ClaimTable &table, HeldRecord &held, const Ask &ask, Time now, ClaimActions &actions)
+void takeOver(ClaimTable &table, HeldRecord &held, const ClaimRequest &ask, Time now,
+              ClaimActions &actions)
 {
     ++table.counters.takeovers;
     held.record.owner = ask.from;
@@ -201,18 +203,18 @@
     replicate(table, held, now, actions);
 }
 
-void handleKnown(ClaimTable &table, HeldRecord &held, const Ask &ask, Time now,
+void handleKnown(ClaimTable &table, HeldRecord &held, const ClaimRequest &ask, Time now,
                  ClaimActions &actions)
 {
-    if (ask.kind != AskKind::Look && ask.digest != held.record.digest) {
+    if (ask.kind != ClaimRequestKind::Lookup && ask.digest != held.record.digest) {
         ++table.counters.conflicts;
-        return answerVerdict(ask, Verdict::Conflict, actions);
+        return answerVerdict(ask, ClaimStatus::Conflict, actions);
     }
     const bool ownerLost = !held.record.notRun && !isMember(table.view, held.record.owner);
-    if (ownerLost && ask.kind == AskKind::Claim)
+    if (ownerLost && ask.kind == ClaimRequestKind::Claim)
         return takeOver(table, held, ask, now, actions);
     if (ownerLost)
-        return answerVerdict(ask, Verdict::OwnerLost, actions);
+        return answerVerdict(ask, ClaimStatus::OwnerLost, actions);
     ++table.counters.joined;
     held.waiters.push_back({ ask.from.id, ask.nonce, false });
     if (held.committed)
@@ -221,14 +223,15 @@
         replicate(table, held, now, actions);
 }
 
-void handleAsk(ClaimTable &table, const Ask &ask, Time now, WallTime wallNow, ClaimActions &actions)
+void handleAsk(ClaimTable &table, const ClaimRequest &ask, Time now, WallTime wallNow,
+               ClaimActions &actions)
 {
     const std::uint32_t number = shardOf(ask.job);
     const bool mayServe = servesShard(table, number) && masterLeaseHolds(table, now)
             && isMember(table.view, ask.from);
     if (!mayServe) {
         ++table.counters.retries;
-        return answerVerdict(ask, Verdict::Retry, actions);
+        return answerVerdict(ask, ClaimStatus::Retry, actions);
     }
     Shard &shard = table.shards[number];
     const auto found = shard.records.find(ask.job);
@@ -313,28 +316,28 @@
     return actions;
 }
 
-void hearMaster(ClaimTable &table, Time now)
+void renewControlLease(ClaimTable &table, Time now)
 {
-    table.masterHeard = true;
-    table.masterHeardAt = now;
+    table.controlHeard = true;
+    table.controlHeardAt = now;
 }
 
 ClaimActions handle(ClaimTable &table, const ClaimMessage &message, Time now, WallTime wallNow)
 {
     ClaimActions actions;
-    if (const auto *ask = std::get_if<Ask>(&message))
+    if (const auto *ask = std::get_if<ClaimRequest>(&message))
         handleAsk(table, *ask, now, wallNow, actions);
     else if (const auto *release = std::get_if<Release>(&message))
         handleRelease(table, *release, now, actions);
-    else if (const auto *copy = std::get_if<Copy>(&message))
+    else if (const auto *copy = std::get_if<Replicate>(&message))
         handleCopy(table, *copy, actions);
-    else if (const auto *copied = std::get_if<Copied>(&message))
+    else if (const auto *copied = std::get_if<ReplicateAck>(&message))
         handleCopied(table, *copied, actions);
     else if (const auto *part = std::get_if<ShardPart>(&message))
         handlePart(table, *part, actions);
-    else if (const auto *taken = std::get_if<ShardPartTaken>(&message))
+    else if (const auto *taken = std::get_if<ShardPartAck>(&message))
         handlePartTaken(table, *taken);
-    else if (const auto *held = std::get_if<ShardsHeld>(&message))
+    else if (const auto *held = std::get_if<ShardsReady>(&message))
         handleHeld(table, *held);
     return actions;
 }
@@ -348,30 +351,30 @@
     return actions;
 }
 
-Replica homeOf(const ClaimTable &table, const std::string &job)
+EntryIdentity primaryOf(const ClaimTable &table, const std::string &job)
 {
-    const std::vector<Replica> &replicas = table.replicas[shardOf(job)];
-    return replicas.empty() ? Replica {} : replicas[0];
+    const std::vector<EntryIdentity> &replicas = table.replicas[shardOf(job)];
+    return replicas.empty() ? EntryIdentity {} : replicas[0];
 }
 
 bool servesShard(const ClaimTable &table, std::uint32_t shard)
 {
-    const std::vector<Replica> &replicas = table.replicas[shard];
+    const std::vector<EntryIdentity> &replicas = table.replicas[shard];
     return table.view.number != 0 && !replicas.empty() && replicas[0] == table.settings.self
             && table.shards[shard].heldIn == table.view.number
-            && table.view.bases[shard].activeIn == table.view.number;
+            && table.view.bases[shard].lastActiveView == table.view.number;
 }
 
 std::vector<std::uint32_t> readyShards(const ClaimTable &table)
 {
     std::vector<std::uint32_t> ready;
     for (std::uint32_t number = 0; number < ShardCount; ++number) {
-        const std::vector<Replica> &replicas = table.replicas[number];
+        const std::vector<EntryIdentity> &replicas = table.replicas[number];
         const Shard &shard = table.shards[number];
-        const bool home = !replicas.empty() && replicas[0] == table.settings.self
+        const bool primary = !replicas.empty() && replicas[0] == table.settings.self
                 && shard.heldIn == table.view.number && table.view.number != 0;
-        const bool active = table.view.bases[number].activeIn == table.view.number;
-        if (home && !active && shard.heldBy.size() + 1 >= replicas.size())
+        const bool active = table.view.bases[number].lastActiveView == table.view.number;
+        if (primary && !active && shard.heldBy.size() + 1 >= replicas.size())
             ready.push_back(number);
     }
     return ready;
@@ -382,7 +385,7 @@
     return table.view.number != 0
             && std::all_of(table.view.bases.begin(), table.view.bases.end(),
                            [&](const ShardBase &base) {
-                               return base.activeIn == table.view.number;
+                               return base.lastActiveView == table.view.number;
                            });
 }
 
--- a/packages/claims/src/shardtransfer.cpp
+++ b/packages/claims/src/shardtransfer.cpp
@@ -15,7 +15,7 @@
 
 namespace foxwing::claims {
 
-bool contains(const std::vector<Replica> &replicas, const Replica &replica)
+bool contains(const std::vector<EntryIdentity> &replicas, const EntryIdentity &replica)
 {
     return std::find(replicas.begin(), replicas.end(), replica) != replicas.end();
 }
@@ -48,8 +48,8 @@
 
 void queueParts(ClaimTable &table, std::uint32_t number, Time now)
 {
-    const std::vector<Replica> &base = table.view.bases[number].replicas;
-    for (const Replica &replica : table.replicas[number]) {
+    const std::vector<EntryIdentity> &base = table.view.bases[number].replicas;
+    for (const EntryIdentity &replica : table.replicas[number]) {
         if (contains(base, replica))
             continue;
         for (ShardPart &part : splitShard(table, number))
@@ -62,12 +62,12 @@
 {
     Shard &shard = table.shards[number];
     const ShardBase &base = table.view.bases[number];
-    const Replica &self = table.settings.self;
-    const bool inBase = contains(base.replicas, self) && shard.heldIn >= base.activeIn;
+    const EntryIdentity &self = table.settings.self;
+    const bool inBase = contains(base.replicas, self) && shard.heldIn >= base.lastActiveView;
     const bool wanted = contains(table.replicas[number], self);
     shard.heldBy.clear();
     shard.received.clear();
-    shard.floor = std::max(shard.floor, base.floor);
+    shard.lossCutoff = std::max(shard.lossCutoff, base.lossCutoff);
     if (inBase) {
         queueParts(table, number, now);
         if (wanted)
@@ -125,11 +125,11 @@
         for (const Record &record : part.records)
             table.ages.push_back({ record.claimedAt, record.job });
     }
-    const ShardPartTaken taken { self, part.view, part.shard, part.part };
+    const ShardPartAck taken { self, part.view, part.shard, part.part };
     actions.sends.push_back({ part.from, taken });
 }
 
-void handlePartTaken(ClaimTable &table, const ShardPartTaken &taken)
+void handlePartTaken(ClaimTable &table, const ShardPartAck &taken)
 {
     if (taken.view != table.view.number)
         return;
@@ -141,7 +141,7 @@
                          table.outgoing.end());
 }
 
-void handleHeld(ClaimTable &table, const ShardsHeld &held)
+void handleHeld(ClaimTable &table, const ShardsReady &held)
 {
     if (held.view != table.view.number)
         return;
@@ -157,15 +157,15 @@
 
 void reportHeld(ClaimTable &table, ClaimActions &actions)
 {
-    std::unordered_map<std::string, ShardsHeld> reports;
+    std::unordered_map<std::string, ShardsReady> reports;
     for (std::uint32_t number = 0; number < ShardCount; ++number) {
         const Shard &shard = table.shards[number];
-        const std::vector<Replica> &replicas = table.replicas[number];
-        const bool inService = table.view.bases[number].activeIn == table.view.number;
+        const std::vector<EntryIdentity> &replicas = table.replicas[number];
+        const bool inService = table.view.bases[number].lastActiveView == table.view.number;
         if (shard.heldIn != table.view.number || inService || replicas.empty()
             || replicas[0] == table.settings.self)
             continue;
-        ShardsHeld &report = reports[replicas[0].id];
+        ShardsReady &report = reports[replicas[0].id];
         report.from = table.settings.self.id;
         report.view = table.view.number;
         report.shards.push_back(number);
--- a/packages/claims/src/view.cpp
+++ b/packages/claims/src/view.cpp
@@ -18,7 +18,7 @@
     return static_cast<std::uint32_t>(hash64(job) % ShardCount);
 }
 
-std::vector<Replica> replicasOf(const View &view, std::uint32_t shard)
+std::vector<EntryIdentity> replicasOf(const View &view, std::uint32_t shard)
 {
     const std::string key = "shard " + std::to_string(shard);
     std::vector<const Member *> ranked;
@@ -27,7 +27,7 @@
     std::sort(ranked.begin(), ranked.end(), [&](const Member *left, const Member *right) {
         return rendezvousWeight(key, left->replica.id) > rendezvousWeight(key, right->replica.id);
     });
-    std::vector<Replica> chosen;
+    std::vector<EntryIdentity> chosen;
     std::vector<std::string> dataCentres;
     // One replica in each data centre first; if more are needed, any entry.
     for (int round = 0; round < 2; ++round) {
@@ -45,7 +45,7 @@
     return chosen;
 }
 
-bool isMember(const View &view, const Replica &replica)
+bool isMember(const View &view, const EntryIdentity &replica)
 {
     return std::any_of(view.members.begin(), view.members.end(),
                        [&](const Member &member) { return member.replica == replica; });
--- a/packages/control/include/foxwing/control/cluster.h
+++ b/packages/control/include/foxwing/control/cluster.h
@@ -64,7 +64,7 @@
 // The view that follows with these members: the bases move on, and a shard that lost all replicas
 // of its base starts empty with a floor.
 claims::View nextView(const claims::View &view, std::vector<claims::Member> members,
-                      std::uint32_t replicaCount, std::int64_t floor);
+                      std::uint32_t replicaCount, std::int64_t lossCutoff);
 
 // The same view with more shards in service. Shards that are so already are left alone.
 claims::View activateShards(const claims::View &view, const std::vector<std::uint32_t> &shards);
--- a/packages/control/src/cluster.cpp
+++ b/packages/control/src/cluster.cpp
@@ -50,13 +50,15 @@
 bool survives(const claims::ShardBase &base, const claims::View &view)
 {
     return std::any_of(base.replicas.begin(), base.replicas.end(),
-                       [&](const claims::Replica &replica) { return isMember(view, replica); });
+                       [&](const claims::EntryIdentity &replica) {
+                           return isMember(view, replica);
+                       });
 }
 
 } // namespace
 
 claims::View nextView(const claims::View &view, std::vector<claims::Member> members,
-                      std::uint32_t replicaCount, std::int64_t floor)
+                      std::uint32_t replicaCount, std::int64_t lossCutoff)
 {
     claims::View next = view;
     next.number = view.number + 1;
@@ -68,8 +70,8 @@
         if (base.replicas.empty() || survives(base, next))
             continue;
         base.replicas.clear();
-        base.activeIn = 0;
-        base.floor = std::max(base.floor, floor);
+        base.lastActiveView = 0;
+        base.lossCutoff = std::max(base.lossCutoff, lossCutoff);
     }
     return next;
 }
@@ -78,10 +80,10 @@
 {
     claims::View next = view;
     for (const std::uint32_t number : shards) {
-        if (number >= next.bases.size() || next.bases[number].activeIn == view.number)
+        if (number >= next.bases.size() || next.bases[number].lastActiveView == view.number)
             continue;
         next.bases[number].replicas = claims::replicasOf(view, number);
-        next.bases[number].activeIn = view.number;
+        next.bases[number].lastActiveView = view.number;
         next.update = view.update + 1;
     }
     return next;
--- a/packages/control/src/control.cpp
+++ b/packages/control/src/control.cpp
@@ -248,12 +248,13 @@
     std::vector<claims::Member> members = liveEntries(control);
     if (!sameMembers(members, view.members) && now >= control.nextViewAt
         && now >= control.settledAt) {
-        const std::int64_t floor =
+        const std::int64_t lossCutoff =
                 (wallNow + control.settings.clockSkew).time_since_epoch().count();
         control.readyShards.clear();
         control.nextViewAt = now + control.settings.viewPause;
         return proposeView(control,
-                           nextView(view, std::move(members), control.settings.replicaCount, floor),
+                           nextView(view, std::move(members), control.settings.replicaCount,
+                                    lossCutoff),
                            actions);
     }
     if (control.readyShards.empty())
--- a/packages/dispatch/include/foxwing/dispatch/dispatcher.h
+++ b/packages/dispatch/include/foxwing/dispatch/dispatcher.h
@@ -43,7 +43,7 @@
     std::string dataCentre;
 
     // A worker that has not renewed its offer for this long gets nothing new.
-    Milliseconds leaseSpan { 1500 };
+    Milliseconds leaseDuration { 1500 };
 
     // A worker that has not been heard of for this long is lost, and so are the tasks on it.
     Milliseconds lostAfter { 4000 };
--- a/packages/dispatch/src/dispatcher.cpp
+++ b/packages/dispatch/src/dispatcher.cpp
@@ -275,7 +275,7 @@
         return;
     if (effect == OfferEffect::Restarted)
         loseTasksOn(dispatcher, offer.agent, offer.agentIncarnation, now, actions);
-    agent::LeaseTaken taken;
+    agent::LeaseAccepted taken;
     taken.owner = dispatcher.settings.id;
     taken.ownerIncarnation = dispatcher.settings.incarnation;
     taken.leaseEpoch = offer.leaseEpoch;
@@ -303,7 +303,7 @@
     unplaceWorker(pool, worker);
     if (worker.restUntil != Time {} && now >= worker.restUntil)
         worker.restUntil = Time {};
-    if (worker.leased && now >= worker.lastOffer + dispatcher.settings.leaseSpan)
+    if (worker.leased && now >= worker.lastOffer + dispatcher.settings.leaseDuration)
         endLease(pool, worker);
     endEjection(worker.health, now);
     placeWorker(pool, worker);
@@ -614,8 +614,8 @@
         return actions;
     endLease(pool, *chosen);
     ++dispatcher.counters.yields;
-    const agent::Yield yield { dispatcher.settings.id, heir, chosen->leaseEpoch,
-                               chosen->incarnation };
+    const agent::TransferLease yield { dispatcher.settings.id, heir, chosen->leaseEpoch,
+                                       chosen->incarnation };
     actions.sends.push_back({ chosen->id, yield });
     return actions;
 }
--- a/packages/dispatch/src/takeover.cpp
+++ b/packages/dispatch/src/takeover.cpp
@@ -36,7 +36,7 @@
 }
 
 // A task that finished or runs at the agent; neither may be started again.
-void takeStarted(Dispatcher &dispatcher, Job &job, const agent::KnownTask &known,
+void takeStarted(Dispatcher &dispatcher, Job &job, const agent::TaskStatus &known,
                  const agent::Fenced &from, Time now, Actions &actions)
 {
     Task &task = job.tasks[known.ref.task];
@@ -88,7 +88,7 @@
     // Incarnations are the dates at which agents started.
     const auto startedAt = static_cast<std::int64_t>(fenced.agentIncarnation);
     job.collectionHasGaps = job.collectionHasGaps || startedAt >= job.claimedAt;
-    for (const agent::KnownTask &known : fenced.tasks) {
+    for (const agent::TaskStatus &known : fenced.tasks) {
         if (job.state == JobState::Ended || known.ref.task >= job.tasks.size())
             return;
         Task &task = job.tasks[known.ref.task];
--- a/packages/entry/include/foxwing/entry/entry.h
+++ b/packages/entry/include/foxwing/entry/entry.h
@@ -39,7 +39,7 @@
 struct EntrySettings
 {
     // Identity
-    claims::Replica self;
+    claims::EntryIdentity self;
     std::string dataCentre;
 
     dispatch::DispatchSettings dispatch;
@@ -120,7 +120,7 @@
 
     std::vector<WaiterId> waiters;
     std::vector<std::string> joinedBy;
-    claims::Replica owner;
+    claims::EntryIdentity owner;
     std::uint64_t nonce = 0;
     std::uint64_t epoch = 1;
     Time deadline {};
@@ -128,7 +128,7 @@
     Time releaseUntil {};
     Time grantedAt {};
     std::int64_t claimedAt = 0;
-    Milliseconds sendWait { 0 };
+    Milliseconds resendDelay { 0 };
 };
 
 // An agent that may have started tasks, as control last told.
--- a/packages/entry/src/admission.cpp
+++ b/packages/entry/src/admission.cpp
@@ -137,7 +137,7 @@
     pending.request = request;
     pending.deadline = deadline;
     pending.nonce = entry.nextNonce++;
-    pending.sendWait = entry.settings.askInterval;
+    pending.resendDelay = entry.settings.askInterval;
     return pending;
 }
 
--- a/packages/entry/src/claiming.cpp
+++ b/packages/entry/src/claiming.cpp
@@ -28,7 +28,7 @@
 
 // A takeover asks every agent, so the list of them must be from after the claim was taken over: an
 // agent that joined just before may have worked for the lost owner.
-void awaitAgents(EntryState &entry, const claims::AskAnswer &answer, Pending &pending, Time now)
+void awaitAgents(EntryState &entry, const claims::ClaimResponse &answer, Pending &pending, Time now)
 {
     pending.state = PendingState::Refreshing;
     pending.grantedAt = now;
@@ -60,7 +60,7 @@
 namespace {
 
 void takeOwned(EntryState &entry, const std::string &key, Pending &pending,
-               const claims::AskAnswer &answer, Time now, EntryActions &actions)
+               const claims::ClaimResponse &answer, Time now, EntryActions &actions)
 {
     if (answer.owner == entry.settings.self) {
         const dispatch::Job *job = dispatch::findJob(entry.dispatcher, key);
@@ -73,12 +73,12 @@
     ++entry.counters.joins;
     pending.state = PendingState::Joined;
     pending.owner = answer.owner;
-    pending.sendWait = entry.settings.joinInterval;
+    pending.resendDelay = entry.settings.joinInterval;
     sendJoin(entry, key, pending, now, actions);
 }
 
 void takeGrant(EntryState &entry, const std::string &key, Pending &pending,
-               const claims::AskAnswer &answer, Time now, EntryActions &actions)
+               const claims::ClaimResponse &answer, Time now, EntryActions &actions)
 {
     pending.epoch = answer.epoch;
     // A grant for what this very life has run already can only come of a fault elsewhere.
@@ -90,22 +90,22 @@
         runHere(entry, key, pending, now, actions);
 }
 
-dispatch::Answer verdictAnswer(const Pending &pending, claims::Verdict verdict)
+dispatch::Answer statusAnswer(const Pending &pending, claims::ClaimStatus status)
 {
-    switch (verdict) {
-    case claims::Verdict::Conflict:
+    switch (status) {
+    case claims::ClaimStatus::Conflict:
         return makeAnswer(Outcome::NotRun, ErrorKind::Conflict,
                           "this submission id was used with another body; make a new id for each "
                           "submission");
-    case claims::Verdict::NotRun:
+    case claims::ClaimStatus::NotRun:
         if (pending.refusal.kind != ErrorKind::None)
             return refused(pending.refusal);
         return makeAnswer(Outcome::NotRun, ErrorKind::Unavailable,
                           "this submission ended as \"not run\"; submit the work with a new id");
-    case claims::Verdict::Absent:
+    case claims::ClaimStatus::Unclaimed:
         return makeAnswer(Outcome::NotRun, ErrorKind::NotFound,
                           "there is no such submission; check the id, or submit it");
-    case claims::Verdict::OwnerLost:
+    case claims::ClaimStatus::OwnerLost:
         return makeAnswer(Outcome::Unknown, ErrorKind::Unavailable,
                           "the entry that had this is lost; submit the same id and body again and "
                           "another entry takes it over");
@@ -117,10 +117,11 @@
 }
 
 // Nobody here waits for this grant any more, so it must end as "not run".
-void giveBackLateGrant(EntryState &entry, const claims::AskAnswer &answer, EntryActions &actions)
+void giveBackLateGrant(EntryState &entry, const claims::ClaimResponse &answer,
+                       EntryActions &actions)
 {
     // What was taken over from a lost owner may have run, so only a first grant can be given back.
-    if (answer.verdict != claims::Verdict::Granted || answer.epoch != 1)
+    if (answer.status != claims::ClaimStatus::Granted || answer.epoch != 1)
         return;
     std::deque<AbandonedAsk> &asks = entry.abandonedAsks;
     const auto found = std::find_if(asks.begin(), asks.end(), [&](const AbandonedAsk &ask) {
@@ -131,32 +132,32 @@
     asks.erase(found);
     const claims::Release release { entry.settings.self, answer.job, answer.epoch };
     actions.sends.push_back(
-            { claims::homeOf(entry.claims, answer.job).id, claims::ClaimMessage(release) });
+            { claims::primaryOf(entry.claims, answer.job).id, claims::ClaimMessage(release) });
 }
 
 } // namespace
 
-void takeVerdict(EntryState &entry, const claims::AskAnswer &answer, Time now,
-                 EntryActions &actions)
+void handleClaimResponse(EntryState &entry, const claims::ClaimResponse &answer, Time now,
+                         EntryActions &actions)
 {
     const auto found = entry.pending.find(answer.job);
     const bool awaited = found != entry.pending.end() && found->second.state == PendingState::Asking
             && found->second.nonce == answer.nonce;
     // A late answer to an earlier life of this entry can carry the same nonce.
-    if (answer.verdict == claims::Verdict::Granted && !(answer.owner == entry.settings.self))
+    if (answer.status == claims::ClaimStatus::Granted && !(answer.owner == entry.settings.self))
         return;
     if (!awaited)
         return giveBackLateGrant(entry, answer, actions);
     Pending &pending = found->second;
-    if (answer.verdict == claims::Verdict::Retry)
+    if (answer.status == claims::ClaimStatus::Retry)
         return; // asked again when due
-    if (answer.verdict == claims::Verdict::Granted)
+    if (answer.status == claims::ClaimStatus::Granted)
         return takeGrant(entry, answer.job, pending, answer, now, actions);
-    if (answer.verdict == claims::Verdict::Owned)
+    if (answer.status == claims::ClaimStatus::OwnedByOther)
         return takeOwned(entry, answer.job, pending, answer, now, actions);
     if (pending.refusal.kind != ErrorKind::None)
         ++entry.counters.refusals;
-    conclude(entry, answer.job, verdictAnswer(pending, answer.verdict), actions);
+    conclude(entry, answer.job, statusAnswer(pending, answer.status), actions);
 }
 
 void takeReleased(EntryState &entry, const claims::Released &released, EntryActions &actions)
@@ -195,7 +196,7 @@
         return conclude(entry, key, answer, actions);
     pending.state = PendingState::Releasing;
     pending.releaseUntil = now + entry.settings.releaseSpan;
-    pending.sendWait = entry.settings.askInterval;
+    pending.resendDelay = entry.settings.askInterval;
     entry.watched.push_back(key);
     sendRelease(entry, key, pending, now, actions);
 }
--- a/packages/entry/src/entry.cpp
+++ b/packages/entry/src/entry.cpp
@@ -68,7 +68,7 @@
     pending.state = PendingState::Asking;
     pending.handedOff = false;
     pending.nonce = entry.nextNonce++;
-    pending.sendWait = entry.settings.askInterval;
+    pending.resendDelay = entry.settings.askInterval;
     sendAsk(entry, key, pending, now, actions);
 }
 
@@ -126,7 +126,7 @@
     pending.lookOnly = false;
     pending.deadline = now + request.timeLeft;
     pending.nonce = entry.nextNonce++;
-    pending.sendWait = entry.settings.askInterval;
+    pending.resendDelay = entry.settings.askInterval;
     addWaiter(entry, pending, request.waiter);
     sendAsk(entry, key, pending, now, actions);
     return true;
@@ -193,7 +193,7 @@
     if (ownerLost)
         askAnew(entry, key, pending, now, actions);
     if (pending.state == PendingState::Refreshing) {
-        const bool refreshed = entry.claims.masterHeardAt > pending.grantedAt;
+        const bool refreshed = entry.claims.controlHeardAt > pending.grantedAt;
         if (refreshed)
             adopt(entry, key, pending, now, actions);
         return !refreshed;
@@ -261,7 +261,7 @@
                 || joinLocal(entry, key, request.waiter, request.digest, actions));
     if (known)
         return actions;
-    if (const std::optional<claims::Replica> owner = otherOwner(entry, request, now)) {
+    if (const std::optional<claims::EntryIdentity> owner = otherOwner(entry, request, now)) {
         handOff(entry, request, *owner, now, wallNow, actions);
         return actions;
     }
@@ -337,8 +337,8 @@
                          WallTime wallNow)
 {
     EntryActions actions;
-    if (const auto *answer = std::get_if<claims::AskAnswer>(&message))
-        takeVerdict(entry, *answer, now, actions);
+    if (const auto *answer = std::get_if<claims::ClaimResponse>(&message))
+        handleClaimResponse(entry, *answer, now, actions);
     else if (const auto *released = std::get_if<claims::Released>(&message))
         takeReleased(entry, *released, actions);
     else
@@ -391,8 +391,8 @@
 
 bool configured(const EntryState &entry, Time now)
 {
-    return entry.claims.masterHeard
-            && now < entry.claims.masterHeardAt + entry.settings.configurationLease;
+    return entry.claims.controlHeard
+            && now < entry.claims.controlHeardAt + entry.settings.configurationLease;
 }
 
 bool ready(const EntryState &entry, Time now)
--- a/packages/entry/src/internal.h
+++ b/packages/entry/src/internal.h
@@ -56,8 +56,8 @@
              EntryActions &actions);
 
 // The word of a claim's home.
-void takeVerdict(EntryState &entry, const claims::AskAnswer &answer, Time now,
-                 EntryActions &actions);
+void handleClaimResponse(EntryState &entry, const claims::ClaimResponse &answer, Time now,
+                         EntryActions &actions);
 
 // The home has recorded that nothing of a job ever runs, or that it is another's by now.
 void takeReleased(EntryState &entry, const claims::Released &released, EntryActions &actions);
@@ -73,12 +73,12 @@
 // [SECTION] Other entries
 
 // The peer that should own this submission; none if this entry should.
-std::optional<claims::Replica> otherOwner(EntryState &entry, const SubmitRequest &request,
-                                          Time now);
+std::optional<claims::EntryIdentity> otherOwner(EntryState &entry, const SubmitRequest &request,
+                                                Time now);
 
 // Gives the submission to another entry. A request without an id gets one, so that the other
 // entry can't run it twice whatever the network does.
-void handOff(EntryState &entry, SubmitRequest request, const claims::Replica &owner, Time now,
+void handOff(EntryState &entry, SubmitRequest request, const claims::EntryIdentity &owner, Time now,
              WallTime wallNow, EntryActions &actions);
 
 // Work that a peer hands to this entry. It is claimed like any other and never handed on.
--- a/packages/entry/src/joining.cpp
+++ b/packages/entry/src/joining.cpp
@@ -72,8 +72,8 @@
 
 void scheduleNext(Pending &pending, Time now, Milliseconds longest)
 {
-    pending.nextSend = now + pending.sendWait;
-    pending.sendWait = std::min(pending.sendWait * 2, longest);
+    pending.nextSend = now + pending.resendDelay;
+    pending.resendDelay = std::min(pending.resendDelay * 2, longest);
 }
 
 } // namespace
@@ -81,18 +81,18 @@
 void sendAsk(EntryState &entry, const std::string &key, Pending &pending, Time now,
              EntryActions &actions)
 {
-    const claims::Replica home = claims::homeOf(entry.claims, key);
-    claims::Ask ask;
+    const claims::EntryIdentity primary = claims::primaryOf(entry.claims, key);
+    claims::ClaimRequest ask;
     ask.from = entry.settings.self;
     ask.job = key;
     ask.digest = pending.request.digest;
     ask.nonce = pending.nonce;
     if (pending.lookOnly)
-        ask.kind = claims::AskKind::Look;
+        ask.kind = claims::ClaimRequestKind::Lookup;
     else if (pending.refusal.kind != ErrorKind::None)
-        ask.kind = claims::AskKind::Refuse;
-    if (!home.id.empty())
-        actions.sends.push_back({ home.id, claims::ClaimMessage(ask) });
+        ask.kind = claims::ClaimRequestKind::Refuse;
+    if (!primary.id.empty())
+        actions.sends.push_back({ primary.id, claims::ClaimMessage(ask) });
     scheduleNext(pending, now, entry.settings.longestAskInterval);
 }
 
@@ -133,10 +133,10 @@
 void sendRelease(EntryState &entry, const std::string &key, Pending &pending, Time now,
                  EntryActions &actions)
 {
-    const claims::Replica home = claims::homeOf(entry.claims, key);
+    const claims::EntryIdentity primary = claims::primaryOf(entry.claims, key);
     const claims::Release release { entry.settings.self, key, pending.epoch };
-    if (!home.id.empty())
-        actions.sends.push_back({ home.id, claims::ClaimMessage(release) });
+    if (!primary.id.empty())
+        actions.sends.push_back({ primary.id, claims::ClaimMessage(release) });
     scheduleNext(pending, now, entry.settings.longestAskInterval);
 }
 
--- a/packages/entry/src/peers.cpp
+++ b/packages/entry/src/peers.cpp
@@ -16,7 +16,8 @@
 // [SECTION] Handing over
 
 // The peer that should own this submission; none if this entry should.
-std::optional<claims::Replica> otherOwner(EntryState &entry, const SubmitRequest &request, Time now)
+std::optional<claims::EntryIdentity> otherOwner(EntryState &entry, const SubmitRequest &request,
+                                                Time now)
 {
     const std::string owner = chooseOwner(entry.placement, request.service,
                                           dispatch::serviceLoad(entry.dispatcher, request.service),
@@ -30,7 +31,7 @@
 
 // Gives the submission to another entry. A request without an id gets one, so that the other entry
 // can't run it twice whatever the network does.
-void handOff(EntryState &entry, SubmitRequest request, const claims::Replica &owner, Time now,
+void handOff(EntryState &entry, SubmitRequest request, const claims::EntryIdentity &owner, Time now,
              WallTime wallNow, EntryActions &actions)
 {
     if (request.submission.empty())
@@ -41,7 +42,7 @@
     pending.state = PendingState::Joined;
     pending.handedOff = true;
     pending.owner = owner;
-    pending.sendWait = entry.settings.joinInterval;
+    pending.resendDelay = entry.settings.joinInterval;
     addWaiter(entry, pending, request.waiter);
     entry.watched.push_back(key);
     sendJoin(entry, key, pending, now, actions);
--- a/packages/entry/tests/entry_test.cpp
+++ b/packages/entry/tests/entry_test.cpp
@@ -27,7 +27,7 @@
     entry.directory.services["svc"] = { "svc", 10, 100, Milliseconds(5000) };
     entry.directory.teams["team"] = { "team", "salt-salt", hashSecret("salt-salt", "secret"), 1,
                                       0 };
-    claims::hearMaster(entry.claims, Begin);
+    claims::renewControlLease(entry.claims, Begin);
     return entry;
 }
 
@@ -118,7 +118,7 @@
                                 ErrorKind::BadRequest, "set the clock" },
                 BadSubmission { "NotConfigured",
                                 [](EntryState &entry, SubmitRequest &) {
-                                    entry.claims.masterHeard = false;
+                                    entry.claims.controlHeard = false;
                                 },
                                 ErrorKind::NotReady, "another one" },
                 BadSubmission { "Leaving",
@@ -132,7 +132,7 @@
     for (const bool leaving : { true, false }) {
         EntryState entry = configuredEntry();
         entry.leaving = leaving;
-        entry.claims.masterHeard = leaving;
+        entry.claims.controlHeard = leaving;
         SubmitRequest request = goodRequest();
         std::mt19937_64 random(1);
         request.submission = makeSubmissionId(Wall, random);
@@ -152,7 +152,7 @@
     view.members = { { { "entry-a", 1 }, "", "" } };
     view.bases.resize(claims::ShardCount);
     for (claims::ShardBase &base : view.bases)
-        base.activeIn = 1;
+        base.lastActiveView = 1;
     setView(entry, view, Begin);
     tick(entry, Begin, Wall);
     EXPECT_TRUE(ready(entry, Begin));
--- a/packages/fleet/src/settings.cpp
+++ b/packages/fleet/src/settings.cpp
@@ -169,7 +169,7 @@
     shrink(entry.beatInterval);
     shrink(entry.quietAfter);
     shrink(agent.ownerSilence);
-    shrink(agent.leaseSpan);
+    shrink(agent.leaseDuration);
     shrink(agent.calmInterval);
 }
 
--- a/packages/fleet/tests/settings_test.cpp
+++ b/packages/fleet/tests/settings_test.cpp
@@ -160,7 +160,7 @@
     const auto &entry = settings->scheduler;
     const auto &agent = settings->runner;
     EXPECT_LT(entry.certainSilence, Milliseconds(GetParam().resendMilliseconds));
-    EXPECT_LT(agent.ownerSilence + agent.leaseSpan * 102 / 100, entry.certainSilence);
+    EXPECT_LT(agent.ownerSilence + agent.leaseDuration * 102 / 100, entry.certainSilence);
     EXPECT_LT(entry.agentSilence, agent.ownerSilence);
     EXPECT_LT(entry.beatInterval * 2, agent.ownerSilence);
 
--- a/packages/node/include/foxwing/node/message.h
+++ b/packages/node/include/foxwing/node/message.h
@@ -18,13 +18,14 @@
 // [SECTION] Variant
 
 using Message = std::variant<
-        agent::Start, agent::Void, agent::Cancel, agent::Settle, agent::Fence, agent::LeaseTaken,
-        agent::Yield, agent::LeaseOffer, agent::Finished, agent::NotStarted, agent::Started,
-        agent::Alive, agent::Fenced, claims::Ask, claims::AskAnswer, claims::Release,
-        claims::Released, claims::Copy, claims::Copied, claims::ShardPart, claims::ShardPartTaken,
-        claims::ShardsHeld, entry::Join, entry::JoinAnswer, entry::Handoff, entry::LoadReport,
-        control::Beat, control::Update, quorum::VoteRequest, quorum::VoteReply, quorum::Append,
-        quorum::AppendReply, quorum::InstallSnapshot>;
+        agent::Start, agent::Void, agent::Cancel, agent::Settle, agent::Fence, agent::LeaseAccepted,
+        agent::TransferLease, agent::LeaseOffer, agent::Finished, agent::NotStarted, agent::Started,
+        agent::KeepAlive, agent::Fenced, claims::ClaimRequest, claims::ClaimResponse,
+        claims::Release, claims::Released, claims::Replicate, claims::ReplicateAck,
+        claims::ShardPart, claims::ShardPartAck, claims::ShardsReady, entry::Join,
+        entry::JoinAnswer, entry::Handoff, entry::LoadReport, control::Beat, control::Update,
+        quorum::VoteRequest, quorum::VoteReply, quorum::Append, quorum::AppendReply,
+        quorum::InstallSnapshot>;
 
 // Whether a message of this type can be held by a narrower variant.
 template<class Narrow, class Held>
--- a/packages/node/src/agentrole.cpp
+++ b/packages/node/src/agentrole.cpp
@@ -50,7 +50,7 @@
 {
     if (update.view.number == 0)
         return;
-    std::vector<agent::EntryHint> entries;
+    std::vector<agent::OwnerCandidate> entries;
     for (const claims::Member &member : update.view.members)
         entries.push_back({ member.replica.id, member.replica.incarnation, member.dataCentre });
     carryOut(agent::setEntries(m_state, std::move(entries), steadyNow()));
--- a/packages/node/src/entryrole.cpp
+++ b/packages/node/src/entryrole.cpp
@@ -241,7 +241,7 @@
 
 void EntryRole::takeUpdate(const control::Update &update, Time beatSentAt)
 {
-    claims::hearMaster(m_state.claims, beatSentAt);
+    claims::renewControlLease(m_state.claims, beatSentAt);
     for (const control::ShareGrant &grant : update.shares)
         dispatch::setTeamLimit(m_state.dispatcher, grant.team, grant.share);
     if (update.reset)
--- a/packages/runner/include/foxwing/runner/runner.h
+++ b/packages/runner/include/foxwing/runner/runner.h
@@ -51,14 +51,14 @@
 
     // How long the endpoint goes on without a word from here; renewed by every look. Long enough
     // for an agent that gets no processor for half a second, see ownerSilence for the upper bound.
-    Milliseconds leaseSpan { 400 };
+    Milliseconds leaseDuration { 400 };
 
     // How long a look waits at the endpoint for an end. While something runs it also brings the
     // progress of each run, which is wanted within the time that the shortest tasks can spare.
     Milliseconds busyWait { 60 };
 
     // The same while nothing runs; a start that comes meanwhile lives on its own lease until the
-    // look returns, so well under leaseSpan.
+    // look returns, so well under leaseDuration.
     Milliseconds idleWait { 200 };
 
     // A start without an answer is ordered again, under the same number, until it is this old; then
--- a/packages/runner/src/offer.cpp
+++ b/packages/runner/src/offer.cpp
@@ -235,7 +235,7 @@
     if (!runner.life.clockSample || leaseIsLeftToEnd(runner, now))
         return std::nullopt;
     const auto elapsed = std::chrono::duration_cast<Milliseconds>(now - runner.life.clockAt);
-    return *runner.life.clockSample + elapsed + runner.settings.leaseSpan;
+    return *runner.life.clockSample + elapsed + runner.settings.leaseDuration;
 }
 
 void finishEvent(RunnerState &runner, Time now, RunnerActions &actions)
--- a/packages/runner/tests/orders_test.cpp
+++ b/packages/runner/tests/orders_test.cpp
@@ -264,7 +264,7 @@
         bench.answerLook({});
         bench.pass(Milliseconds(10));
     }
-    const Milliseconds lease = bench.runner.settings.leaseSpan;
+    const Milliseconds lease = bench.runner.settings.leaseDuration;
     EXPECT_GT(bench.now, renewed + lease * 100 / 98);
     EXPECT_LT(bench.now, renewed + lease + Milliseconds(250));
     EXPECT_EQ(bench.runner.stopped, 1U);
--- a/packages/settings/src/settings.cpp
+++ b/packages/settings/src/settings.cpp
@@ -120,10 +120,10 @@
     table.whole("slots", agent.slots, 1, 10000);
     table.whole("connections", settings.endpoint.connections, 1, 10000);
     table.span("stop_grace", settings.endpoint.stopGrace);
-    table.span("lease_span", agent.leaseSpan);
+    table.span("lease_span", agent.leaseDuration);
     table.span("offer_interval", agent.offerInterval);
     table.span("retention", agent.retention);
-    table.span("settled_span", agent.settledSpan);
+    table.span("settled_span", agent.settledRetention);
     table.whole("unsettled_bytes", agent.unsettledBytes, 1024, MostBytes);
     table.whole("settled_bytes", agent.settledBytes, 0, MostBytes);
     if (settings.node.agent && agent.service.empty())
@@ -131,9 +131,9 @@
     if (settings.node.agent && settings.endpoint.url.compare(0, 4, "http") != 0)
         table.refuse("endpoint",
                      "must be the endpoint's address, such as \"http://10.0.0.9:9000\"");
-    if (agent.offerInterval * 3 > agent.leaseSpan)
+    if (agent.offerInterval * 3 > agent.leaseDuration)
         table.refuse("offer_interval", "must be at most a third of \"agent.lease_span\"");
-    if (agent.retention <= agent.settledSpan)
+    if (agent.retention <= agent.settledRetention)
         table.refuse("retention", "must be longer than \"agent.settled_span\"");
     if (settings.endpoint.connections < agent.slots)
         table.refuse("connections", "must be at least \"agent.slots\": each running task has one");
@@ -145,7 +145,7 @@
     dispatch::DispatchSettings &dispatch = settings.entry.dispatch;
     claims::ClaimSettings &claims = settings.entry.claims;
     std::string order = "fair";
-    table.span("lease_span", dispatch.leaseSpan);
+    table.span("lease_span", dispatch.leaseDuration);
     table.span("lost_after", dispatch.lostAfter);
     table.span("verify_after", dispatch.verifyAfter);
     table.span("answer_retention", dispatch.answerRetention);
@@ -156,7 +156,7 @@
     table.text("order", order);
     table.span("claim_retention", claims.retention);
     table.span("clock_skew", claims.clockSkew);
-    table.span("master_lease", claims.masterLease);
+    table.span("master_lease", claims.controlLease);
     table.span("configuration_lease", settings.entry.configurationLease);
     table.whole("most_waiters", settings.entry.mostWaiters, 1, MostCount);
     table.span("drain_notice", settings.drainNotice);
@@ -164,7 +164,7 @@
         dispatch.queue.order = dispatch::QueueOrder::FirstCome;
     else if (order != "fair")
         table.refuse("order", "must be \"fair\" or \"first-come\"");
-    if (dispatch.lostAfter <= dispatch.leaseSpan)
+    if (dispatch.lostAfter <= dispatch.leaseDuration)
         table.refuse("lost_after", "must be longer than \"entry.lease_span\"");
     if (dispatch.answerRetention >= claims.retention)
         table.refuse("answer_retention", "must be shorter than \"entry.claim_retention\"");
@@ -184,7 +184,7 @@
         table.refuse("operator_token_hash",
                      "and \"control.operator_salt\" must be as printed by: "
                      "foxwing token");
-    if (settings.control.deadAfter <= settings.entry.claims.masterLease)
+    if (settings.control.deadAfter <= settings.entry.claims.controlLease)
         table.refuse("dead_after",
                      "must be longer than \"entry.master_lease\": an entry must stop "
                      "granting claims before control replaces it");
--- a/packages/settings/tests/settings_test.cpp
+++ b/packages/settings/tests/settings_test.cpp
@@ -49,7 +49,7 @@
     const auto settings = parseSettings(Good, "node.toml", &reason);
     ASSERT_TRUE(settings) << reason.message;
     EXPECT_TRUE(settings->node.control && settings->node.entry && settings->node.agent);
-    EXPECT_EQ(settings->agent.leaseSpan, Milliseconds(2000));
+    EXPECT_EQ(settings->agent.leaseDuration, Milliseconds(2000));
     EXPECT_EQ(settings->listen.outer.port, 7000);
     EXPECT_EQ(settings->entry.dispatch.id, "a");
 }
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -338,7 +338,7 @@
                             { Fault::EndpointAgain, Fault::LateOrders } },
                 // A long lease outlives the agent that was killed.
                 GuardCase { "Lease",
-                            [](WorldSettings &s) { s.runner.leaseSpan = Milliseconds(5000); },
+                            [](WorldSettings &s) { s.runner.leaseDuration = Milliseconds(5000); },
                             { Fault::AgentKill } },
                 // A clock that stops while the host is suspended: an agent that comes back believes
                 // that it has just heard its entries, and its endpoint.
@@ -348,14 +348,14 @@
                 // The same where nobody sends the cancelled job again.
                 GuardCase { "LeaseAfterCancel",
                             [](WorldSettings &s) {
-                                s.runner.leaseSpan = Milliseconds(5000);
+                                s.runner.leaseDuration = Milliseconds(5000);
                                 s.mostFaults = 12;
                             },
                             { Fault::CallerCancels, Fault::AgentKill } },
                 // Starts of an earlier life of the agent are carried out late.
                 GuardCase { "Deadline",
                             [](WorldSettings &s) {
-                                s.runner.leaseSpan = std::chrono::minutes(1);
+                                s.runner.leaseDuration = std::chrono::minutes(1);
                                 s.fenceRises = false;
                             },
                             { Fault::LateOrders, Fault::AgentKill } }),
--- a/tests/schedules/world.cpp
+++ b/tests/schedules/world.cpp
@@ -203,13 +203,13 @@
     if (process.agent) {
         if (update.view.number == 0)
             return;
-        std::vector<agent::EntryHint> entries;
+        std::vector<agent::OwnerCandidate> entries;
         for (const claims::Member &member : update.view.members)
             entries.push_back({ member.replica.id, member.replica.incarnation, member.dataCentre });
         carryOut(world, process, agent::setEntries(*process.agent, entries, world.now));
         return;
     }
-    claims::hearMaster(process.entry->claims, *sentAt);
+    claims::renewControlLease(process.entry->claims, *sentAt);
     if (update.hasAgents) {
         process.entry->agents = { {}, update.agentsSince };
         for (const control::AgentHint &hint : update.agents)
@@ -238,13 +238,13 @@
     return std::holds_alternative<control::Beat>(message)
             || std::holds_alternative<control::Update>(message)
             || std::holds_alternative<agent::LeaseOffer>(message)
-            || std::holds_alternative<agent::LeaseTaken>(message)
-            || std::holds_alternative<agent::Yield>(message)
-            || std::holds_alternative<agent::Alive>(message)
+            || std::holds_alternative<agent::LeaseAccepted>(message)
+            || std::holds_alternative<agent::TransferLease>(message)
+            || std::holds_alternative<agent::KeepAlive>(message)
             || std::holds_alternative<entry::LoadReport>(message)
             || std::holds_alternative<claims::ShardPart>(message)
-            || std::holds_alternative<claims::ShardPartTaken>(message)
-            || std::holds_alternative<claims::ShardsHeld>(message);
+            || std::holds_alternative<claims::ShardPartAck>(message)
+            || std::holds_alternative<claims::ShardsReady>(message);
 }
 
 void record(World &world, const std::string &from, const std::string &to, const Message &message)
