--- a/packages/agent/include/foxwing/agent/agent.h
+++ b/packages/agent/include/foxwing/agent/agent.h
@@ -91,7 +91,7 @@
 
     // Progress
     Phase phase = Phase::Running;
-    bool cancelSent = false;
+    bool stopSent = false;
     Time startedAt {};
     Time deadline {};
     Microseconds runTime { 0 };
@@ -163,7 +163,7 @@
 
     // Work
     std::unordered_map<std::string, JobRecord> jobs;
-    std::deque<std::string> ageQueue;
+    std::deque<std::string> expiryQueue;
     std::vector<TaskRef> running;
     std::vector<TaskRef> unsettled;
     std::size_t unsettledBytes = 0;
--- a/packages/agent/include/foxwing/agent/messages.h
+++ b/packages/agent/include/foxwing/agent/messages.h
@@ -89,14 +89,14 @@
     bool bodyKept = true;
 };
 template<class Fields>
-void describe(Fields &fields, TaskStatus &known)
-{
-    fields("ref", known.ref);
-    fields("finished", known.finished);
-    fields("voided", known.voided);
-    fields("end", known.end);
-    fields("body", known.body);
-    fields("bodyKept", known.bodyKept);
+void describe(Fields &fields, TaskStatus &status)
+{
+    fields("ref", status.ref);
+    fields("finished", status.finished);
+    fields("voided", status.voided);
+    fields("end", status.end);
+    fields("body", status.body);
+    fields("bodyKept", status.bodyKept);
 }
 
 // [SECTION] To the agent
@@ -205,12 +205,12 @@
     std::uint64_t agentIncarnation = 0;
 };
 template<class Fields>
-void describe(Fields &fields, LeaseAccepted &taken)
+void describe(Fields &fields, LeaseAccepted &accepted)
 {
-    fields("owner", taken.owner);
-    fields("ownerIncarnation", taken.ownerIncarnation);
-    fields("leaseEpoch", taken.leaseEpoch);
-    fields("agentIncarnation", taken.agentIncarnation);
+    fields("owner", accepted.owner);
+    fields("ownerIncarnation", accepted.ownerIncarnation);
+    fields("leaseEpoch", accepted.leaseEpoch);
+    fields("agentIncarnation", accepted.agentIncarnation);
 }
 
 // The owner hands the lease over to another entry.
@@ -223,12 +223,12 @@
     std::uint64_t agentIncarnation = 0;
 };
 template<class Fields>
-void describe(Fields &fields, TransferLease &yield)
+void describe(Fields &fields, TransferLease &transfer)
 {
-    fields("from", yield.from);
-    fields("to", yield.to);
-    fields("leaseEpoch", yield.leaseEpoch);
-    fields("agentIncarnation", yield.agentIncarnation);
+    fields("from", transfer.from);
+    fields("to", transfer.to);
+    fields("leaseEpoch", transfer.leaseEpoch);
+    fields("agentIncarnation", transfer.agentIncarnation);
 }
 
 // [SECTION] From the agent
@@ -245,7 +245,7 @@
     std::string dataCentre;
     std::uint32_t slots = 0;
 
-    // Slots in use by tasks of any owner, former owners included.
+    // Slots in use by tasks of any owner, previous owners included.
     std::uint32_t busy = 0;
 
     // The agent is leaving: running tasks are finished, new starts are refused.
@@ -322,7 +322,7 @@
     fields("agentIncarnation", message.agentIncarnation);
 }
 
-// Sent to former owners whose tasks still run here while another entry holds the lease.
+// Sent to previous owners whose tasks still run here while another entry holds the lease.
 struct KeepAlive
 {
     static constexpr const char *Type = "alive";
@@ -330,10 +330,10 @@
     std::uint64_t agentIncarnation = 0;
 };
 template<class Fields>
-void describe(Fields &fields, KeepAlive &alive)
+void describe(Fields &fields, KeepAlive &keepAlive)
 {
-    fields("agent", alive.agent);
-    fields("agentIncarnation", alive.agentIncarnation);
+    fields("agent", keepAlive.agent);
+    fields("agentIncarnation", keepAlive.agentIncarnation);
 }
 
 // The answer to a Fence: state of all tasks of the job that this incarnation of the agent knows.
--- a/packages/agent/src/agent.cpp
+++ b/packages/agent/src/agent.cpp
@@ -5,7 +5,7 @@
     [SECTION] Answers
     [SECTION] Messages
     [SECTION] Endpoint
-    [SECTION] Time
+    [SECTION] Resending and expiry
 */
 #include <foxwing/agent/agent.h>
 
@@ -29,7 +29,7 @@
 void removeRef(std::vector<TaskRef> &refs, const TaskRef &ref)
 {
     const auto found = std::find_if(refs.begin(), refs.end(),
-                                    [&](const TaskRef &held) { return sameRef(held, ref); });
+                                    [&](const TaskRef &other) { return sameRef(other, ref); });
     if (found == refs.end())
         return;
     *found = std::move(refs.back());
@@ -49,18 +49,20 @@
 }
 
 // Whether another attempt of the same task runs or ran here.
-bool taskStartedBefore(const JobRecord &job, const TaskRef &ref)
+bool otherAttemptStarted(const JobRecord &job, const TaskRef &ref)
 {
-    return std::any_of(job.assignments.begin(), job.assignments.end(), [&](const Assignment &held) {
-        return held.task == ref.task && held.attempt != ref.attempt && held.phase != Phase::Voided;
-    });
+    return std::any_of(job.assignments.begin(), job.assignments.end(),
+                       [&](const Assignment &other) {
+                           return other.task == ref.task && other.attempt != ref.attempt
+                                   && other.phase != Phase::Voided;
+                       });
 }
 
 JobRecord &touchJob(AgentState &agent, const std::string &key, Time now)
 {
     const auto inserted = agent.jobs.try_emplace(key);
     if (inserted.second)
-        agent.ageQueue.push_back(key);
+        agent.expiryQueue.push_back(key);
     inserted.first->second.lastTouched = now;
     return inserted.first->second;
 }
@@ -107,18 +109,18 @@
 // [SECTION] Messages
 
 // Why a start must be refused; none if it may run.
-std::optional<RefusalCause> refusal(const AgentState &agent, const Start &start)
+std::optional<RefusalCause> refusalCause(const AgentState &agent, const Start &start)
 {
     const AgentSettings &settings = agent.settings;
     if (holds(Guard::Incarnation) && start.agentIncarnation != settings.incarnation)
         return RefusalCause::WrongIncarnation;
-    if (!leaseCovers(agent, start))
+    if (!isFromLeaseHolder(agent, start))
         return RefusalCause::WrongLease;
     const auto job = agent.jobs.find(start.ref.job);
     if (job != agent.jobs.end()) {
         if (holds(Guard::Fence) && start.jobEpoch < job->second.fenceEpoch)
             return RefusalCause::Fenced;
-        if (taskStartedBefore(job->second, start.ref))
+        if (otherAttemptStarted(job->second, start.ref))
             return RefusalCause::OtherAttemptStarted;
     }
     if (agent.leaving || agent.configurationStale)
@@ -133,8 +135,8 @@
 }
 
 // Answers a duplicate start. Never starts a task.
-void answerSeen(AgentState &agent, const Start &start, Assignment &assignment, Time now,
-                AgentActions &actions)
+void answerDuplicate(AgentState &agent, const Start &start, Assignment &assignment, Time now,
+                     AgentActions &actions)
 {
     ++agent.counters.duplicates;
     if (assignment.phase == Phase::Voided)
@@ -143,7 +145,7 @@
         sendFinished(agent, start.ref, start.owner, assignment, now, actions);
 }
 
-void beginTask(AgentState &agent, const Start &start, Time now, AgentActions &actions)
+void startTask(AgentState &agent, const Start &start, Time now, AgentActions &actions)
 {
     JobRecord &job = touchJob(agent, start.ref.job, now);
     job.team = start.team;
@@ -164,12 +166,12 @@
 
 void handleStart(AgentState &agent, const Start &start, Time now, AgentActions &actions)
 {
-    Assignment *seen = findAssignment(agent, start.ref);
-    if (seen && !(seen->phase == Phase::Voided && !holds(Guard::Void)))
-        return answerSeen(agent, start, *seen, now, actions);
-    const std::optional<RefusalCause> cause = refusal(agent, start);
+    Assignment *existing = findAssignment(agent, start.ref);
+    if (existing && !(existing->phase == Phase::Voided && !holds(Guard::Void)))
+        return answerDuplicate(agent, start, *existing, now, actions);
+    const std::optional<RefusalCause> cause = refusalCause(agent, start);
     if (!cause)
-        return beginTask(agent, start, now, actions);
+        return startTask(agent, start, now, actions);
     // A refusal is final: a duplicate that arrives once the cause is gone must not start the task.
     recordVoid(agent, start.ref, now);
     refuse(agent, start, *cause, actions);
@@ -177,9 +179,9 @@
 
 void stopTask(AgentState &agent, const TaskRef &ref, Assignment &assignment, AgentActions &actions)
 {
-    if (assignment.cancelSent)
+    if (assignment.stopSent)
         return;
-    assignment.cancelSent = true;
+    assignment.stopSent = true;
     ++agent.counters.cancels;
     actions.stops.push_back({ ref });
 }
@@ -188,11 +190,11 @@
                 AgentActions &actions)
 {
     if (message.agentIncarnation != agent.settings.incarnation)
-        return; // the next offer tells the owner that the earlier incarnation is gone
-    const Assignment *seen = findAssignment(agent, message.ref);
-    if (!seen)
+        return; // the next offer shows the owner that the earlier incarnation is gone
+    const Assignment *existing = findAssignment(agent, message.ref);
+    if (!existing)
         recordVoid(agent, message.ref, now);
-    if (!seen || seen->phase == Phase::Voided) {
+    if (!existing || existing->phase == Phase::Voided) {
         actions.sends.push_back(
                 { from, notStarted(agent, message.ref, RefusalCause::AlreadyVoided) });
         return;
@@ -207,12 +209,12 @@
     if (message.agentIncarnation != agent.settings.incarnation)
         return;
     for (const TaskRef &ref : message.refs) {
-        Assignment *seen = findAssignment(agent, ref);
-        if (!seen) {
+        Assignment *existing = findAssignment(agent, ref);
+        if (!existing) {
             recordVoid(agent, ref, now);
             actions.sends.push_back({ from, notStarted(agent, ref, RefusalCause::AlreadyVoided) });
-        } else if (seen->phase == Phase::Running) {
-            stopTask(agent, ref, *seen, actions);
+        } else if (existing->phase == Phase::Running) {
+            stopTask(agent, ref, *existing, actions);
         }
     }
 }
@@ -220,27 +222,27 @@
 void handleSettle(AgentState &agent, const Settle &message, Time now)
 {
     for (const TaskRef &ref : message.refs) {
-        Assignment *seen = findAssignment(agent, ref);
-        if (!seen || seen->phase != Phase::Finished)
+        Assignment *existing = findAssignment(agent, ref);
+        if (!existing || existing->phase != Phase::Finished)
             continue;
-        agent.unsettledBytes -= seen->body.size();
-        agent.settledBytes += seen->body.size();
-        seen->phase = Phase::Settled;
+        agent.unsettledBytes -= existing->body.size();
+        agent.settledBytes += existing->body.size();
+        existing->phase = Phase::Settled;
         removeRef(agent.unsettled, ref);
         agent.settled.push_back({ ref, now });
     }
 }
 
-TaskStatus knownTask(const std::string &job, const Assignment &assignment)
+TaskStatus taskStatus(const std::string &job, const Assignment &assignment)
 {
-    TaskStatus known;
-    known.ref = { job, assignment.task, assignment.attempt };
-    known.finished = assignment.phase == Phase::Finished || assignment.phase == Phase::Settled;
-    known.voided = assignment.phase == Phase::Voided;
-    known.end = assignment.end;
-    known.body = assignment.body;
-    known.bodyKept = assignment.bodyKept;
-    return known;
+    TaskStatus status;
+    status.ref = { job, assignment.task, assignment.attempt };
+    status.finished = assignment.phase == Phase::Finished || assignment.phase == Phase::Settled;
+    status.voided = assignment.phase == Phase::Voided;
+    status.end = assignment.end;
+    status.body = assignment.body;
+    status.bodyKept = assignment.bodyKept;
+    return status;
 }
 
 void handleFence(AgentState &agent, const Fence &fence, Time now, AgentActions &actions)
@@ -256,11 +258,11 @@
     fenced.agent = agent.settings.id;
     fenced.agentIncarnation = agent.settings.incarnation;
     for (const Assignment &assignment : job.assignments)
-        fenced.tasks.push_back(knownTask(fence.job, assignment));
+        fenced.tasks.push_back(taskStatus(fence.job, assignment));
     actions.sends.push_back({ fence.owner, std::move(fenced) });
 }
 
-// [SECTION] Time
+// [SECTION] Resending and expiry
 
 void stopOverdue(AgentState &agent, Time now, AgentActions &actions)
 {
@@ -282,13 +284,13 @@
     }
 }
 
-void forgetSettledResults(AgentState &agent, Time now)
+void expireSettledResults(AgentState &agent, Time now)
 {
     const AgentSettings &settings = agent.settings;
     while (!agent.settled.empty()) {
         const SettledResult &oldest = agent.settled.front();
-        const bool old = now >= oldest.settledAt + settings.settledRetention;
-        if (!old && agent.settledBytes <= settings.settledBytes)
+        const bool expired = now >= oldest.settledAt + settings.settledRetention;
+        if (!expired && agent.settledBytes <= settings.settledBytes)
             return;
         Assignment *assignment = findAssignment(agent, oldest.ref);
         if (assignment) {
@@ -300,7 +302,7 @@
     }
 }
 
-void forgetJob(AgentState &agent, const std::string &key)
+void removeJob(AgentState &agent, const std::string &key)
 {
     const auto job = agent.jobs.find(key);
     for (const Assignment &assignment : job->second.assignments) {
@@ -312,24 +314,24 @@
     agent.jobs.erase(job);
 }
 
-void forgetOldJobs(AgentState &agent, Time now)
+void expireJobs(AgentState &agent, Time now)
 {
-    while (!agent.ageQueue.empty()) {
-        const std::string key = agent.ageQueue.front();
+    while (!agent.expiryQueue.empty()) {
+        const std::string key = agent.expiryQueue.front();
         const JobRecord &job = agent.jobs[key];
         if (now < job.lastTouched + agent.settings.retention)
             return;
-        agent.ageQueue.pop_front();
-        const bool busy = std::any_of(job.assignments.begin(), job.assignments.end(),
-                                      [](const Assignment &held) {
-                                          return held.phase == Phase::Running;
-                                      });
-        if (busy) {
+        agent.expiryQueue.pop_front();
+        const bool hasRunningTask = std::any_of(job.assignments.begin(), job.assignments.end(),
+                                                [](const Assignment &other) {
+                                                    return other.phase == Phase::Running;
+                                                });
+        if (hasRunningTask) {
             agent.jobs[key].lastTouched = now;
-            agent.ageQueue.push_back(key);
+            agent.expiryQueue.push_back(key);
             return;
         }
-        forgetJob(agent, key);
+        removeJob(agent, key);
     }
 }
 
@@ -347,18 +349,18 @@
     AgentActions actions;
     if (const auto *start = std::get_if<Start>(&message))
         handleStart(agent, *start, now, actions);
-    else if (const auto *voiding = std::get_if<Void>(&message))
-        handleVoid(agent, *voiding, voiding->from, now, actions);
+    else if (const auto *voidMessage = std::get_if<Void>(&message))
+        handleVoid(agent, *voidMessage, voidMessage->from, now, actions);
     else if (const auto *cancel = std::get_if<Cancel>(&message))
         handleCancel(agent, *cancel, cancel->from, now, actions);
     else if (const auto *settle = std::get_if<Settle>(&message))
         handleSettle(agent, *settle, now);
     else if (const auto *fence = std::get_if<Fence>(&message))
         handleFence(agent, *fence, now, actions);
-    else if (const auto *taken = std::get_if<LeaseAccepted>(&message))
-        takeLeaseAnswer(agent, *taken, now);
-    else if (const auto *yield = std::get_if<TransferLease>(&message))
-        takeYield(agent, *yield, now, actions);
+    else if (const auto *accepted = std::get_if<LeaseAccepted>(&message))
+        handleLeaseAccepted(agent, *accepted, now);
+    else if (const auto *transfer = std::get_if<TransferLease>(&message))
+        handleTransferLease(agent, *transfer, now, actions);
     return actions;
 }
 
@@ -403,7 +405,7 @@
 {
     AgentActions actions;
     agent.leaving = true;
-    offerSoon(agent, now);
+    scheduleOffer(agent, now);
     renewLease(agent, now, actions);
     return actions;
 }
@@ -414,8 +416,8 @@
     renewLease(agent, now, actions);
     stopOverdue(agent, now, actions);
     resendResults(agent, now, actions);
-    forgetSettledResults(agent, now);
-    forgetOldJobs(agent, now);
+    expireSettledResults(agent, now);
+    expireJobs(agent, now);
     return actions;
 }
 
--- a/packages/agent/src/lease.cpp
+++ b/packages/agent/src/lease.cpp
@@ -23,19 +23,19 @@
                                      const std::string &excluded)
 {
     const OwnerCandidate *best = nullptr;
-    bool bestIsNear = false;
+    bool bestIsLocal = false;
     std::uint64_t bestWeight = 0;
     for (const OwnerCandidate &entry : entries) {
         if (entry.id == excluded && entries.size() > 1)
             continue;
-        const bool near = entry.dataCentre == dataCentre;
+        const bool isLocal = entry.dataCentre == dataCentre;
         const std::uint64_t weight = rendezvousWeight(agentId, entry.id);
-        const bool better = !best || (near && !bestIsNear)
-                || (near == bestIsNear && weight > bestWeight);
+        const bool better = !best || (isLocal && !bestIsLocal)
+                || (isLocal == bestIsLocal && weight > bestWeight);
         if (!better)
             continue;
         best = &entry;
-        bestIsNear = near;
+        bestIsLocal = isLocal;
         bestWeight = weight;
     }
     return best;
@@ -52,7 +52,7 @@
                        });
 }
 
-void moveLease(AgentState &agent, const OwnerCandidate &owner, Time now)
+void assignLease(AgentState &agent, const OwnerCandidate &owner, Time now)
 {
     agent.lease.owner = owner.id;
     agent.lease.ownerIncarnation = owner.incarnation;
@@ -68,7 +68,7 @@
     const OwnerCandidate *owner = preferredOwner(settings.id, settings.dataCentre, agent.entries,
                                                  excluded);
     if (owner)
-        moveLease(agent, *owner, now);
+        assignLease(agent, *owner, now);
     else
         agent.lease.owner.clear();
 }
@@ -89,17 +89,17 @@
     agent.lease.nextOffer = now + settings.offerInterval;
 }
 
-// Former owners no longer receive offers; without these messages they would give up their tasks.
-void reassureEarlierOwners(const AgentState &agent, AgentActions &actions)
+// Previous owners no longer receive offers; without these messages they would give up their tasks.
+void sendKeepAlives(const AgentState &agent, AgentActions &actions)
 {
-    std::vector<std::string> told { agent.lease.owner };
+    std::vector<std::string> notified { agent.lease.owner };
     for (const TaskRef &ref : agent.running) {
         const std::string &owner = agent.jobs.at(ref.job).owner;
-        if (std::find(told.begin(), told.end(), owner) != told.end())
+        if (std::find(notified.begin(), notified.end(), owner) != notified.end())
             continue;
-        told.push_back(owner);
-        const KeepAlive alive { agent.settings.id, agent.settings.incarnation };
-        actions.sends.push_back({ owner, alive });
+        notified.push_back(owner);
+        const KeepAlive keepAlive { agent.settings.id, agent.settings.incarnation };
+        actions.sends.push_back({ owner, keepAlive });
     }
 }
 
@@ -107,11 +107,11 @@
 
 // [SECTION] Renewal
 
-void takeLeaseAnswer(AgentState &agent, const LeaseAccepted &taken, Time now)
+void handleLeaseAccepted(AgentState &agent, const LeaseAccepted &accepted, Time now)
 {
-    const bool current = taken.agentIncarnation == agent.settings.incarnation
-            && taken.leaseEpoch == agent.lease.epoch && taken.owner == agent.lease.owner
-            && taken.ownerIncarnation == agent.lease.ownerIncarnation;
+    const bool current = accepted.agentIncarnation == agent.settings.incarnation
+            && accepted.leaseEpoch == agent.lease.epoch && accepted.owner == agent.lease.owner
+            && accepted.ownerIncarnation == agent.lease.ownerIncarnation;
     if (current)
         agent.lease.expiresAt = now + agent.settings.leaseDuration;
 }
@@ -124,25 +124,26 @@
         chooseOwner(agent, agent.lease.owner, now);
     if (!agent.lease.owner.empty() && now >= agent.lease.nextOffer) {
         offerLease(agent, now, actions);
-        reassureEarlierOwners(agent, actions);
+        sendKeepAlives(agent, actions);
     }
 }
 
-void takeYield(AgentState &agent, const TransferLease &yield, Time now, AgentActions &actions)
+void handleTransferLease(AgentState &agent, const TransferLease &transfer, Time now,
+                         AgentActions &actions)
 {
-    const bool current = yield.agentIncarnation == agent.settings.incarnation
-            && yield.leaseEpoch == agent.lease.epoch && yield.from == agent.lease.owner;
-    const auto heir = std::find_if(agent.entries.begin(), agent.entries.end(),
-                                   [&](const OwnerCandidate &entry) {
-                                       return entry.id == yield.to;
-                                   });
-    if (!current || heir == agent.entries.end())
+    const bool current = transfer.agentIncarnation == agent.settings.incarnation
+            && transfer.leaseEpoch == agent.lease.epoch && transfer.from == agent.lease.owner;
+    const auto successor = std::find_if(agent.entries.begin(), agent.entries.end(),
+                                        [&](const OwnerCandidate &entry) {
+                                            return entry.id == transfer.to;
+                                        });
+    if (!current || successor == agent.entries.end())
         return;
-    moveLease(agent, *heir, now);
+    assignLease(agent, *successor, now);
     renewLease(agent, now, actions);
 }
 
-bool leaseCovers(const AgentState &agent, const Start &start)
+bool isFromLeaseHolder(const AgentState &agent, const Start &start)
 {
     if (!holds(Guard::Fence))
         return true;
@@ -150,7 +151,7 @@
             && start.ownerIncarnation == agent.lease.ownerIncarnation;
 }
 
-void offerSoon(AgentState &agent, Time now)
+void scheduleOffer(AgentState &agent, Time now)
 {
     agent.lease.nextOffer = now;
 }
--- a/packages/agent/tests/agent_test.cpp
+++ b/packages/agent/tests/agent_test.cpp
@@ -29,7 +29,7 @@
     return agent;
 }
 
-Start goodStart(std::uint32_t task = 0)
+Start validStart(std::uint32_t task = 0)
 {
     Start start;
     start.ref = { "team/job", task, 0 };
@@ -44,7 +44,7 @@
 }
 
 template<class Message>
-const Message *only(const AgentActions &actions)
+const Message *onlyMessage(const AgentActions &actions)
 {
     return actions.sends.size() == 1 ? std::get_if<Message>(&actions.sends[0].message) : nullptr;
 }
@@ -54,7 +54,7 @@
 struct RefusedStart
 {
     const char *name;
-    void (*spoil)(AgentState &, Start &);
+    void (*modify)(AgentState &, Start &);
     RefusalCause cause;
 };
 
@@ -64,11 +64,11 @@
 TEST_P(Refusal, IsReportedAndFinal)
 {
     AgentState agent = leasedAgent();
-    Start start = goodStart();
-    GetParam().spoil(agent, start);
+    Start start = validStart();
+    GetParam().modify(agent, start);
     AgentActions actions = handle(agent, start, Begin);
     EXPECT_TRUE(actions.calls.empty());
-    const auto *refused = only<NotStarted>(actions);
+    const auto *refused = onlyMessage<NotStarted>(actions);
     ASSERT_NE(refused, nullptr);
     EXPECT_EQ(refused->cause, GetParam().cause);
     // The same attempt must not start once the cause is gone either.
@@ -76,7 +76,7 @@
     agent.leaving = false;
     agent.running.clear();
     agent.unsettledBytes = 0;
-    actions = handle(agent, goodStart(), Begin);
+    actions = handle(agent, validStart(), Begin);
     EXPECT_TRUE(actions.calls.empty());
 }
 
@@ -117,8 +117,8 @@
                                RefusalCause::DeadlinePassed },
                 RefusedStart { "NoSlot",
                                [](AgentState &agent, Start &) {
-                                   handle(agent, goodStart(1), Begin);
-                                   handle(agent, goodStart(2), Begin);
+                                   handle(agent, validStart(1), Begin);
+                                   handle(agent, validStart(2), Begin);
                                },
                                RefusalCause::NoFreeSlot },
                 RefusedStart { "TooManyResults",
@@ -133,12 +133,12 @@
 TEST(Agent, RunsDuplicateStartsOnce)
 {
     AgentState agent = leasedAgent();
-    EXPECT_EQ(handle(agent, goodStart(), Begin).calls.size(), 1U);
-    EXPECT_TRUE(handle(agent, goodStart(), Begin).calls.empty());
-    endpointDone(agent, goodStart().ref, TaskEnd::Succeeded, "result", Begin);
-    const AgentActions again = handle(agent, goodStart(), Begin);
-    EXPECT_TRUE(again.calls.empty());
-    const auto *finished = only<Finished>(again);
+    EXPECT_EQ(handle(agent, validStart(), Begin).calls.size(), 1U);
+    EXPECT_TRUE(handle(agent, validStart(), Begin).calls.empty());
+    endpointDone(agent, validStart().ref, TaskEnd::Succeeded, "result", Begin);
+    const AgentActions repeated = handle(agent, validStart(), Begin);
+    EXPECT_TRUE(repeated.calls.empty());
+    const auto *finished = onlyMessage<Finished>(repeated);
     ASSERT_NE(finished, nullptr);
     EXPECT_EQ(finished->body, "result");
     EXPECT_EQ(agent.usage["team"].starts, 1U);
@@ -147,16 +147,16 @@
 TEST(Agent, ResendsResultsUntilSettled)
 {
     AgentState agent = leasedAgent();
-    handle(agent, goodStart(), Begin);
-    endpointDone(agent, goodStart().ref, TaskEnd::Succeeded, "result", Begin);
+    handle(agent, validStart(), Begin);
+    endpointDone(agent, validStart().ref, TaskEnd::Succeeded, "result", Begin);
     EXPECT_FALSE(drained(agent));
-    int repeats = 0;
+    int resends = 0;
     for (Time now = Begin; now < Begin + Seconds(10); now += Milliseconds(50)) {
         for (const Outgoing &send : tick(agent, now).sends)
-            repeats += std::holds_alternative<Finished>(send.message) ? 1 : 0;
+            resends += std::holds_alternative<Finished>(send.message) ? 1 : 0;
     }
-    EXPECT_EQ(repeats, 4); // after 0.5, 1.5, 3.5 and 7.5 seconds
-    handle(agent, Settle { { goodStart().ref } }, Begin + Seconds(10));
+    EXPECT_EQ(resends, 4); // after 0.5, 1.5, 3.5 and 7.5 seconds
+    handle(agent, Settle { { validStart().ref } }, Begin + Seconds(10));
     EXPECT_TRUE(drained(agent));
     EXPECT_EQ(agent.unsettledBytes, 0U);
 }
@@ -164,18 +164,18 @@
 TEST(Agent, ReportsTasksToANewOwner)
 {
     AgentState agent = leasedAgent();
-    handle(agent, goodStart(0), Begin);
-    handle(agent, goodStart(1), Begin);
-    endpointDone(agent, goodStart(0).ref, TaskEnd::Succeeded, "result", Begin);
-    handle(agent, Settle { { goodStart(0).ref } }, Begin);
+    handle(agent, validStart(0), Begin);
+    handle(agent, validStart(1), Begin);
+    endpointDone(agent, validStart(0).ref, TaskEnd::Succeeded, "result", Begin);
+    handle(agent, Settle { { validStart(0).ref } }, Begin);
     const AgentActions actions = handle(agent, Fence { "team/job", 2, "entry-b" }, Begin);
-    const auto *fenced = only<Fenced>(actions);
+    const auto *fenced = onlyMessage<Fenced>(actions);
     ASSERT_NE(fenced, nullptr);
     ASSERT_EQ(fenced->tasks.size(), 2U);
     EXPECT_TRUE(fenced->tasks[0].finished);
     EXPECT_EQ(fenced->tasks[0].body, "result") << "settled results are kept for a takeover";
     EXPECT_FALSE(fenced->tasks[1].finished);
-    const AgentActions done = endpointDone(agent, goodStart(1).ref, TaskEnd::Succeeded, "late",
+    const AgentActions done = endpointDone(agent, validStart(1).ref, TaskEnd::Succeeded, "late",
                                            Begin);
     EXPECT_EQ(done.sends.at(0).to, "entry-b");
 }
@@ -185,7 +185,7 @@
     AgentState agent = leasedAgent();
     Time now = Begin;
     for (int i = 0; i < 2000; ++i) {
-        Start start = goodStart();
+        Start start = validStart();
         start.ref.job = "team/job" + std::to_string(i);
         handle(agent, start, now);
         endpointDone(agent, start.ref, TaskEnd::Succeeded, std::string(1000, 'x'), now);
@@ -200,13 +200,13 @@
 TEST(Agent, StopsOverdueTasks)
 {
     AgentState agent = leasedAgent();
-    handle(agent, goodStart(), Begin);
+    handle(agent, validStart(), Begin);
     EXPECT_TRUE(tick(agent, Begin + Milliseconds(999)).stops.empty());
     EXPECT_EQ(tick(agent, Begin + Milliseconds(1000)).stops.size(), 1U);
     EXPECT_TRUE(tick(agent, Begin + Milliseconds(1010)).stops.empty()) << "the stop is sent once";
-    const AgentActions done = endpointDone(agent, goodStart().ref, TaskEnd::Cancelled, "",
+    const AgentActions done = endpointDone(agent, validStart().ref, TaskEnd::Cancelled, "",
                                            Begin + Milliseconds(1020));
-    EXPECT_EQ(only<Finished>(done)->end, TaskEnd::DeadlinePassed);
+    EXPECT_EQ(onlyMessage<Finished>(done)->end, TaskEnd::DeadlinePassed);
 }
 
 // [SECTION] Leases
--- a/packages/claims/include/foxwing/claims/claims.h
+++ b/packages/claims/include/foxwing/claims/claims.h
@@ -9,8 +9,8 @@
     before the loss are answered "unknown" and never started.
 
         ClaimTable table = makeClaimTable(settings);
-        ClaimActions actions = setView(table, view, now, wallNow);
-        actions = handle(table, ClaimMessage(ask), now, wallNow);
+        ClaimActions actions = setView(table, view, now);
+        actions = handle(table, ClaimMessage(request), now, wallNow);
 
     [SECTION] Settings
     [SECTION] State
@@ -50,7 +50,7 @@
     Milliseconds resendInterval { 150 };
 
     // Maximum number of records in one part of a shard.
-    std::uint32_t partSize = 400;
+    std::uint32_t recordsPerPart = 400;
 };
 
 // [SECTION] State
@@ -63,7 +63,7 @@
 };
 
 // A record and, at the primary, the state of its replication.
-struct HeldRecord
+struct RecordState
 {
     Record record;
 
@@ -85,21 +85,21 @@
 
 struct Shard
 {
-    std::unordered_map<std::string, HeldRecord> records;
+    std::unordered_map<std::string, RecordState> records;
 
     // The view in which this process has every claim of the shard; 0 for none.
-    std::uint64_t heldIn = 0;
+    std::uint64_t completeInView = 0;
     std::int64_t lossCutoff = 0;
 
     // At the primary: other replicas that reported to have the shard in the current view.
-    std::set<std::string> heldBy;
+    std::set<std::string> readyReplicas;
 
     // Parts received in the current view, by sender.
     std::unordered_map<std::string, std::set<std::uint32_t>> received;
 };
 
 // For expiring records in the order of their creation.
-struct RecordAge
+struct ExpiringRecord
 {
     std::int64_t claimedAt = 0;
     std::string job;
@@ -131,8 +131,8 @@
 
     std::vector<std::string> uncommitted;
     std::vector<OutgoingPart> outgoing;
-    std::deque<RecordAge> ages;
-    Time nextHeldReport {};
+    std::deque<ExpiringRecord> expiryQueue;
+    Time nextReadyReport {};
     ClaimCounters counters;
 };
 
--- a/packages/claims/include/foxwing/claims/messages.h
+++ b/packages/claims/include/foxwing/claims/messages.h
@@ -80,13 +80,13 @@
     ClaimRequestKind kind = ClaimRequestKind::Claim;
 };
 template<class Fields>
-void describe(Fields &fields, ClaimRequest &ask)
+void describe(Fields &fields, ClaimRequest &request)
 {
-    fields("from", ask.from);
-    fields("job", ask.job);
-    fields("digest", ask.digest);
-    fields("nonce", ask.nonce);
-    fields("kind", ask.kind);
+    fields("from", request.from);
+    fields("job", request.job);
+    fields("digest", request.digest);
+    fields("nonce", request.nonce);
+    fields("kind", request.kind);
 }
 
 enum class ClaimStatus {
@@ -104,7 +104,7 @@
     OwnerLost,
     // The claim may have been lost or expired; the job must not be started.
     Unknown,
-    // The receiver cannot serve the shard at the moment; ask again.
+    // The receiver cannot serve the shard at the moment; send the request again.
     Retry,
 };
 constexpr ClaimStatus lastOf(ClaimStatus)
@@ -123,14 +123,14 @@
     std::int64_t claimedAt = 0;
 };
 template<class Fields>
-void describe(Fields &fields, ClaimResponse &answer)
+void describe(Fields &fields, ClaimResponse &response)
 {
-    fields("job", answer.job);
-    fields("nonce", answer.nonce);
-    fields("verdict", answer.status);
-    fields("owner", answer.owner);
-    fields("epoch", answer.epoch);
-    fields("claimedAt", answer.claimedAt);
+    fields("job", response.job);
+    fields("nonce", response.nonce);
+    fields("verdict", response.status);
+    fields("owner", response.owner);
+    fields("epoch", response.epoch);
+    fields("claimedAt", response.claimedAt);
 }
 
 // The owner ends a job of which no task ever started.
@@ -176,11 +176,11 @@
     Record record;
 };
 template<class Fields>
-void describe(Fields &fields, Replicate &copy)
+void describe(Fields &fields, Replicate &message)
 {
-    fields("from", copy.from);
-    fields("view", copy.view);
-    fields("record", copy.record);
+    fields("from", message.from);
+    fields("view", message.view);
+    fields("record", message.record);
 }
 
 struct ReplicateAck
@@ -193,13 +193,13 @@
     bool notRun = false;
 };
 template<class Fields>
-void describe(Fields &fields, ReplicateAck &copied)
+void describe(Fields &fields, ReplicateAck &ack)
 {
-    fields("from", copied.from);
-    fields("view", copied.view);
-    fields("job", copied.job);
-    fields("epoch", copied.epoch);
-    fields("notRun", copied.notRun);
+    fields("from", ack.from);
+    fields("view", ack.view);
+    fields("job", ack.job);
+    fields("epoch", ack.epoch);
+    fields("notRun", ack.notRun);
 }
 
 // [SECTION] Transfer
@@ -235,12 +235,12 @@
     std::uint32_t part = 0;
 };
 template<class Fields>
-void describe(Fields &fields, ShardPartAck &taken)
+void describe(Fields &fields, ShardPartAck &ack)
 {
-    fields("from", taken.from);
-    fields("view", taken.view);
-    fields("shard", taken.shard);
-    fields("part", taken.part);
+    fields("from", ack.from);
+    fields("view", ack.view);
+    fields("shard", ack.shard);
+    fields("part", ack.part);
 }
 
 // A replica has all claims of these shards in this view; sent to the primary of each.
@@ -252,11 +252,11 @@
     std::vector<std::uint32_t> shards;
 };
 template<class Fields>
-void describe(Fields &fields, ShardsReady &held)
+void describe(Fields &fields, ShardsReady &ready)
 {
-    fields("from", held.from);
-    fields("view", held.view);
-    fields("shards", held.shards);
+    fields("from", ready.from);
+    fields("view", ready.view);
+    fields("shards", ready.shards);
 }
 
 // [SECTION] Variant
--- a/packages/claims/include/foxwing/claims/view.h
+++ b/packages/claims/include/foxwing/claims/view.h
@@ -108,6 +108,6 @@
 // Whether this incarnation of an entry is a member.
 bool isMember(const View &view, const EntryIdentity &replica);
 
-bool isNewer(const View &view, const View &than);
+bool isNewer(const View &view, const View &other);
 
 } // namespace foxwing::claims
--- a/packages/claims/src/claims.cpp
+++ b/packages/claims/src/claims.cpp
@@ -1,7 +1,7 @@
 /*
     Granting, replicating and expiring claims.
 
-    [SECTION] Service
+    [SECTION] Checks
     [SECTION] Answers
     [SECTION] Replication
     [SECTION] Requests
@@ -20,38 +20,38 @@
 
 namespace {
 
-// [SECTION] Service
+// [SECTION] Checks
 
-bool masterLeaseHolds(const ClaimTable &table, Time now)
+bool hasControlLease(const ClaimTable &table, Time now)
 {
     return table.controlHeard && now < table.controlHeardAt + table.settings.controlLease;
 }
 
 // Creation time that the id in "team/submission" contains; none if it is not a submission id.
-std::optional<WallTime> madeAt(const std::string &job)
+std::optional<WallTime> creationTime(const std::string &job)
 {
     const std::size_t slash = job.rfind('/');
     Error ignored;
     return submissionTime(job.substr(slash == std::string::npos ? 0 : slash + 1), &ignored);
 }
 
-// Whether a record of an id of this age may have been lost or expired.
-bool mayBeForgotten(const ClaimTable &table, const Shard &shard, const std::string &job,
-                    WallTime wallNow)
+// Whether the record of this id may have been lost or expired.
+bool mayBeLost(const ClaimTable &table, const Shard &shard, const std::string &job,
+               WallTime wallNow)
 {
-    const std::optional<WallTime> made = madeAt(job);
-    if (!made)
+    const std::optional<WallTime> created = creationTime(job);
+    if (!created)
         return true;
-    return made->time_since_epoch().count() <= shard.lossCutoff
-            || *made + table.settings.retention <= wallNow;
+    return created->time_since_epoch().count() <= shard.lossCutoff
+            || *created + table.settings.retention <= wallNow;
 }
 
 // [SECTION] Answers
 
-void answer(const Waiter &waiter, const HeldRecord &held, const EntryIdentity &asker,
-            ClaimActions &actions)
+void sendResponse(const Waiter &waiter, const RecordState &state, const EntryIdentity &requester,
+                  ClaimActions &actions)
 {
-    const Record &record = held.record;
+    const Record &record = state.record;
     ClaimResponse message;
     message.job = record.job;
     message.nonce = waiter.nonce;
@@ -61,189 +61,190 @@
     message.status = ClaimStatus::OwnedByOther;
     if (record.notRun)
         message.status = ClaimStatus::NotRun;
-    else if (record.owner == asker && record.nonce == waiter.nonce)
+    else if (record.owner == requester && record.nonce == waiter.nonce)
         message.status = ClaimStatus::Granted;
     actions.sends.push_back({ waiter.to, message });
 }
 
-void answerWaiter(const Waiter &waiter, const HeldRecord &held, ClaimActions &actions)
+void answerWaiter(const Waiter &waiter, const RecordState &state, ClaimActions &actions)
 {
     if (waiter.isRelease) {
-        const Released released { held.record.job, held.record.epoch, held.record.notRun };
+        const Released released { state.record.job, state.record.epoch, state.record.notRun };
         actions.sends.push_back({ waiter.to, released });
         return;
     }
     // Only the current owner's request has the nonce of the record, so comparing the id is enough.
-    const EntryIdentity asker { waiter.to,
-                                held.record.owner.id == waiter.to ? held.record.owner.incarnation
-                                                                  : 0 };
-    answer(waiter, held, asker, actions);
+    const EntryIdentity requester {
+        waiter.to, state.record.owner.id == waiter.to ? state.record.owner.incarnation : 0
+    };
+    sendResponse(waiter, state, requester, actions);
 }
 
-void answerVerdict(const ClaimRequest &ask, ClaimStatus status, ClaimActions &actions)
+void sendStatus(const ClaimRequest &request, ClaimStatus status, ClaimActions &actions)
 {
     ClaimResponse message;
-    message.job = ask.job;
-    message.nonce = ask.nonce;
+    message.job = request.job;
+    message.nonce = request.nonce;
     message.status = status;
-    actions.sends.push_back({ ask.from.id, message });
+    actions.sends.push_back({ request.from.id, message });
 }
 
 // [SECTION] Replication
 
-void sendCopies(ClaimTable &table, HeldRecord &held, Time now, ClaimActions &actions)
+void sendRecord(ClaimTable &table, RecordState &state, Time now, ClaimActions &actions)
 {
-    for (const std::string &replica : held.unacknowledged) {
-        const Replicate copy { table.settings.self.id, table.view.number, held.record };
-        actions.sends.push_back({ replica, copy });
+    for (const std::string &replica : state.unacknowledged) {
+        const Replicate message { table.settings.self.id, table.view.number, state.record };
+        actions.sends.push_back({ replica, message });
     }
-    held.nextSend = now + table.settings.resendInterval;
+    state.nextSend = now + table.settings.resendInterval;
 }
 
-void commit(HeldRecord &held, ClaimActions &actions)
+void commit(RecordState &state, ClaimActions &actions)
 {
-    held.committed = true;
-    held.replicating = false;
-    for (const Waiter &waiter : held.waiters)
-        answerWaiter(waiter, held, actions);
-    held.waiters.clear();
+    state.committed = true;
+    state.replicating = false;
+    for (const Waiter &waiter : state.waiters)
+        answerWaiter(waiter, state, actions);
+    state.waiters.clear();
 }
 
 // Sends a new or changed record to the other replicas; waiters are answered once all have it.
-void replicate(ClaimTable &table, HeldRecord &held, Time now, ClaimActions &actions)
+void replicate(ClaimTable &table, RecordState &state, Time now, ClaimActions &actions)
 {
-    held.committed = false;
-    held.unacknowledged.clear();
-    for (const EntryIdentity &replica : table.replicas[shardOf(held.record.job)]) {
+    state.committed = false;
+    state.unacknowledged.clear();
+    for (const EntryIdentity &replica : table.replicas[shardOf(state.record.job)]) {
         if (!(replica == table.settings.self))
-            held.unacknowledged.push_back(replica.id);
+            state.unacknowledged.push_back(replica.id);
     }
-    if (held.unacknowledged.empty())
-        return commit(held, actions);
-    if (!held.replicating)
-        table.uncommitted.push_back(held.record.job);
-    held.replicating = true;
-    sendCopies(table, held, now, actions);
+    if (state.unacknowledged.empty())
+        return commit(state, actions);
+    if (!state.replicating)
+        table.uncommitted.push_back(state.record.job);
+    state.replicating = true;
+    sendRecord(table, state, now, actions);
 }
 
-void handleCopy(ClaimTable &table, const Replicate &copy, ClaimActions &actions)
+void handleReplicate(ClaimTable &table, const Replicate &message, ClaimActions &actions)
 {
-    const std::uint32_t number = shardOf(copy.record.job);
+    const std::uint32_t number = shardOf(message.record.job);
     Shard &shard = table.shards[number];
-    if (copy.view != table.view.number || shard.heldIn != table.view.number)
+    if (message.view != table.view.number || shard.completeInView != table.view.number)
         return; // the primary resends it until this entry has caught up
-    HeldRecord &held = shard.records[copy.record.job];
-    if (copy.record.epoch >= held.record.epoch) {
-        held.record = copy.record;
-        held.committed = false;
-        table.ages.push_back({ copy.record.claimedAt, copy.record.job });
+    RecordState &state = shard.records[message.record.job];
+    if (message.record.epoch >= state.record.epoch) {
+        state.record = message.record;
+        state.committed = false;
+        table.expiryQueue.push_back({ message.record.claimedAt, message.record.job });
     }
-    ReplicateAck copied;
-    copied.from = table.settings.self.id;
-    copied.view = copy.view;
-    copied.job = copy.record.job;
-    copied.epoch = copy.record.epoch;
-    copied.notRun = copy.record.notRun;
-    actions.sends.push_back({ copy.from, copied });
+    ReplicateAck ack;
+    ack.from = table.settings.self.id;
+    ack.view = message.view;
+    ack.job = message.record.job;
+    ack.epoch = message.record.epoch;
+    ack.notRun = message.record.notRun;
+    actions.sends.push_back({ message.from, ack });
 }
 
-void handleCopied(ClaimTable &table, const ReplicateAck &copied, ClaimActions &actions)
+void handleReplicateAck(ClaimTable &table, const ReplicateAck &ack, ClaimActions &actions)
 {
-    Shard &shard = table.shards[shardOf(copied.job)];
-    const auto found = shard.records.find(copied.job);
-    if (copied.view != table.view.number || found == shard.records.end())
+    Shard &shard = table.shards[shardOf(ack.job)];
+    const auto found = shard.records.find(ack.job);
+    if (ack.view != table.view.number || found == shard.records.end())
         return;
-    HeldRecord &held = found->second;
-    if (copied.epoch != held.record.epoch || copied.notRun != held.record.notRun)
+    RecordState &state = found->second;
+    if (ack.epoch != state.record.epoch || ack.notRun != state.record.notRun)
         return;
-    std::vector<std::string> &missing = held.unacknowledged;
-    missing.erase(std::remove(missing.begin(), missing.end(), copied.from), missing.end());
-    if (held.replicating && missing.empty())
-        commit(held, actions);
+    std::vector<std::string> &missing = state.unacknowledged;
+    missing.erase(std::remove(missing.begin(), missing.end(), ack.from), missing.end());
+    if (state.replicating && missing.empty())
+        commit(state, actions);
 }
 
 // [SECTION] Requests
 
-void makeRecord(ClaimTable &table, HeldRecord &held, const ClaimRequest &ask, WallTime wallNow)
+void makeRecord(ClaimTable &table, RecordState &state, const ClaimRequest &request,
+                WallTime wallNow)
 {
-    Record &record = held.record;
-    record.job = ask.job;
-    record.digest = ask.digest;
-    record.owner = ask.from;
-    record.nonce = ask.nonce;
+    Record &record = state.record;
+    record.job = request.job;
+    record.digest = request.digest;
+    record.owner = request.from;
+    record.nonce = request.nonce;
     record.claimedAt = wallNow.time_since_epoch().count();
-    record.notRun = ask.kind == ClaimRequestKind::Refuse;
-    table.ages.push_back({ record.claimedAt, record.job });
+    record.notRun = request.kind == ClaimRequestKind::Refuse;
+    table.expiryQueue.push_back({ record.claimedAt, record.job });
     ++table.counters.granted;
 }
 
-void handleNew(ClaimTable &table, Shard &shard, const ClaimRequest &ask, Time now, WallTime wallNow,
-               ClaimActions &actions)
+void handleUnclaimed(ClaimTable &table, Shard &shard, const ClaimRequest &request, Time now,
+                     WallTime wallNow, ClaimActions &actions)
 {
-    if (ask.kind == ClaimRequestKind::Lookup)
-        return answerVerdict(ask, ClaimStatus::Unclaimed, actions);
-    if (mayBeForgotten(table, shard, ask.job, wallNow)) {
+    if (request.kind == ClaimRequestKind::Lookup)
+        return sendStatus(request, ClaimStatus::Unclaimed, actions);
+    if (mayBeLost(table, shard, request.job, wallNow)) {
         ++table.counters.unknown;
-        return answerVerdict(ask, ClaimStatus::Unknown, actions);
+        return sendStatus(request, ClaimStatus::Unknown, actions);
     }
-    HeldRecord &held = shard.records[ask.job];
-    makeRecord(table, held, ask, wallNow);
-    held.waiters.push_back({ ask.from.id, ask.nonce, false });
-    replicate(table, held, now, actions);
+    RecordState &state = shard.records[request.job];
+    makeRecord(table, state, request, wallNow);
+    state.waiters.push_back({ request.from.id, request.nonce, false });
+    replicate(table, state, now, actions);
 }
 
-void takeOver(ClaimTable &table, HeldRecord &held, const ClaimRequest &ask, Time now,
+void takeOver(ClaimTable &table, RecordState &state, const ClaimRequest &request, Time now,
               ClaimActions &actions)
 {
     ++table.counters.takeovers;
-    held.record.owner = ask.from;
-    held.record.nonce = ask.nonce;
-    ++held.record.epoch;
-    held.waiters.push_back({ ask.from.id, ask.nonce, false });
-    replicate(table, held, now, actions);
+    state.record.owner = request.from;
+    state.record.nonce = request.nonce;
+    ++state.record.epoch;
+    state.waiters.push_back({ request.from.id, request.nonce, false });
+    replicate(table, state, now, actions);
 }
 
-void handleKnown(ClaimTable &table, HeldRecord &held, const ClaimRequest &ask, Time now,
-                 ClaimActions &actions)
+void handleClaimed(ClaimTable &table, RecordState &state, const ClaimRequest &request, Time now,
+                   ClaimActions &actions)
 {
-    if (ask.kind != ClaimRequestKind::Lookup && ask.digest != held.record.digest) {
+    if (request.kind != ClaimRequestKind::Lookup && request.digest != state.record.digest) {
         ++table.counters.conflicts;
-        return answerVerdict(ask, ClaimStatus::Conflict, actions);
+        return sendStatus(request, ClaimStatus::Conflict, actions);
     }
-    const bool ownerLost = !held.record.notRun && !isMember(table.view, held.record.owner);
-    if (ownerLost && ask.kind == ClaimRequestKind::Claim)
-        return takeOver(table, held, ask, now, actions);
+    const bool ownerLost = !state.record.notRun && !isMember(table.view, state.record.owner);
+    if (ownerLost && request.kind == ClaimRequestKind::Claim)
+        return takeOver(table, state, request, now, actions);
     if (ownerLost)
-        return answerVerdict(ask, ClaimStatus::OwnerLost, actions);
+        return sendStatus(request, ClaimStatus::OwnerLost, actions);
     ++table.counters.joined;
-    held.waiters.push_back({ ask.from.id, ask.nonce, false });
-    if (held.committed)
-        commit(held, actions);
-    else if (!held.replicating)
-        replicate(table, held, now, actions);
+    state.waiters.push_back({ request.from.id, request.nonce, false });
+    if (state.committed)
+        commit(state, actions);
+    else if (!state.replicating)
+        replicate(table, state, now, actions);
 }
 
-void handleAsk(ClaimTable &table, const ClaimRequest &ask, Time now, WallTime wallNow,
-               ClaimActions &actions)
+void handleClaimRequest(ClaimTable &table, const ClaimRequest &request, Time now, WallTime wallNow,
+                        ClaimActions &actions)
 {
-    const std::uint32_t number = shardOf(ask.job);
-    const bool mayServe = servesShard(table, number) && masterLeaseHolds(table, now)
-            && isMember(table.view, ask.from);
+    const std::uint32_t number = shardOf(request.job);
+    const bool mayServe = servesShard(table, number) && hasControlLease(table, now)
+            && isMember(table.view, request.from);
     if (!mayServe) {
         ++table.counters.retries;
-        return answerVerdict(ask, ClaimStatus::Retry, actions);
+        return sendStatus(request, ClaimStatus::Retry, actions);
     }
     Shard &shard = table.shards[number];
-    const auto found = shard.records.find(ask.job);
+    const auto found = shard.records.find(request.job);
     if (found == shard.records.end() || !holds(Guard::Claim))
-        return handleNew(table, shard, ask, now, wallNow, actions);
-    handleKnown(table, found->second, ask, now, actions);
+        return handleUnclaimed(table, shard, request, now, wallNow, actions);
+    handleClaimed(table, found->second, request, now, actions);
 }
 
 void handleRelease(ClaimTable &table, const Release &release, Time now, ClaimActions &actions)
 {
     const std::uint32_t number = shardOf(release.job);
-    if (!servesShard(table, number) || !masterLeaseHolds(table, now))
+    if (!servesShard(table, number) || !hasControlLease(table, now))
         return; // the owner resends it, to the primary of the view by then
     Shard &shard = table.shards[number];
     const auto found = shard.records.find(release.job);
@@ -255,17 +256,17 @@
         actions.sends.push_back({ release.from.id, released });
         return;
     }
-    HeldRecord &held = found->second;
-    held.waiters.push_back({ release.from.id, 0, true });
-    const bool changed = !held.record.notRun;
-    held.record.notRun = true;
-    if (held.committed && !changed)
-        commit(held, actions);
-    else if (changed || !held.replicating)
-        replicate(table, held, now, actions);
+    RecordState &state = found->second;
+    state.waiters.push_back({ release.from.id, 0, true });
+    const bool changed = !state.record.notRun;
+    state.record.notRun = true;
+    if (state.committed && !changed)
+        commit(state, actions);
+    else if (changed || !state.replicating)
+        replicate(table, state, now, actions);
 }
 
-void resendCopies(ClaimTable &table, Time now, ClaimActions &actions)
+void resendRecords(ClaimTable &table, Time now, ClaimActions &actions)
 {
     std::vector<std::string> jobs;
     jobs.swap(table.uncommitted);
@@ -275,20 +276,20 @@
         if (found == shard.records.end() || !found->second.replicating)
             continue;
         if (now >= found->second.nextSend)
-            sendCopies(table, found->second, now, actions);
+            sendRecord(table, found->second, now, actions);
         table.uncommitted.push_back(job);
     }
 }
 
-void forgetOld(ClaimTable &table, WallTime wallNow)
+void expireRecords(ClaimTable &table, WallTime wallNow)
 {
     // Twice the skew: the id may be ahead of this clock, and the next primary's clock behind it.
     const WallTime limit = wallNow - table.settings.retention - 2 * table.settings.clockSkew;
     const std::int64_t oldest = limit.time_since_epoch().count();
-    while (!table.ages.empty() && table.ages.front().claimedAt < oldest) {
-        const std::string &job = table.ages.front().job;
+    while (!table.expiryQueue.empty() && table.expiryQueue.front().claimedAt < oldest) {
+        const std::string &job = table.expiryQueue.front().job;
         table.shards[shardOf(job)].records.erase(job);
-        table.ages.pop_front();
+        table.expiryQueue.pop_front();
     }
 }
 
@@ -312,7 +313,7 @@
     const bool newNumber = view.number != table.view.number;
     table.view = view;
     if (newNumber)
-        beginTransfer(table, now, actions);
+        startTransfer(table, now, actions);
     return actions;
 }
 
@@ -325,29 +326,29 @@
 ClaimActions handle(ClaimTable &table, const ClaimMessage &message, Time now, WallTime wallNow)
 {
     ClaimActions actions;
-    if (const auto *ask = std::get_if<ClaimRequest>(&message))
-        handleAsk(table, *ask, now, wallNow, actions);
+    if (const auto *request = std::get_if<ClaimRequest>(&message))
+        handleClaimRequest(table, *request, now, wallNow, actions);
     else if (const auto *release = std::get_if<Release>(&message))
         handleRelease(table, *release, now, actions);
-    else if (const auto *copy = std::get_if<Replicate>(&message))
-        handleCopy(table, *copy, actions);
-    else if (const auto *copied = std::get_if<ReplicateAck>(&message))
-        handleCopied(table, *copied, actions);
+    else if (const auto *recordCopy = std::get_if<Replicate>(&message))
+        handleReplicate(table, *recordCopy, actions);
+    else if (const auto *recordAck = std::get_if<ReplicateAck>(&message))
+        handleReplicateAck(table, *recordAck, actions);
     else if (const auto *part = std::get_if<ShardPart>(&message))
-        handlePart(table, *part, actions);
-    else if (const auto *taken = std::get_if<ShardPartAck>(&message))
-        handlePartTaken(table, *taken);
-    else if (const auto *held = std::get_if<ShardsReady>(&message))
-        handleHeld(table, *held);
+        handleShardPart(table, *part, actions);
+    else if (const auto *partAck = std::get_if<ShardPartAck>(&message))
+        handleShardPartAck(table, *partAck);
+    else if (const auto *ready = std::get_if<ShardsReady>(&message))
+        handleShardsReady(table, *ready);
     return actions;
 }
 
 ClaimActions tick(ClaimTable &table, Time now, WallTime wallNow)
 {
     ClaimActions actions;
-    resendCopies(table, now, actions);
+    resendRecords(table, now, actions);
     tickTransfer(table, now, actions);
-    forgetOld(table, wallNow);
+    expireRecords(table, wallNow);
     return actions;
 }
 
@@ -361,7 +362,7 @@
 {
     const std::vector<EntryIdentity> &replicas = table.replicas[shard];
     return table.view.number != 0 && !replicas.empty() && replicas[0] == table.settings.self
-            && table.shards[shard].heldIn == table.view.number
+            && table.shards[shard].completeInView == table.view.number
             && table.view.bases[shard].lastActiveView == table.view.number;
 }
 
@@ -372,9 +373,9 @@
         const std::vector<EntryIdentity> &replicas = table.replicas[number];
         const Shard &shard = table.shards[number];
         const bool primary = !replicas.empty() && replicas[0] == table.settings.self
-                && shard.heldIn == table.view.number && table.view.number != 0;
+                && shard.completeInView == table.view.number && table.view.number != 0;
         const bool active = table.view.bases[number].lastActiveView == table.view.number;
-        if (primary && !active && shard.heldBy.size() + 1 >= replicas.size())
+        if (primary && !active && shard.readyReplicas.size() + 1 >= replicas.size())
             ready.push_back(number);
     }
     return ready;
--- a/packages/claims/src/shardtransfer.cpp
+++ b/packages/claims/src/shardtransfer.cpp
@@ -7,7 +7,7 @@
 
     [SECTION] Sending
     [SECTION] Receiving
-    [SECTION] Time
+    [SECTION] Resending
 */
 #include "shardtransfer.h"
 
@@ -31,9 +31,9 @@
     part.from = table.settings.self.id;
     part.view = table.view.number;
     part.shard = number;
-    for (const auto &held : table.shards[number].records) {
-        part.records.push_back(held.second.record);
-        if (part.records.size() < table.settings.partSize)
+    for (const auto &state : table.shards[number].records) {
+        part.records.push_back(state.second.record);
+        if (part.records.size() < table.settings.recordsPerPart)
             continue;
         parts.push_back(part);
         part.records.clear();
@@ -58,28 +58,29 @@
 }
 
 // A replica of the base has every claim of the shard; any other one starts without claims.
-void enterShard(ClaimTable &table, std::uint32_t number, Time now)
+void prepareShard(ClaimTable &table, std::uint32_t number, Time now)
 {
     Shard &shard = table.shards[number];
     const ShardBase &base = table.view.bases[number];
     const EntryIdentity &self = table.settings.self;
-    const bool inBase = contains(base.replicas, self) && shard.heldIn >= base.lastActiveView;
-    const bool wanted = contains(table.replicas[number], self);
-    shard.heldBy.clear();
+    const bool inBase = contains(base.replicas, self)
+            && shard.completeInView >= base.lastActiveView;
+    const bool isReplica = contains(table.replicas[number], self);
+    shard.readyReplicas.clear();
     shard.received.clear();
     shard.lossCutoff = std::max(shard.lossCutoff, base.lossCutoff);
     if (inBase) {
         queueParts(table, number, now);
-        if (wanted)
-            shard.heldIn = table.view.number;
+        if (isReplica)
+            shard.completeInView = table.view.number;
         return;
     }
     shard.records.clear();
-    shard.heldIn = wanted && base.replicas.empty() ? table.view.number : 0;
+    shard.completeInView = isReplica && base.replicas.empty() ? table.view.number : 0;
 }
 
 // Cancels replication in progress in the old view; requesters send their requests again.
-void dropReplication(ClaimTable &table)
+void cancelReplication(ClaimTable &table)
 {
     for (const std::string &job : table.uncommitted) {
         Shard &shard = table.shards[shardOf(job)];
@@ -95,74 +96,74 @@
 
 } // namespace
 
-void beginTransfer(ClaimTable &table, Time now, ClaimActions &actions)
+void startTransfer(ClaimTable &table, Time now, ClaimActions &actions)
 {
-    dropReplication(table);
+    cancelReplication(table);
     table.outgoing.clear();
     for (std::uint32_t number = 0; number < ShardCount; ++number) {
         table.replicas[number] = replicasOf(table.view, number);
-        enterShard(table, number, now);
+        prepareShard(table, number, now);
     }
-    table.nextHeldReport = now;
+    table.nextReadyReport = now;
     tickTransfer(table, now, actions);
 }
 
 // [SECTION] Receiving
 
-void handlePart(ClaimTable &table, const ShardPart &part, ClaimActions &actions)
+void handleShardPart(ClaimTable &table, const ShardPart &part, ClaimActions &actions)
 {
     if (part.view != table.view.number || part.shard >= ShardCount)
         return;
     Shard &shard = table.shards[part.shard];
     const std::string &self = table.settings.self.id;
-    if (shard.heldIn != table.view.number) {
+    if (shard.completeInView != table.view.number) {
         for (const Record &record : part.records)
             shard.records[record.job].record = record;
         std::set<std::uint32_t> &received = shard.received[part.from];
         received.insert(part.part);
         if (received.size() >= part.parts)
-            shard.heldIn = table.view.number;
+            shard.completeInView = table.view.number;
         for (const Record &record : part.records)
-            table.ages.push_back({ record.claimedAt, record.job });
+            table.expiryQueue.push_back({ record.claimedAt, record.job });
     }
-    const ShardPartAck taken { self, part.view, part.shard, part.part };
-    actions.sends.push_back({ part.from, taken });
+    const ShardPartAck ack { self, part.view, part.shard, part.part };
+    actions.sends.push_back({ part.from, ack });
 }
 
-void handlePartTaken(ClaimTable &table, const ShardPartAck &taken)
+void handleShardPartAck(ClaimTable &table, const ShardPartAck &ack)
 {
-    if (taken.view != table.view.number)
+    if (ack.view != table.view.number)
         return;
     const auto sent = [&](const OutgoingPart &outgoing) {
-        return outgoing.to == taken.from && outgoing.part.shard == taken.shard
-                && outgoing.part.part == taken.part;
+        return outgoing.to == ack.from && outgoing.part.shard == ack.shard
+                && outgoing.part.part == ack.part;
     };
     table.outgoing.erase(std::remove_if(table.outgoing.begin(), table.outgoing.end(), sent),
                          table.outgoing.end());
 }
 
-void handleHeld(ClaimTable &table, const ShardsReady &held)
+void handleShardsReady(ClaimTable &table, const ShardsReady &ready)
 {
-    if (held.view != table.view.number)
+    if (ready.view != table.view.number)
         return;
-    for (const std::uint32_t number : held.shards) {
+    for (const std::uint32_t number : ready.shards) {
         if (number < ShardCount)
-            table.shards[number].heldBy.insert(held.from);
+            table.shards[number].readyReplicas.insert(ready.from);
     }
 }
 
-// [SECTION] Time
+// [SECTION] Resending
 
 namespace {
 
-void reportHeld(ClaimTable &table, ClaimActions &actions)
+void reportReadyShards(ClaimTable &table, ClaimActions &actions)
 {
     std::unordered_map<std::string, ShardsReady> reports;
     for (std::uint32_t number = 0; number < ShardCount; ++number) {
         const Shard &shard = table.shards[number];
         const std::vector<EntryIdentity> &replicas = table.replicas[number];
-        const bool inService = table.view.bases[number].lastActiveView == table.view.number;
-        if (shard.heldIn != table.view.number || inService || replicas.empty()
+        const bool active = table.view.bases[number].lastActiveView == table.view.number;
+        if (shard.completeInView != table.view.number || active || replicas.empty()
             || replicas[0] == table.settings.self)
             continue;
         ShardsReady &report = reports[replicas[0].id];
@@ -187,10 +188,10 @@
         ++table.counters.partsSent;
         actions.sends.push_back({ outgoing.to, outgoing.part });
     }
-    if (now < table.nextHeldReport)
+    if (now < table.nextReadyReport)
         return;
-    table.nextHeldReport = now + table.settings.resendInterval;
-    reportHeld(table, actions);
+    table.nextReadyReport = now + table.settings.resendInterval;
+    reportReadyShards(table, actions);
 }
 
 } // namespace foxwing::claims
--- a/packages/claims/src/shardtransfer.h
+++ b/packages/claims/src/shardtransfer.h
@@ -14,11 +14,11 @@
 bool contains(const std::vector<EntryIdentity> &replicas, const EntryIdentity &replica);
 
 // Determines which shards this entry has in the new view and queues the parts that it must send.
-void beginTransfer(ClaimTable &table, Time now, ClaimActions &actions);
+void startTransfer(ClaimTable &table, Time now, ClaimActions &actions);
 
-void handlePart(ClaimTable &table, const ShardPart &part, ClaimActions &actions);
-void handlePartTaken(ClaimTable &table, const ShardPartAck &taken);
-void handleHeld(ClaimTable &table, const ShardsReady &held);
+void handleShardPart(ClaimTable &table, const ShardPart &part, ClaimActions &actions);
+void handleShardPartAck(ClaimTable &table, const ShardPartAck &ack);
+void handleShardsReady(ClaimTable &table, const ShardsReady &ready);
 
 // Resends unacknowledged parts, and reports to the primaries which shards are complete here.
 void tickTransfer(ClaimTable &table, Time now, ClaimActions &actions);
--- a/packages/claims/src/view.cpp
+++ b/packages/claims/src/view.cpp
@@ -32,11 +32,13 @@
     // One replica in each data centre first; if more are needed, any entry.
     for (int round = 0; round < 2; ++round) {
         for (const Member *member : ranked) {
-            const bool near = std::find(dataCentres.begin(), dataCentres.end(), member->dataCentre)
+            const bool dataCentreUsed = std::find(dataCentres.begin(), dataCentres.end(),
+                                                  member->dataCentre)
                     != dataCentres.end();
-            const bool taken = std::find(chosen.begin(), chosen.end(), member->replica)
+            const bool alreadyChosen = std::find(chosen.begin(), chosen.end(), member->replica)
                     != chosen.end();
-            if (chosen.size() >= view.replicaCount || taken || (round == 0 && near))
+            if (chosen.size() >= view.replicaCount || alreadyChosen
+                || (round == 0 && dataCentreUsed))
                 continue;
             chosen.push_back(member->replica);
             dataCentres.push_back(member->dataCentre);
@@ -51,11 +53,11 @@
                        [&](const Member &member) { return member.replica == replica; });
 }
 
-bool isNewer(const View &view, const View &than)
+bool isNewer(const View &view, const View &other)
 {
-    if (view.number != than.number)
-        return view.number > than.number;
-    return view.update > than.update;
+    if (view.number != other.number)
+        return view.number > other.number;
+    return view.update > other.update;
 }
 
 } // namespace foxwing::claims
