--- a/packages/claims/include/foxwing/claims/messages.h
+++ b/packages/claims/include/foxwing/claims/messages.h
@@ -1,7 +1,7 @@
 /*
-    What entries tell each other about claims.
+    Messages between entries about claims.
 
-    All messages are one-way; the sender repeats until it is answered.
+    All messages are one-way; the sender resends until it is answered.
 
     [SECTION] Records
     [SECTION] Claiming
@@ -30,17 +30,17 @@
     // Digest of the request's body: the same id with another body is a conflict.
     std::string digest;
 
-    // Who runs it, and for the how-manieth owner that is.
+    // The entry that runs it; the epoch starts at 1 and increases with each change of owner.
     EntryIdentity owner;
     std::uint64_t epoch = 1;
 
-    // The ask that made this owner, so that a repeated ask gets the same answer.
+    // Nonce of the request that made this owner, so that a resent request gets the same answer.
     std::uint64_t nonce = 0;
 
-    // When the claim was made, by the home's clock; milliseconds since 1970.
+    // When the claim was made, by the primary's clock; milliseconds since 1970.
     std::int64_t claimedAt = 0;
 
-    // Ended as "not run": nothing of it ever starts.
+    // Ended as "not run": no task of it ever starts.
     bool notRun = false;
 };
 template<class Fields>
@@ -58,11 +58,11 @@
 // [SECTION] Claiming
 
 enum class ClaimRequestKind {
-    // Claim it for the asker, or say who has it.
+    // Claim the job for the requester, or return its owner.
     Claim,
-    // It was refused: if nobody has it, make sure that nobody ever will.
+    // The job was refused: if it is unclaimed, record it as "not run" so that nobody can claim it.
     Refuse,
-    // Only say who has it.
+    // Only return the owner.
     Lookup,
 };
 constexpr ClaimRequestKind lastOf(ClaimRequestKind)
@@ -80,31 +80,31 @@
     ClaimRequestKind kind = ClaimRequestKind::Claim;
 };
 template<class Fields>
-void describe(Fields &fields, ClaimRequest &ask)
+void describe(Fields &fields, ClaimRequest &request)
 {
-    fields("from", ask.from);
-    fields("job", ask.job);
-    fields("digest", ask.digest);
-    fields("nonce", ask.nonce);
-    fields("kind", ask.kind);
+    fields("from", request.from);
+    fields("job", request.job);
+    fields("digest", request.digest);
+    fields("nonce", request.nonce);
+    fields("kind", request.kind);
 }
 
 enum class ClaimStatus {
-    // The asker is the owner, in the epoch given.
+    // The requester is the owner, in the epoch given.
     Granted,
-    // Another entry is.
+    // Another entry is the owner.
     OwnedByOther,
     // The id was used with another body.
     Conflict,
     // Ended as "not run".
     NotRun,
-    // Nobody has it (answers to Look only).
+    // Nobody has claimed it (answers to Lookup only).
     Unclaimed,
-    // Its owner is lost, and the asker did not ask to take it over.
+    // Its owner is lost, and the request was not to take it over.
     OwnerLost,
-    // Claims of that age may have been forgotten; it must not be started.
+    // The claim may have been lost or expired; the job must not be started.
     Unknown,
-    // Not in service here at present.
+    // The receiver cannot serve the shard at the moment; send the request again.
     Retry,
 };
 constexpr ClaimStatus lastOf(ClaimStatus)
@@ -123,17 +123,17 @@
     std::int64_t claimedAt = 0;
 };
 template<class Fields>
-void describe(Fields &fields, ClaimResponse &answer)
+void describe(Fields &fields, ClaimResponse &response)
 {
-    fields("job", answer.job);
-    fields("nonce", answer.nonce);
-    fields("verdict", answer.status);
-    fields("owner", answer.owner);
-    fields("epoch", answer.epoch);
-    fields("claimedAt", answer.claimedAt);
+    fields("job", response.job);
+    fields("nonce", response.nonce);
+    fields("verdict", response.status);
+    fields("owner", response.owner);
+    fields("epoch", response.epoch);
+    fields("claimedAt", response.claimedAt);
 }
 
-// The owner ends a job of which nothing ever started.
+// The owner ends a job of which no task ever started.
 struct Release
 {
     static constexpr const char *Type = "claim-release";
@@ -176,11 +176,11 @@
     Record record;
 };
 template<class Fields>
-void describe(Fields &fields, Replicate &copy)
+void describe(Fields &fields, Replicate &message)
 {
-    fields("from", copy.from);
-    fields("view", copy.view);
-    fields("record", copy.record);
+    fields("from", message.from);
+    fields("view", message.view);
+    fields("record", message.record);
 }
 
 struct ReplicateAck
@@ -193,13 +193,13 @@
     bool notRun = false;
 };
 template<class Fields>
-void describe(Fields &fields, ReplicateAck &copied)
+void describe(Fields &fields, ReplicateAck &ack)
 {
-    fields("from", copied.from);
-    fields("view", copied.view);
-    fields("job", copied.job);
-    fields("epoch", copied.epoch);
-    fields("notRun", copied.notRun);
+    fields("from", ack.from);
+    fields("view", ack.view);
+    fields("job", ack.job);
+    fields("epoch", ack.epoch);
+    fields("notRun", ack.notRun);
 }
 
 // [SECTION] Transfer
@@ -235,15 +235,15 @@
     std::uint32_t part = 0;
 };
 template<class Fields>
-void describe(Fields &fields, ShardPartAck &taken)
+void describe(Fields &fields, ShardPartAck &ack)
 {
-    fields("from", taken.from);
-    fields("view", taken.view);
-    fields("shard", taken.shard);
-    fields("part", taken.part);
+    fields("from", ack.from);
+    fields("view", ack.view);
+    fields("shard", ack.shard);
+    fields("part", ack.part);
 }
 
-// A replica has all claims of these shards in this view; to the home of each.
+// A replica has all claims of these shards in this view; sent to the primary of each.
 struct ShardsReady
 {
     static constexpr const char *Type = "shards-held";
@@ -252,11 +252,11 @@
     std::vector<std::uint32_t> shards;
 };
 template<class Fields>
-void describe(Fields &fields, ShardsReady &held)
+void describe(Fields &fields, ShardsReady &ready)
 {
-    fields("from", held.from);
-    fields("view", held.view);
-    fields("shards", held.shards);
+    fields("from", ready.from);
+    fields("view", ready.view);
+    fields("shards", ready.shards);
 }
 
 // [SECTION] Variant
