--- a/packages/fleet/tests/settings_test.cpp
+++ b/packages/fleet/tests/settings_test.cpp
@@ -83,7 +83,7 @@
     EXPECT_EQ(settings->scheduler.maxShortfallPercent, 0);
     EXPECT_EQ(settings->scheduler.waitingQueues, scheduler::WaitingQueues::AllButLeast);
     EXPECT_EQ(settings->scheduler.shares.floorPercent, 65U);
-    EXPECT_EQ(settings->scheduler.placement, scheduler::Placement::MostRoom);
+    EXPECT_EQ(settings->scheduler.placement, scheduler::Placement::MostFree);
     EXPECT_FALSE(settings->scheduler.learnRunTimes);
     EXPECT_FALSE(settings->scheduler.moveRuns);
     EXPECT_EQ(settings->lag.standBackAbove, Milliseconds(40));
--- a/packages/scheduler/include/foxwing/scheduler/callerprobe.h
+++ b/packages/scheduler/include/foxwing/scheduler/callerprobe.h
@@ -2,13 +2,13 @@
     Decides when callers are probed before their jobs are placed.
 
     A loss of agent sessions often takes the callers' connections down too. The closed connection
-   may go unnoticed while the entry handles its agents; a job placed in that time would run here
-   while its caller's retry runs on another entry. So for a while after a loss, each caller is
-   probed before its job is placed.
+    may go unnoticed while the entry handles its agents; a job placed in that time would run here
+    while its caller's retry runs on another entry. So for a while after a loss, each caller is
+    probed before its job is placed.
 
-        CallerProbeState watch;
-        recordSessionLost(watch, now);
-        for (std::uint64_t number : callersToProbe(watch, scheduler, now))
+        CallerProbeState probes;
+        recordSessionLost(probes, now);
+        for (std::uint64_t number : callersToProbe(probes, scheduler, now))
             ... check the caller's connection; abandon() the job if it is closed ...
 
     [SECTION] State
@@ -30,7 +30,7 @@
 
     // Minimum time between probes, so that sessions lost or restored one after another don't cost a
     // probe each.
-    Milliseconds trustFor { 5 };
+    Milliseconds probeInterval { 5 };
 };
 
 struct CallerProbeState
@@ -41,18 +41,18 @@
     Time until {};
 
     // Times of the last probe, and of the last loss that made one due
-    Time lookedAt {};
-    Time lossAt {};
+    Time lastProbeAt {};
+    Time lastLossAt {};
 };
 
 // [SECTION] Functions
 
 // A session with an agent was lost: a probe is due at once.
-void recordSessionLost(CallerProbeState &watch, Time now);
+void recordSessionLost(CallerProbeState &probes, Time now);
 
-// If a probe is due, returns the open jobs that may be placed next (with waiting tasks, or runs in
-// an unknown state) and counts the probe as done.
-std::vector<std::uint64_t> callersToProbe(CallerProbeState &watch, const SchedulerState &scheduler,
+// If a probe is due, returns the open jobs that may be placed next (with waiting tasks or uncertain
+// runs) and counts the probe as done.
+std::vector<std::uint64_t> callersToProbe(CallerProbeState &probes, const SchedulerState &scheduler,
                                           Time now);
 
 } // namespace foxwing::scheduler
--- a/packages/scheduler/include/foxwing/scheduler/scheduler.h
+++ b/packages/scheduler/include/foxwing/scheduler/scheduler.h
@@ -1,10 +1,10 @@
 /*
     The entry's scheduler: decides which task starts where and when, what is retried, and when a job
-   is refused or given up.
+    is refused or given up.
 
     Every entry knows the free capacity of all endpoints and sends starts directly to their agents;
-   an agent refuses at once what does not fit. Waiting jobs are ordered by the latest time at which
-   they can start and still be on time; those that can no longer be on time come last.
+    an agent refuses at once what does not fit. Waiting jobs are ordered by the latest time at which
+    they can start and still be on time; those that can no longer be on time come last.
 
     No two runs of a task overlap: a task is started again only after the end of its last run was
     reported, or after the agent it was sent to has certainly stopped it (see lostRunTimeout).
@@ -48,10 +48,10 @@
     // By observed speed and load
     Fastest,
     Random,
-    MostRoom,
+    MostFree,
 };
 
-// Which waiting job goes next. Jobs that have begun go first, except with FirstCome.
+// Which waiting job goes next. Jobs that have started go first, except with FirstCome.
 enum class Order {
     // By the latest start time; jobs that can't be on time last
     LatestStart,
@@ -63,8 +63,8 @@
     // By the queue's priority, then by the latest start time; jobs that can't be on time last
     Priority,
 
-    // Like Priority, but of the jobs that have not begun, the one with the least work first: serves
-    // more jobs in an overload
+    // Like Priority, but of the jobs that have not started, the one with the least work first:
+    // serves more jobs in an overload
     LeastWork,
 };
 
@@ -107,7 +107,7 @@
 
     // After work did not fit, agents are asked for fresh updates for this long: several times the
     // shortest task, so that a busy period costs one request and not one for each job.
-    Milliseconds wantRoomFor { 300 };
+    Milliseconds needsCapacityFor { 300 };
 
     // An agent that was silent for this long is given up. More than three heartbeats, and less than
     // the agent waits for its entry.
@@ -115,7 +115,7 @@
 
     // An agent that was silent for this long gets work only if no other fits: twice the time
     // between its heartbeat answers, plus one turn of the event loop. It may be cut off, and then
-    // its tasks would be in an unknown state for lostRunTimeout.
+    // its runs would be uncertain for lostRunTimeout.
     Milliseconds suspectAfter { 220 };
 
     // This long after the last message to a lost agent, its runs have certainly stopped: the agent
@@ -126,9 +126,8 @@
     // A placement pass ends once this many jobs could not be placed.
     std::size_t maxUnplaced = 16;
 
-    // A job counts as late this long before its latest start, in percent of its expected time.
-    // Expected times are off by about a third, and jobs placed at the last moment are late half of
-    // the time.
+    // A job counts as late this long before its latest start, in percent of its expected time,
+    // since expected times are inexact and a job placed at the last moment is often late.
     std::uint32_t marginPercent = 50;
 
     // If a task fits nowhere, a start of the most urgent queue may wait at an agent that lacks up
@@ -142,7 +141,7 @@
     shares::ShareSettings shares;
 
     // Bound on the wait of a start at an agent; after it, another agent may be better.
-    Milliseconds mostWait { 50 };
+    Milliseconds maxAgentWait { 50 };
 
     // A job is worth finishing until this many times its objective after its arrival.
     double lateFactor = 3.0;
@@ -150,33 +149,33 @@
     // A task under which this many endpoints crashed is given up: it probably causes the crashes,
     // and each retry takes down what runs beside it. Below three, a task may just be unlucky with
     // unstable endpoints.
-    std::uint32_t mostCrashes = 3;
+    std::uint32_t maxCrashes = 3;
 
     // If the job is sent again within this time, it is given up at once. Longer than the deadline
     // of any caller.
-    Milliseconds crashingFor { 60000 };
+    Milliseconds crashRetention { 60000 };
 
     // Bound on the jobs whose reported crashes are remembered: more than run on several crashing
-    // endpoints within crashingFor.
-    std::size_t mostCrashedJobs = 1024;
+    // endpoints within crashRetention.
+    std::size_t maxCrashedJobs = 1024;
 
     // Jobs that have begun are finished, even if late, while their callers wait. If a caller gave
     // no deadline, it is taken to wait for this long, or for lateFactor objectives if that is
     // longer.
-    Milliseconds longestJob { 15000 };
+    Milliseconds maxJobDuration { 15000 };
 
     // A job whose expected wait is over this many objectives is refused at once.
     double maxWaitFactor = 2.0;
 
     // A job is also refused at once if, at the rate at which capacity was freed lately, it would
     // wait longer than this percentage of the time until it counts as late. Zero: it waits until it
-    // is late. 200, since the rate seen by one entry is too low: a lower limit refuses jobs that
-    // would be served.
+    // is late. Above 100, since the rate that one entry sees is too low and would turn away jobs
+    // that can be served.
     std::uint32_t maxWaitPercent = 200;
 
     // Averaging window of the rate at which capacity is freed: several times the shortest task, and
     // shorter than a burst.
-    Milliseconds freedSpan { 300 };
+    Milliseconds freedWindow { 300 };
 
     // Refusal at arrival and the retry time follow the forecast from all agents' updates instead of
     // what this entry observes. Implied by serveLate.
@@ -184,28 +183,28 @@
 
     // Averaging window of this entry's share of freed capacity: longer than a burst of one queue,
     // so that short-term changes come from the agents' reports alone.
-    Milliseconds shareSpan { 2000 };
+    Milliseconds shareWindow { 2000 };
 
     // Interval at which the agents' reports are added up for that.
     Milliseconds shareInterval { 100 };
 
     // A job that can no longer be on time keeps waiting, behind all that can, while the forecast
-    // says that it begins before its caller has gone. Needs refuseLate; without it all late jobs
+    // says that it starts before its caller has gone. Needs refuseLate; without it all late jobs
     // keep waiting.
     bool serveLate = false;
 
     // Until late jobs have waited for this long, any that the forecast admits may wait: the
     // overload may be short. After that, only as many may wait as the capacity recently given to
     // late jobs can serve in time; the rest are refused at once.
-    Milliseconds lateSpan { 1000 };
+    Milliseconds lateWindow { 1000 };
 
     // This many late jobs of a service may wait in any case, to find out when there is capacity
     // again.
-    std::size_t lateProbes = 2;
+    std::size_t minLateWaiting = 2;
 
     // Late jobs only use capacity that was reported free for this long: two rounds of updates, in
     // which any entry with a job that can be on time has taken what it needs.
-    Milliseconds restSpan { 40 };
+    Milliseconds idleWindow { 40 };
 
     // A job that has not begun when it counts as late is refused, so that it does not take the
     // capacity of jobs that can be on time.
@@ -215,16 +214,16 @@
     // estimate.
     bool learnRunTimes = true;
 
-    // Runs that lag or stall are restarted elsewhere.
+    // Stragglers and stalled runs are restarted elsewhere.
     bool moveRuns = true;
 
-    // A lagging run is moved only if a new run would take less than this percentage of its
-    // remaining time.
+    // A straggler is moved only if a new run would take less than this percentage of its remaining
+    // time.
     std::uint32_t moveBelowPercent = 60;
 
     // Limits of one entry.
-    std::size_t mostJobs = 4000;
-    std::uint32_t mostTasksPerJob = 2000;
+    std::size_t maxJobs = 4000;
+    std::uint32_t maxTasksPerJob = 2000;
 };
 
 // [SECTION] Jobs
@@ -274,26 +273,26 @@
     std::uint32_t crashes = 0;
     std::string agent;
     Time placedAt {};
-    Time certainAt {};
-    bool stopAsked = false;
+    Time stoppedBy {};
+    bool stopRequested = false;
 
     // Expected time of one run: the caller's estimate as corrected by the queue's past jobs, or
-    // what a lagging run has shown
+    // what a straggler has shown
     Milliseconds expected { 0 };
 
     // Agents whose endpoints failed it or stalled
-    std::vector<std::string> avoid;
+    std::vector<std::string> avoidedAgents;
 };
 
-// Queue groups, in order. Jobs that have begun go first: what they hold is wasted until their last
-// task has run.
-enum class Rank {
-    Begun,
+// Queue groups, in order. Jobs that have started go first: what they hold is wasted until their
+// last task has run.
+enum class QueueGroup {
+    Started,
     OnTime,
     Late,
 
-    // Begun, and too late to be of any use
-    Hopeless,
+    // Started, and too late to be of any use
+    Expired,
 };
 
 struct Job
@@ -304,7 +303,7 @@
     Time arrivedAt {};
 
     // Critical path by the caller's estimates, and as corrected by the queue's past jobs
-    Milliseconds guessed { 0 };
+    Milliseconds estimated { 0 };
     Milliseconds expected { 0 };
 
     // By step, the longest finished run
@@ -312,17 +311,17 @@
 
     // Estimated: when the job is due, and the latest start to be done by then
     Time objectiveAt {};
-    Time latestBegin {};
+    Time latestStart {};
 
-    // If it has not begun by then, it counts as late.
+    // If it has not started by then, it counts as late.
     Time onTimeUntil {};
 
-    // If it begins later, it is of no use.
-    Time worthUntil {};
+    // If it starts later, it is of no use.
+    Time usefulUntil {};
 
-    // A late job that begins by then ends while its caller waits and its result is of use; equals
+    // A late job that starts by then ends while its caller waits and its result is of use; equals
     // onTimeUntil if its queue leaves no time beyond the objective.
-    Time lateUntil {};
+    Time lateStartUntil {};
 
     std::vector<Task> tasks;
     std::vector<std::uint32_t> tasksLeft;
@@ -335,22 +334,22 @@
     // When all of its tasks had been placed for the first time
     Time allPlacedAt {};
 
-    // A run of it began or may have begun.
+    // A run of it began or may have begun; a start on its way does not count.
     bool mayHaveBegun = false;
 
     // Answered or abandoned; kept only until its runs are over.
-    bool over = false;
+    bool closed = false;
 
     // A job with the same id whose runs are not over yet
-    std::uint64_t waitsFor = 0;
+    std::uint64_t predecessor = 0;
 
     // As used in its queue key
-    Rank group = Rank::OnTime;
+    QueueGroup group = QueueGroup::OnTime;
     std::uint32_t queuedPriority = 0;
 
     // Remaining work when the job was queued, in millicores times milliseconds; only set for
     // Order::LeastWork
-    std::int64_t leftWhenQueued = 0;
+    std::int64_t workWhenQueued = 0;
 };
 
 // [SECTION] Agents
@@ -377,11 +376,11 @@
     };
     std::vector<Pending> pending;
 
-    // Minimum of the reported free capacity in this and the previous restSpan: what the other
+    // Minimum of the reported free capacity in this and the previous idleWindow: what the other
     // entries leave free too
-    std::int64_t leastFree = 0;
-    std::int64_t leastFreeBefore = 0;
-    Time leastFreeSince {};
+    std::int64_t minFree = 0;
+    std::int64_t previousMinFree = 0;
+    Time minFreeSince {};
 
     // Starts of all entries that wait there and capacity that is freed there, as last reported
     std::vector<jobs::WaitingRoom> waiting;
@@ -393,19 +392,19 @@
 // Position of a waiting job; smaller goes first.
 struct QueueKey
 {
-    Rank group = Rank::OnTime;
+    QueueGroup group = QueueGroup::OnTime;
     std::uint32_t priority = 0;
 
     // Its queue is below its guaranteed share: goes before others of the priority that it was
     // raised to
     bool raised = false;
-    std::int64_t rank = 0;
+    std::int64_t sortValue = 0;
     std::uint64_t number = 0;
 
     bool operator<(const QueueKey &other) const
     {
-        return std::tie(group, priority, other.raised, rank, number)
-                < std::tie(other.group, other.priority, raised, other.rank, other.number);
+        return std::tie(group, priority, other.raised, sortValue, number)
+                < std::tie(other.group, other.priority, raised, other.sortValue, other.number);
     }
 };
 
@@ -425,12 +424,12 @@
 };
 
 // Capacity of one service that ended runs freed, in millicores.
-struct FreedRoom
+struct FreedCapacity
 {
     // Recently freed for this entry: what waits here can count on it
-    FadingSum ofLate;
+    FadingSum recent;
 
-    // Freed for this entry by priority, over shareSpan; without failed runs, as agents report it
+    // Freed for this entry by priority, over shareWindow; without failed runs, as agents report it
     std::map<std::uint32_t, FadingSum> own;
 };
 
@@ -445,13 +444,13 @@
 };
 
 // A period in which late jobs of one service wait.
-struct LateSpell
+struct LatePeriod
 {
     Time since {};
-    Time seenAt {};
+    Time lastSeenAt {};
 
-    // Capacity given to late jobs, in millicores, over lateSpan
-    FadingSum taken;
+    // Capacity given to late jobs, in millicores, over lateWindow
+    FadingSum granted;
 };
 
 struct SchedulerCounters
@@ -463,7 +462,7 @@
     std::uint64_t timedOut = 0;
     std::uint64_t abandoned = 0;
 
-    // Completed, though begun too late to be on time
+    // Completed, though started too late to be on time
     std::uint64_t servedLate = 0;
     std::uint64_t starts = 0;
     std::uint64_t startsRefused = 0;
@@ -490,13 +489,13 @@
     std::set<QueueKey> queue;
 
     // Jobs given up since endpoints crashed under them, and when each is forgotten
-    std::map<std::string, Time> crashing;
+    std::map<std::string, Time> crashingUntil;
 
     // By job
     std::map<std::string, CrashedJob> crashedJobs;
 
     // Waiting work has not been tried yet with the capacity as it is.
-    bool untried = false;
+    bool placementPending = false;
 
     // Work did not fit lately; agents are asked for fresh updates until then.
     Time needsCapacityUntil {};
@@ -506,18 +505,18 @@
     catalog::Cordons cordons;
 
     // By queue
-    std::map<std::string, RunTimes> runTimes;
+    std::map<std::string, RunTimeModel> runTimeModels;
 
     // By service
-    std::map<std::string, FreedRoom> freed;
+    std::map<std::string, FreedCapacity> freed;
 
-    // The same for all entries, as reported by agents, over shareSpan; only maintained if the
+    // The same for all entries, as reported by agents, over shareWindow; only maintained if the
     // forecast is used
-    std::map<std::string, FadingSum> told;
-    Time toldAddedAt {};
+    std::map<std::string, FadingSum> reportedFreed;
+    Time reportedFreedAt {};
 
     // By service
-    std::map<std::string, LateSpell> lateSpells;
+    std::map<std::string, LatePeriod> latePeriods;
 
     // What was recently served of each queue's requests, and the resulting priorities by queue
     shares::ShareState shares;
--- a/packages/scheduler/src/admission.cpp
+++ b/packages/scheduler/src/admission.cpp
@@ -13,20 +13,20 @@
 
 // [SECTION] Admission
 
-Microseconds scaled(Milliseconds span, double factor)
+Microseconds scaled(Milliseconds duration, double factor)
 {
-    return std::chrono::duration_cast<Microseconds>(
-            std::chrono::duration<double, std::milli>(static_cast<double>(span.count()) * factor));
+    return std::chrono::duration_cast<Microseconds>(std::chrono::duration<double, std::milli>(
+            static_cast<double>(duration.count()) * factor));
 }
 
 namespace {
 
-std::vector<Milliseconds> guesses(const jobs::JobSpec &spec)
+std::vector<Milliseconds> estimates(const jobs::JobSpec &spec)
 {
-    std::vector<Milliseconds> spans;
+    std::vector<Milliseconds> durations;
     for (const jobs::StepSpec &step : spec.steps)
-        spans.push_back(step.estimate);
-    return spans;
+        durations.push_back(step.estimate);
+    return durations;
 }
 
 std::uint64_t taskCount(const jobs::JobSpec &spec)
@@ -46,29 +46,29 @@
     job.spec = spec;
     job.options = options;
     job.arrivedAt = options.receivedAt.value_or(now);
-    job.guessed = longestChain(spec, guesses(spec));
-    const auto times = scheduler.runTimes.find(options.queue);
-    const bool learned = settings.learnRunTimes && times != scheduler.runTimes.end();
-    job.expected = learned ? expectedRunTime(times->second, job.guessed) : job.guessed;
-    const Milliseconds chain = job.expected;
-    job.objectiveAt = job.arrivedAt + scaled(chain, options.stretch) + options.targetLatency;
-    job.latestBegin = job.objectiveAt - chain;
-    job.onTimeUntil = std::max(now, job.latestBegin - chain * settings.marginPercent / 100);
+    job.estimated = criticalPath(spec, estimates(spec));
+    const auto model = scheduler.runTimeModels.find(options.queue);
+    const bool learned = settings.learnRunTimes && model != scheduler.runTimeModels.end();
+    job.expected = learned ? expectedRunTime(model->second, job.estimated) : job.estimated;
+    const Milliseconds path = job.expected;
+    job.objectiveAt = job.arrivedAt + scaled(path, options.stretch) + options.targetLatency;
+    job.latestStart = job.objectiveAt - path;
+    job.onTimeUntil = std::max(now, job.latestStart - path * settings.marginPercent / 100);
     const auto objective = std::chrono::duration_cast<Milliseconds>(job.objectiveAt
                                                                     - job.arrivedAt);
-    job.worthUntil = job.arrivedAt + scaled(objective, settings.lateFactor) - chain;
-    const Time callerGone = options.callerDeadline.value_or(Time::max());
-    job.lateUntil = std::max(job.onTimeUntil,
-                             std::min({ callerGone - chain, options.startDeadline,
-                                        job.worthUntil }));
+    job.usefulUntil = job.arrivedAt + scaled(objective, settings.lateFactor) - path;
+    const Time callerLeaves = options.callerDeadline.value_or(Time::max());
+    job.lateStartUntil = std::max(job.onTimeUntil,
+                                  std::min({ callerLeaves - path, options.startDeadline,
+                                             job.usefulUntil }));
     return job;
 }
 
 // One step's estimate, corrected by the same factor as the critical path.
-Milliseconds expectedOf(const Job &job, Milliseconds estimate)
+Milliseconds correctedEstimate(const Job &job, Milliseconds estimate)
 {
-    return job.guessed.count() > 0 ? estimate * job.expected.count() / job.guessed.count()
-                                   : estimate;
+    return job.estimated.count() > 0 ? estimate * job.expected.count() / job.estimated.count()
+                                     : estimate;
 }
 
 void addTasks(const SchedulerState &scheduler, Job &job)
@@ -81,8 +81,8 @@
             Task task;
             task.step = step;
             task.index = index;
-            task.expected = expectedOf(job, spec.steps[step].estimate);
-            task.crashes = crashesOf(scheduler, { spec.id, 0, step, index });
+            task.expected = correctedEstimate(job, spec.steps[step].estimate);
+            task.crashes = crashCount(scheduler, { spec.id, 0, step, index });
             job.tasks.push_back(task);
         }
     }
@@ -90,58 +90,59 @@
 }
 
 // Waiting work of this entry that would go first, over its share of all capacity.
-Microseconds expectedWait(const SchedulerState &scheduler, const Job &wanted)
+Microseconds expectedWait(const SchedulerState &scheduler, const Job &arriving)
 {
     double waiting = 0;
     for (const QueueKey &key : scheduler.queue) {
         const Job &job = scheduler.jobs.at(key.number);
-        if (key.group > Rank::OnTime || job.latestBegin > wanted.latestBegin
-            || job.options.service != wanted.options.service)
+        if (key.group > QueueGroup::OnTime || job.latestStart > arriving.latestStart
+            || job.options.service != arriving.options.service)
             continue;
         const jobs::StepSpec &step = job.spec.steps.front();
         waiting += static_cast<double>(job.waiting) * static_cast<double>(step.room.milliCores)
                 * static_cast<double>(step.estimate.count());
     }
-    double room = 0;
+    double capacity = 0;
     for (const auto &[name, agent] : scheduler.agents) {
-        if (agent.welcomed && agent.endpoint.service == wanted.options.service
+        if (agent.welcomed && agent.endpoint.service == arriving.options.service
             && agent.endpoint.mostStarts > 0 && !isCordoned(scheduler, agent))
-            room += static_cast<double>(agent.endpoint.capacity.milliCores);
+            capacity += static_cast<double>(agent.endpoint.capacity.milliCores);
     }
-    if (room <= 0)
+    if (capacity <= 0)
         return Microseconds(0);
     // Declared capacities are not validated; beyond an hour the value makes no difference.
-    constexpr double MostMilliseconds = 3.6e6;
+    constexpr double MaxMilliseconds = 3.6e6;
     return scaled(Milliseconds(1),
-                  std::min(MostMilliseconds, waiting * scheduler.entryCount / room));
+                  std::min(MaxMilliseconds, waiting * scheduler.entryCount / capacity));
 }
 
 // Whether the work that goes before this job here takes, at the rate at which capacity was recently
 // freed here, longer than the job has until it counts as late.
-bool waitsTooLong(const SchedulerState &scheduler, const Job &wanted, Time now)
+bool waitsTooLong(const SchedulerState &scheduler, const Job &arriving, Time now)
 {
-    const auto freed = scheduler.freed.find(wanted.options.service);
+    const auto freed = scheduler.freed.find(arriving.options.service);
     if (freed == scheduler.freed.end() || scheduler.settings.maxWaitPercent == 0)
         return false;
-    const std::uint32_t priority = effectivePriority(scheduler, wanted);
+    const std::uint32_t priority = effectivePriority(scheduler, arriving);
     double waiting = 0;
     for (const QueueKey &key : scheduler.queue) {
         const Job &job = scheduler.jobs.at(key.number);
-        if (key.group > Rank::OnTime || job.options.service != wanted.options.service
-            || (key.group == Rank::OnTime && job.queuedPriority > priority))
+        if (key.group > QueueGroup::OnTime || job.options.service != arriving.options.service
+            || (key.group == QueueGroup::OnTime && job.queuedPriority > priority))
             continue;
         waiting += static_cast<double>(job.waiting)
                 * static_cast<double>(job.spec.steps.front().room.milliCores);
     }
     const double perMillisecond = freedPerMillisecond(scheduler, freed->second, now);
-    const auto slack = std::chrono::duration_cast<Milliseconds>(wanted.onTimeUntil - now);
-    const double most = static_cast<double>(slack.count()) * scheduler.settings.maxWaitPercent
+    const auto slack = std::chrono::duration_cast<Milliseconds>(arriving.onTimeUntil - now);
+    const double limit = static_cast<double>(slack.count()) * scheduler.settings.maxWaitPercent
             / 100;
-    return waiting > 0 && waiting > perMillisecond * most;
+    return waiting > 0 && waiting > perMillisecond * limit;
 }
 
 // The same by the forecast; nothing if there is none.
-std::optional<bool> forecastIsTooLong(const SchedulerState &scheduler, const Job &wanted, Time now)
+std::optional<bool> forecastWaitsTooLong(const SchedulerState &scheduler, const Job &arriving,
+                                         Time now)
 {
     const SchedulerSettings &settings = scheduler.settings;
     const auto within = [&](std::optional<Milliseconds> wait, Time until) {
@@ -150,23 +151,23 @@
     };
     if (!usesForecast(scheduler) || settings.maxWaitPercent == 0)
         return std::nullopt;
-    const std::optional<Milliseconds> wait = waitOnTime(scheduler, wanted, now);
+    const std::optional<Milliseconds> wait = waitIfOnTime(scheduler, arriving, now);
     if (!wait)
         return std::nullopt;
-    if (within(wait, settings.refuseLate ? wanted.onTimeUntil : wanted.worthUntil))
+    if (within(wait, settings.refuseLate ? arriving.onTimeUntil : arriving.usefulUntil))
         return false;
-    const bool mayBeLate = settings.serveLate && wanted.lateUntil > wanted.onTimeUntil;
-    return !mayBeLate || !within(waitLate(scheduler, wanted, now), wanted.lateUntil);
+    const bool mayBeLate = settings.serveLate && arriving.lateStartUntil > arriving.onTimeUntil;
+    return !mayBeLate || !within(waitIfLate(scheduler, arriving, now), arriving.lateStartUntil);
 }
 
-bool anySuits(const SchedulerState &scheduler, const Job &job, const jobs::StepSpec &step)
+bool anySuitable(const SchedulerState &scheduler, const Job &job, const jobs::StepSpec &step)
 {
     bool any = false;
     for (const auto &[name, agent] : scheduler.agents) {
         if (!agent.welcomed || agent.endpoint.service != job.options.service)
             continue;
         any = true;
-        if (suits(agent, job, step))
+        if (isSuitable(agent, job, step))
             return true;
     }
     // Without any endpoint of the service, it is not known what would fit.
@@ -178,7 +179,7 @@
     const std::vector<jobs::StepSpec> &steps = job.spec.steps;
     return job.options.suitableUnconnected
             || std::all_of(steps.begin(), steps.end(), [&](const jobs::StepSpec &step) {
-                   return anySuits(scheduler, job, step);
+                   return anySuitable(scheduler, job, step);
                });
 }
 
@@ -187,13 +188,13 @@
 // other.
 bool heldTooLong(const Job &job, Time now)
 {
-    return job.options.receivedAt && job.latestBegin > job.arrivedAt && now > job.latestBegin;
+    return job.options.receivedAt && job.latestStart > job.arrivedAt && now > job.latestStart;
 }
 
 // Whether the work before the job takes longer than it may wait.
-bool lacksRoom(const SchedulerState &scheduler, const Job &job, Time now)
+bool lacksCapacity(const SchedulerState &scheduler, const Job &job, Time now)
 {
-    if (const auto tooLong = forecastIsTooLong(scheduler, job, now))
+    if (const auto tooLong = forecastWaitsTooLong(scheduler, job, now))
         return *tooLong;
     const auto objective = std::chrono::duration_cast<Milliseconds>(job.objectiveAt
                                                                     - job.arrivedAt);
@@ -202,17 +203,17 @@
 }
 
 // Why a job is refused regardless of capacity; empty if it may be admitted.
-std::string refusal(const SchedulerState &scheduler, const Job &job, Time now)
+std::string refusalReason(const SchedulerState &scheduler, const Job &job, Time now)
 {
-    if (scheduler.jobs.size() >= scheduler.settings.mostJobs)
+    if (scheduler.jobs.size() >= scheduler.settings.maxJobs)
         return "this entry is at its limit of jobs";
     const jobs::JobTraits &traits = job.spec.traits;
     if (traits.kept || traits.gang || traits.lasting || traits.timed)
         return "this kind of job is not served yet";
     const std::uint64_t tasks = taskCount(job.spec);
-    if (tasks == 0 || tasks > scheduler.settings.mostTasksPerJob)
+    if (tasks == 0 || tasks > scheduler.settings.maxTasksPerJob)
         return "a job must have at least one task, and at most the number in the settings";
-    const bool mayBeLate = scheduler.settings.serveLate && now < job.lateUntil;
+    const bool mayBeLate = scheduler.settings.serveLate && now < job.lateStartUntil;
     if (heldTooLong(job, now) && scheduler.settings.refuseLate && !mayBeLate)
         return "the call was held too long before it was admitted";
     return "";
@@ -223,20 +224,20 @@
 {
     // Adds the job to the table although it is refused, since answerJob() expects it there.
     const std::uint64_t number = job.number;
-    Job &kept = scheduler.jobs.emplace(number, std::move(job)).first->second;
-    answerJob(scheduler, kept, outcome, why, now, actions);
+    Job &added = scheduler.jobs.emplace(number, std::move(job)).first->second;
+    answerJob(scheduler, added, outcome, why, now, actions);
 }
 
 // Counts the job as requested work, and refuses it if the work before it takes too long.
-bool refusedForRoom(SchedulerState &scheduler, Job &job, bool possible, Time now,
-                    SchedulerActions &actions)
+bool refusedForCapacity(SchedulerState &scheduler, Job &job, bool possible, Time now,
+                        SchedulerActions &actions)
 {
     if (possible)
-        noteAskedJob(scheduler, job, now);
-    if (!lacksRoom(scheduler, job, now))
+        recordRequestedJob(scheduler, job, now);
+    if (!lacksCapacity(scheduler, job, now))
         return false;
     if (possible)
-        noteRefusedJob(scheduler, job, now);
+        recordRefusedJob(scheduler, job, now);
     refuse(scheduler, job, JobOutcome::NotRun,
            "the work before this job takes longer than it may wait", now, actions);
     return true;
@@ -254,7 +255,7 @@
 {
     SchedulerActions actions;
     const auto known = scheduler.byId.find(spec.id);
-    if (known != scheduler.byId.end() && !scheduler.jobs.at(known->second).over) {
+    if (known != scheduler.byId.end() && !scheduler.jobs.at(known->second).closed) {
         *number = known->second;
         actions.events.push_back(Event("job-joined").with("request", spec.id));
         return actions;
@@ -270,13 +271,13 @@
                actions);
         return actions;
     }
-    const std::string why = refusal(scheduler, job, now);
+    const std::string why = refusalReason(scheduler, job, now);
     if (!why.empty()) {
         refuse(scheduler, job, JobOutcome::NotRun, why, now, actions);
         return actions;
     }
     const bool possible = isPossible(scheduler, job);
-    if (refusedForRoom(scheduler, job, possible, now, actions))
+    if (refusedForCapacity(scheduler, job, possible, now, actions))
         return actions;
     if (!possible) {
         refuse(scheduler, job, JobOutcome::Failed, "no endpoint of the service can run the job",
@@ -284,10 +285,10 @@
         return actions;
     }
     addTasks(scheduler, job);
-    job.waitsFor = known == scheduler.byId.end() ? 0 : known->second;
+    job.predecessor = known == scheduler.byId.end() ? 0 : known->second;
     scheduler.byId[spec.id] = job.number;
-    Job &kept = scheduler.jobs.emplace(job.number, std::move(job)).first->second;
-    enqueue(scheduler, kept);
+    Job &added = scheduler.jobs.emplace(job.number, std::move(job)).first->second;
+    enqueue(scheduler, added);
     place(scheduler, now, actions);
     return actions;
 }
@@ -296,11 +297,11 @@
 {
     SchedulerActions actions;
     const auto found = scheduler.jobs.find(number);
-    if (found == scheduler.jobs.end() || found->second.over)
+    if (found == scheduler.jobs.end() || found->second.closed)
         return actions;
     Job &job = found->second;
     dequeue(scheduler, job);
-    job.over = true;
+    job.closed = true;
     ++scheduler.counters.abandoned;
     actions.events.push_back(Event("job-abandoned")
                                      .with("request", job.spec.id)
--- a/packages/scheduler/src/callerprobe.cpp
+++ b/packages/scheduler/src/callerprobe.cpp
@@ -15,7 +15,7 @@
 
 bool mayBePlaced(const Job &job)
 {
-    if (job.over || job.waitsFor != 0)
+    if (job.closed || job.predecessor != 0)
         return false;
     return job.waiting > 0 || std::any_of(job.tasks.begin(), job.tasks.end(), [](const Task &task) {
                return task.state == TaskState::Uncertain;
@@ -24,23 +24,23 @@
 
 } // namespace
 
-void recordSessionLost(CallerProbeState &watch, Time now)
+void recordSessionLost(CallerProbeState &probes, Time now)
 {
-    watch.until = now + watch.settings.probeWindow;
+    probes.until = now + probes.settings.probeWindow;
     // Losses in quick succession make one probe due, not one each.
-    if (now < watch.lossAt + watch.settings.trustFor)
+    if (now < probes.lastLossAt + probes.settings.probeInterval)
         return;
-    watch.lossAt = now;
-    watch.lookedAt = {};
+    probes.lastLossAt = now;
+    probes.lastProbeAt = {};
 }
 
-std::vector<std::uint64_t> callersToProbe(CallerProbeState &watch, const SchedulerState &scheduler,
+std::vector<std::uint64_t> callersToProbe(CallerProbeState &probes, const SchedulerState &scheduler,
                                           Time now)
 {
     std::vector<std::uint64_t> numbers;
-    if (now >= watch.until || now < watch.lookedAt + watch.settings.trustFor)
+    if (now >= probes.until || now < probes.lastProbeAt + probes.settings.probeInterval)
         return numbers;
-    watch.lookedAt = now;
+    probes.lastProbeAt = now;
     for (const auto &[number, job] : scheduler.jobs) {
         if (mayBePlaced(job))
             numbers.push_back(number);
--- a/packages/scheduler/src/completion.cpp
+++ b/packages/scheduler/src/completion.cpp
@@ -3,7 +3,7 @@
 
     [SECTION] Jobs
     [SECTION] Tasks
-    [SECTION] Freed room
+    [SECTION] Freed capacity
     [SECTION] Reports
 */
 #include <algorithm>
@@ -18,15 +18,15 @@
 
 // [SECTION] Jobs
 
-Milliseconds longestChain(const jobs::JobSpec &spec, const std::vector<Milliseconds> &spans)
+Milliseconds criticalPath(const jobs::JobSpec &spec, const std::vector<Milliseconds> &durations)
 {
-    std::vector<Milliseconds> until(spec.steps.size(), Milliseconds(0));
+    std::vector<Milliseconds> pathLength(spec.steps.size(), Milliseconds(0));
     Milliseconds longest { 0 };
     for (std::size_t step = 0; step < spec.steps.size(); ++step) {
         for (const std::uint32_t earlier : spec.steps[step].after)
-            until[step] = std::max(until[step], until[earlier]);
-        until[step] += spans[step];
-        longest = std::max(longest, until[step]);
+            pathLength[step] = std::max(pathLength[step], pathLength[earlier]);
+        pathLength[step] += durations[step];
+        longest = std::max(longest, pathLength[step]);
     }
     return longest;
 }
@@ -67,7 +67,7 @@
             .with("failures", failures)
             .with("took_ms", now - job.arrivedAt)
             .with("objective_ms", job.objectiveAt - job.arrivedAt)
-            .with("guessed_ms", job.guessed)
+            .with("guessed_ms", job.estimated)
             .with("expected_ms", job.expected);
     if (job.options.callerDeadline)
         event.with("patience_ms", *job.options.callerDeadline - job.arrivedAt);
@@ -80,39 +80,39 @@
     return event;
 }
 
-void addForecast(const SchedulerState &scheduler, const Job &job, Time now, Event &event)
+void addForecastFields(const SchedulerState &scheduler, const Job &job, Time now, Event &event)
 {
-    event.with("picture_age_ms", pictureOf(scheduler, job.options.service, now).age);
-    if (const auto wait = waitOnTime(scheduler, job, now))
+    event.with("picture_age_ms", serviceLoadOf(scheduler, job.options.service, now).age);
+    if (const auto wait = waitIfOnTime(scheduler, job, now))
         event.with("expected_wait_ms", *wait);
 }
 
 // What a refusal was based on: the free capacity that this entry knew of.
-void addRoom(const SchedulerState &scheduler, const Job &job, Time now, Event &event)
+void addCapacityFields(const SchedulerState &scheduler, const Job &job, Time now, Event &event)
 {
     std::uint64_t endpoints = 0;
     std::int64_t free = 0;
-    std::int64_t mostFree = 0;
+    std::int64_t maxFree = 0;
     Time oldest = now;
     for (const auto &[name, agent] : scheduler.agents) {
         if (!agent.welcomed || agent.endpoint.leaving || agent.endpoint.mostStarts == 0
             || agent.endpoint.service != job.options.service || isCordoned(scheduler, agent))
             continue;
-        const jobs::Room room = roomAt(agent);
+        const jobs::Room available = freeAt(agent);
         ++endpoints;
-        free += room.milliCores;
-        mostFree = std::max(mostFree, room.milliCores);
+        free += available.milliCores;
+        maxFree = std::max(maxFree, available.milliCores);
         oldest = std::min(oldest, agent.lastReceivedAt);
     }
     event.with("endpoints", endpoints)
             .with("free_millicores", free)
-            .with("most_free_millicores", mostFree)
+            .with("most_free_millicores", maxFree)
             .with("room_age_ms", now - oldest)
             .with("jobs_waiting", std::uint64_t { scheduler.queue.size() });
     if (!job.spec.steps.empty())
         event.with("needs_millicores", job.spec.steps.front().room.milliCores);
     if (usesForecast(scheduler))
-        addForecast(scheduler, job, now, event);
+        addForecastFields(scheduler, job, now, event);
 }
 
 // Time for the waiting jobs to be placed, at least 100 ms.
@@ -120,10 +120,10 @@
 {
     if (usesForecast(scheduler))
         return comeBackAfter(scheduler, job, now);
-    constexpr Milliseconds Least { 100 };
-    constexpr Milliseconds Most { 2000 };
+    constexpr Milliseconds MinDelay { 100 };
+    constexpr Milliseconds MaxDelay { 2000 };
     constexpr Milliseconds PerWaitingJob { 10 };
-    return std::min(Most, Least + PerWaitingJob * static_cast<int>(scheduler.queue.size()));
+    return std::min(MaxDelay, MinDelay + PerWaitingJob * static_cast<int>(scheduler.queue.size()));
 }
 
 } // namespace
@@ -131,10 +131,10 @@
 void answerJob(SchedulerState &scheduler, Job &job, JobOutcome outcome, const std::string &reason,
                Time now, SchedulerActions &actions)
 {
-    if (job.over)
+    if (job.closed)
         return;
     dequeue(scheduler, job);
-    job.over = true;
+    job.closed = true;
     countAnswer(scheduler.counters, outcome);
     if (outcome == JobOutcome::Completed && job.firstPlacedAt > job.onTimeUntil)
         ++scheduler.counters.servedLate;
@@ -147,7 +147,7 @@
     actions.answers.push_back(answer);
     Event event = answerEvent(job, outcome, reason, now);
     if (outcome == JobOutcome::NotRun)
-        addRoom(scheduler, job, now, event);
+        addCapacityFields(scheduler, job, now, event);
     actions.events.push_back(event);
     for (Task &task : job.tasks)
         stopTask(scheduler, job, task, actions);
@@ -157,23 +157,23 @@
 void removeIfFinished(SchedulerState &scheduler, std::uint64_t number)
 {
     const auto found = scheduler.jobs.find(number);
-    if (found == scheduler.jobs.end() || !found->second.over || found->second.outstanding > 0)
+    if (found == scheduler.jobs.end() || !found->second.closed || found->second.outstanding > 0)
         return;
     const std::string id = found->second.spec.id;
     const auto newest = scheduler.byId.find(id);
     const bool isNewest = newest != scheduler.byId.end() && newest->second == number;
     // A job that never began may be removed before the one that it waited for. The next job with
     // the id then waits for that one, or two jobs of the id would run at once.
-    const std::uint64_t older = found->second.waitsFor;
+    const std::uint64_t older = found->second.predecessor;
     scheduler.jobs.erase(found);
     if (isNewest && older != 0)
         newest->second = older;
     else if (isNewest)
         scheduler.byId.erase(newest);
     for (auto &[other, job] : scheduler.jobs) {
-        if (job.waitsFor != number)
+        if (job.predecessor != number)
             continue;
-        job.waitsFor = older;
+        job.predecessor = older;
         enqueue(scheduler, job);
     }
 }
@@ -188,8 +188,8 @@
     if (newest == scheduler.byId.end())
         return nullptr;
     auto found = scheduler.jobs.find(newest->second);
-    while (found != scheduler.jobs.end() && found->second.waitsFor != 0)
-        found = scheduler.jobs.find(found->second.waitsFor);
+    while (found != scheduler.jobs.end() && found->second.predecessor != 0)
+        found = scheduler.jobs.find(found->second.predecessor);
     if (found == scheduler.jobs.end())
         return nullptr;
     for (Task &task : found->second.tasks) {
@@ -203,9 +203,9 @@
 
 void stopTask(SchedulerState &scheduler, const Job &job, Task &task, SchedulerActions &actions)
 {
-    if (task.state != TaskState::Placed || task.stopAsked)
+    if (task.state != TaskState::Placed || task.stopRequested)
         return;
-    task.stopAsked = true;
+    task.stopRequested = true;
     const jobs::RunId id { { job.spec.id, 0, task.step, task.index }, task.run };
     for (AgentSend &send : actions.sends) {
         auto *stops = std::get_if<jobs::StopRuns>(&send.message);
@@ -219,7 +219,7 @@
         actions.sends.push_back({ task.agent, jobs::StopRuns { { id } } });
 }
 
-void freeTask(SchedulerState &scheduler, Job &job, Task &task)
+void requeueTask(SchedulerState &scheduler, Job &job, Task &task)
 {
     dequeue(scheduler, job);
     task.state = TaskState::Waiting;
@@ -229,28 +229,28 @@
     enqueue(scheduler, job);
 }
 
-// [SECTION] Freed room
+// [SECTION] Freed capacity
 
-void noteFreed(SchedulerState &scheduler, const Job &job, const jobs::Room &room, RunEnd end,
-               Time now)
+void recordFreed(SchedulerState &scheduler, const Job &job, const jobs::Room &room, RunEnd end,
+                 Time now)
 {
-    FreedRoom &freed = scheduler.freed[job.options.service];
+    FreedCapacity &freed = scheduler.freed[job.options.service];
     const auto milliCores = static_cast<double>(room.milliCores);
-    addTo(freed.ofLate, scheduler.settings.freedSpan, milliCores, now);
+    addTo(freed.recent, scheduler.settings.freedWindow, milliCores, now);
     if (end == RunEnd::Done || end == RunEnd::Stopped)
-        addTo(freed.own[job.options.priority], scheduler.settings.shareSpan, milliCores, now);
+        addTo(freed.own[job.options.priority], scheduler.settings.shareWindow, milliCores, now);
 }
 
 void scaleFreed(SchedulerState &scheduler, const std::string &service, double part)
 {
     const auto freed = scheduler.freed.find(service);
     if (freed != scheduler.freed.end())
-        freed->second.ofLate.amount *= part;
+        freed->second.recent.amount *= part;
 }
 
-double freedPerMillisecond(const SchedulerState &scheduler, const FreedRoom &freed, Time now)
+double freedPerMillisecond(const SchedulerState &scheduler, const FreedCapacity &freed, Time now)
 {
-    return perSecond(freed.ofLate, scheduler.settings.freedSpan, now) / 1000;
+    return perSecond(freed.recent, scheduler.settings.freedWindow, now) / 1000;
 }
 
 // [SECTION] Reports
@@ -265,13 +265,13 @@
     --job.outstanding;
     --job.tasksLeft[task.step];
     ++job.done;
-    // A step that depends on this one may begin.
+    // A step that depends on this one may start.
     if (job.tasksLeft[task.step] == 0 && job.waiting > 0)
-        scheduler.untried = true;
+        scheduler.placementPending = true;
     if (job.done < job.tasks.size())
         return;
-    noteRunTime(scheduler.runTimes[job.options.queue], job.guessed,
-                longestChain(job.spec, job.longestRun));
+    recordRunTime(scheduler.runTimeModels[job.options.queue], job.estimated,
+                  criticalPath(job.spec, job.longestRun));
     answerJob(scheduler, job, JobOutcome::Completed, "", now, actions);
 }
 
@@ -289,9 +289,9 @@
                 SchedulerActions &actions)
 {
     ++task.failures;
-    task.avoid.push_back(task.agent);
+    task.avoidedAgents.push_back(task.agent);
     const std::string agent = task.agent;
-    freeTask(scheduler, job, task);
+    requeueTask(scheduler, job, task);
     if (task.failures >= job.options.attempts)
         answerJob(scheduler, job, JobOutcome::Failed,
                   "task " + std::to_string(task.step) + "." + std::to_string(task.index)
@@ -306,27 +306,27 @@
 {
     ++task.crashes;
     ++scheduler.counters.runsCrashed;
-    task.avoid.push_back(task.agent);
+    task.avoidedAgents.push_back(task.agent);
     const std::string agent = task.agent;
     actions.events.push_back(
             taskEvent("endpoint-crashed-under", job, task).with("crashes", task.crashes));
-    freeTask(scheduler, job, task);
+    requeueTask(scheduler, job, task);
     giveUpIfCrashing(scheduler, job, task, agent, now, actions);
 }
 
 // Capacity freed in a cordoned data centre is of no use to what waits.
-void noteRoomOf(SchedulerState &scheduler, const std::string &agent, const Job &job,
-                const Task &task, RunEnd end, Time now)
+void recordFreedCapacity(SchedulerState &scheduler, const std::string &agent, const Job &job,
+                         const Task &task, RunEnd end, Time now)
 {
-    const auto from = scheduler.agents.find(agent);
-    if (from != scheduler.agents.end() && !isCordoned(scheduler, from->second))
-        noteFreed(scheduler, job, job.spec.steps[task.step].room, end, now);
+    const auto found = scheduler.agents.find(agent);
+    if (found != scheduler.agents.end() && !isCordoned(scheduler, found->second))
+        recordFreed(scheduler, job, job.spec.steps[task.step].room, end, now);
 }
 
 } // namespace
 
-void runEnded(SchedulerState &scheduler, const std::string &agent, const jobs::RunReport &report,
-              Time now, SchedulerActions &actions)
+void handleRunReport(SchedulerState &scheduler, const std::string &agent,
+                     const jobs::RunReport &report, Time now, SchedulerActions &actions)
 {
     Job *job = nullptr;
     Task *task = findTask(scheduler, report.id, &job);
@@ -338,53 +338,53 @@
     else
         job->mayHaveBegun = true;
     if (report.end != RunEnd::NeverBegan)
-        noteRoomOf(scheduler, agent, *job, *task, report.end, now);
-    if (report.end == RunEnd::Done && !job->over) {
+        recordFreedCapacity(scheduler, agent, *job, *task, report.end, now);
+    if (report.end == RunEnd::Done && !job->closed) {
         taskDone(scheduler, *job, *task, report.took, now, actions);
-    } else if (report.end == RunEnd::Failed && !job->over) {
+    } else if (report.end == RunEnd::Failed && !job->closed) {
         actions.events.push_back(taskEvent("task-failed", *job, *task).with("ran_ms", report.took));
         taskFailed(scheduler, *job, *task, now, actions);
-    } else if (report.end == RunEnd::Crashed && !job->over) {
+    } else if (report.end == RunEnd::Crashed && !job->closed) {
         taskCrashed(scheduler, *job, *task, now, actions);
     } else {
-        const bool surprise = !job->over && report.refused != RefusedStart::NoRoom;
-        if (surprise)
+        const bool unexpected = !job->closed && report.refused != RefusedStart::NoRoom;
+        if (unexpected)
             actions.events.push_back(taskEvent("task-again", *job, *task)
                                              .with("end", jobs::toString(report.end))
                                              .with("refused", jobs::toString(report.refused))
                                              .with("since_placed_ms", now - task->placedAt));
-        if (surprise && report.end != RunEnd::Stopped)
-            task->avoid.push_back(agent);
-        freeTask(scheduler, *job, *task);
+        if (unexpected && report.end != RunEnd::Stopped)
+            task->avoidedAgents.push_back(agent);
+        requeueTask(scheduler, *job, *task);
     }
     removeIfFinished(scheduler, number);
 }
 
-void runLags(SchedulerState &scheduler, const std::string &agent, const jobs::LagReport &report,
-             Time now, SchedulerActions &actions)
+void handleStragglerReport(SchedulerState &scheduler, const std::string &agent,
+                           const jobs::LagReport &report, Time now, SchedulerActions &actions)
 {
     Job *job = nullptr;
     Task *task = findTask(scheduler, report.id, &job);
-    if (!task || task->state != TaskState::Placed || task->agent != agent || job->over
-        || task->stopAsked)
+    if (!task || task->state != TaskState::Placed || task->agent != agent || job->closed
+        || task->stopRequested)
         return;
     const jobs::StepSpec &step = job->spec.steps[task->step];
-    const Milliseconds fresh = task->expected;
-    const bool quicker = report.standsStill
+    const Milliseconds newRun = task->expected;
+    const bool worthMoving = report.standsStill
             || (report.endpointSlow
-                && fresh < report.left * static_cast<int>(scheduler.settings.moveBelowPercent)
+                && newRun < report.left * static_cast<int>(scheduler.settings.moveBelowPercent)
                                 / 100);
-    const bool hasRoom = std::any_of(scheduler.agents.begin(), scheduler.agents.end(),
-                                     [&](const auto &other) {
-                                         return other.first != agent && other.second.welcomed
-                                                 && suits(other.second, *job, step)
-                                                 && jobs::fits(step.room, roomAt(other.second));
-                                     });
-    if (!scheduler.settings.moveRuns || !quicker || (!hasRoom && !report.standsStill))
+    const bool otherFits = std::any_of(scheduler.agents.begin(), scheduler.agents.end(),
+                                       [&](const auto &other) {
+                                           return other.first != agent && other.second.welcomed
+                                                   && isSuitable(other.second, *job, step)
+                                                   && jobs::fits(step.room, freeAt(other.second));
+                                       });
+    if (!scheduler.settings.moveRuns || !worthMoving || (!otherFits && !report.standsStill))
         return;
     actions.events.push_back(taskEvent("task-moved", *job, *task)
                                      .with("left_ms", report.left)
-                                     .with("fresh_ms", fresh)
+                                     .with("fresh_ms", newRun)
                                      .with("stands_still", report.standsStill ? 1 : 0)
                                      .with("since_placed_ms", now - task->placedAt));
     ++scheduler.counters.runsMoved;
@@ -393,7 +393,7 @@
         task->expected = std::max(task->expected,
                                   std::chrono::duration_cast<Milliseconds>(now - task->placedAt)
                                           + report.left);
-    task->avoid.push_back(agent);
+    task->avoidedAgents.push_back(agent);
     stopTask(scheduler, *job, *task, actions);
 }
 
--- a/packages/scheduler/src/crashes.cpp
+++ b/packages/scheduler/src/crashes.cpp
@@ -1,7 +1,7 @@
 /*
     Tasks under which endpoints crash, as reported to all entries by the agents that saw it.
 
-    [SECTION] Memory
+    [SECTION] Reports
     [SECTION] Jobs
 */
 #include <algorithm>
@@ -10,38 +10,38 @@
 
 namespace foxwing::scheduler {
 
-// [SECTION] Memory
+// [SECTION] Reports
 
 namespace {
 
 void forgetOldCrashes(SchedulerState &scheduler, Time now)
 {
-    for (auto item = scheduler.crashing.begin(); item != scheduler.crashing.end();)
-        item = now >= item->second ? scheduler.crashing.erase(item) : std::next(item);
+    for (auto item = scheduler.crashingUntil.begin(); item != scheduler.crashingUntil.end();)
+        item = now >= item->second ? scheduler.crashingUntil.erase(item) : std::next(item);
     std::map<std::string, CrashedJob> &jobs = scheduler.crashedJobs;
     for (auto item = jobs.begin(); item != jobs.end();)
         item = now >= item->second.until ? jobs.erase(item) : std::next(item);
-    while (jobs.size() > scheduler.settings.mostCrashedJobs) {
+    while (jobs.size() > scheduler.settings.maxCrashedJobs) {
         jobs.erase(
-                std::min_element(jobs.begin(), jobs.end(), [](const auto &left, const auto &right) {
-                    return left.second.until < right.second.until;
+                std::min_element(jobs.begin(), jobs.end(), [](const auto &one, const auto &other) {
+                    return one.second.until < other.second.until;
                 }));
     }
 }
 
 // The same crash may be reported again in another session: counts are not added up.
-void noteCrashes(SchedulerState &scheduler, const std::string &agent,
-                 const jobs::CrashReport &report, Time now)
+void recordCrashes(SchedulerState &scheduler, const std::string &agent,
+                   const jobs::CrashReport &report, Time now)
 {
     CrashedJob &job = scheduler.crashedJobs[report.task.job];
-    job.until = now + scheduler.settings.crashingFor;
+    job.until = now + scheduler.settings.crashRetention;
     std::uint32_t &crashes = job.crashes[report.task][agent];
     crashes = std::max(crashes, report.crashes);
 }
 
 } // namespace
 
-std::uint32_t crashesOf(const SchedulerState &scheduler, const jobs::TaskId &task)
+std::uint32_t crashCount(const SchedulerState &scheduler, const jobs::TaskId &task)
 {
     const auto job = scheduler.crashedJobs.find(task.job);
     if (job == scheduler.crashedJobs.end())
@@ -60,24 +60,24 @@
 bool isCrashing(SchedulerState &scheduler, const std::string &id, Time now)
 {
     forgetOldCrashes(scheduler, now);
-    if (scheduler.crashing.count(id) != 0)
+    if (scheduler.crashingUntil.count(id) != 0)
         return true;
     const auto job = scheduler.crashedJobs.find(id);
     return job != scheduler.crashedJobs.end()
             && std::any_of(job->second.crashes.begin(), job->second.crashes.end(),
                            [&](const auto &task) {
-                               return crashesOf(scheduler, task.first)
-                                       >= scheduler.settings.mostCrashes;
+                               return crashCount(scheduler, task.first)
+                                       >= scheduler.settings.maxCrashes;
                            });
 }
 
 void giveUpIfCrashing(SchedulerState &scheduler, Job &job, const Task &task,
                       const std::string &agent, Time now, SchedulerActions &actions)
 {
-    if (job.over || task.crashes < scheduler.settings.mostCrashes)
+    if (job.closed || task.crashes < scheduler.settings.maxCrashes)
         return;
     ++scheduler.counters.crashingJobs;
-    scheduler.crashing[job.spec.id] = now + scheduler.settings.crashingFor;
+    scheduler.crashingUntil[job.spec.id] = now + scheduler.settings.crashRetention;
     answerJob(scheduler, job, JobOutcome::TimedOut,
               std::to_string(task.crashes) + " endpoints crashed under task "
                       + std::to_string(task.step) + "." + std::to_string(task.index) + ", last at "
@@ -88,19 +88,19 @@
 namespace {
 
 // The newest job with the id if it is open.
-Job *workingJob(SchedulerState &scheduler, const std::string &id)
+Job *openJob(SchedulerState &scheduler, const std::string &id)
 {
     const auto number = scheduler.byId.find(id);
     if (number == scheduler.byId.end())
         return nullptr;
     Job &job = scheduler.jobs.at(number->second);
-    return job.over ? nullptr : &job;
+    return job.closed ? nullptr : &job;
 }
 
 void applyCrashes(SchedulerState &scheduler, const std::string &agent, const jobs::TaskId &id,
                   Time now, SchedulerActions &actions)
 {
-    Job *job = workingJob(scheduler, id.job);
+    Job *job = openJob(scheduler, id.job);
     if (!job)
         return;
     const auto task = std::find_if(job->tasks.begin(), job->tasks.end(), [&](const Task &other) {
@@ -108,19 +108,20 @@
     });
     if (task == job->tasks.end() || task->state == TaskState::Done)
         return;
-    task->crashes = std::max(task->crashes, crashesOf(scheduler, id));
+    task->crashes = std::max(task->crashes, crashCount(scheduler, id));
     giveUpIfCrashing(scheduler, *job, *task, agent, now, actions);
 }
 
 } // namespace
 
-void takeCrashes(SchedulerState &scheduler, const std::string &agent,
-                 const std::vector<jobs::CrashReport> &reports, Time now, SchedulerActions &actions)
+void handleCrashReports(SchedulerState &scheduler, const std::string &agent,
+                        const std::vector<jobs::CrashReport> &reports, Time now,
+                        SchedulerActions &actions)
 {
     if (reports.empty())
         return;
     for (const jobs::CrashReport &report : reports) {
-        noteCrashes(scheduler, agent, report, now);
+        recordCrashes(scheduler, agent, report, now);
         applyCrashes(scheduler, agent, report.task, now, actions);
     }
     forgetOldCrashes(scheduler, now);
--- a/packages/scheduler/src/guarantees.cpp
+++ b/packages/scheduler/src/guarantees.cpp
@@ -2,12 +2,12 @@
     Priorities of queues that are below their guaranteed share, until they are above it again.
 
     A guaranteed share never delays the most urgent queue, and only queues above their own share
-   yield: if all are below, their priorities decide. A queue that yields goes behind the raised one
-   here, and its starts do not wait at agents: the starts of many entries would otherwise take all
-   freed capacity there, and the raised queue would get none.
+    yield: if all are below, their priorities decide. A queue that yields goes behind the raised one
+    here, and its starts do not wait at agents: the starts of many entries would otherwise take all
+    freed capacity there, and the raised queue would get none.
 
     [SECTION] Work
-    [SECTION] Standings
+    [SECTION] Queue status
 */
 #include <algorithm>
 #include <limits>
@@ -26,76 +26,75 @@
 std::int64_t workOf(const jobs::JobSpec &spec)
 {
     // Declared capacities are not validated, and sums of them must not overflow.
-    constexpr double Most = 1e15;
+    constexpr double MaxWork = 1e15;
     double work = 0;
     for (const jobs::StepSpec &step : spec.steps)
         work += static_cast<double>(step.tasks) * static_cast<double>(step.room.milliCores)
                 * static_cast<double>(step.estimate.count());
-    return static_cast<std::int64_t>(std::clamp(work, 0.0, Most));
+    return static_cast<std::int64_t>(std::clamp(work, 0.0, MaxWork));
 }
 
 } // namespace
 
-void noteAskedJob(SchedulerState &scheduler, const Job &job, Time now)
+void recordRequestedJob(SchedulerState &scheduler, const Job &job, Time now)
 {
     const JobOptions &options = job.options;
-    const auto [found, fresh] = scheduler.queueStatuses.try_emplace(options.queue);
-    QueueStatus &standing = found->second;
-    if (fresh || standing.priority != options.priority)
-        standing.effective = options.priority;
-    standing.service = options.service;
-    standing.priority = options.priority;
+    const auto [found, isNew] = scheduler.queueStatuses.try_emplace(options.queue);
+    QueueStatus &status = found->second;
+    if (isNew || status.priority != options.priority)
+        status.effective = options.priority;
+    status.service = options.service;
+    status.priority = options.priority;
     shares::noteAsked(scheduler.shares, options.queue, workOf(job.spec), now);
 }
 
-void noteRefusedJob(SchedulerState &scheduler, const Job &job, Time now)
+void recordRefusedJob(SchedulerState &scheduler, const Job &job, Time now)
 {
     shares::noteRefused(scheduler.shares, job.options.queue, workOf(job.spec), now);
 }
 
-// [SECTION] Standings
+// [SECTION] Queue status
 
 namespace {
 
 // Whether the queue may yield: it is of the same service, and neither the most urgent nor below its
 // own guaranteed share.
-bool canYield(const QueueStatus &standing, const std::string &service, std::uint32_t mostUrgent)
+bool canYield(const QueueStatus &status, const std::string &service, std::uint32_t mostUrgent)
 {
-    return standing.service == service && standing.priority > mostUrgent
-            && !standing.belowGuarantee;
+    return status.service == service && status.priority > mostUrgent && !status.belowGuarantee;
 }
 
-std::uint32_t mostUrgentOf(const SchedulerState &scheduler, const std::string &service)
+std::uint32_t mostUrgentPriority(const SchedulerState &scheduler, const std::string &service)
 {
-    std::uint32_t most = std::numeric_limits<std::uint32_t>::max();
-    for (const auto &[name, standing] : scheduler.queueStatuses) {
-        if (standing.service == service)
-            most = std::min(most, standing.priority);
+    std::uint32_t mostUrgent = std::numeric_limits<std::uint32_t>::max();
+    for (const auto &[name, status] : scheduler.queueStatuses) {
+        if (status.service == service)
+            mostUrgent = std::min(mostUrgent, status.priority);
     }
-    return most;
+    return mostUrgent;
 }
 
 // Raises the queue to just before the least urgent of the more urgent queues that may yield, and
 // marks all of these as yielding. If there are none, the queue keeps its priority.
-void raise(SchedulerState &scheduler, QueueStatus &raised)
+void raisePriority(SchedulerState &scheduler, QueueStatus &raised)
 {
-    const std::uint32_t most = mostUrgentOf(scheduler, raised.service);
-    std::uint32_t beside = most;
-    for (auto &[name, standing] : scheduler.queueStatuses) {
-        if (standing.priority >= raised.priority || !canYield(standing, raised.service, most))
+    const std::uint32_t mostUrgent = mostUrgentPriority(scheduler, raised.service);
+    std::uint32_t raisedTo = mostUrgent;
+    for (auto &[name, status] : scheduler.queueStatuses) {
+        if (status.priority >= raised.priority || !canYield(status, raised.service, mostUrgent))
             continue;
-        standing.yields = true;
-        beside = std::max(beside, standing.priority);
+        status.yields = true;
+        raisedTo = std::max(raisedTo, status.priority);
     }
-    if (beside > most)
-        raised.effective = beside;
+    if (raisedTo > mostUrgent)
+        raised.effective = raisedTo;
 }
 
-void logChange(const SchedulerState &scheduler, const std::string &queue,
-               const QueueStatus &standing, Time now, SchedulerActions &actions)
+void logChange(const SchedulerState &scheduler, const std::string &queue, const QueueStatus &status,
+               Time now, SchedulerActions &actions)
 {
     actions.events.push_back(
-            change(standing.belowGuarantee ? "queue-below-floor" : "queue-above-floor")
+            change(status.belowGuarantee ? "queue-below-floor" : "queue-above-floor")
                     .with("queue", queue)
                     .with("served_percent", shares::servedPercent(scheduler.shares, queue, now))
                     .with("floor_percent", scheduler.shares.settings.floorPercent));
@@ -103,22 +102,22 @@
 
 } // namespace
 
-void updateStandings(SchedulerState &scheduler, Time now, SchedulerActions &actions)
+void updateQueueStatuses(SchedulerState &scheduler, Time now, SchedulerActions &actions)
 {
-    for (auto &[queue, standing] : scheduler.queueStatuses) {
+    for (auto &[queue, status] : scheduler.queueStatuses) {
         const bool below = shares::isBelowFloor(scheduler.shares, queue, now);
-        if (below == standing.belowGuarantee)
+        if (below == status.belowGuarantee)
             continue;
-        standing.belowGuarantee = below;
-        logChange(scheduler, queue, standing, now, actions);
+        status.belowGuarantee = below;
+        logChange(scheduler, queue, status, now, actions);
     }
-    for (auto &[queue, standing] : scheduler.queueStatuses) {
-        standing.effective = standing.priority;
-        standing.yields = false;
+    for (auto &[queue, status] : scheduler.queueStatuses) {
+        status.effective = status.priority;
+        status.yields = false;
     }
-    for (auto &[queue, standing] : scheduler.queueStatuses) {
-        if (standing.belowGuarantee)
-            raise(scheduler, standing);
+    for (auto &[queue, status] : scheduler.queueStatuses) {
+        if (status.belowGuarantee)
+            raisePriority(scheduler, status);
     }
 }
 
--- a/packages/scheduler/src/internal.h
+++ b/packages/scheduler/src/internal.h
@@ -1,12 +1,12 @@
 /*
     Internal declarations of the scheduler.
 
-    [SECTION] Placing
-    [SECTION] Freed room
-    [SECTION] Outlook
+    [SECTION] Placement
+    [SECTION] Freed capacity
+    [SECTION] Forecast
     [SECTION] Crashes
-    [SECTION] Floors
-    [SECTION] Ending
+    [SECTION] Guaranteed shares
+    [SECTION] Completion
 */
 #pragma once
 
@@ -14,7 +14,7 @@
 
 namespace foxwing::scheduler {
 
-// [SECTION] Placing
+// [SECTION] Placement
 
 // Starts whatever can start now.
 void place(SchedulerState &scheduler, Time now, SchedulerActions &actions);
@@ -26,17 +26,17 @@
 QueueKey keyOf(const SchedulerState &scheduler, const Job &job);
 
 // All waiting jobs in order, after updating the group and priority of each.
-std::vector<QueueKey> sortOut(SchedulerState &scheduler, Time now);
+std::vector<QueueKey> refreshQueue(SchedulerState &scheduler, Time now);
 void enqueue(SchedulerState &scheduler, Job &job);
 void dequeue(SchedulerState &scheduler, const Job &job);
 
 // Sends a heartbeat, which also tells the agent whether work waits here for capacity.
-void beatAgent(const SchedulerState &scheduler, const std::string &name, Agent &agent, Time now,
-               SchedulerActions &actions);
+void sendHeartbeat(const SchedulerState &scheduler, const std::string &name, Agent &agent, Time now,
+                   SchedulerActions &actions);
 
 // Whether its caller's deadline has passed. Nothing more of the job is placed then, since the
 // caller may retry elsewhere; the next tick gives it up.
-bool isUnwanted(const Job &job, Time now);
+bool callerDeadlinePassed(const Job &job, Time now);
 
 // Whether no task of the job has begun or may begin through a start already sent.
 bool certainlyNotBegun(const Job &job);
@@ -45,71 +45,72 @@
 bool isCordoned(const SchedulerState &scheduler, const Agent &agent);
 
 // The agent's free capacity, less the starts that its last update does not include.
-jobs::Room roomAt(const Agent &agent);
+jobs::Room freeAt(const Agent &agent);
 
 // The same for one job: a late job only gets capacity that nobody else wants.
-jobs::Room roomFor(const SchedulerState &scheduler, const Agent &agent, const Job &job);
+jobs::Room freeFor(const SchedulerState &scheduler, const Agent &agent, const Job &job);
 
 // Whether the endpoint could run the step when empty.
-bool suits(const Agent &agent, const Job &job, const jobs::StepSpec &step);
+bool isSuitable(const Agent &agent, const Job &job, const jobs::StepSpec &step);
 
 // Critical path through the steps, given the time of each.
-Milliseconds longestChain(const jobs::JobSpec &spec, const std::vector<Milliseconds> &spans);
-Microseconds scaled(Milliseconds span, double factor);
+Milliseconds criticalPath(const jobs::JobSpec &spec, const std::vector<Milliseconds> &durations);
+Microseconds scaled(Milliseconds duration, double factor);
 
-// [SECTION] Freed room
+// [SECTION] Freed capacity
 
 // A run of the job ended this way and freed its capacity.
-void noteFreed(SchedulerState &scheduler, const Job &job, const jobs::Room &room, jobs::RunEnd end,
-               Time now);
+void recordFreed(SchedulerState &scheduler, const Job &job, const jobs::Room &room,
+                 jobs::RunEnd end, Time now);
 
 // Scales the recently freed capacity of a service, when only this part of its endpoints is still
 // usable.
 void scaleFreed(SchedulerState &scheduler, const std::string &service, double part);
 
 // Recently freed millicores per millisecond.
-double freedPerMillisecond(const SchedulerState &scheduler, const FreedRoom &freed, Time now);
+double freedPerMillisecond(const SchedulerState &scheduler, const FreedCapacity &freed, Time now);
 
-// [SECTION] Outlook
+// [SECTION] Forecast
 
 bool usesForecast(const SchedulerState &scheduler);
 
 // Forecast input from the service's agents that take work.
-forecast::Picture pictureOf(const SchedulerState &scheduler, const std::string &service, Time now);
+forecast::Picture serviceLoadOf(const SchedulerState &scheduler, const std::string &service,
+                                Time now);
 
 // This entry's share of freed capacity, over all priorities.
-double wholeShare(const SchedulerState &scheduler, const std::string &service, Time now);
+double totalShare(const SchedulerState &scheduler, const std::string &service, Time now);
 
 // Expected wait of a job that arrives now, if it is on time and if it is late; nothing if not
 // known.
-std::optional<Milliseconds> waitOnTime(const SchedulerState &scheduler, const Job &job, Time now);
-std::optional<Milliseconds> waitLate(const SchedulerState &scheduler, const Job &job, Time now);
+std::optional<Milliseconds> waitIfOnTime(const SchedulerState &scheduler, const Job &job, Time now);
+std::optional<Milliseconds> waitIfLate(const SchedulerState &scheduler, const Job &job, Time now);
 
-// Late jobs that keep waiting since they begin before their callers are gone.
-std::set<std::uint64_t> worthWaiting(SchedulerState &scheduler, Time now);
+// Late jobs that keep waiting since they start before their callers are gone.
+std::set<std::uint64_t> lateJobsToKeep(SchedulerState &scheduler, Time now);
 
-// Starts of the job were sent; if it began late, counts their capacity as given to late jobs.
-void noteLateStart(SchedulerState &scheduler, const Job &job, std::int64_t milliCores, Time now);
+// Starts of the job were sent; if that was late, counts their capacity as given to late jobs.
+void recordLateStart(SchedulerState &scheduler, const Job &job, std::int64_t milliCores, Time now);
 
 // When a caller that is refused now should retry, by the forecast.
 Milliseconds comeBackAfter(SchedulerState &scheduler, const Job &job, Time now);
 
 // Adds up the freed capacity that agents report.
-void addTold(SchedulerState &scheduler, Time now);
+void addReportedFreed(SchedulerState &scheduler, Time now);
 
-// Whether all first tasks of a job that has not begun fit now.
-bool fitsWhole(const SchedulerState &scheduler, const Job &job, Time now);
+// Whether all first tasks of a job that has not started fit now.
+bool fitsEntirely(const SchedulerState &scheduler, const Job &job, Time now);
 
 // [SECTION] Crashes
 
 // Takes an agent's reports of tasks under which its endpoint crashed, and gives up open jobs with
 // too many crashes.
-void takeCrashes(SchedulerState &scheduler, const std::string &agent,
-                 const std::vector<jobs::CrashReport> &reports, Time now,
-                 SchedulerActions &actions);
+void handleCrashReports(SchedulerState &scheduler, const std::string &agent,
+                        const std::vector<jobs::CrashReport> &reports, Time now,
+                        SchedulerActions &actions);
 
 // Crashes under the task that agents have reported, for all entries
-std::uint32_t crashesOf(const SchedulerState &scheduler, const jobs::TaskId &task);
+std::uint32_t crashCount(const SchedulerState &scheduler, const jobs::TaskId &task);
 
 // Whether endpoints recently crashed too often under the job.
 bool isCrashing(SchedulerState &scheduler, const std::string &id, Time now);
@@ -118,30 +119,30 @@
 void giveUpIfCrashing(SchedulerState &scheduler, Job &job, const Task &task,
                       const std::string &agent, Time now, SchedulerActions &actions);
 
-// [SECTION] Floors
+// [SECTION] Guaranteed shares
 
 // A job arrived that some endpoint could serve; such a job is refused for lack of capacity.
-void noteAskedJob(SchedulerState &scheduler, const Job &job, Time now);
-void noteRefusedJob(SchedulerState &scheduler, const Job &job, Time now);
+void recordRequestedJob(SchedulerState &scheduler, const Job &job, Time now);
+void recordRefusedJob(SchedulerState &scheduler, const Job &job, Time now);
 
 // Updates which queues are below their guaranteed share, and their effective priorities.
-void updateStandings(SchedulerState &scheduler, Time now, SchedulerActions &actions);
+void updateQueueStatuses(SchedulerState &scheduler, Time now, SchedulerActions &actions);
 
 // Whether the job's starts may not wait at agents, so that a less urgent queue below its guaranteed
 // share gets some of the freed capacity.
 bool yields(const SchedulerState &scheduler, const Job &job);
 
-// [SECTION] Ending
+// [SECTION] Completion
 
 void answerJob(SchedulerState &scheduler, Job &job, JobOutcome outcome, const std::string &reason,
                Time now, SchedulerActions &actions);
-void runEnded(SchedulerState &scheduler, const std::string &agent, const jobs::RunReport &report,
-              Time now, SchedulerActions &actions);
-void runLags(SchedulerState &scheduler, const std::string &agent, const jobs::LagReport &report,
-             Time now, SchedulerActions &actions);
+void handleRunReport(SchedulerState &scheduler, const std::string &agent,
+                     const jobs::RunReport &report, Time now, SchedulerActions &actions);
+void handleStragglerReport(SchedulerState &scheduler, const std::string &agent,
+                           const jobs::LagReport &report, Time now, SchedulerActions &actions);
 
 // The task's run is certainly over without a result: it may start again.
-void freeTask(SchedulerState &scheduler, Job &job, Task &task);
+void requeueTask(SchedulerState &scheduler, Job &job, Task &task);
 void removeIfFinished(SchedulerState &scheduler, std::uint64_t number);
 void stopTask(SchedulerState &scheduler, const Job &job, Task &task, SchedulerActions &actions);
 Task *findTask(SchedulerState &scheduler, const jobs::RunId &id, Job **job);
--- a/packages/scheduler/src/order.cpp
+++ b/packages/scheduler/src/order.cpp
@@ -2,7 +2,7 @@
     Order of the waiting jobs.
 
     [SECTION] Order
-    [SECTION] Ranks
+    [SECTION] Groups
 */
 #include <algorithm>
 
@@ -15,7 +15,7 @@
 namespace {
 
 // Of the waiting tasks, in millicores times milliseconds
-std::int64_t workLeft(const Job &job)
+std::int64_t remainingWork(const Job &job)
 {
     std::int64_t work = 0;
     for (const Task &task : job.tasks) {
@@ -32,14 +32,14 @@
     QueueKey key;
     key.number = job.number;
     const auto arrived = job.arrivedAt.time_since_epoch().count();
-    const auto latestBegin = job.latestBegin.time_since_epoch().count();
+    const auto latestStart = job.latestStart.time_since_epoch().count();
     switch (scheduler.settings.order) {
     case Order::FirstCome:
-        key.rank = arrived;
+        key.sortValue = arrived;
         break;
     case Order::NewestFirst:
         key.group = job.group;
-        key.rank = job.group == Rank::Begun ? latestBegin : -arrived;
+        key.sortValue = job.group == QueueGroup::Started ? latestStart : -arrived;
         break;
     case Order::LeastWork:
     case Order::Priority:
@@ -49,13 +49,13 @@
     case Order::LatestStart:
         key.group = job.group;
         // Late jobs go newest first: the oldest are the next to be of no use.
-        key.rank = job.group == Rank::Late ? -arrived : latestBegin;
+        key.sortValue = job.group == QueueGroup::Late ? -arrived : latestStart;
         // If late jobs are served, the one whose caller leaves first goes first.
-        if (job.group == Rank::Late && scheduler.settings.serveLate)
-            key.rank = job.lateUntil.time_since_epoch().count();
-        // Jobs that have begun go by time: ordered by work, the widest of them would end late.
-        if (scheduler.settings.order == Order::LeastWork && job.group == Rank::OnTime)
-            key.rank = job.leftWhenQueued;
+        if (job.group == QueueGroup::Late && scheduler.settings.serveLate)
+            key.sortValue = job.lateStartUntil.time_since_epoch().count();
+        // Jobs that have started go by time: ordered by work, the widest of them would end late.
+        if (scheduler.settings.order == Order::LeastWork && job.group == QueueGroup::OnTime)
+            key.sortValue = job.workWhenQueued;
         break;
     }
     return key;
@@ -63,13 +63,13 @@
 
 void enqueue(SchedulerState &scheduler, Job &job)
 {
-    if (job.over || job.waiting == 0 || job.waitsFor != 0)
+    if (job.closed || job.waiting == 0 || job.predecessor != 0)
         return;
     if (scheduler.settings.order == Order::LeastWork)
-        job.leftWhenQueued = workLeft(job);
+        job.workWhenQueued = remainingWork(job);
     job.queuedPriority = effectivePriority(scheduler, job);
     scheduler.queue.insert(keyOf(scheduler, job));
-    scheduler.untried = true;
+    scheduler.placementPending = true;
 }
 
 void dequeue(SchedulerState &scheduler, const Job &job)
@@ -77,34 +77,34 @@
     scheduler.queue.erase(keyOf(scheduler, job));
 }
 
-// [SECTION] Ranks
+// [SECTION] Groups
 
 namespace {
 
-// After this, what is left of the job is of no use. Late jobs that were allowed to begin may be
-// finished for as long as they were allowed to begin.
-Time worthUntil(const SchedulerState &scheduler, const Job &job)
+// After this, what is left of the job is of no use. Late jobs that were allowed to start may be
+// finished for as long as they were allowed to start.
+Time usefulUntil(const SchedulerState &scheduler, const Job &job)
 {
-    const bool beganLate = scheduler.settings.serveLate && job.firstPlacedAt > job.onTimeUntil;
-    return beganLate ? std::max(job.worthUntil, job.lateUntil) : job.worthUntil;
+    const bool startedLate = scheduler.settings.serveLate && job.firstPlacedAt > job.onTimeUntil;
+    return startedLate ? std::max(job.usefulUntil, job.lateStartUntil) : job.usefulUntil;
 }
 
-Rank groupOf(const SchedulerState &scheduler, const Job &job, Time now)
+QueueGroup groupOf(const SchedulerState &scheduler, const Job &job, Time now)
 {
     if (job.runs > 0)
-        return now > worthUntil(scheduler, job) ? Rank::Hopeless : Rank::Begun;
-    return job.onTimeUntil < now ? Rank::Late : Rank::OnTime;
+        return now > usefulUntil(scheduler, job) ? QueueGroup::Expired : QueueGroup::Started;
+    return job.onTimeUntil < now ? QueueGroup::Late : QueueGroup::OnTime;
 }
 
 } // namespace
 
 // The waiting jobs in order, after updating the group and priority of each.
-std::vector<QueueKey> sortOut(SchedulerState &scheduler, Time now)
+std::vector<QueueKey> refreshQueue(SchedulerState &scheduler, Time now)
 {
     const std::vector<QueueKey> before(scheduler.queue.begin(), scheduler.queue.end());
     for (const QueueKey &key : before) {
         Job &job = scheduler.jobs.at(key.number);
-        const Rank group = groupOf(scheduler, job, now);
+        const QueueGroup group = groupOf(scheduler, job, now);
         if (group == job.group && effectivePriority(scheduler, job) == job.queuedPriority)
             continue;
         dequeue(scheduler, job);
--- a/packages/scheduler/src/placement.cpp
+++ b/packages/scheduler/src/placement.cpp
@@ -2,7 +2,7 @@
     Placement of waiting tasks on endpoints.
 
     [SECTION] Endpoints
-    [SECTION] Placing
+    [SECTION] Placement
 */
 #include <algorithm>
 #include <limits>
@@ -13,22 +13,22 @@
 
 // [SECTION] Endpoints
 
-jobs::Room roomAt(const Agent &agent)
+jobs::Room freeAt(const Agent &agent)
 {
-    jobs::Room room = agent.endpoint.free;
+    jobs::Room free = agent.endpoint.free;
     for (const Agent::Pending &pending : agent.pending)
-        room -= pending.room;
-    return room;
+        free -= pending.room;
+    return free;
 }
 
-jobs::Room roomFor(const SchedulerState &scheduler, const Agent &agent, const Job &job)
+jobs::Room freeFor(const SchedulerState &scheduler, const Agent &agent, const Job &job)
 {
-    jobs::Room room = roomAt(agent);
-    if (scheduler.settings.serveLate && job.group == Rank::Late) {
-        const std::int64_t rested = std::min(agent.leastFree, agent.leastFreeBefore);
-        room.milliCores -= agent.endpoint.free.milliCores - rested;
+    jobs::Room free = freeAt(agent);
+    if (scheduler.settings.serveLate && job.group == QueueGroup::Late) {
+        const std::int64_t idle = std::min(agent.minFree, agent.previousMinFree);
+        free.milliCores -= agent.endpoint.free.milliCores - idle;
     }
-    return room;
+    return free;
 }
 
 bool isCordoned(const SchedulerState &scheduler, const Agent &agent)
@@ -46,36 +46,37 @@
 
 bool isAvoided(const Task &task, const std::string &agent)
 {
-    return std::find(task.avoid.begin(), task.avoid.end(), agent) != task.avoid.end();
+    return std::find(task.avoidedAgents.begin(), task.avoidedAgents.end(), agent)
+            != task.avoidedAgents.end();
 }
 
-bool isQuiet(const SchedulerState &scheduler, const Agent &agent, Time now)
+bool isSuspect(const SchedulerState &scheduler, const Agent &agent, Time now)
 {
     return now >= agent.lastReceivedAt + scheduler.settings.suspectAfter;
 }
 
-bool belowStepLimit(const Job &job, std::uint32_t step, std::uint32_t most,
+bool belowStepLimit(const Job &job, std::uint32_t step, std::uint32_t limit,
                     const std::string &agent)
 {
-    if (most == 0)
+    if (limit == 0)
         return true;
     const auto here = std::count_if(job.tasks.begin(), job.tasks.end(), [&](const Task &task) {
         return task.step == step && task.agent == agent && task.state != TaskState::Waiting
                 && task.state != TaskState::Done;
     });
-    return static_cast<std::uint32_t>(here) < most;
+    return static_cast<std::uint32_t>(here) < limit;
 }
 
-bool isAway(const SchedulerState &scheduler, const Agent &agent)
+bool isRemote(const SchedulerState &scheduler, const Agent &agent)
 {
     const std::string &here = scheduler.settings.dataCentre;
     return !here.empty() && agent.endpoint.dataCentre != here;
 }
 
-// Added cost of an endpoint in another data centre, on the scale of its pace.
-double awayCost(const SchedulerState &scheduler, const Agent &agent)
+// Added cost of an endpoint in another data centre, on the scale of its slowdown.
+double remoteCost(const SchedulerState &scheduler, const Agent &agent)
 {
-    return isAway(scheduler, agent) ? scheduler.settings.remotePercent / 100.0 : 0;
+    return isRemote(scheduler, agent) ? scheduler.settings.remotePercent / 100.0 : 0;
 }
 
 // Smaller is better. Speed and the own data centre come first. Load counts a little, since other
@@ -85,7 +86,7 @@
               const jobs::StepSpec &step, const Task &task)
 {
     constexpr double LoadWeight = 0.3;
-    constexpr double ChanceWeight = 0.1;
+    constexpr double RandomWeight = 0.1;
     std::uniform_real_distribution<double> chance(0, 1);
     if (scheduler.settings.placement == Placement::Random)
         return chance(scheduler.random);
@@ -93,25 +94,25 @@
                                              static_cast<double>(
                                                      agent.endpoint.capacity.milliCores));
     const double load = 1 - static_cast<double>(free.milliCores) / capacity;
-    if (scheduler.settings.placement == Placement::MostRoom || task.crashes > 0)
+    if (scheduler.settings.placement == Placement::MostFree || task.crashes > 0)
         return load;
-    const double pace = static_cast<double>(agent.endpoint.paceMille) / 1000;
-    const double far = hasLabel(agent, step.rack) ? 1 : scheduler.settings.offRackFactor;
-    return pace * far * (1 + LoadWeight * load) + awayCost(scheduler, agent)
-            + ChanceWeight * chance(scheduler.random);
+    const double slowdown = static_cast<double>(agent.endpoint.paceMille) / 1000;
+    const double rackFactor = hasLabel(agent, step.rack) ? 1 : scheduler.settings.offRackFactor;
+    return slowdown * rackFactor * (1 + LoadWeight * load) + remoteCost(scheduler, agent)
+            + RandomWeight * chance(scheduler.random);
 }
 
-bool mayTake(const SchedulerState &scheduler, const Agent &agent)
+bool acceptsStarts(const SchedulerState &scheduler, const Agent &agent)
 {
     return agent.welcomed && !agent.endpoint.leaving
             && agent.pending.size() < agent.endpoint.mostStarts && !isCordoned(scheduler, agent);
 }
 
-bool mayTakeTask(const SchedulerState &scheduler, const Agent &agent, const Job &job,
+bool acceptsTask(const SchedulerState &scheduler, const Agent &agent, const Job &job,
                  const Task &task, const std::string &id)
 {
     const jobs::StepSpec &step = job.spec.steps[task.step];
-    return mayTake(scheduler, agent) && suits(agent, job, step)
+    return acceptsStarts(scheduler, agent) && isSuitable(agent, job, step)
             && belowStepLimit(job, task.step, step.mostPerEndpoint, id);
 }
 
@@ -126,23 +127,23 @@
 };
 
 // The agent where capacity for the task is likely to be free soonest: by the lacking part of the
-// endpoint's capacity, and by pace. Nothing if too much is lacking everywhere.
-Agent *chooseWait(SchedulerState &scheduler, const AgentRange &agents, const Job &job,
-                  const Task &task, Time now, std::string *name)
+// endpoint's capacity, and by speed. Nothing if too much is lacking everywhere.
+Agent *chooseWaitAgent(SchedulerState &scheduler, const AgentRange &agents, const Job &job,
+                       const Task &task, Time now, std::string *name)
 {
-    const std::int64_t most = scheduler.settings.maxShortfallPercent;
-    constexpr double LackWeight = 5;
+    const std::int64_t maxShortfall = scheduler.settings.maxShortfallPercent;
+    constexpr double ShortfallWeight = 5;
     const jobs::StepSpec &step = job.spec.steps[task.step];
     Agent *best = nullptr;
     double bestCost = 0;
     for (auto &[id, agent] : agents) {
-        const std::int64_t lacks = step.room.milliCores - roomAt(agent).milliCores;
+        const std::int64_t shortfall = step.room.milliCores - freeAt(agent).milliCores;
         const std::int64_t capacity = agent.endpoint.capacity.milliCores;
-        if (!mayTakeTask(scheduler, agent, job, task, id) || isAvoided(task, id)
-            || isQuiet(scheduler, agent, now) || lacks * 100 > capacity * most)
+        if (!acceptsTask(scheduler, agent, job, task, id) || isAvoided(task, id)
+            || isSuspect(scheduler, agent, now) || shortfall * 100 > capacity * maxShortfall)
             continue;
         const double cost = static_cast<double>(agent.endpoint.paceMille) / 1000
-                + LackWeight * static_cast<double>(lacks)
+                + ShortfallWeight * static_cast<double>(shortfall)
                         / static_cast<double>(std::max<std::int64_t>(1, capacity));
         if (best && cost >= bestCost)
             continue;
@@ -162,10 +163,10 @@
     bool bestAvoided = false;
     for (auto &[id, agent] : agents) {
         ++scheduler.counters.endpointsTried;
-        const jobs::Room free = roomFor(scheduler, agent, job);
-        if (!jobs::fits(step.room, free) || !mayTakeTask(scheduler, agent, job, task, id))
+        const jobs::Room free = freeFor(scheduler, agent, job);
+        if (!jobs::fits(step.room, free) || !acceptsTask(scheduler, agent, job, task, id))
             continue;
-        const bool avoided = isAvoided(task, id) || isQuiet(scheduler, agent, now);
+        const bool avoided = isAvoided(task, id) || isSuspect(scheduler, agent, now);
         const double cost = costOf(scheduler, agent, free, step, task);
         if (best && (avoided > bestAvoided || (avoided == bestAvoided && cost >= bestCost)))
             continue;
@@ -179,15 +180,15 @@
 
 } // namespace
 
-bool suits(const Agent &agent, const Job &job, const jobs::StepSpec &step)
+bool isSuitable(const Agent &agent, const Job &job, const jobs::StepSpec &step)
 {
     return agent.endpoint.service == job.options.service && hasLabel(agent, step.label)
             && jobs::fits(step.room, agent.endpoint.capacity);
 }
 
-// [SECTION] Placing
+// [SECTION] Placement
 
-bool isUnwanted(const Job &job, Time now)
+bool callerDeadlinePassed(const Job &job, Time now)
 {
     return job.options.callerDeadline && now >= *job.options.callerDeadline;
 }
@@ -223,31 +224,31 @@
 }
 
 // How long the job's starts may wait at an agent.
-Milliseconds waitFor(const SchedulerState &scheduler, const Job &job, Time now)
+Milliseconds allowedWait(const SchedulerState &scheduler, const Job &job, Time now)
 {
     const bool all = scheduler.settings.waitingQueues == WaitingQueues::AllButLeast;
-    const bool first = job.options.priority < scheduler.leastUrgent
+    const bool urgent = job.options.priority < scheduler.leastUrgent
             && (all || job.options.priority <= scheduler.mostUrgent);
     // A late job that has not begun is refused at the next tick, or waits behind all others.
     const bool late = scheduler.settings.refuseLate && now > job.onTimeUntil
             && certainlyNotBegun(job);
-    const bool beganLate = scheduler.settings.serveLate && job.firstPlacedAt > job.onTimeUntil;
-    if (scheduler.settings.maxShortfallPercent <= 0 || !first || late || beganLate
+    const bool startedLate = scheduler.settings.serveLate && job.firstPlacedAt > job.onTimeUntil;
+    if (scheduler.settings.maxShortfallPercent <= 0 || !urgent || late || startedLate
         || yields(scheduler, job))
         return Milliseconds(0);
-    constexpr Milliseconds Least { 10 };
-    const auto slack = std::chrono::duration_cast<Milliseconds>(job.latestBegin - now);
-    return std::clamp(slack, Least, scheduler.settings.mostWait);
+    constexpr Milliseconds MinWait { 10 };
+    const auto slack = std::chrono::duration_cast<Milliseconds>(job.latestStart - now);
+    return std::clamp(slack, MinWait, scheduler.settings.maxAgentWait);
 }
 
 // A start of the task is sent to the agent.
-void notePlaced(SchedulerState &scheduler, Agent &agent, const std::string &name, Job &job,
-                Task &task, Time now)
+void recordPlaced(SchedulerState &scheduler, Agent &agent, const std::string &name, Job &job,
+                  Task &task, Time now)
 {
     task.state = TaskState::Placed;
     task.agent = name;
     task.placedAt = now;
-    task.stopAsked = false;
+    task.stopRequested = false;
     ++task.run;
     --job.waiting;
     ++job.outstanding;
@@ -262,7 +263,7 @@
               SchedulerActions &actions)
 {
     std::vector<std::pair<std::string, jobs::StartTasks>> messages;
-    const Milliseconds wait = waitFor(scheduler, job, now);
+    const Milliseconds wait = allowedWait(scheduler, job, now);
     std::int64_t milliCores = 0;
     bool all = true;
     for (Task &task : job.tasks) {
@@ -272,12 +273,12 @@
         Agent *agent = chooseAgent(scheduler, agents, job, task, now, &name);
         // A task that may crash endpoints is not queued at a full one.
         if (!agent && wait.count() > 0 && task.crashes == 0)
-            agent = chooseWait(scheduler, agents, job, task, now, &name);
+            agent = chooseWaitAgent(scheduler, agents, job, task, now, &name);
         if (!agent) {
             all = false;
             break;
         }
-        notePlaced(scheduler, *agent, name, job, task, now);
+        recordPlaced(scheduler, *agent, name, job, task, now);
         milliCores += job.spec.steps[task.step].room.milliCores;
         messageFor(messages, name, job, task, wait).starts.push_back({ task.index, task.run });
     }
@@ -285,7 +286,7 @@
         job.firstPlacedAt = now;
     if (job.waiting == 0 && job.allPlacedAt == Time {})
         job.allPlacedAt = now;
-    noteLateStart(scheduler, job, milliCores, now);
+    recordLateStart(scheduler, job, milliCores, now);
     for (auto &[to, message] : messages)
         actions.sends.push_back({ to, std::move(message) });
     return all;
@@ -299,17 +300,17 @@
 }
 
 // Work did not fit: asks agents that don't know of it yet for fresh updates.
-void wantRoom(SchedulerState &scheduler, Time now, SchedulerActions &actions)
+void requestUpdates(SchedulerState &scheduler, Time now, SchedulerActions &actions)
 {
-    scheduler.needsCapacityUntil = now + scheduler.settings.wantRoomFor;
+    scheduler.needsCapacityUntil = now + scheduler.settings.needsCapacityFor;
     for (auto &[name, agent] : scheduler.agents) {
         if (agent.welcomed && !agent.reportedNeed)
-            beatAgent(scheduler, name, agent, now, actions);
+            sendHeartbeat(scheduler, name, agent, now, actions);
     }
 }
 
 // Jobs that did not fit in this pass.
-struct PassedOver
+struct UnplacedJobs
 {
     std::size_t others = 0;
 
@@ -317,42 +318,42 @@
     std::size_t late = 0;
 };
 
-// A late job gets nothing while jobs that can be on time wait for capacity, and begins only as a
-// whole: once begun in part, it would go before them.
-bool isKeptBack(const SchedulerState &scheduler, const Job &job, const PassedOver &passedOver,
+// A late job gets nothing while jobs that can be on time wait for capacity, and starts only as a
+// whole: once started in part, it would go before them.
+bool isHeldBack(const SchedulerState &scheduler, const Job &job, const UnplacedJobs &unplaced,
                 Time now)
 {
-    return passedOver.others > 0 || passedOver.late >= scheduler.settings.maxUnplaced
-            || !fitsWhole(scheduler, job, now);
+    return unplaced.others > 0 || unplaced.late >= scheduler.settings.maxUnplaced
+            || !fitsEntirely(scheduler, job, now);
 }
 
-bool waitsOn(const SchedulerState &scheduler, const Job &job)
+bool isWaitingLate(const SchedulerState &scheduler, const Job &job)
 {
-    return scheduler.settings.serveLate && job.group == Rank::Late;
+    return scheduler.settings.serveLate && job.group == QueueGroup::Late;
 }
 
 void placeAmong(SchedulerState &scheduler, const AgentRange &agents, Time now,
                 SchedulerActions &actions)
 {
-    PassedOver passedOver;
-    for (const QueueKey &key : sortOut(scheduler, now)) {
-        if (passedOver.others >= scheduler.settings.maxUnplaced)
+    UnplacedJobs unplaced;
+    for (const QueueKey &key : refreshQueue(scheduler, now)) {
+        if (unplaced.others >= scheduler.settings.maxUnplaced)
             break;
         Job &job = scheduler.jobs.at(key.number);
-        if (isUnwanted(job, now) || !hasReadyTask(job))
+        if (callerDeadlinePassed(job, now) || !hasReadyTask(job))
             continue;
-        if (waitsOn(scheduler, job) && isKeptBack(scheduler, job, passedOver, now)) {
-            ++passedOver.late;
+        if (isWaitingLate(scheduler, job) && isHeldBack(scheduler, job, unplaced, now)) {
+            ++unplaced.late;
             continue;
         }
         dequeue(scheduler, job);
         if (!placeJob(scheduler, agents, job, now, actions))
-            ++passedOver.others;
+            ++unplaced.others;
         enqueue(scheduler, job);
     }
-    scheduler.untried = false;
-    if (passedOver.others + passedOver.late > 0)
-        wantRoom(scheduler, now, actions);
+    scheduler.placementPending = false;
+    if (unplaced.others + unplaced.late > 0)
+        requestUpdates(scheduler, now, actions);
 }
 
 } // namespace
--- a/packages/scheduler/src/scheduler.cpp
+++ b/packages/scheduler/src/scheduler.cpp
@@ -39,7 +39,7 @@
     switch (placement) {
     case Placement::Random:
         return "random";
-    case Placement::MostRoom:
+    case Placement::MostFree:
         return "most-room";
     case Placement::Fastest:
         break;
@@ -50,7 +50,7 @@
 std::optional<Placement> parsePlacement(const std::string &name)
 {
     for (const Placement placement :
-         { Placement::Fastest, Placement::Random, Placement::MostRoom }) {
+         { Placement::Fastest, Placement::Random, Placement::MostFree }) {
         if (name == toString(placement))
             return placement;
     }
@@ -109,8 +109,8 @@
 
 // [SECTION] Agents
 
-void beatAgent(const SchedulerState &scheduler, const std::string &name, Agent &agent, Time now,
-               SchedulerActions &actions)
+void sendHeartbeat(const SchedulerState &scheduler, const std::string &name, Agent &agent, Time now,
+                   SchedulerActions &actions)
 {
     agent.lastSentAt = now;
     agent.reportedNeed = now < scheduler.needsCapacityUntil;
@@ -120,10 +120,10 @@
 SchedulerActions agentConnected(SchedulerState &scheduler, const std::string &agent, Time now)
 {
     SchedulerActions actions;
-    Agent fresh;
-    fresh.lastSentAt = now;
-    fresh.lastReceivedAt = now;
-    scheduler.agents[agent] = fresh;
+    Agent added;
+    added.lastSentAt = now;
+    added.lastReceivedAt = now;
+    scheduler.agents[agent] = added;
     return actions;
 }
 
@@ -139,14 +139,14 @@
                                      .with("agent", name)
                                      .with("incarnation", welcome.incarnation)
                                      .with("life", welcome.endpoint.life));
-    takeCrashes(scheduler, name, welcome.crashed, now, actions);
+    handleCrashReports(scheduler, name, welcome.crashed, now, actions);
     // Nothing of an earlier session runs there any more.
     for (auto &[number, job] : scheduler.jobs) {
         for (Task &task : job.tasks) {
             if (task.state != TaskState::Uncertain || task.agent != name)
                 continue;
             job.mayHaveBegun = true;
-            freeTask(scheduler, job, task);
+            requeueTask(scheduler, job, task);
         }
     }
     for (auto item = scheduler.jobs.begin(); item != scheduler.jobs.end();) {
@@ -160,19 +160,19 @@
 
 namespace {
 
-void noteLeastFree(const SchedulerSettings &settings, Agent &agent, Time now)
+void recordMinFree(const SchedulerSettings &settings, Agent &agent, Time now)
 {
     const std::int64_t free = agent.endpoint.free.milliCores;
-    if (now >= agent.leastFreeSince + settings.restSpan) {
-        agent.leastFreeBefore = agent.leastFree;
-        agent.leastFree = free;
-        agent.leastFreeSince = now;
+    if (now >= agent.minFreeSince + settings.idleWindow) {
+        agent.previousMinFree = agent.minFree;
+        agent.minFree = free;
+        agent.minFreeSince = now;
     }
-    agent.leastFree = std::min(agent.leastFree, free);
+    agent.minFree = std::min(agent.minFree, free);
 }
 
 // Takes over what the agent reports of its capacity.
-void takeRoom(Agent &agent, const jobs::AgentUpdate &update)
+void applyCapacityUpdate(Agent &agent, const jobs::AgentUpdate &update)
 {
     if (!update.endpoint.empty())
         agent.endpoint = update.endpoint.front();
@@ -183,18 +183,18 @@
     agent.waiting = update.waiting;
     agent.freedPerSecond = update.freedPerSecond;
     agent.startsTaken = std::max(agent.startsTaken, update.startsTaken);
-    const auto taken = [&](const Agent::Pending &pending) {
+    const auto isIncluded = [&](const Agent::Pending &pending) {
         return pending.number <= agent.startsTaken;
     };
-    agent.pending.erase(std::remove_if(agent.pending.begin(), agent.pending.end(), taken),
+    agent.pending.erase(std::remove_if(agent.pending.begin(), agent.pending.end(), isIncluded),
                         agent.pending.end());
 }
 
 // Whether a start that did not fit before may fit now.
-bool grew(const jobs::Room &before, const jobs::Room &room)
+bool hasGrown(const jobs::Room &before, const jobs::Room &after)
 {
-    return room.milliCores > before.milliCores || room.megabytes > before.megabytes
-            || room.accelerators > before.accelerators;
+    return after.milliCores > before.milliCores || after.megabytes > before.megabytes
+            || after.accelerators > before.accelerators;
 }
 
 } // namespace
@@ -208,20 +208,20 @@
         return actions;
     Agent &agent = found->second;
     agent.lastReceivedAt = now;
-    const jobs::Room roomBefore = roomAt(agent);
+    const jobs::Room freeBefore = freeAt(agent);
     const std::uint32_t startsBefore = agent.endpoint.mostStarts;
-    takeRoom(agent, update);
-    noteLeastFree(scheduler.settings, agent, now);
+    applyCapacityUpdate(agent, update);
+    recordMinFree(scheduler.settings, agent, now);
     for (const jobs::RunReport &report : update.ended)
-        runEnded(scheduler, name, report, now, actions);
-    takeCrashes(scheduler, name, update.crashed, now, actions);
+        handleRunReport(scheduler, name, report, now, actions);
+    handleCrashReports(scheduler, name, update.crashed, now, actions);
     for (const jobs::LagReport &report : update.lagging)
-        runLags(scheduler, name, report, now, actions);
+        handleStragglerReport(scheduler, name, report, now, actions);
     // Most updates report less free capacity, and then nothing that waits can start: trying every
     // waiting job at every endpoint for each of them would be far too much work.
-    if (scheduler.untried || !update.endpoint.empty())
+    if (scheduler.placementPending || !update.endpoint.empty())
         place(scheduler, now, actions);
-    else if (grew(roomBefore, roomAt(agent)) || agent.endpoint.mostStarts > startsBefore)
+    else if (hasGrown(freeBefore, freeAt(agent)) || agent.endpoint.mostStarts > startsBefore)
         placeAt(scheduler, name, now, actions);
     return actions;
 }
@@ -232,14 +232,14 @@
     const auto found = scheduler.agents.find(name);
     if (found == scheduler.agents.end())
         return actions;
-    const Time certainAt = found->second.lastSentAt + scheduler.settings.lostRunTimeout;
+    const Time stoppedBy = found->second.lastSentAt + scheduler.settings.lostRunTimeout;
     std::uint64_t runs = 0;
     for (auto &[number, job] : scheduler.jobs) {
         for (Task &task : job.tasks) {
             if (task.state != TaskState::Placed || task.agent != name)
                 continue;
             task.state = TaskState::Uncertain;
-            task.certainAt = certainAt;
+            task.stoppedBy = stoppedBy;
             ++runs;
         }
     }
@@ -270,14 +270,15 @@
 namespace {
 
 // Capacity of the endpoints that may take work, by service.
-std::map<std::string, double> usableRoom(const SchedulerState &scheduler)
+std::map<std::string, double> usableCapacity(const SchedulerState &scheduler)
 {
-    std::map<std::string, double> room;
+    std::map<std::string, double> capacity;
     for (const auto &[name, agent] : scheduler.agents) {
         if (agent.welcomed && !isCordoned(scheduler, agent))
-            room[agent.endpoint.service] += static_cast<double>(agent.endpoint.capacity.milliCores);
+            capacity[agent.endpoint.service] += static_cast<double>(
+                    agent.endpoint.capacity.milliCores);
     }
-    return room;
+    return capacity;
 }
 
 } // namespace
@@ -287,14 +288,14 @@
     SchedulerActions actions;
     if (cordons.revision <= scheduler.cordons.revision)
         return actions;
-    const std::map<std::string, double> before = usableRoom(scheduler);
+    const std::map<std::string, double> before = usableCapacity(scheduler);
     scheduler.cordons = cordons;
-    std::map<std::string, double> after = usableRoom(scheduler);
+    std::map<std::string, double> after = usableCapacity(scheduler);
     // Jobs that the remaining endpoints can't serve are refused at once, not only after the rate at
     // which capacity is freed has been measured anew.
-    for (const auto &[service, room] : before) {
-        if (after[service] < room)
-            scaleFreed(scheduler, service, after[service] / room);
+    for (const auto &[service, capacity] : before) {
+        if (after[service] < capacity)
+            scaleFreed(scheduler, service, after[service] / capacity);
     }
     place(scheduler, now, actions);
     return actions;
@@ -304,7 +305,7 @@
 
 namespace {
 
-void beatAgents(SchedulerState &scheduler, Time now, SchedulerActions &actions)
+void sendHeartbeats(SchedulerState &scheduler, Time now, SchedulerActions &actions)
 {
     for (auto &[name, agent] : scheduler.agents) {
         if (now >= agent.lastReceivedAt + scheduler.settings.agentTimeout && agent.welcomed) {
@@ -313,59 +314,60 @@
         }
         if (now < agent.lastSentAt + scheduler.settings.heartbeatInterval)
             continue;
-        beatAgent(scheduler, name, agent, now, actions);
+        sendHeartbeat(scheduler, name, agent, now, actions);
     }
 }
 
-void freeCertain(SchedulerState &scheduler, Time now)
+void requeueStopped(SchedulerState &scheduler, Time now)
 {
-    std::vector<std::uint64_t> touched;
+    std::vector<std::uint64_t> changed;
     for (auto &[number, job] : scheduler.jobs) {
         if (job.outstanding == 0)
             continue;
         for (Task &task : job.tasks) {
-            if (task.state != TaskState::Uncertain || now < task.certainAt)
+            if (task.state != TaskState::Uncertain || now < task.stoppedBy)
                 continue;
             job.mayHaveBegun = true;
-            task.avoid.push_back(task.agent);
-            freeTask(scheduler, job, task);
-            touched.push_back(number);
+            task.avoidedAgents.push_back(task.agent);
+            requeueTask(scheduler, job, task);
+            changed.push_back(number);
         }
     }
-    for (const std::uint64_t number : touched)
+    for (const std::uint64_t number : changed)
         removeIfFinished(scheduler, number);
 }
 
 // When the caller stops waiting, whether or not the job has begun.
-Time endOfJob(const SchedulerState &scheduler, const Job &job)
+Time jobDeadline(const SchedulerState &scheduler, const Job &job)
 {
     if (job.options.callerDeadline)
         return *job.options.callerDeadline;
     const auto objective = std::chrono::duration_cast<Milliseconds>(job.objectiveAt
                                                                     - job.arrivedAt);
     return job.arrivedAt
-            + std::max<Microseconds>(scheduler.settings.longestJob,
+            + std::max<Microseconds>(scheduler.settings.maxJobDuration,
                                      scaled(objective, scheduler.settings.lateFactor));
 }
 
 // Gives up jobs whose callers no longer wait, and late or expired ones that have not begun.
-void giveUpLate(SchedulerState &scheduler, Time now, SchedulerActions &actions)
+void closeExpired(SchedulerState &scheduler, Time now, SchedulerActions &actions)
 {
-    std::vector<std::uint64_t> over;
-    const std::set<std::uint64_t> waitOn = worthWaiting(scheduler, now);
+    std::vector<std::uint64_t> expired;
+    const std::set<std::uint64_t> toKeep = lateJobsToKeep(scheduler, now);
     for (const auto &[number, job] : scheduler.jobs) {
-        const Time worth = scheduler.settings.refuseLate ? job.onTimeUntil : job.worthUntil;
-        const bool late = now > worth && waitOn.count(number) == 0;
-        const bool unbegun = certainlyNotBegun(job) && (late || now >= job.options.startDeadline);
-        const bool unwanted = now >= endOfJob(scheduler, job);
-        if (!job.over && (unbegun || unwanted))
-            over.push_back(number);
+        const Time usefulUntil = scheduler.settings.refuseLate ? job.onTimeUntil : job.usefulUntil;
+        const bool late = now > usefulUntil && toKeep.count(number) == 0;
+        const bool expiredUnbegun = certainlyNotBegun(job)
+                && (late || now >= job.options.startDeadline);
+        const bool callerGone = now >= jobDeadline(scheduler, job);
+        if (!job.closed && (expiredUnbegun || callerGone))
+            expired.push_back(number);
     }
-    for (const std::uint64_t number : over) {
+    for (const std::uint64_t number : expired) {
         Job &job = scheduler.jobs.at(number);
         const bool notRun = certainlyNotBegun(job);
         if (notRun)
-            noteRefusedJob(scheduler, job, now);
+            recordRefusedJob(scheduler, job, now);
         answerJob(scheduler, job, notRun ? JobOutcome::NotRun : JobOutcome::TimedOut,
                   notRun ? "no room came free in time" : "deadline exceeded", now, actions);
     }
@@ -376,11 +378,11 @@
 SchedulerActions tick(SchedulerState &scheduler, Time now)
 {
     SchedulerActions actions;
-    beatAgents(scheduler, now, actions);
-    freeCertain(scheduler, now);
-    addTold(scheduler, now);
-    giveUpLate(scheduler, now, actions);
-    updateStandings(scheduler, now, actions);
+    sendHeartbeats(scheduler, now, actions);
+    requeueStopped(scheduler, now);
+    addReportedFreed(scheduler, now);
+    closeExpired(scheduler, now, actions);
+    updateQueueStatuses(scheduler, now, actions);
     place(scheduler, now, actions);
     return actions;
 }
@@ -390,7 +392,7 @@
     SchedulerActions actions;
     std::vector<std::uint64_t> open;
     for (const auto &[number, job] : scheduler.jobs) {
-        if (!job.over)
+        if (!job.closed)
             open.push_back(number);
     }
     for (const std::uint64_t number : open) {
@@ -404,8 +406,9 @@
 
 void retainQueues(SchedulerState &scheduler, const std::set<std::string> &declared)
 {
-    for (auto item = scheduler.runTimes.begin(); item != scheduler.runTimes.end();)
-        item = declared.count(item->first) == 0 ? scheduler.runTimes.erase(item) : std::next(item);
+    for (auto item = scheduler.runTimeModels.begin(); item != scheduler.runTimeModels.end();)
+        item = declared.count(item->first) == 0 ? scheduler.runTimeModels.erase(item)
+                                                : std::next(item);
     shares::retainQueues(scheduler.shares, declared);
     for (auto item = scheduler.queueStatuses.begin(); item != scheduler.queueStatuses.end();)
         item = declared.count(item->first) == 0 ? scheduler.queueStatuses.erase(item)
@@ -425,7 +428,7 @@
 {
     return static_cast<std::size_t>(
             std::count_if(scheduler.jobs.begin(), scheduler.jobs.end(),
-                          [](const auto &item) { return !item.second.over; }));
+                          [](const auto &item) { return !item.second.closed; }));
 }
 
 } // namespace foxwing::scheduler
--- a/packages/scheduler/src/waitestimate.cpp
+++ b/packages/scheduler/src/waitestimate.cpp
@@ -1,8 +1,8 @@
 /*
     Use of the forecast: its input for a service, this entry's share of freed capacity, and the
-   waits of its jobs that follow.
+    waits of its jobs that follow.
 
-    [SECTION] Picture
+    [SECTION] Service load
     [SECTION] Share
     [SECTION] Waits
     [SECTION] Late jobs
@@ -13,7 +13,7 @@
 
 namespace foxwing::scheduler {
 
-// [SECTION] Picture
+// [SECTION] Service load
 
 bool usesForecast(const SchedulerState &scheduler)
 {
@@ -30,13 +30,14 @@
 
 } // namespace
 
-forecast::Picture pictureOf(const SchedulerState &scheduler, const std::string &service, Time now)
+forecast::Picture serviceLoadOf(const SchedulerState &scheduler, const std::string &service,
+                                Time now)
 {
     forecast::Picture picture;
     for (const auto &[name, agent] : scheduler.agents) {
         if (takesWork(scheduler, agent, service))
             forecast::addAgent(picture,
-                               { roomAt(agent).milliCores, agent.waiting, agent.freedPerSecond,
+                               { freeAt(agent).milliCores, agent.waiting, agent.freedPerSecond,
                                  agent.lastReceivedAt },
                                now);
     }
@@ -48,7 +49,7 @@
 namespace {
 
 // Lower bound, so that a queue of which nothing ran lately is tried again.
-constexpr double LeastShare = 0.01;
+constexpr double MinShare = 0.01;
 
 std::set<std::string> services(const SchedulerState &scheduler)
 {
@@ -60,7 +61,7 @@
     return names;
 }
 
-bool goesByPriority(const SchedulerState &scheduler)
+bool ordersByPriority(const SchedulerState &scheduler)
 {
     const Order order = scheduler.settings.order;
     return order == Order::Priority || order == Order::LeastWork;
@@ -68,42 +69,42 @@
 
 } // namespace
 
-void addTold(SchedulerState &scheduler, Time now)
+void addReportedFreed(SchedulerState &scheduler, Time now)
 {
     const SchedulerSettings &settings = scheduler.settings;
-    const Microseconds span = now - scheduler.toldAddedAt;
-    if (!usesForecast(scheduler) || span < settings.shareInterval)
+    const Microseconds elapsed = now - scheduler.reportedFreedAt;
+    if (!usesForecast(scheduler) || elapsed < settings.shareInterval)
         return;
-    scheduler.toldAddedAt = now;
+    scheduler.reportedFreedAt = now;
     // After a pause of this process, the rate in between is not known.
-    if (span > 2 * settings.shareInterval)
+    if (elapsed > 2 * settings.shareInterval)
         return;
     for (const std::string &service : services(scheduler)) {
-        const double pace = pictureOf(scheduler, service, now).freedPerSecond;
-        addTo(scheduler.told[service], settings.shareSpan,
-              pace * std::chrono::duration<double>(span).count(), now);
+        const double rate = serviceLoadOf(scheduler, service, now).freedPerSecond;
+        addTo(scheduler.reportedFreed[service], settings.shareWindow,
+              rate * std::chrono::duration<double>(elapsed).count(), now);
     }
 }
 
 double shareFor(const SchedulerState &scheduler, const std::string &service, std::uint32_t priority,
                 Time now)
 {
-    const double alike = 1.0 / std::max(1U, scheduler.entryCount);
+    const double equalShare = 1.0 / std::max(1U, scheduler.entryCount);
     const auto freed = scheduler.freed.find(service);
-    const auto all = scheduler.told.find(service);
-    if (freed == scheduler.freed.end() || all == scheduler.told.end())
-        return alike;
-    const Milliseconds span = scheduler.settings.shareSpan;
-    const double told = fadedAmount(all->second, span, now);
+    const auto total = scheduler.reportedFreed.find(service);
+    if (freed == scheduler.freed.end() || total == scheduler.reportedFreed.end())
+        return equalShare;
+    const Milliseconds window = scheduler.settings.shareWindow;
+    const double reportedFreed = fadedAmount(total->second, window, now);
     double own = 0;
     for (const auto &[other, sum] : freed->second.own) {
-        if (other >= priority || !goesByPriority(scheduler))
-            own += fadedAmount(sum, span, now);
+        if (other >= priority || !ordersByPriority(scheduler))
+            own += fadedAmount(sum, window, now);
     }
-    return told > 0 ? std::clamp(own / told, LeastShare, 1.0) : alike;
+    return reportedFreed > 0 ? std::clamp(own / reportedFreed, MinShare, 1.0) : equalShare;
 }
 
-double wholeShare(const SchedulerState &scheduler, const std::string &service, Time now)
+double totalShare(const SchedulerState &scheduler, const std::string &service, Time now)
 {
     return shareFor(scheduler, service, 0, now);
 }
@@ -113,100 +114,100 @@
 namespace {
 
 // Declared capacities are not validated, and sums of them must not overflow.
-constexpr double MostMilliCores = 1e12;
+constexpr double MaxMilliCores = 1e12;
 
-std::int64_t roomOf(const jobs::StepSpec &step, std::uint32_t tasks)
+std::int64_t milliCoresOf(const jobs::StepSpec &step, std::uint32_t tasks)
 {
     const double milliCores = static_cast<double>(step.room.milliCores) * tasks;
-    return static_cast<std::int64_t>(std::min(MostMilliCores, milliCores));
+    return static_cast<std::int64_t>(std::min(MaxMilliCores, milliCores));
 }
 
-std::int64_t roomWanted(const Job &job)
+std::int64_t waitingMilliCores(const Job &job)
 {
     // A job that is being admitted has no tasks yet.
     const jobs::StepSpec &step = job.spec.steps.front();
-    return roomOf(step, job.tasks.empty() ? step.tasks : job.waiting);
+    return milliCoresOf(step, job.tasks.empty() ? step.tasks : job.waiting);
 }
 
-forecast::Wanted wantedBy(const Job &job, std::int64_t before)
+forecast::Wanted demandOf(const Job &job, std::int64_t before)
 {
-    return { job.options.priority, job.spec.steps.front().room.milliCores, roomWanted(job),
+    return { job.options.priority, job.spec.steps.front().room.milliCores, waitingMilliCores(job),
              before };
 }
 
-std::int64_t workBefore(const SchedulerState &scheduler, const Job &wanted, const QueueKey &place)
+std::int64_t workAhead(const SchedulerState &scheduler, const Job &arriving, const QueueKey &ownKey)
 {
     std::int64_t work = 0;
     for (const QueueKey &key : scheduler.queue) {
-        if (!(key < place))
+        if (!(key < ownKey))
             break;
         const Job &job = scheduler.jobs.at(key.number);
-        if (job.options.service == wanted.options.service)
-            work += roomWanted(job);
+        if (job.options.service == arriving.options.service)
+            work += waitingMilliCores(job);
     }
     return work;
 }
 
 } // namespace
 
-std::optional<Milliseconds> waitOnTime(const SchedulerState &scheduler, const Job &job, Time now)
+std::optional<Milliseconds> waitIfOnTime(const SchedulerState &scheduler, const Job &job, Time now)
 {
     if (job.spec.steps.empty())
         return std::nullopt;
-    forecast::Picture picture = pictureOf(scheduler, job.options.service, now);
+    forecast::Picture picture = serviceLoadOf(scheduler, job.options.service, now);
     picture.share = shareFor(scheduler, job.options.service, job.options.priority, now);
-    const forecast::Wanted wanted = wantedBy(job,
-                                             workBefore(scheduler, job, keyOf(scheduler, job)));
+    const forecast::Wanted jobDemand = demandOf(job,
+                                                workAhead(scheduler, job, keyOf(scheduler, job)));
     // The first job in line is tried whatever its size.
-    if (!forecast::hasWorkBefore(picture, wanted))
+    if (!forecast::hasWorkBefore(picture, jobDemand))
         return Milliseconds(0);
-    return forecast::expectedWait(picture, wanted);
+    return forecast::expectedWait(picture, jobDemand);
 }
 
-std::optional<Milliseconds> waitLate(const SchedulerState &scheduler, const Job &job, Time now)
+std::optional<Milliseconds> waitIfLate(const SchedulerState &scheduler, const Job &job, Time now)
 {
     if (job.spec.steps.empty())
         return std::nullopt;
-    forecast::Picture picture = pictureOf(scheduler, job.options.service, now);
-    picture.share = wholeShare(scheduler, job.options.service, now);
-    QueueKey place = keyOf(scheduler, job);
-    place.group = Rank::Late;
-    place.rank = job.lateUntil.time_since_epoch().count();
-    return forecast::expectedWait(picture, wantedBy(job, workBefore(scheduler, job, place)));
+    forecast::Picture picture = serviceLoadOf(scheduler, job.options.service, now);
+    picture.share = totalShare(scheduler, job.options.service, now);
+    QueueKey ownKey = keyOf(scheduler, job);
+    ownKey.group = QueueGroup::Late;
+    ownKey.sortValue = job.lateStartUntil.time_since_epoch().count();
+    return forecast::expectedWait(picture, demandOf(job, workAhead(scheduler, job, ownKey)));
 }
 
 Milliseconds comeBackAfter(SchedulerState &scheduler, const Job &job, Time now)
 {
     std::uniform_real_distribution<double> chance(0, 1);
-    const double drawn = chance(scheduler.random);
+    const double randomPart = chance(scheduler.random);
     if (job.spec.steps.empty())
         return forecast::LeastComeBack;
-    forecast::Picture picture = pictureOf(scheduler, job.options.service, now);
+    forecast::Picture picture = serviceLoadOf(scheduler, job.options.service, now);
     picture.share = shareFor(scheduler, job.options.service, job.options.priority, now);
-    const std::int64_t before = workBefore(scheduler, job, keyOf(scheduler, job));
-    return forecast::comeBackAfter(picture, wantedBy(job, before), drawn);
+    const std::int64_t before = workAhead(scheduler, job, keyOf(scheduler, job));
+    return forecast::comeBackAfter(picture, demandOf(job, before), randomPart);
 }
 
 ForecastStatus forecastStatus(const SchedulerState &scheduler, Time now)
 {
     constexpr std::int64_t OneCore = 1000;
-    ForecastStatus all;
+    ForecastStatus status;
     for (const std::string &service : services(scheduler)) {
-        forecast::Picture picture = pictureOf(scheduler, service, now);
-        picture.share = wholeShare(scheduler, service, now);
-        forecast::Wanted wanted { scheduler.leastUrgent, OneCore, OneCore, 0 };
+        forecast::Picture picture = serviceLoadOf(scheduler, service, now);
+        picture.share = totalShare(scheduler, service, now);
+        forecast::Wanted jobDemand { scheduler.leastUrgent, OneCore, OneCore, 0 };
         for (const QueueKey &key : scheduler.queue) {
             const Job &job = scheduler.jobs.at(key.number);
-            wanted.beforeIt += job.options.service == service ? roomWanted(job) : 0;
+            jobDemand.beforeIt += job.options.service == service ? waitingMilliCores(job) : 0;
         }
-        all.age = std::max(all.age, picture.age);
-        const auto wait = forecast::expectedWait(picture, wanted);
-        all.wait = wait ? std::max(*wait, all.wait.value_or(Milliseconds(0))) : all.wait;
+        status.age = std::max(status.age, picture.age);
+        const auto wait = forecast::expectedWait(picture, jobDemand);
+        status.wait = wait ? std::max(*wait, status.wait.value_or(Milliseconds(0))) : status.wait;
     }
-    all.waitingLate = static_cast<std::size_t>(
+    status.waitingLate = static_cast<std::size_t>(
             std::count_if(scheduler.queue.begin(), scheduler.queue.end(),
-                          [](const QueueKey &key) { return key.group == Rank::Late; }));
-    return all;
+                          [](const QueueKey &key) { return key.group == QueueGroup::Late; }));
+    return status;
 }
 
 // [SECTION] Late jobs
@@ -214,7 +215,7 @@
 namespace {
 
 // The waiting work of one service that goes before the job being examined.
-struct Line
+struct WorkAhead
 {
     forecast::Picture picture;
     std::int64_t before = 0;
@@ -224,107 +225,108 @@
     std::int64_t lateBefore = 0;
 };
 
-bool beginsInTime(const Line &line, const Job &job, Time now)
+bool startsInTime(const WorkAhead &ahead, const Job &job, Time now)
 {
-    const auto wait = forecast::expectedWait(line.picture, wantedBy(job, line.before));
-    return wait && now + *wait <= job.lateUntil;
+    const auto wait = forecast::expectedWait(ahead.picture, demandOf(job, ahead.before));
+    return wait && now + *wait <= job.lateStartUntil;
 }
 
 // A late job waits: starts a period of waiting or extends it.
-LateSpell &noteLateWaits(SchedulerState &scheduler, const std::string &service, Time now)
+LatePeriod &recordLateWait(SchedulerState &scheduler, const std::string &service, Time now)
 {
-    LateSpell &spell = scheduler.lateSpells[service];
-    if (now >= spell.seenAt + scheduler.settings.lateSpan)
-        spell.since = now;
-    spell.seenAt = now;
-    return spell;
+    LatePeriod &period = scheduler.latePeriods[service];
+    if (now >= period.lastSeenAt + scheduler.settings.lateWindow)
+        period.since = now;
+    period.lastSeenAt = now;
+    return period;
 }
 
 // Whether the capacity recently given to late jobs allows this one to wait, too.
-bool lateRoomAllows(const SchedulerSettings &settings, const LateSpell &spell, const Line &line,
-                    const Job &job, Time now)
+bool lateCapacityAllows(const SchedulerSettings &settings, const LatePeriod &period,
+                        const WorkAhead &ahead, const Job &job, Time now)
 {
-    if (now < spell.since + settings.lateSpan || line.late < settings.lateProbes)
+    if (now < period.since + settings.lateWindow || ahead.late < settings.minLateWaiting)
         return true;
-    const double left = std::chrono::duration<double>(job.lateUntil - now).count();
-    const double room = perSecond(spell.taken, settings.lateSpan, now) * left;
-    return static_cast<double>(line.lateBefore + roomWanted(job)) <= room;
+    const double timeLeft = std::chrono::duration<double>(job.lateStartUntil - now).count();
+    const double capacity = perSecond(period.granted, settings.lateWindow, now) * timeLeft;
+    return static_cast<double>(ahead.lateBefore + waitingMilliCores(job)) <= capacity;
 }
 
 // Whether a late job may wait behind those before it.
-bool joinsLate(SchedulerState &scheduler, Line &line, const Job &job, Time now)
+bool mayWaitLate(SchedulerState &scheduler, WorkAhead &ahead, const Job &job, Time now)
 {
-    const LateSpell &spell = noteLateWaits(scheduler, job.options.service, now);
-    if (!beginsInTime(line, job, now) || !lateRoomAllows(scheduler.settings, spell, line, job, now))
+    const LatePeriod &period = recordLateWait(scheduler, job.options.service, now);
+    if (!startsInTime(ahead, job, now)
+        || !lateCapacityAllows(scheduler.settings, period, ahead, job, now))
         return false;
-    ++line.late;
-    line.lateBefore += roomWanted(job);
+    ++ahead.late;
+    ahead.lateBefore += waitingMilliCores(job);
     return true;
 }
 
 } // namespace
 
-std::set<std::uint64_t> worthWaiting(SchedulerState &scheduler, Time now)
+std::set<std::uint64_t> lateJobsToKeep(SchedulerState &scheduler, Time now)
 {
-    std::set<std::uint64_t> kept;
+    std::set<std::uint64_t> toKeep;
     if (!scheduler.settings.serveLate)
-        return kept;
-    std::map<std::string, Line> lines;
-    for (const QueueKey &key : sortOut(scheduler, now)) {
+        return toKeep;
+    std::map<std::string, WorkAhead> aheadByService;
+    for (const QueueKey &key : refreshQueue(scheduler, now)) {
         const Job &job = scheduler.jobs.at(key.number);
         const std::string &service = job.options.service;
-        const auto [line, isNew] = lines.try_emplace(service);
+        const auto [ahead, isNew] = aheadByService.try_emplace(service);
         if (isNew) {
-            line->second.picture = pictureOf(scheduler, service, now);
-            line->second.picture.share = wholeShare(scheduler, service, now);
+            ahead->second.picture = serviceLoadOf(scheduler, service, now);
+            ahead->second.picture.share = totalShare(scheduler, service, now);
         }
-        const bool late = key.group == Rank::Late;
-        if (late && !joinsLate(scheduler, line->second, job, now))
+        const bool late = key.group == QueueGroup::Late;
+        if (late && !mayWaitLate(scheduler, ahead->second, job, now))
             continue;
         if (late)
-            kept.insert(key.number);
-        line->second.before += roomWanted(job);
+            toKeep.insert(key.number);
+        ahead->second.before += waitingMilliCores(job);
     }
-    return kept;
+    return toKeep;
 }
 
-void noteLateStart(SchedulerState &scheduler, const Job &job, std::int64_t milliCores, Time now)
+void recordLateStart(SchedulerState &scheduler, const Job &job, std::int64_t milliCores, Time now)
 {
     if (scheduler.settings.serveLate && job.firstPlacedAt > job.onTimeUntil)
-        addTo(scheduler.lateSpells[job.options.service].taken, scheduler.settings.lateSpan,
+        addTo(scheduler.latePeriods[job.options.service].granted, scheduler.settings.lateWindow,
               static_cast<double>(milliCores), now);
 }
 
 namespace {
 
-// What the job needs to begin: the steps that depend on no other.
-forecast::Wanted wantedToBegin(const Job &job)
+// What the job needs to start: the steps that depend on no other.
+forecast::Wanted startDemand(const Job &job)
 {
-    forecast::Wanted wanted { job.options.priority, 0, 0, 0 };
+    forecast::Wanted jobDemand { job.options.priority, 0, 0, 0 };
     for (const jobs::StepSpec &step : job.spec.steps) {
         if (!step.after.empty())
             continue;
-        wanted.taskMilliCores = std::max(wanted.taskMilliCores, step.room.milliCores);
-        wanted.milliCores += roomOf(step, step.tasks);
+        jobDemand.taskMilliCores = std::max(jobDemand.taskMilliCores, step.room.milliCores);
+        jobDemand.milliCores += milliCoresOf(step, step.tasks);
     }
-    return wanted;
+    return jobDemand;
 }
 
 } // namespace
 
-bool fitsWhole(const SchedulerState &scheduler, const Job &job, Time now)
+bool fitsEntirely(const SchedulerState &scheduler, const Job &job, Time now)
 {
     forecast::Picture picture;
     for (const auto &[name, agent] : scheduler.agents) {
         if (takesWork(scheduler, agent, job.options.service))
             forecast::addAgent(picture,
-                               { roomFor(scheduler, agent, job).milliCores,
+                               { freeFor(scheduler, agent, job).milliCores,
                                  {},
                                  0,
                                  agent.lastReceivedAt },
                                now);
     }
-    return forecast::expectedWait(picture, wantedToBegin(job)) == Milliseconds(0);
+    return forecast::expectedWait(picture, startDemand(job)) == Milliseconds(0);
 }
 
 } // namespace foxwing::scheduler
--- a/packages/scheduler/tests/admission_test.cpp
+++ b/packages/scheduler/tests/admission_test.cpp
@@ -14,7 +14,7 @@
 {
     const char *name;
     jobs::JobTraits traits;
-    std::int64_t taskCores;
+    std::int64_t taskMilliCores;
     std::optional<JobOutcome> outcome;
 };
 
@@ -27,7 +27,7 @@
     bench.traits = GetParam().traits;
     jobs::StepSpec step;
     step.tasks = 1;
-    step.room = { GetParam().taskCores, 10, 0 };
+    step.room = { GetParam().taskMilliCores, 10, 0 };
     step.estimate = Milliseconds(100);
     const SchedulerActions actions = bench.submit("job", { step });
     ASSERT_EQ(actions.answers.size(), GetParam().outcome ? 1U : 0U);
@@ -42,11 +42,13 @@
         Scheduler, Admission,
         testing::Values(
                 AdmissionCase { "BestEffort", { false, false, false, false }, 1000, {} },
-                AdmissionCase { "Kept", { true, false, false, false }, 1000, JobOutcome::NotRun },
+                AdmissionCase {
+                        "Durable", { true, false, false, false }, 1000, JobOutcome::NotRun },
                 AdmissionCase { "Gang", { false, true, false, false }, 1000, JobOutcome::NotRun },
                 AdmissionCase {
-                        "Lasting", { false, false, true, false }, 1000, JobOutcome::NotRun },
-                AdmissionCase { "Timed", { false, false, false, true }, 1000, JobOutcome::NotRun },
+                        "LongRunning", { false, false, true, false }, 1000, JobOutcome::NotRun },
+                AdmissionCase {
+                        "Recurring", { false, false, false, true }, 1000, JobOutcome::NotRun },
                 AdmissionCase {
                         "FitsNowhere", { false, false, false, false }, 5000, JobOutcome::Failed }),
         [](const auto &tested) { return tested.param.name; });
@@ -82,16 +84,16 @@
 
 // 2500 millicores were freed in the last 300 ms, and a job has 70 ms until it counts as late: in
 // twice that time, capacity for one task is freed and not for two.
-TEST_P(Arrivals, AreRefusedAtOnceIfTheRoomThatComesFreeIsTooLittle)
+TEST_P(Arrivals, AreRefusedAtOnceIfTooLittleCapacityIsFreed)
 {
     SchedulerSettings settings;
     settings.maxWaitPercent = GetParam().percent;
     Bench bench({ 3000 }, settings);
     bench.priority = 1;
     bench.submit("running", 3);
-    bench.report("agent-0", { endOf("running", 0, 1, RunEnd::Done) }, 0);
-    bench.report("agent-0", { endOf("running", 1, 1, RunEnd::Done) }, 0);
-    bench.report("agent-0", { endOf("running", 2, 1, RunEnd::Done) }, 0);
+    bench.report("agent-0", { runReport("running", 0, 1, RunEnd::Done) }, 0);
+    bench.report("agent-0", { runReport("running", 1, 1, RunEnd::Done) }, 0);
+    bench.report("agent-0", { runReport("running", 2, 1, RunEnd::Done) }, 0);
     bench.now += Milliseconds(55);
     for (int i = 0; i < GetParam().waiting; ++i)
         bench.submit("waiting-" + std::to_string(i), 1);
@@ -113,7 +115,7 @@
                          [](const auto &tested) { return tested.param.name; });
 
 // A body of 256 KiB can name more tasks than there is memory for.
-TEST(SchedulerAdmission, RefusesMoreTasksThanAJobMayHaveBeforeItMakesThem)
+TEST(SchedulerAdmission, RefusesTooManyTasksBeforeCreatingThem)
 {
     Bench bench({ 4000 });
     jobs::StepSpec step;
@@ -125,7 +127,7 @@
     EXPECT_EQ(actions.answers[0].outcome, JobOutcome::NotRun);
 }
 
-TEST(SchedulerAdmission, TheSameIdJoinsTheJobThatIsAtWork)
+TEST(SchedulerAdmission, TheSameIdJoinsTheOpenJob)
 {
     Bench bench({ 4000 });
     bench.submit("job", 1);
@@ -140,7 +142,7 @@
     bench.submit("job", 1);
     EXPECT_EQ(stopsIn(abandon(bench.scheduler, bench.number, bench.now)), 1U);
     EXPECT_EQ(startsIn(bench.submit("job", 1)), 0U);
-    EXPECT_EQ(startsIn(bench.report("agent-0", { endOf("job", 0, 1, RunEnd::Stopped) })), 1U);
+    EXPECT_EQ(startsIn(bench.report("agent-0", { runReport("job", 0, 1, RunEnd::Stopped) })), 1U);
 }
 
 // Jobs of one id: the first is abandoned while its run goes on, and all but the last of the others
@@ -150,7 +152,7 @@
     const char *name;
 
     // Jobs submitted and abandoned during the first job's run
-    int gone;
+    int abandoned;
 };
 
 std::ostream &operator<<(std::ostream &out, const ChainCase &tested)
@@ -161,20 +163,21 @@
 class Chains : public testing::TestWithParam<ChainCase>
 { };
 
-TEST_P(Chains, OfOneIdBeginOnlyAfterTheFirstOnesRuns)
+TEST_P(Chains, OfOneIdStartOnlyAfterTheFirstJobsRuns)
 {
     Bench bench({ 4000 });
     bench.submit("job", 1);
     abandon(bench.scheduler, bench.number, bench.now);
-    for (int i = 0; i < GetParam().gone; ++i) {
+    for (int i = 0; i < GetParam().abandoned; ++i) {
         EXPECT_EQ(startsIn(bench.submit("job", 1)), 0U);
         abandon(bench.scheduler, bench.number, bench.now);
     }
     EXPECT_EQ(startsIn(bench.submit("job", 1)), 0U);
-    EXPECT_EQ(startsIn(bench.pass(Milliseconds(20))), 0U);
-    const SchedulerActions ended = bench.report("agent-0", { endOf("job", 0, 1, RunEnd::Stopped) });
+    EXPECT_EQ(startsIn(bench.advance(Milliseconds(20))), 0U);
+    const SchedulerActions ended = bench.report("agent-0",
+                                                { runReport("job", 0, 1, RunEnd::Stopped) });
     EXPECT_EQ(startsIn(ended), 1U);
-    bench.report("agent-0", { endOf("job", 0, 1, RunEnd::Done) });
+    bench.report("agent-0", { runReport("job", 0, 1, RunEnd::Done) });
     EXPECT_TRUE(bench.scheduler.jobs.empty());
     EXPECT_TRUE(bench.scheduler.byId.empty());
 }
@@ -200,22 +203,22 @@
 }
 
 // Capacity is freed before the next tick, for a waiting job whose caller waits for 100 ms.
-struct PatienceCase
+struct DeadlineCase
 {
     const char *name;
     Milliseconds after;
     std::size_t starts;
 };
 
-std::ostream &operator<<(std::ostream &out, const PatienceCase &tested)
+std::ostream &operator<<(std::ostream &out, const DeadlineCase &tested)
 {
     return out << tested.name;
 }
 
-class Patience : public testing::TestWithParam<PatienceCase>
+class CallerDeadlines : public testing::TestWithParam<DeadlineCase>
 { };
 
-TEST_P(Patience, EndsTheTimeInWhichAJobIsPlaced)
+TEST_P(CallerDeadlines, EndPlacement)
 {
     Bench bench({ 1000 });
     bench.submit("first", 1);
@@ -223,13 +226,14 @@
     options.callerDeadline = bench.now + Milliseconds(100);
     EXPECT_EQ(startsIn(submitOne(bench, options)), 0U);
     bench.now += GetParam().after;
-    const SchedulerActions freed = bench.report("agent-0", { endOf("first", 0, 1, RunEnd::Done) });
-    EXPECT_EQ(startsIn(freed), GetParam().starts);
+    const SchedulerActions actions = bench.report("agent-0",
+                                                  { runReport("first", 0, 1, RunEnd::Done) });
+    EXPECT_EQ(startsIn(actions), GetParam().starts);
 }
 
-INSTANTIATE_TEST_SUITE_P(Scheduler, Patience,
-                         testing::Values(PatienceCase { "InTime", Milliseconds(99), 1 },
-                                         PatienceCase { "Over", Milliseconds(100), 0 }),
+INSTANTIATE_TEST_SUITE_P(Scheduler, CallerDeadlines,
+                         testing::Values(DeadlineCase { "InTime", Milliseconds(99), 1 },
+                                         DeadlineCase { "Passed", Milliseconds(100), 0 }),
                          [](const auto &tested) { return tested.param.name; });
 
 // Calls that were held while an entry did not know its queues yet. A job of 100 ms has to begin
@@ -241,10 +245,10 @@
     bool starts;
 };
 
-class Held : public testing::TestWithParam<HeldCase>
+class HeldCalls : public testing::TestWithParam<HeldCase>
 { };
 
-TEST_P(Held, JobsCountFromTheirCall)
+TEST_P(HeldCalls, CountFromTheirArrival)
 {
     Bench bench({ 4000 });
     JobOptions options = bench.options();
@@ -257,7 +261,7 @@
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(Scheduler, Held,
+INSTANTIATE_TEST_SUITE_P(Scheduler, HeldCalls,
                          testing::Values(HeldCase { "NotAtAll", Milliseconds(0), true },
                                          HeldCase { "Shortly", Milliseconds(120), true },
                                          HeldCase { "TooLong", Milliseconds(121), false }),
--- a/packages/scheduler/tests/bench.h
+++ b/packages/scheduler/tests/bench.h
@@ -38,10 +38,10 @@
         : scheduler(makeScheduler(settings))
     {
         for (std::size_t i = 0; i < cores.size(); ++i)
-            welcome("agent-" + std::to_string(i), makeView(cores[i]));
+            openSession("agent-" + std::to_string(i), makeView(cores[i]));
     }
 
-    SchedulerActions welcome(const std::string &name, const jobs::EndpointView &view)
+    SchedulerActions openSession(const std::string &name, const jobs::EndpointView &view)
     {
         agentConnected(scheduler, name, now);
         jobs::Welcome message;
@@ -93,9 +93,9 @@
         return agentUpdated(scheduler, agent, update, now);
     }
 
-    SchedulerActions pass(Milliseconds span)
+    SchedulerActions advance(Milliseconds duration)
     {
-        now += span;
+        now += duration;
         for (auto &[name, agent] : scheduler.agents)
             agent.lastReceivedAt = now;
         return tick(scheduler, now);
@@ -130,8 +130,8 @@
     return count;
 }
 
-inline jobs::RunReport endOf(const std::string &job, std::uint32_t index, std::uint32_t run,
-                             RunEnd end, RefusedStart refused = RefusedStart::None)
+inline jobs::RunReport runReport(const std::string &job, std::uint32_t index, std::uint32_t run,
+                                 RunEnd end, RefusedStart refused = RefusedStart::None)
 {
     return { { { job, 0, 0, index }, run }, end, refused, Milliseconds(100) };
 }
--- a/packages/scheduler/tests/callerprobe_test.cpp
+++ b/packages/scheduler/tests/callerprobe_test.cpp
@@ -1,7 +1,7 @@
 /*
     Which callers are probed after the loss of sessions, and when.
 
-    [SECTION] Looks
+    [SECTION] Probes
 */
 #include <foxwing/scheduler/callerprobe.h>
 
@@ -10,9 +10,9 @@
 namespace foxwing::scheduler {
 namespace {
 
-// [SECTION] Looks
+// [SECTION] Probes
 
-struct LookCase
+struct ProbeCase
 {
     const char *name;
 
@@ -23,63 +23,63 @@
     int jobs;
 
     // Time since an earlier probe
-    std::optional<Milliseconds> lookedBefore;
+    std::optional<Milliseconds> probedBefore;
 
     // Whether the lost agent is the one with the jobs
     bool agentLost;
-    std::size_t toSee;
+    std::size_t toProbe;
 };
 
-std::ostream &operator<<(std::ostream &out, const LookCase &tested)
+std::ostream &operator<<(std::ostream &out, const ProbeCase &tested)
 {
     return out << tested.name;
 }
 
-class Looks : public testing::TestWithParam<LookCase>
+class CallerProbes : public testing::TestWithParam<ProbeCase>
 { };
 
-TEST_P(Looks, AreAtWhatMayBePlaced)
+TEST_P(CallerProbes, CoverWhatMayBePlaced)
 {
     Bench bench({ 4000 });
-    CallerProbeState watch;
+    CallerProbeState probes;
     for (int i = 0; i < GetParam().jobs; ++i)
         bench.submit("job-" + std::to_string(i), 1);
     if (GetParam().agentLost)
         agentLost(bench.scheduler, "agent-0", bench.now);
     if (GetParam().after) {
-        recordSessionLost(watch, bench.now);
+        recordSessionLost(probes, bench.now);
         bench.now += *GetParam().after;
     }
-    if (GetParam().lookedBefore)
-        callersToProbe(watch, bench.scheduler, bench.now - *GetParam().lookedBefore);
-    EXPECT_EQ(callersToProbe(watch, bench.scheduler, bench.now).size(), GetParam().toSee);
+    if (GetParam().probedBefore)
+        callersToProbe(probes, bench.scheduler, bench.now - *GetParam().probedBefore);
+    EXPECT_EQ(callersToProbe(probes, bench.scheduler, bench.now).size(), GetParam().toProbe);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-        Scheduler, Looks,
+        Scheduler, CallerProbes,
         testing::Values(
-                LookCase { "NothingWasLost", {}, 6, {}, false, 0 },
-                LookCase { "WorkWaits", Milliseconds(10), 6, {}, false, 2 },
-                LookCase { "AllRunsAreUncertain", Milliseconds(10), 6, {}, true, 6 },
-                LookCase { "AllIsPlaced", Milliseconds(10), 3, {}, false, 0 },
-                LookCase { "LookedJustNow", Milliseconds(10), 6, Milliseconds(4), false, 0 },
-                LookCase { "LookedLongAgo", Milliseconds(10), 6, Milliseconds(5), false, 2 },
-                LookCase { "LongAfterTheLoss", Milliseconds(2000), 6, {}, false, 0 }),
+                ProbeCase { "NothingWasLost", {}, 6, {}, false, 0 },
+                ProbeCase { "WorkWaits", Milliseconds(10), 6, {}, false, 2 },
+                ProbeCase { "AllRunsAreUncertain", Milliseconds(10), 6, {}, true, 6 },
+                ProbeCase { "AllIsPlaced", Milliseconds(10), 3, {}, false, 0 },
+                ProbeCase { "ProbedJustNow", Milliseconds(10), 6, Milliseconds(4), false, 0 },
+                ProbeCase { "ProbedLongAgo", Milliseconds(10), 6, Milliseconds(5), false, 2 },
+                ProbeCase { "LongAfterTheLoss", Milliseconds(2000), 6, {}, false, 0 }),
         [](const auto &tested) { return tested.param.name; });
 
-TEST(CallerLooks, AreDueAnewAfterEachLossButNotForEachOfMany)
+TEST(CallerProbe, IsDueAfterEachLossButOnceForManyLosses)
 {
     Bench bench({ 1000 });
     bench.submit("placed", 1);
     bench.submit("waits", 1);
-    CallerProbeState watch;
-    recordSessionLost(watch, bench.now);
-    EXPECT_EQ(callersToProbe(watch, bench.scheduler, bench.now).size(), 1U);
-    recordSessionLost(watch, bench.now + Milliseconds(1));
-    EXPECT_EQ(callersToProbe(watch, bench.scheduler, bench.now + Milliseconds(1)).size(), 0U);
-    EXPECT_EQ(callersToProbe(watch, bench.scheduler, bench.now + Milliseconds(9)).size(), 1U);
-    recordSessionLost(watch, bench.now + Milliseconds(10));
-    EXPECT_EQ(callersToProbe(watch, bench.scheduler, bench.now + Milliseconds(10)).size(), 1U);
+    CallerProbeState probes;
+    recordSessionLost(probes, bench.now);
+    EXPECT_EQ(callersToProbe(probes, bench.scheduler, bench.now).size(), 1U);
+    recordSessionLost(probes, bench.now + Milliseconds(1));
+    EXPECT_EQ(callersToProbe(probes, bench.scheduler, bench.now + Milliseconds(1)).size(), 0U);
+    EXPECT_EQ(callersToProbe(probes, bench.scheduler, bench.now + Milliseconds(9)).size(), 1U);
+    recordSessionLost(probes, bench.now + Milliseconds(10));
+    EXPECT_EQ(callersToProbe(probes, bench.scheduler, bench.now + Milliseconds(10)).size(), 1U);
 }
 
 } // namespace
--- a/packages/scheduler/tests/completion_test.cpp
+++ b/packages/scheduler/tests/completion_test.cpp
@@ -16,21 +16,21 @@
     const char *name;
     RunEnd end;
     RefusedStart refused;
-    std::size_t startsAgain;
+    std::size_t restarts;
     std::optional<JobOutcome> outcome;
 };
 
 class Ends : public testing::TestWithParam<EndCase>
 { };
 
-TEST_P(Ends, AreAnsweredOrTriedAgain)
+TEST_P(Ends, AreAnsweredOrRetried)
 {
     Bench bench({ 4000 });
     bench.submit("job", 1);
     const SchedulerActions actions = bench.report("agent-0",
-                                                  { endOf("job", 0, 1, GetParam().end,
-                                                          GetParam().refused) });
-    EXPECT_EQ(startsIn(actions), GetParam().startsAgain);
+                                                  { runReport("job", 0, 1, GetParam().end,
+                                                              GetParam().refused) });
+    EXPECT_EQ(startsIn(actions), GetParam().restarts);
     ASSERT_EQ(actions.answers.size(), GetParam().outcome ? 1U : 0U);
     if (GetParam().outcome) {
         EXPECT_EQ(actions.answers[0].outcome, *GetParam().outcome);
@@ -43,20 +43,20 @@
         testing::Values(EndCase { "Done", RunEnd::Done, RefusedStart::None, 0,
                                   JobOutcome::Completed },
                         EndCase { "FailedOnce", RunEnd::Failed, RefusedStart::None, 1, {} },
-                        EndCase { "Lapsed", RunEnd::Lapsed, RefusedStart::None, 1, {} },
+                        EndCase { "LeaseExpired", RunEnd::Lapsed, RefusedStart::None, 1, {} },
                         EndCase { "Lost", RunEnd::Lost, RefusedStart::None, 1, {} },
                         EndCase { "Crashed", RunEnd::Crashed, RefusedStart::None, 1, {} },
-                        EndCase { "NoRoom", RunEnd::NeverBegan, RefusedStart::NoRoom, 1, {} },
-                        EndCase { "OldRun", RunEnd::NeverBegan, RefusedStart::OldRun, 1, {} }),
+                        EndCase { "NoCapacity", RunEnd::NeverBegan, RefusedStart::NoRoom, 1, {} },
+                        EndCase { "StaleRun", RunEnd::NeverBegan, RefusedStart::OldRun, 1, {} }),
         [](const auto &tested) { return tested.param.name; });
 
-TEST(SchedulerEnds, ATaskThatFailsAsOftenAsItMayFailsItsJobAndStopsTheRest)
+TEST(SchedulerEnds, ATaskOutOfAttemptsFailsItsJobAndStopsTheRest)
 {
     Bench bench({ 8000 });
     bench.submit("job", 3);
-    bench.report("agent-0", { endOf("job", 1, 1, RunEnd::Failed) });
+    bench.report("agent-0", { runReport("job", 1, 1, RunEnd::Failed) });
     const SchedulerActions actions = bench.report("agent-0",
-                                                  { endOf("job", 1, 2, RunEnd::Failed) });
+                                                  { runReport("job", 1, 2, RunEnd::Failed) });
     ASSERT_EQ(actions.answers.size(), 1U);
     EXPECT_EQ(actions.answers[0].outcome, JobOutcome::Failed);
     EXPECT_EQ(stopsIn(actions), 2U);
@@ -67,7 +67,7 @@
     Bench bench({ 4000, 4000 });
     const SchedulerActions first = bench.submit("job", 1);
     const std::string agent = first.sends.at(0).agent;
-    const SchedulerActions again = bench.report(agent, { endOf("job", 0, 1, RunEnd::Failed) });
+    const SchedulerActions again = bench.report(agent, { runReport("job", 0, 1, RunEnd::Failed) });
     ASSERT_EQ(startsIn(again), 1U);
     EXPECT_NE(again.sends.at(0).agent, agent);
 }
@@ -91,7 +91,8 @@
     std::uint32_t run = 0;
     for (const RunEnd end : GetParam().ends) {
         ASSERT_EQ(startsIn(actions), 1U);
-        actions = bench.report(actions.sends.at(0).agent, { endOf("job", 0, ++run, end) }, 4000);
+        actions = bench.report(actions.sends.at(0).agent, { runReport("job", 0, ++run, end) },
+                               4000);
     }
     ASSERT_EQ(actions.answers.size(), GetParam().outcome ? 1U : 0U);
     if (GetParam().outcome) {
@@ -118,25 +119,25 @@
                                     {} }),
         [](const auto &tested) { return tested.param.name; });
 
-TEST(SchedulerEnds, AJobGivenUpForCrashesIsNotBegunAnewWhileThatIsRemembered)
+TEST(SchedulerEnds, AJobGivenUpForCrashesIsGivenUpAgainWithinTheRetention)
 {
     Bench bench({ 4000, 4000, 4000 });
     SchedulerActions actions = bench.submit("job", 1);
-    for (std::uint32_t run = 1; run <= bench.scheduler.settings.mostCrashes; ++run)
-        actions = bench.report(actions.sends.at(0).agent, { endOf("job", 0, run, RunEnd::Crashed) },
-                               4000);
+    for (std::uint32_t run = 1; run <= bench.scheduler.settings.maxCrashes; ++run)
+        actions = bench.report(actions.sends.at(0).agent,
+                               { runReport("job", 0, run, RunEnd::Crashed) }, 4000);
     const SchedulerActions again = bench.submit("job", 1);
     ASSERT_EQ(again.answers.size(), 1U);
     EXPECT_EQ(again.answers[0].outcome, JobOutcome::TimedOut);
     EXPECT_EQ(startsIn(again), 0U);
     EXPECT_EQ(startsIn(bench.submit("other", 1)), 1U);
-    bench.pass(bench.scheduler.settings.crashingFor);
+    bench.advance(bench.scheduler.settings.crashRetention);
     EXPECT_EQ(startsIn(bench.submit("job", 1)), 1U);
 }
 
 // The retry shows which of the tasks at the crashed endpoint was the cause: it goes where least
 // runs.
-TEST(SchedulerEnds, AfterACrashATaskIsTriedWhereLeastRuns)
+TEST(SchedulerEnds, ACrashedTaskIsRetriedWhereLeastRuns)
 {
     Bench bench({ 8000, 8000, 8000 });
     bench.submit("job", 1);
@@ -151,7 +152,8 @@
         // Slow, which makes it the last choice for any other task.
         agent.endpoint.paceMille = name == idle ? 3000 : 500;
     }
-    const SchedulerActions actions = bench.report(crashed, { endOf("job", 0, 1, RunEnd::Crashed) },
+    const SchedulerActions actions = bench.report(crashed,
+                                                  { runReport("job", 0, 1, RunEnd::Crashed) },
                                                   8000);
     ASSERT_EQ(startsIn(actions), 1U);
     EXPECT_EQ(actions.sends.at(0).agent, idle);
@@ -161,8 +163,8 @@
 {
     Bench bench({ 4000 });
     bench.submit("job", 1);
-    bench.report("agent-0", { endOf("job", 0, 1, RunEnd::Lost) });
-    EXPECT_TRUE(bench.report("agent-0", { endOf("job", 0, 1, RunEnd::Done) }).answers.empty());
+    bench.report("agent-0", { runReport("job", 0, 1, RunEnd::Lost) });
+    EXPECT_TRUE(bench.report("agent-0", { runReport("job", 0, 1, RunEnd::Done) }).answers.empty());
 }
 
 struct GivingUpCase
@@ -178,7 +180,7 @@
 { };
 
 // An objective of 1.6 x 100 + 60 = 220 ms.
-TEST_P(GivingUp, SaysNotRunOnlyWhenItIsTrue)
+TEST_P(GivingUp, AnswersNotRunOnlyIfNothingBegan)
 {
     SchedulerSettings settings;
     settings.refuseLate = GetParam().refuseLate;
@@ -187,7 +189,7 @@
         bench.submit("other", 1);
     bench.submit("job", 1);
     const std::uint64_t number = bench.number;
-    const SchedulerActions actions = bench.pass(GetParam().after);
+    const SchedulerActions actions = bench.advance(GetParam().after);
     std::optional<JobOutcome> outcome;
     for (const JobAnswer &answer : actions.answers) {
         if (answer.number == number)
@@ -198,23 +200,23 @@
 
 INSTANTIATE_TEST_SUITE_P(
         Scheduler, GivingUp,
-        testing::Values(
-                GivingUpCase { "WaitsWhileItIsWorthIt", false, false, Milliseconds(500), {} },
-                GivingUpCase { "NeverBegan", false, false, Milliseconds(600), JobOutcome::NotRun },
-                GivingUpCase { "RefusedOnceLate", true, false, Milliseconds(75),
-                               JobOutcome::NotRun },
-                GivingUpCase { "BegunIsFinished", true, true, Milliseconds(5000), {} },
-                GivingUpCase { "BegunWithoutEnd", true, true, Milliseconds(15000),
-                               JobOutcome::TimedOut }),
+        testing::Values(GivingUpCase { "WaitsWhileUseful", false, false, Milliseconds(500), {} },
+                        GivingUpCase { "NeverBegan", false, false, Milliseconds(600),
+                                       JobOutcome::NotRun },
+                        GivingUpCase { "RefusedOnceLate", true, false, Milliseconds(75),
+                                       JobOutcome::NotRun },
+                        GivingUpCase { "BegunIsFinished", true, true, Milliseconds(5000), {} },
+                        GivingUpCase { "BegunWithoutEnd", true, true, Milliseconds(15000),
+                                       JobOutcome::TimedOut }),
         [](const auto &tested) { return tested.param.name; });
 
 struct EndlessCase
 {
     const char *name;
     Milliseconds estimate;
-    std::optional<Milliseconds> patience;
+    std::optional<Milliseconds> callerTimeout;
     Milliseconds after;
-    bool over;
+    bool closed;
 };
 
 class EndlessJobs : public testing::TestWithParam<EndlessCase>
@@ -222,12 +224,12 @@
 
 // A job of one task that has begun and does not end. Its objective is 1.6 times the estimate plus
 // 60 ms.
-TEST_P(EndlessJobs, AreGivenUpWhenNobodyWaitsAnyLonger)
+TEST_P(EndlessJobs, AreGivenUpWhenTheCallerNoLongerWaits)
 {
     Bench bench({ 4000 });
     JobOptions options = bench.options();
-    if (GetParam().patience)
-        options.callerDeadline = bench.now + *GetParam().patience;
+    if (GetParam().callerTimeout)
+        options.callerDeadline = bench.now + *GetParam().callerTimeout;
     jobs::JobSpec spec;
     spec.id = "job";
     spec.traits = bench.traits;
@@ -236,9 +238,9 @@
     spec.steps[0].room = { 1000, 10, 0 };
     spec.steps[0].estimate = GetParam().estimate;
     ASSERT_EQ(startsIn(submit(bench.scheduler, spec, options, bench.now, &bench.number)), 1U);
-    const SchedulerActions actions = bench.pass(GetParam().after);
-    ASSERT_EQ(actions.answers.size(), GetParam().over ? 1U : 0U);
-    if (GetParam().over) {
+    const SchedulerActions actions = bench.advance(GetParam().after);
+    ASSERT_EQ(actions.answers.size(), GetParam().closed ? 1U : 0U);
+    if (GetParam().closed) {
         EXPECT_EQ(actions.answers[0].outcome, JobOutcome::TimedOut);
     }
 }
@@ -246,25 +248,25 @@
 INSTANTIATE_TEST_SUITE_P(
         Scheduler, EndlessJobs,
         testing::Values(
-                EndlessCase { "ThePatienceLasts", Milliseconds(11600), Milliseconds(40700),
+                EndlessCase { "BeforeTheCallersDeadline", Milliseconds(11600), Milliseconds(40700),
                               Milliseconds(40699), false },
-                EndlessCase { "ThePatienceIsOver", Milliseconds(11600), Milliseconds(40700),
+                EndlessCase { "AtTheCallersDeadline", Milliseconds(11600), Milliseconds(40700),
                               Milliseconds(40700), true },
-                EndlessCase { "ShortWithLongPatience", Milliseconds(100), Milliseconds(40700),
+                EndlessCase { "ShortWithLongDeadline", Milliseconds(100), Milliseconds(40700),
                               Milliseconds(20000), false },
-                EndlessCase { "LongWithoutPatience",
+                EndlessCase { "LongWithoutDeadline",
                               Milliseconds(11600),
                               {},
                               Milliseconds(50000),
                               false },
-                EndlessCase { "LongWithoutPatienceAtItsBound",
+                EndlessCase { "LongWithoutDeadlineAtItsBound",
                               Milliseconds(11600),
                               {},
                               Milliseconds(56000),
                               true },
                 EndlessCase {
-                        "ShortWithoutPatience", Milliseconds(100), {}, Milliseconds(14999), false },
-                EndlessCase { "ShortWithoutPatienceAtItsBound",
+                        "ShortWithoutDeadline", Milliseconds(100), {}, Milliseconds(14999), false },
+                EndlessCase { "ShortWithoutDeadlineAtItsBound",
                               Milliseconds(100),
                               {},
                               Milliseconds(15000),
@@ -278,27 +280,28 @@
     Bench bench({ 4000, 4000 });
     const std::string agent = bench.submit("job", 1).sends.at(0).agent;
     agentLost(bench.scheduler, agent, bench.now);
-    EXPECT_EQ(startsIn(bench.pass(bench.scheduler.settings.lostRunTimeout - Milliseconds(1))), 0U);
-    EXPECT_EQ(startsIn(bench.pass(Milliseconds(1))), 1U);
+    EXPECT_EQ(startsIn(bench.advance(bench.scheduler.settings.lostRunTimeout - Milliseconds(1))),
+              0U);
+    EXPECT_EQ(startsIn(bench.advance(Milliseconds(1))), 1U);
 }
 
-TEST(SchedulerLost, AnAgentThatWelcomesAgainHasStoppedTheRun)
+TEST(SchedulerLost, AnAgentThatAcceptsANewSessionHasStoppedTheRun)
 {
     Bench bench({ 4000 });
     bench.submit("job", 1);
     agentLost(bench.scheduler, "agent-0", bench.now);
-    EXPECT_EQ(startsIn(bench.welcome("agent-0", makeView(4000))), 1U);
+    EXPECT_EQ(startsIn(bench.openSession("agent-0", makeView(4000))), 1U);
 }
 
-TEST(SchedulerLost, AJobWhoseRunIsUncertainIsNotSaidToBeNotRun)
+TEST(SchedulerLost, AJobWithAnUncertainRunIsNotAnsweredAsNotRun)
 {
     Bench bench({ 1000 });
     bench.submit("job", 1);
     agentLost(bench.scheduler, "agent-0", bench.now);
     jobs::EndpointView full = makeView(1000);
     full.free = {};
-    bench.welcome("agent-0", full);
-    const SchedulerActions actions = bench.pass(Milliseconds(15000));
+    bench.openSession("agent-0", full);
+    const SchedulerActions actions = bench.advance(Milliseconds(15000));
     ASSERT_EQ(actions.answers.size(), 1U);
     EXPECT_EQ(actions.answers[0].outcome, JobOutcome::TimedOut);
 }
@@ -310,7 +313,7 @@
     EXPECT_EQ(tick(bench.scheduler, bench.now).closes, std::vector<std::string> { "agent-0" });
 }
 
-TEST(SchedulerLost, NothingIsMovedWhereMovesAreSwitchedOff)
+TEST(SchedulerLost, NothingIsMovedIfMovesAreDisabled)
 {
     SchedulerSettings settings;
     settings.moveRuns = false;
@@ -323,40 +326,42 @@
     EXPECT_EQ(stopsIn(agentUpdated(bench.scheduler, agent, update, bench.now)), 0U);
 }
 
-struct LagCase
+struct StragglerCase
 {
     const char *name;
-    bool still;
-    bool slow;
-    Milliseconds left;
+    bool stalled;
+    bool endpointSlow;
+    Milliseconds remaining;
     std::size_t agents;
     bool moved;
 };
 
-class Lags : public testing::TestWithParam<LagCase>
+class Stragglers : public testing::TestWithParam<StragglerCase>
 { };
 
-TEST_P(Lags, AreMovedOnlyWhereItHelps)
+TEST_P(Stragglers, AreMovedOnlyWhereItHelps)
 {
     Bench bench(std::vector<std::int64_t>(GetParam().agents, 4000));
     const std::string agent = bench.submit("job", 1).sends.at(0).agent;
     jobs::AgentUpdate update;
     update.startsTaken = 1;
     update.mostStarts = 1000;
-    update.lagging = {
-        { { { "job", 0, 0, 0 }, 1 }, GetParam().left, GetParam().still, GetParam().slow }
-    };
+    update.lagging = { { { { "job", 0, 0, 0 }, 1 },
+                         GetParam().remaining,
+                         GetParam().stalled,
+                         GetParam().endpointSlow } };
     const SchedulerActions actions = agentUpdated(bench.scheduler, agent, update, bench.now);
     EXPECT_EQ(stopsIn(actions), GetParam().moved ? 1U : 0U);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-        Scheduler, Lags,
-        testing::Values(LagCase { "Slow", false, true, Milliseconds(400), 2, true },
-                        LagCase { "NearlyDone", false, true, Milliseconds(120), 2, false },
-                        LagCase { "EstimateWrong", false, false, Milliseconds(400), 2, false },
-                        LagCase { "NowhereElse", false, true, Milliseconds(400), 1, false },
-                        LagCase { "StandsStill", true, false, Milliseconds(0), 1, true }),
+        Scheduler, Stragglers,
+        testing::Values(StragglerCase { "Slow", false, true, Milliseconds(400), 2, true },
+                        StragglerCase { "NearlyDone", false, true, Milliseconds(120), 2, false },
+                        StragglerCase { "EstimateWrong", false, false, Milliseconds(400), 2,
+                                        false },
+                        StragglerCase { "NowhereElse", false, true, Milliseconds(400), 1, false },
+                        StragglerCase { "Stalled", true, false, Milliseconds(0), 1, true }),
         [](const auto &tested) { return tested.param.name; });
 
 } // namespace
--- a/packages/scheduler/tests/crashes_test.cpp
+++ b/packages/scheduler/tests/crashes_test.cpp
@@ -1,32 +1,32 @@
 /*
     Crashes of endpoints under tasks as reported by agents, for runs of any entry.
 
-    [SECTION] Told
-    [SECTION] Memory
+    [SECTION] Reports
+    [SECTION] Retention
 */
 #include "bench.h"
 
 namespace foxwing::scheduler {
 namespace {
 
-// [SECTION] Told
+// [SECTION] Reports
 
-struct ToldCase
+struct ReportCase
 {
     const char *name;
 
     // Reports in order: the agent, and its number of crashes under the task
-    std::vector<std::pair<std::string, std::uint32_t>> told;
+    std::vector<std::pair<std::string, std::uint32_t>> reports;
 
     // Whether the job arrived before the reports or after them
-    bool cameBefore;
+    bool arrivedBefore;
 
     // Whether reports come in the handshake or in an update
-    bool welcome;
+    bool inHandshake;
     bool givenUp;
 };
 
-std::ostream &operator<<(std::ostream &out, const ToldCase &tested)
+std::ostream &operator<<(std::ostream &out, const ReportCase &tested)
 {
     return out << tested.name;
 }
@@ -36,8 +36,8 @@
     return { { job, 0, 0, 0 }, crashes };
 }
 
-SchedulerActions tellCrash(Bench &bench, const std::string &agent, const jobs::CrashReport &report,
-                           bool welcome)
+SchedulerActions reportCrash(Bench &bench, const std::string &agent,
+                             const jobs::CrashReport &report, bool inHandshake)
 {
     jobs::Welcome opened;
     opened.endpoint = makeView(4000);
@@ -46,26 +46,26 @@
     update.free = { 4000, 10000, 0 };
     update.mostStarts = 1000;
     update.crashed = { report };
-    return welcome ? agentAccepted(bench.scheduler, agent, opened, bench.now)
-                   : agentUpdated(bench.scheduler, agent, update, bench.now);
+    return inHandshake ? agentAccepted(bench.scheduler, agent, opened, bench.now)
+                       : agentUpdated(bench.scheduler, agent, update, bench.now);
 }
 
-class Told : public testing::TestWithParam<ToldCase>
+class CrashReports : public testing::TestWithParam<ReportCase>
 { };
 
-TEST_P(Told, CrashesCountForAJobWhereverItRan)
+TEST_P(CrashReports, CountForAJobWhereverItRan)
 {
     Bench bench({ 4000, 4000, 4000 });
     std::vector<JobAnswer> answers;
-    const auto take = [&](const SchedulerActions &actions) {
+    const auto collect = [&](const SchedulerActions &actions) {
         answers.insert(answers.end(), actions.answers.begin(), actions.answers.end());
     };
-    if (GetParam().cameBefore)
-        take(bench.submit("job", 1));
-    for (const auto &[agent, crashes] : GetParam().told)
-        take(tellCrash(bench, agent, crashOf("job", crashes), GetParam().welcome));
-    if (!GetParam().cameBefore)
-        take(bench.submit("job", 1));
+    if (GetParam().arrivedBefore)
+        collect(bench.submit("job", 1));
+    for (const auto &[agent, crashes] : GetParam().reports)
+        collect(reportCrash(bench, agent, crashOf("job", crashes), GetParam().inHandshake));
+    if (!GetParam().arrivedBefore)
+        collect(bench.submit("job", 1));
     ASSERT_EQ(answers.size(), GetParam().givenUp ? 1U : 0U);
     if (GetParam().givenUp) {
         EXPECT_EQ(answers[0].outcome, JobOutcome::TimedOut);
@@ -74,67 +74,68 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-        Scheduler, Told,
+        Scheduler, CrashReports,
         testing::Values(
-                ToldCase {
+                ReportCase {
                         "TwoAgents", { { "agent-0", 1 }, { "agent-1", 1 } }, false, false, false },
-                ToldCase { "OneAgentAgainAndAgain",
-                           { { "agent-0", 1 }, { "agent-0", 1 }, { "agent-0", 1 } },
-                           false,
-                           true,
-                           false },
-                ToldCase { "OneAgentThreeCrashes", { { "agent-0", 3 } }, false, true, true },
-                ToldCase { "ThreeAgentsInWelcomes",
-                           { { "agent-0", 1 }, { "agent-1", 1 }, { "agent-2", 1 } },
-                           false,
-                           true,
-                           true },
-                ToldCase { "ThreeAgentsInUpdates",
-                           { { "agent-0", 1 }, { "agent-1", 1 }, { "agent-2", 1 } },
-                           false,
-                           false,
-                           true },
-                ToldCase { "ThreeAgentsWhileItIsHere",
-                           { { "agent-0", 1 }, { "agent-1", 1 }, { "agent-2", 1 } },
-                           true,
-                           false,
-                           true }),
+                ReportCase { "OneAgentRepeatedly",
+                             { { "agent-0", 1 }, { "agent-0", 1 }, { "agent-0", 1 } },
+                             false,
+                             true,
+                             false },
+                ReportCase { "OneAgentThreeCrashes", { { "agent-0", 3 } }, false, true, true },
+                ReportCase { "ThreeAgentsInHandshakes",
+                             { { "agent-0", 1 }, { "agent-1", 1 }, { "agent-2", 1 } },
+                             false,
+                             true,
+                             true },
+                ReportCase { "ThreeAgentsInUpdates",
+                             { { "agent-0", 1 }, { "agent-1", 1 }, { "agent-2", 1 } },
+                             false,
+                             false,
+                             true },
+                ReportCase { "ThreeAgentsWhileItIsOpen",
+                             { { "agent-0", 1 }, { "agent-1", 1 }, { "agent-2", 1 } },
+                             true,
+                             false,
+                             true }),
         [](const auto &tested) { return tested.param.name; });
 
 // Two crashes elsewhere and one here.
-TEST(SchedulerCrashes, UnderAFormerTryCountWithThoseHere)
+TEST(SchedulerCrashes, OfEarlierRunsElsewhereCountToo)
 {
     Bench bench({ 4000, 4000, 4000 });
-    tellCrash(bench, "agent-1", crashOf("job", 1), true);
-    tellCrash(bench, "agent-2", crashOf("job", 1), true);
+    reportCrash(bench, "agent-1", crashOf("job", 1), true);
+    reportCrash(bench, "agent-2", crashOf("job", 1), true);
     const SchedulerActions actions = bench.submit("job", 1);
     ASSERT_EQ(startsIn(actions), 1U);
     const SchedulerActions crashed = bench.report(actions.sends.at(0).agent,
-                                                  { endOf("job", 0, 1, RunEnd::Crashed) }, 4000);
+                                                  { runReport("job", 0, 1, RunEnd::Crashed) },
+                                                  4000);
     ASSERT_EQ(crashed.answers.size(), 1U);
     EXPECT_EQ(crashed.answers[0].outcome, JobOutcome::TimedOut);
 }
 
-// [SECTION] Memory
+// [SECTION] Retention
 
-TEST(SchedulerCrashes, AreForgottenAfterAWhile)
+TEST(SchedulerCrashes, AreForgottenAfterTheRetention)
 {
     Bench bench({ 4000 });
-    tellCrash(bench, "agent-0", crashOf("job", 3), true);
+    reportCrash(bench, "agent-0", crashOf("job", 3), true);
     EXPECT_EQ(startsIn(bench.submit("job", 1)), 0U);
-    bench.pass(bench.scheduler.settings.crashingFor);
+    bench.advance(bench.scheduler.settings.crashRetention);
     EXPECT_EQ(startsIn(bench.submit("job", 1)), 1U);
     EXPECT_TRUE(bench.scheduler.crashedJobs.empty());
 }
 
-TEST(SchedulerCrashes, AreRememberedOfABoundedNumberOfJobs)
+TEST(SchedulerCrashes, AreRememberedForABoundedNumberOfJobs)
 {
     SchedulerSettings settings;
-    settings.mostCrashedJobs = 2;
+    settings.maxCrashedJobs = 2;
     Bench bench({ 4000 }, settings);
     for (const char *job : { "first", "second", "third" }) {
-        tellCrash(bench, "agent-0", crashOf(job, 3), true);
-        bench.pass(Milliseconds(10));
+        reportCrash(bench, "agent-0", crashOf(job, 3), true);
+        bench.advance(Milliseconds(10));
     }
     EXPECT_EQ(bench.scheduler.crashedJobs.size(), 2U);
     EXPECT_EQ(startsIn(bench.submit("first", 1)), 1U);
--- a/packages/scheduler/tests/guarantees_test.cpp
+++ b/packages/scheduler/tests/guarantees_test.cpp
@@ -1,12 +1,12 @@
 /*
     Queues below their guaranteed share: their effective priority, whose starts wait at agents, and
-   what counts as requested and refused.
+    what counts as requested and refused.
 
     [SECTION] Helpers
-    [SECTION] Standings
+    [SECTION] Queue status
     [SECTION] Order
     [SECTION] Waiting at agents
-    [SECTION] Counted
+    [SECTION] Counting
     [SECTION] Log
 */
 #include <algorithm>
@@ -19,9 +19,9 @@
 
 // [SECTION] Helpers
 
-constexpr std::uint32_t Floor = 60;
+constexpr std::uint32_t Guarantee = 60;
 
-SchedulerSettings withFloor(std::uint32_t percent)
+SchedulerSettings withGuarantee(std::uint32_t percent)
 {
     SchedulerSettings settings;
     settings.waitingQueues = WaitingQueues::AllButLeast;
@@ -46,8 +46,8 @@
 }
 
 // Each of the queues requests work; those in below get all of it refused.
-void setStandings(Bench &bench, const std::vector<std::uint32_t> &queues,
-                  const std::set<std::uint32_t> &below)
+void setStatuses(Bench &bench, const std::vector<std::uint32_t> &queues,
+                 const std::set<std::uint32_t> &below)
 {
     for (const std::uint32_t priority : queues) {
         submitTo(bench, priority, "first-" + std::to_string(priority));
@@ -55,20 +55,20 @@
             shares::noteRefused(bench.scheduler.shares, "queue-" + std::to_string(priority), 100000,
                                 bench.now);
     }
-    bench.pass(Milliseconds(1));
+    bench.advance(Milliseconds(1));
 }
 
-const QueueStatus &standing(const Bench &bench, std::uint32_t priority)
+const QueueStatus &statusOf(const Bench &bench, std::uint32_t priority)
 {
     return bench.scheduler.queueStatuses.at("queue-" + std::to_string(priority));
 }
 
-// [SECTION] Standings
+// [SECTION] Queue status
 
-struct StandingCase
+struct StatusCase
 {
     const char *name;
-    std::uint32_t floor;
+    std::uint32_t guarantee;
     std::vector<std::uint32_t> queues;
     std::set<std::uint32_t> below;
 
@@ -77,23 +77,23 @@
     std::set<std::uint32_t> yielding;
 };
 
-std::ostream &operator<<(std::ostream &out, const StandingCase &tested)
+std::ostream &operator<<(std::ostream &out, const StatusCase &tested)
 {
     return out << tested.name;
 }
 
-class Standings : public testing::TestWithParam<StandingCase>
+class QueueStatuses : public testing::TestWithParam<StatusCase>
 { };
 
-TEST_P(Standings, FollowFromWhatQueuesWereServed)
+TEST_P(QueueStatuses, FollowServedShares)
 {
-    Bench bench({ 100000 }, withFloor(GetParam().floor));
-    setStandings(bench, GetParam().queues, GetParam().below);
+    Bench bench({ 100000 }, withGuarantee(GetParam().guarantee));
+    setStatuses(bench, GetParam().queues, GetParam().below);
     std::vector<std::uint32_t> effective;
     std::set<std::uint32_t> yielding;
     for (const std::uint32_t priority : GetParam().queues) {
-        effective.push_back(standing(bench, priority).effective);
-        if (standing(bench, priority).yields)
+        effective.push_back(statusOf(bench, priority).effective);
+        if (statusOf(bench, priority).yields)
             yielding.insert(priority);
     }
     EXPECT_EQ(effective, GetParam().effective);
@@ -101,66 +101,66 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-        Floors, Standings,
+        Guarantees, QueueStatuses,
         testing::Values(
-                StandingCase { "AllServed", Floor, { 0, 1, 2 }, {}, { 0, 1, 2 }, {} },
-                StandingCase { "NoFloor", 0, { 0, 1, 2 }, { 2 }, { 0, 1, 2 }, {} },
-                StandingCase { "TheLeastUrgent", Floor, { 0, 1, 2 }, { 2 }, { 0, 1, 1 }, { 1 } },
-                StandingCase { "TheMiddleOne", Floor, { 0, 1, 2 }, { 1 }, { 0, 1, 2 }, {} },
-                StandingCase { "TheMostUrgent", Floor, { 0, 1, 2 }, { 0 }, { 0, 1, 2 }, {} },
+                StatusCase { "AllServed", Guarantee, { 0, 1, 2 }, {}, { 0, 1, 2 }, {} },
+                StatusCase { "NoGuarantee", 0, { 0, 1, 2 }, { 2 }, { 0, 1, 2 }, {} },
+                StatusCase { "TheLeastUrgent", Guarantee, { 0, 1, 2 }, { 2 }, { 0, 1, 1 }, { 1 } },
+                StatusCase { "TheMiddleOne", Guarantee, { 0, 1, 2 }, { 1 }, { 0, 1, 2 }, {} },
+                StatusCase { "TheMostUrgent", Guarantee, { 0, 1, 2 }, { 0 }, { 0, 1, 2 }, {} },
                 // If shares can't be met, priorities decide.
-                StandingCase { "AllBelow", Floor, { 0, 1, 2 }, { 0, 1, 2 }, { 0, 1, 2 }, {} },
-                StandingCase { "BothButFirst", Floor, { 0, 1, 2 }, { 1, 2 }, { 0, 1, 2 }, {} },
+                StatusCase { "AllBelow", Guarantee, { 0, 1, 2 }, { 0, 1, 2 }, { 0, 1, 2 }, {} },
+                StatusCase { "BothButFirst", Guarantee, { 0, 1, 2 }, { 1, 2 }, { 0, 1, 2 }, {} },
                 // There is no queue in between, and the most urgent one never yields.
-                StandingCase { "TwoQueues", Floor, { 0, 5 }, { 5 }, { 0, 5 }, {} },
-                StandingCase { "Four", Floor, { 0, 1, 2, 3 }, { 3 }, { 0, 1, 2, 2 }, { 1, 2 } },
-                StandingCase {
-                        "TwoOfFour", Floor, { 0, 1, 2, 3 }, { 2, 3 }, { 0, 1, 1, 1 }, { 1 } },
-                StandingCase { "OneQueue", Floor, { 4 }, { 4 }, { 4 }, {} }),
+                StatusCase { "TwoQueues", Guarantee, { 0, 5 }, { 5 }, { 0, 5 }, {} },
+                StatusCase { "Four", Guarantee, { 0, 1, 2, 3 }, { 3 }, { 0, 1, 2, 2 }, { 1, 2 } },
+                StatusCase {
+                        "TwoOfFour", Guarantee, { 0, 1, 2, 3 }, { 2, 3 }, { 0, 1, 1, 1 }, { 1 } },
+                StatusCase { "OneQueue", Guarantee, { 4 }, { 4 }, { 4 }, {} }),
         [](const auto &tested) { return tested.param.name; });
 
-TEST(Floors, EndWhenTheQueueIsServedAgain)
+TEST(Guarantees, EndWhenTheQueueIsServedAgain)
 {
-    Bench bench({ 1000000 }, withFloor(Floor));
-    setStandings(bench, { 0, 1, 2 }, { 2 });
-    EXPECT_EQ(standing(bench, 2).effective, 1U);
+    Bench bench({ 1000000 }, withGuarantee(Guarantee));
+    setStatuses(bench, { 0, 1, 2 }, { 2 });
+    EXPECT_EQ(statusOf(bench, 2).effective, 1U);
     for (int i = 0; i < 4; ++i)
         submitTo(bench, 2, "served-" + std::to_string(i));
-    bench.pass(Milliseconds(1));
-    EXPECT_EQ(standing(bench, 2).effective, 2U);
-    EXPECT_FALSE(standing(bench, 1).yields);
+    bench.advance(Milliseconds(1));
+    EXPECT_EQ(statusOf(bench, 2).effective, 2U);
+    EXPECT_FALSE(statusOf(bench, 1).yields);
 }
 
 // Queues of different services don't share capacity.
-TEST(Floors, HoldWithinAService)
+TEST(Guarantees, ApplyWithinAService)
 {
-    Bench bench({ 1000000 }, withFloor(Floor));
-    setStandings(bench, { 0, 1, 2 }, {});
+    Bench bench({ 1000000 }, withGuarantee(Guarantee));
+    setStatuses(bench, { 0, 1, 2 }, {});
     bench.scheduler.queueStatuses.at("queue-1").service = "other";
     shares::noteRefused(bench.scheduler.shares, "queue-2", 100000, bench.now);
-    bench.pass(Milliseconds(1));
-    EXPECT_EQ(standing(bench, 2).effective, 2U);
-    EXPECT_FALSE(standing(bench, 1).yields);
+    bench.advance(Milliseconds(1));
+    EXPECT_EQ(statusOf(bench, 2).effective, 2U);
+    EXPECT_FALSE(statusOf(bench, 1).yields);
 }
 
-TEST(Floors, ForgetQueuesThatAreGone)
+TEST(Guarantees, ForgetQueuesThatAreGone)
 {
-    Bench bench({ 1000000 }, withFloor(Floor));
-    setStandings(bench, { 0, 1, 2 }, { 2 });
+    Bench bench({ 1000000 }, withGuarantee(Guarantee));
+    setStatuses(bench, { 0, 1, 2 }, { 2 });
     retainQueues(bench.scheduler, { "queue-0", "queue-1" });
     EXPECT_EQ(bench.scheduler.queueStatuses.count("queue-2"), 0U);
-    bench.pass(Milliseconds(1));
-    EXPECT_FALSE(standing(bench, 1).yields);
+    bench.advance(Milliseconds(1));
+    EXPECT_FALSE(statusOf(bench, 1).yields);
 }
 
 // A queue that is redeclared with another priority follows it at once.
-TEST(Floors, FollowAQueueOfAnotherPriority)
+TEST(Guarantees, FollowAChangedPriority)
 {
-    Bench bench({ 1000000 }, withFloor(Floor));
-    setStandings(bench, { 0, 1, 2 }, { 2 });
+    Bench bench({ 1000000 }, withGuarantee(Guarantee));
+    setStatuses(bench, { 0, 1, 2 }, { 2 });
     bench.scheduler.queueStatuses.at("queue-2").priority = 7;
     submitTo(bench, 2, "declared-anew");
-    EXPECT_EQ(standing(bench, 2).effective, 2U);
+    EXPECT_EQ(statusOf(bench, 2).effective, 2U);
 }
 
 // [SECTION] Order
@@ -177,31 +177,31 @@
     return out << tested.name;
 }
 
-class FloorOrder : public testing::TestWithParam<OrderCase>
+class GuaranteeOrder : public testing::TestWithParam<OrderCase>
 { };
 
 // Waiting jobs move in the queue, and can still be removed from it.
-TEST_P(FloorOrder, ChangesWithTheStanding)
+TEST_P(GuaranteeOrder, ChangesWithTheQueueStatus)
 {
-    Bench bench({ 3000 }, withFloor(Floor));
-    setStandings(bench, { 0, 1, 2 }, {});
+    Bench bench({ 3000 }, withGuarantee(Guarantee));
+    setStatuses(bench, { 0, 1, 2 }, {});
     for (const std::uint32_t priority : { 2, 1, 0 })
         submitTo(bench, priority, "job-" + std::to_string(priority));
     bench.scheduler.settings.maxShortfallPercent = 0;
     for (const std::uint32_t priority : GetParam().below)
         shares::noteRefused(bench.scheduler.shares, "queue-" + std::to_string(priority), 1000000,
                             bench.now);
-    bench.pass(Milliseconds(1));
+    bench.advance(Milliseconds(1));
     std::vector<std::string> order;
     for (const QueueKey &key : bench.scheduler.queue)
         order.push_back(bench.scheduler.jobs.at(key.number).spec.id);
     EXPECT_EQ(order, GetParam().order);
-    bench.pass(Milliseconds(3000));
+    bench.advance(Milliseconds(3000));
     EXPECT_TRUE(bench.scheduler.queue.empty());
 }
 
 INSTANTIATE_TEST_SUITE_P(
-        Floors, FloorOrder,
+        Guarantees, GuaranteeOrder,
         testing::Values(OrderCase { "ByPriority", {}, { "job-0", "job-1", "job-2" } },
                         OrderCase { "BeforeTheMiddle", { 2 }, { "job-0", "job-2", "job-1" } },
                         OrderCase { "BothBelow", { 1, 2 }, { "job-0", "job-1", "job-2" } }),
@@ -222,19 +222,19 @@
     return out << tested.name;
 }
 
-class FloorWaiting : public testing::TestWithParam<WaitCase>
+class GuaranteeWaiting : public testing::TestWithParam<WaitCase>
 { };
 
-TEST_P(FloorWaiting, LeavesFreedRoomToAQueueBelowItsFloor)
+TEST_P(GuaranteeWaiting, LeavesFreedCapacityToAQueueBelowItsGuarantee)
 {
-    Bench bench({ 20000 }, withFloor(Floor));
-    setStandings(bench, { 0, 1, 2 }, GetParam().below);
+    Bench bench({ 20000 }, withGuarantee(Guarantee));
+    setStatuses(bench, { 0, 1, 2 }, GetParam().below);
     bench.report("agent-0", {}, 0);
     const SchedulerActions actions = submitTo(bench, GetParam().priority, "job");
     EXPECT_EQ(startsIn(actions), GetParam().waits ? 1U : 0U);
 }
 
-INSTANTIATE_TEST_SUITE_P(Floors, FloorWaiting,
+INSTANTIATE_TEST_SUITE_P(Guarantees, GuaranteeWaiting,
                          testing::Values(WaitCase { "MostUrgent", {}, 0, true },
                                          WaitCase { "Middle", {}, 1, true },
                                          WaitCase { "LeastUrgent", {}, 2, false },
@@ -245,22 +245,22 @@
                          [](const auto &tested) { return tested.param.name; });
 
 // Starts carry the raised priority, so that agents follow it too.
-TEST(Floors, AreToldToAgents)
+TEST(Guarantees, AreSentToAgents)
 {
-    Bench bench({ 1000000 }, withFloor(Floor));
-    setStandings(bench, { 0, 1, 2 }, { 2 });
+    Bench bench({ 1000000 }, withGuarantee(Guarantee));
+    setStatuses(bench, { 0, 1, 2 }, { 2 });
     const SchedulerActions actions = submitTo(bench, 2, "job");
     ASSERT_EQ(actions.sends.size(), 1U);
     EXPECT_EQ(std::get<jobs::StartTasks>(actions.sends[0].message).priority, 1U);
 }
 
-// [SECTION] Counted
+// [SECTION] Counting
 
 struct CountedCase
 {
     const char *name;
-    std::function<void(Bench &)> happens;
-    std::uint64_t asked;
+    std::function<void(Bench &)> act;
+    std::uint64_t requested;
     std::uint64_t refused;
 };
 
@@ -272,16 +272,16 @@
 class Counted : public testing::TestWithParam<CountedCase>
 { };
 
-TEST_P(Counted, AsAskedAndRefused)
+TEST_P(Counted, AsRequestedAndRefused)
 {
     Bench bench({ 1000 });
-    GetParam().happens(bench);
+    GetParam().act(bench);
     const shares::QueueShare share = bench.scheduler.shares.queues["queue"];
-    EXPECT_EQ(share.askedJobs, GetParam().asked);
+    EXPECT_EQ(share.askedJobs, GetParam().requested);
     EXPECT_EQ(share.refusedJobs, GetParam().refused);
 }
 
-void submitUnsuited(Bench &bench)
+void submitTooLarge(Bench &bench)
 {
     jobs::StepSpec step;
     step.tasks = 1;
@@ -291,19 +291,19 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-        Floors, Counted,
+        Guarantees, Counted,
         testing::Values(CountedCase { "Placed", [](Bench &b) { b.submit("job", 1); }, 1, 0 },
-                        CountedCase { "SentAgainWhileAtWork",
+                        CountedCase { "SentAgainWhileOpen",
                                       [](Bench &b) {
                                           b.submit("job", 1);
                                           b.submit("job", 1);
                                       },
                                       1, 0 },
-                        CountedCase { "NoRoomInTime",
+                        CountedCase { "NoCapacityInTime",
                                       [](Bench &b) {
                                           b.submit("first", 1);
                                           b.submit("job", 1);
-                                          b.pass(Milliseconds(1600));
+                                          b.advance(Milliseconds(1600));
                                       },
                                       2, 1 },
                         CountedCase { "RefusedAtOnce",
@@ -319,8 +319,8 @@
                                           b.submit("job", 1);
                                       },
                                       0, 0 },
-                        CountedCase { "TooLargeForAll", submitUnsuited, 0, 0 },
-                        CountedCase { "EntryStoodStill",
+                        CountedCase { "TooLargeForAll", submitTooLarge, 0, 0 },
+                        CountedCase { "EntryWasPaused",
                                       [](Bench &b) {
                                           b.submit("first", 1);
                                           b.submit("job", 1);
@@ -338,14 +338,14 @@
                           [&](const eventlog::Event &event) { return event.name() == name; }));
 }
 
-TEST(Floors, AreLoggedOnceAChange)
+TEST(Guarantees, AreLoggedOncePerChange)
 {
-    Bench bench({ 1000000 }, withFloor(Floor));
-    setStandings(bench, { 0, 1, 2 }, {});
+    Bench bench({ 1000000 }, withGuarantee(Guarantee));
+    setStatuses(bench, { 0, 1, 2 }, {});
     shares::noteRefused(bench.scheduler.shares, "queue-2", 100000, bench.now);
-    EXPECT_EQ(countOf(bench.pass(Milliseconds(1)), "queue-below-floor"), 1U);
-    EXPECT_EQ(countOf(bench.pass(Milliseconds(1)), "queue-below-floor"), 0U);
-    EXPECT_EQ(countOf(bench.pass(Milliseconds(7000)), "queue-above-floor"), 1U);
+    EXPECT_EQ(countOf(bench.advance(Milliseconds(1)), "queue-below-floor"), 1U);
+    EXPECT_EQ(countOf(bench.advance(Milliseconds(1)), "queue-below-floor"), 0U);
+    EXPECT_EQ(countOf(bench.advance(Milliseconds(7000)), "queue-above-floor"), 1U);
 }
 
 } // namespace
--- a/packages/scheduler/tests/order_test.cpp
+++ b/packages/scheduler/tests/order_test.cpp
@@ -36,7 +36,8 @@
     step.estimate = Milliseconds(50);
     bench.submit("urgent", { step });
     const SchedulerActions actions = bench.report("agent-0",
-                                                  { endOf("running", 0, 1, RunEnd::Done) }, 1000);
+                                                  { runReport("running", 0, 1, RunEnd::Done) },
+                                                  1000);
     ASSERT_EQ(startsIn(actions), 1U);
     EXPECT_EQ(std::get<jobs::StartTasks>(actions.sends.at(0).message).job, GetParam().first);
 }
@@ -60,7 +61,7 @@
 { };
 
 // A wide job, and after it a narrow one with the same slack; only one task fits.
-TEST_P(Widths, CountWhereLeastWorkGoesFirst)
+TEST_P(Widths, MatterOnlyWithLeastWork)
 {
     SchedulerSettings settings;
     settings.order = GetParam().order;
@@ -70,7 +71,8 @@
     bench.now += Milliseconds(1);
     bench.submit("narrow", 1);
     const SchedulerActions actions = bench.report("agent-0",
-                                                  { endOf("running", 0, 1, RunEnd::Done) }, 1000);
+                                                  { runReport("running", 0, 1, RunEnd::Done) },
+                                                  1000);
     ASSERT_EQ(startsIn(actions), 1U);
     EXPECT_EQ(std::get<jobs::StartTasks>(actions.sends.at(0).message).job, GetParam().first);
 }
@@ -80,13 +82,13 @@
                                          WidthCase { "LeastWork", Order::LeastWork, "narrow" }),
                          [](const auto &tested) { return tested.param.name; });
 
-TEST(SchedulerOrder, NamesAreReadBack)
+TEST(SchedulerOrder, NamesRoundTrip)
 {
     for (const Order order : { Order::LatestStart, Order::NewestFirst, Order::FirstCome,
                                Order::Priority, Order::LeastWork })
         EXPECT_EQ(parseOrder(toString(order)), order);
     EXPECT_FALSE(parseOrder("sideways"));
-    for (const Placement placement : { Placement::Fastest, Placement::Random, Placement::MostRoom })
+    for (const Placement placement : { Placement::Fastest, Placement::Random, Placement::MostFree })
         EXPECT_EQ(parsePlacement(toString(placement)), placement);
     EXPECT_FALSE(parsePlacement("sideways"));
 }
@@ -100,7 +102,7 @@
     const char *dataCentre;
 };
 
-class RenamedWorlds : public testing::TestWithParam<Names>
+class RenamedSetups : public testing::TestWithParam<Names>
 { };
 
 // All starts, stops and answers in a second of load by two queues on three endpoints of different
@@ -110,16 +112,16 @@
     SchedulerState scheduler = makeScheduler({});
     Time now(Seconds(100));
     for (int i = 0; i < 3; ++i) {
-        jobs::Welcome welcome;
-        welcome.endpoint = makeView(4000);
-        welcome.endpoint.service = names.service;
-        welcome.endpoint.dataCentre = names.dataCentre;
-        welcome.endpoint.paceMille = 800 + 300 * static_cast<std::uint32_t>(i);
+        jobs::Welcome openSession;
+        openSession.endpoint = makeView(4000);
+        openSession.endpoint.service = names.service;
+        openSession.endpoint.dataCentre = names.dataCentre;
+        openSession.endpoint.paceMille = 800 + 300 * static_cast<std::uint32_t>(i);
         agentConnected(scheduler, "agent-" + std::to_string(i), now);
-        agentAccepted(scheduler, "agent-" + std::to_string(i), welcome, now);
+        agentAccepted(scheduler, "agent-" + std::to_string(i), openSession, now);
     }
     std::vector<std::string> decisions;
-    const auto note = [&](const SchedulerActions &actions) {
+    const auto record = [&](const SchedulerActions &actions) {
         for (const AgentSend &send : actions.sends) {
             const auto *start = std::get_if<jobs::StartTasks>(&send.message);
             decisions.push_back(send.agent + " " + std::to_string(send.message.index()) + " "
@@ -147,7 +149,7 @@
         options.targetLatency = Milliseconds(60);
         options.startDeadline = now + Milliseconds(1500);
         std::uint64_t number = 0;
-        note(submit(scheduler, spec, options, now, &number));
+        record(submit(scheduler, spec, options, now, &number));
         for (auto &[name, agent] : scheduler.agents)
             agent.lastReceivedAt = now;
         jobs::AgentUpdate update;
@@ -155,27 +157,27 @@
         update.startsTaken = scheduler.agents.at(name).startsSent;
         update.free = { std::int64_t { 700 } * (i % 4), 10000, 0 };
         update.mostStarts = 1000;
-        note(agentUpdated(scheduler, name, update, now));
-        note(tick(scheduler, now));
+        record(agentUpdated(scheduler, name, update, now));
+        record(tick(scheduler, now));
     }
     return decisions;
 }
 
-TEST_P(RenamedWorlds, GiveTheSameDecisions)
+TEST_P(RenamedSetups, GiveTheSameDecisions)
 {
     const std::vector<std::string> decisions = decisionsUnder({ "queue", "align", "job", "north" });
     EXPECT_GT(decisions.size(), 100U);
     EXPECT_EQ(decisionsUnder(GetParam()), decisions);
 }
 
-INSTANTIATE_TEST_SUITE_P(Scheduler, RenamedWorlds,
+INSTANTIATE_TEST_SUITE_P(Scheduler, RenamedSetups,
                          testing::Values(Names { "zebra", "align", "job", "north" },
                                          Names { "queue", "tag", "job", "north" },
                                          Names { "queue", "align", "9f", "north" },
                                          Names { "queue", "align", "job", "a-very-long-name" }));
 
 // A more urgent priority comes before less slack.
-TEST(SchedulerOrder, PriorityGoesBeforeTheLatestBegin)
+TEST(SchedulerOrder, PriorityGoesBeforeTheLatestStart)
 {
     Bench bench({ 1000 });
     bench.submit("running", 1);
@@ -189,7 +191,8 @@
     bench.priority = 0;
     bench.submit("first-class", { step });
     const SchedulerActions actions = bench.report("agent-0",
-                                                  { endOf("running", 0, 1, RunEnd::Done) }, 1000);
+                                                  { runReport("running", 0, 1, RunEnd::Done) },
+                                                  1000);
     ASSERT_EQ(startsIn(actions), 1U);
     EXPECT_EQ(std::get<jobs::StartTasks>(actions.sends.at(0).message).job, "first-class");
 }
@@ -201,7 +204,7 @@
 
     // Since the job's arrival: 100 ms of work due within 220 ms, so a latest start at 120 ms, and a
     // margin of 50 ms
-    Milliseconds waited;
+    Milliseconds waitedFor;
     bool refused;
 };
 
@@ -216,7 +219,7 @@
     Bench bench({ 1000 }, settings);
     bench.submit("running", 1);
     bench.submit("waiting", 1);
-    const SchedulerActions actions = bench.pass(GetParam().waited);
+    const SchedulerActions actions = bench.advance(GetParam().waitedFor);
     ASSERT_EQ(actions.answers.size(), GetParam().refused ? 1U : 0U);
     if (!GetParam().refused)
         return;
@@ -227,42 +230,42 @@
 INSTANTIATE_TEST_SUITE_P(Scheduler, LateJobs,
                          testing::Values(LateCase { "StillOnTime", true, Milliseconds(60), false },
                                          LateCase { "PastTheMargin", true, Milliseconds(75), true },
-                                         LateCase { "KeptWhereAsked", false, Milliseconds(75),
+                                         LateCase { "KeptIfConfigured", false, Milliseconds(75),
                                                     false }),
                          [](const auto &tested) { return tested.param.name; });
 
 // If a queue's jobs take twice their estimates, the expected time follows and leaves less slack.
-TEST(SchedulerOrder, ObjectivesFollowWhatTheQueuesJobsShowed)
+TEST(SchedulerOrder, ObjectivesFollowTheQueuesPastJobs)
 {
     Bench bench({ 100000 });
     for (int i = 0; i < 300; ++i) {
         const std::string id = "past-" + std::to_string(i);
         bench.submit(id, 1);
-        jobs::RunReport report = endOf(id, 0, 1, RunEnd::Done);
+        jobs::RunReport report = runReport(id, 0, 1, RunEnd::Done);
         report.took = Milliseconds(200);
         bench.report("agent-0", { report });
     }
     bench.submit("next", 1);
     const Job &job = bench.scheduler.jobs.at(bench.number);
-    EXPECT_EQ(job.guessed, Milliseconds(100));
+    EXPECT_EQ(job.estimated, Milliseconds(100));
     EXPECT_NEAR(static_cast<double>(job.expected.count()), 200, 15);
     EXPECT_EQ(job.tasks.at(0).expected, job.expected);
 }
 
-TEST(SchedulerOrder, QueuesThatAreDeclaredNoMoreAreForgotten)
+TEST(SchedulerOrder, UndeclaredQueuesAreForgotten)
 {
     Bench bench({ 100000 });
     bench.submit("job", 1);
-    jobs::RunReport report = endOf("job", 0, 1, RunEnd::Done);
+    jobs::RunReport report = runReport("job", 0, 1, RunEnd::Done);
     report.took = Milliseconds(200);
     bench.report("agent-0", { report });
     retainQueues(bench.scheduler, { "queue" });
-    EXPECT_EQ(bench.scheduler.runTimes.size(), 1U);
+    EXPECT_EQ(bench.scheduler.runTimeModels.size(), 1U);
     retainQueues(bench.scheduler, { "another" });
-    EXPECT_TRUE(bench.scheduler.runTimes.empty());
+    EXPECT_TRUE(bench.scheduler.runTimeModels.empty());
 }
 
-TEST(SchedulerOrder, AJobThatHasBegunGoesBeforeAMoreUrgentOne)
+TEST(SchedulerOrder, AStartedJobGoesBeforeAMoreUrgentOne)
 {
     Bench bench({ 1000 });
     jobs::StepSpec step;
@@ -272,8 +275,8 @@
     bench.submit("begun", { step });
     step.estimate = Milliseconds(20);
     bench.submit("urgent", { step });
-    const SchedulerActions actions = bench.report("agent-0", { endOf("begun", 0, 1, RunEnd::Done) },
-                                                  1000);
+    const SchedulerActions actions = bench.report("agent-0",
+                                                  { runReport("begun", 0, 1, RunEnd::Done) }, 1000);
     ASSERT_EQ(startsIn(actions), 1U);
     EXPECT_EQ(std::get<jobs::StartTasks>(actions.sends.at(0).message).job, "begun");
 }
