--- a/packages/scheduler/tests/placement_test.cpp
+++ b/packages/scheduler/tests/placement_test.cpp
@@ -1,52 +1,52 @@
 /*
     Placement of tasks on endpoints.
 
-    [SECTION] Placing
+    [SECTION] Placement
 */
 #include "bench.h"
 
 namespace foxwing::scheduler {
 namespace {
 
-// [SECTION] Placing
+// [SECTION] Placement
 
-TEST(SchedulerPlacing, StartsWhatFitsAndTheRestWhenRoomComesFree)
+TEST(SchedulerPlacement, StartsWhatFitsAndTheRestWhenCapacityIsFreed)
 {
     Bench bench({ 2000, 1000 });
     EXPECT_EQ(startsIn(bench.submit("job", 5)), 3U);
     // Free capacity already promised to starts on the way is not used again.
-    EXPECT_EQ(startsIn(bench.pass(Milliseconds(20))), 0U);
+    EXPECT_EQ(startsIn(bench.advance(Milliseconds(20))), 0U);
     EXPECT_EQ(startsIn(bench.report("agent-0", {}, 1000)), 1U);
 }
 
-TEST(SchedulerPlacing, TakesTheFasterEndpointFirst)
+TEST(SchedulerPlacement, TakesTheFasterEndpointFirst)
 {
     Bench bench({});
     jobs::EndpointView slow = makeView(4000);
     slow.paceMille = 1500;
-    bench.welcome("agent-slow", slow);
-    bench.welcome("agent-fast", makeView(4000));
+    bench.openSession("agent-slow", slow);
+    bench.openSession("agent-fast", makeView(4000));
     const SchedulerActions actions = bench.submit("job", 2);
     ASSERT_EQ(actions.sends.size(), 1U);
     EXPECT_EQ(actions.sends[0].agent, "agent-fast");
 }
 
-struct SuitCase
+struct SuitableCase
 {
     const char *name;
     std::function<void(jobs::EndpointView &)> change;
     bool starts;
 };
 
-std::ostream &operator<<(std::ostream &out, const SuitCase &tested)
+std::ostream &operator<<(std::ostream &out, const SuitableCase &tested)
 {
     return out << tested.name;
 }
 
-class Suits : public testing::TestWithParam<SuitCase>
+class SuitableEndpoints : public testing::TestWithParam<SuitableCase>
 { };
 
-TEST_P(Suits, OnlyEndpointsThatMay)
+TEST_P(SuitableEndpoints, AreTheOnlyOnesUsed)
 {
     SchedulerSettings settings;
     settings.maxShortfallPercent = 0;
@@ -54,7 +54,7 @@
     jobs::EndpointView view = makeView(4000);
     view.labels = { "b", "r1" };
     GetParam().change(view);
-    bench.welcome("agent-0", view);
+    bench.openSession("agent-0", view);
     jobs::StepSpec step;
     step.tasks = 1;
     step.room = { 1000, 10, 0 };
@@ -64,15 +64,18 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-        Scheduler, Suits,
+        Scheduler, SuitableEndpoints,
         testing::Values(
-                SuitCase { "All", [](jobs::EndpointView &) {}, true },
-                SuitCase { "OtherService", [](jobs::EndpointView &v) { v.service = "tag"; },
-                           false },
-                SuitCase { "NoLabel", [](jobs::EndpointView &v) { v.labels = { "a" }; }, false },
-                SuitCase { "Leaving", [](jobs::EndpointView &v) { v.leaving = true; }, false },
-                SuitCase { "OnTrial", [](jobs::EndpointView &v) { v.mostStarts = 0; }, false },
-                SuitCase { "Full", [](jobs::EndpointView &v) { v.free.milliCores = 999; }, false }),
+                SuitableCase { "All", [](jobs::EndpointView &) {}, true },
+                SuitableCase { "OtherService", [](jobs::EndpointView &v) { v.service = "tag"; },
+                               false },
+                SuitableCase { "NoLabel", [](jobs::EndpointView &v) { v.labels = { "a" }; },
+                               false },
+                SuitableCase { "Leaving", [](jobs::EndpointView &v) { v.leaving = true; }, false },
+                SuitableCase { "OnProbation", [](jobs::EndpointView &v) { v.mostStarts = 0; },
+                               false },
+                SuitableCase { "Full", [](jobs::EndpointView &v) { v.free.milliCores = 999; },
+                               false }),
         [](const auto &tested) { return tested.param.name; });
 
 // Two endpoints in "north" and one in "south", each with capacity for four tasks.
@@ -83,10 +86,10 @@
     {
         jobs::EndpointView view = makeView(4000);
         view.dataCentre = "north";
-        welcome("agent-0", view);
-        welcome("agent-1", view);
+        openSession("agent-0", view);
+        openSession("agent-1", view);
         view.dataCentre = "south";
-        welcome("agent-2", view);
+        openSession("agent-2", view);
     }
 
     SchedulerActions cordon(std::uint64_t revision, const std::vector<std::string> &dataCentres)
@@ -108,7 +111,7 @@
     }
 }
 
-TEST(SchedulerCordon, TakenBackLetsWaitingWorkStartAtOnce)
+TEST(SchedulerCordon, RemovalLetsWaitingWorkStartAtOnce)
 {
     CordonedBench bench;
     bench.cordon(1, { "north" });
@@ -120,20 +123,20 @@
 }
 
 // A third of the capacity stays: what was freed in the other two thirds no longer counts.
-TEST(SchedulerCordon, CountsOnlyRoomThatStays)
+TEST(SchedulerCordon, CountsOnlyRemainingCapacity)
 {
     CordonedBench bench;
     bench.submit("job", 12);
     for (std::uint32_t index = 0; index < 12; ++index) {
         const std::string agent = bench.scheduler.jobs.begin()->second.tasks[index].agent;
-        bench.report(agent, { endOf("job", index, 1, RunEnd::Done) });
+        bench.report(agent, { runReport("job", index, 1, RunEnd::Done) });
     }
-    const double before = bench.scheduler.freed.begin()->second.ofLate.amount;
+    const double before = bench.scheduler.freed.begin()->second.recent.amount;
     bench.cordon(1, { "north" });
-    EXPECT_NEAR(bench.scheduler.freed.begin()->second.ofLate.amount, before / 3, 1);
+    EXPECT_NEAR(bench.scheduler.freed.begin()->second.recent.amount, before / 3, 1);
 }
 
-TEST(SchedulerPlacing, KeepsTheLimitOfTasksOnOneEndpoint)
+TEST(SchedulerPlacement, KeepsTheLimitOfTasksOnOneEndpoint)
 {
     Bench bench({ 8000, 8000 });
     jobs::StepSpec step;
@@ -144,7 +147,7 @@
     EXPECT_EQ(startsIn(bench.submit("job", { step })), 4U);
 }
 
-TEST(SchedulerPlacing, LaterStepsWaitForEarlierOnes)
+TEST(SchedulerPlacement, LaterStepsWaitForEarlierOnes)
 {
     Bench bench({ 8000 });
     jobs::StepSpec first;
@@ -155,24 +158,24 @@
     second.tasks = 3;
     second.after = { 0 };
     EXPECT_EQ(startsIn(bench.submit("job", { first, second })), 2U);
-    EXPECT_EQ(startsIn(bench.report("agent-0", { endOf("job", 0, 1, RunEnd::Done) })), 0U);
-    EXPECT_EQ(startsIn(bench.report("agent-0", { endOf("job", 1, 1, RunEnd::Done) })), 3U);
+    EXPECT_EQ(startsIn(bench.report("agent-0", { runReport("job", 0, 1, RunEnd::Done) })), 0U);
+    EXPECT_EQ(startsIn(bench.report("agent-0", { runReport("job", 1, 1, RunEnd::Done) })), 3U);
 }
 
 // Eighty full endpoints, sixteen waiting jobs, and one endpoint that reports its free capacity.
-struct NewsCase
+struct UpdateCase
 {
     const char *name;
     std::int64_t freeBefore;
     std::int64_t freeNow;
-    std::uint64_t mostTried;
+    std::uint64_t maxTried;
     std::size_t started;
 };
 
-class News : public testing::TestWithParam<NewsCase>
+class CapacityUpdates : public testing::TestWithParam<UpdateCase>
 { };
 
-TEST_P(News, OfRoomIsLookedAtOnlyWhereItGrew)
+TEST_P(CapacityUpdates, TriggerPlacementOnlyWhereCapacityGrew)
 {
     Bench bench(std::vector<std::int64_t>(80, 16000));
     for (const auto &[name, agent] : bench.scheduler.agents)
@@ -181,18 +184,18 @@
         bench.submit("job-" + std::to_string(i), 4);
     const std::uint64_t before = bench.scheduler.counters.endpointsTried;
     const SchedulerActions actions = bench.report("agent-7", {}, GetParam().freeNow);
-    EXPECT_LE(bench.scheduler.counters.endpointsTried - before, GetParam().mostTried);
+    EXPECT_LE(bench.scheduler.counters.endpointsTried - before, GetParam().maxTried);
     EXPECT_EQ(startsIn(actions), GetParam().started);
 }
 
-INSTANTIATE_TEST_SUITE_P(Scheduler, News,
-                         testing::Values(NewsCase { "Less", 900, 500, 0, 0 },
-                                         NewsCase { "Same", 900, 900, 0, 0 },
-                                         NewsCase { "TooLittleMore", 500, 900, 16, 0 },
-                                         NewsCase { "RoomForThree", 500, 3500, 32, 3 }),
+INSTANTIATE_TEST_SUITE_P(Scheduler, CapacityUpdates,
+                         testing::Values(UpdateCase { "Less", 900, 500, 0, 0 },
+                                         UpdateCase { "Same", 900, 900, 0, 0 },
+                                         UpdateCase { "TooLittleMore", 500, 900, 16, 0 },
+                                         UpdateCase { "CapacityForThree", 500, 3500, 32, 3 }),
                          [](const auto &tested) { return tested.param.name; });
 
-std::size_t wishesIn(const SchedulerActions &actions, bool wantsRoom)
+std::size_t heartbeatsIn(const SchedulerActions &actions, bool wantsRoom)
 {
     return static_cast<std::size_t>(
             std::count_if(actions.sends.begin(), actions.sends.end(), [&](const AgentSend &send) {
@@ -201,107 +204,108 @@
             }));
 }
 
-TEST(SchedulerPlacing, AgentsAreAskedForNewsOfRoomOnceWhileWorkFindsNone)
+TEST(SchedulerPlacement, AgentsAreAskedForUpdatesOnceWhileWorkDoesNotFit)
 {
     SchedulerSettings settings;
     settings.refuseLate = false;
     Bench bench({ 2000, 2000, 2000 }, settings);
-    EXPECT_EQ(wishesIn(bench.submit("fits", 6), true), 0U);
-    EXPECT_EQ(wishesIn(bench.submit("waits", 1), true), 3U);
-    EXPECT_EQ(wishesIn(bench.submit("waits-too", 1), true), 0U);
+    EXPECT_EQ(heartbeatsIn(bench.submit("fits", 6), true), 0U);
+    EXPECT_EQ(heartbeatsIn(bench.submit("waits", 1), true), 3U);
+    EXPECT_EQ(heartbeatsIn(bench.submit("waits-too", 1), true), 0U);
     for (const char *agent : { "agent-0", "agent-1", "agent-2" })
         bench.report(agent, {}, 2000);
-    const SchedulerActions actions = bench.pass(settings.wantRoomFor);
-    EXPECT_EQ(wishesIn(actions, false), 3U);
+    const SchedulerActions actions = bench.advance(settings.needsCapacityFor);
+    EXPECT_EQ(heartbeatsIn(actions, false), 3U);
 }
 
 // An entry of one data centre and endpoints of two, with four cores each: how many of a job's
 // one-core tasks start in the entry's own.
-struct AwayCase
+struct RemoteCase
 {
     const char *name;
     const char *entryAt;
     std::uint32_t remotePercent;
 
     // Time taken by work at the local endpoint, in thousandths of its estimates
-    std::uint32_t homePace;
-    bool homeLeaves;
+    std::uint32_t localSlowdown;
+    bool localLeaves;
     std::uint32_t tasks;
-    std::size_t startedAtHome;
+    std::size_t startedLocally;
     std::size_t started;
 };
 
-class Away : public testing::TestWithParam<AwayCase>
+class RemoteEndpoints : public testing::TestWithParam<RemoteCase>
 { };
 
-TEST_P(Away, EndpointsTakeWorkOnceTheOwnDataCentreIsFullSlowOrGone)
+TEST_P(RemoteEndpoints, TakeWorkOnceLocalOnesAreFullSlowOrGone)
 {
-    const AwayCase &tested = GetParam();
+    const RemoteCase &tested = GetParam();
     SchedulerSettings settings;
     settings.dataCentre = tested.entryAt;
     settings.remotePercent = tested.remotePercent;
     Bench bench({}, settings);
-    for (const char *place : { "a-1", "b-1", "b-2", "b-3" }) {
+    for (const char *name : { "a-1", "b-1", "b-2", "b-3" }) {
         jobs::EndpointView view = makeView(4000);
-        view.dataCentre = std::string(place).substr(0, 1);
-        const bool home = view.dataCentre == "a";
-        view.paceMille = home ? tested.homePace : 1000;
-        view.leaving = home && tested.homeLeaves;
-        bench.welcome(place, view);
+        view.dataCentre = std::string(name).substr(0, 1);
+        const bool local = view.dataCentre == "a";
+        view.paceMille = local ? tested.localSlowdown : 1000;
+        view.leaving = local && tested.localLeaves;
+        bench.openSession(name, view);
     }
     const SchedulerActions actions = bench.submit("job", tested.tasks);
-    std::size_t atHome = 0;
+    std::size_t localStarts = 0;
     for (const AgentSend &send : actions.sends) {
         if (send.agent == "a-1")
-            atHome += std::get<jobs::StartTasks>(send.message).starts.size();
+            localStarts += std::get<jobs::StartTasks>(send.message).starts.size();
     }
-    EXPECT_EQ(atHome, tested.startedAtHome);
+    EXPECT_EQ(localStarts, tested.startedLocally);
     EXPECT_EQ(startsIn(actions), tested.started);
 }
 
-INSTANTIATE_TEST_SUITE_P(Scheduler, Away,
-                         testing::Values(AwayCase { "Home", "a", 50, 1000, false, 4, 4, 4 },
-                                         AwayCase { "FullThenSpills", "a", 50, 1000, false, 9, 4,
-                                                    9 },
-                                         AwayCase { "SlowHome", "a", 50, 2000, false, 4, 0, 4 },
-                                         AwayCase { "HomeLeaves", "a", 50, 1000, true, 4, 0, 4 },
-                                         AwayCase { "NoneAtHome", "c", 50, 1000, false, 16, 4, 16 },
-                                         AwayCase { "NotKnown", "", 50, 1000, false, 16, 4, 16 }),
-                         [](const auto &tested) { return tested.param.name; });
+INSTANTIATE_TEST_SUITE_P(
+        Scheduler, RemoteEndpoints,
+        testing::Values(RemoteCase { "Local", "a", 50, 1000, false, 4, 4, 4 },
+                        RemoteCase { "FullThenRemote", "a", 50, 1000, false, 9, 4, 9 },
+                        RemoteCase { "SlowLocal", "a", 50, 2000, false, 4, 0, 4 },
+                        RemoteCase { "LocalLeaves", "a", 50, 1000, true, 4, 0, 4 },
+                        RemoteCase { "NoneLocal", "c", 50, 1000, false, 16, 4, 16 },
+                        RemoteCase { "NotKnown", "", 50, 1000, false, 16, 4, 16 }),
+        [](const auto &tested) { return tested.param.name; });
 
 // Four endpoints of four cores, some of them silent for a while: how many tasks start at those.
-struct QuietCase
+struct SuspectCase
 {
     const char *name;
-    std::size_t quiet;
+    std::size_t suspects;
     Milliseconds silence;
     std::uint32_t tasks;
-    std::size_t startedAtQuiet;
+    std::size_t startedAtSuspects;
 };
 
-class Quiet : public testing::TestWithParam<QuietCase>
+class SuspectAgents : public testing::TestWithParam<SuspectCase>
 { };
 
-TEST_P(Quiet, AgentsTakeWorkOnlyIfNoOtherHasRoom)
+TEST_P(SuspectAgents, TakeWorkOnlyIfNoOtherFits)
 {
     Bench bench({ 4000, 4000, 4000, 4000 });
     bench.now += GetParam().silence;
-    for (std::size_t i = GetParam().quiet; i < 4; ++i)
+    for (std::size_t i = GetParam().suspects; i < 4; ++i)
         bench.report("agent-" + std::to_string(i), {}, 4000);
-    std::size_t atQuiet = 0;
+    std::size_t atSuspects = 0;
     for (const AgentSend &send : bench.submit("job", GetParam().tasks).sends) {
         const auto *start = std::get_if<jobs::StartTasks>(&send.message);
-        if (start && std::stoul(send.agent.substr(6)) < GetParam().quiet)
-            atQuiet += start->starts.size();
+        if (start && std::stoul(send.agent.substr(6)) < GetParam().suspects)
+            atSuspects += start->starts.size();
     }
-    EXPECT_EQ(atQuiet, GetParam().startedAtQuiet);
+    EXPECT_EQ(atSuspects, GetParam().startedAtSuspects);
 }
 
-INSTANTIATE_TEST_SUITE_P(Scheduler, Quiet,
-                         testing::Values(QuietCase { "One", 1, Milliseconds(220), 12, 0 },
-                                         QuietCase { "OthersFull", 1, Milliseconds(220), 14, 2 },
-                                         QuietCase { "NotForLong", 2, Milliseconds(219), 16, 8 },
-                                         QuietCase { "AllOfThem", 4, Milliseconds(220), 8, 8 }),
+INSTANTIATE_TEST_SUITE_P(Scheduler, SuspectAgents,
+                         testing::Values(SuspectCase { "One", 1, Milliseconds(220), 12, 0 },
+                                         SuspectCase { "OthersFull", 1, Milliseconds(220), 14, 2 },
+                                         SuspectCase { "NotLongEnough", 2, Milliseconds(219), 16,
+                                                       8 },
+                                         SuspectCase { "All", 4, Milliseconds(220), 8, 8 }),
                          [](const auto &tested) { return tested.param.name; });
 
 struct WaitCase
@@ -318,11 +322,11 @@
     bool sent;
 };
 
-class Waits : public testing::TestWithParam<WaitCase>
+class AgentWaits : public testing::TestWithParam<WaitCase>
 { };
 
 // A task of 1000 millicores, with less than that free.
-TEST_P(Waits, AtAnAgentOnlyWhatGoesFirstThere)
+TEST_P(AgentWaits, AreOnlyForTheMostUrgentPriority)
 {
     SchedulerSettings settings;
     settings.maxShortfallPercent = GetParam().maxShortfallPercent;
@@ -337,19 +341,19 @@
         return;
     const auto &message = std::get<jobs::StartTasks>(actions.sends.at(0).message);
     EXPECT_EQ(message.priority, GetParam().priority);
-    EXPECT_EQ(message.mayWait, settings.mostWait);
+    EXPECT_EQ(message.mayWait, settings.maxAgentWait);
 }
 
-INSTANTIATE_TEST_SUITE_P(Scheduler, Waits,
+INSTANTIATE_TEST_SUITE_P(Scheduler, AgentWaits,
                          testing::Values(WaitCase { "Urgent", 0, 1, 0, 15, true },
                                          WaitCase { "MuchWaitsThere", 0, 1, -600, 15, false },
                                          WaitCase { "LessUrgent", 1, 0, 0, 15, false },
-                                         WaitCase { "AllAlike", 1, 1, 0, 15, false },
+                                         WaitCase { "EqualPriorities", 1, 1, 0, 15, false },
                                          WaitCase { "SwitchedOff", 0, 1, 0, 0, false }),
                          [](const auto &tested) { return tested.param.name; });
 
 // The end of a run is reported in its session.
-TEST(SchedulerPlacing, ASessionIsReleasedOnlyOnceNoRunNeedsIt)
+TEST(SchedulerPlacement, ASessionIsReleasedOnlyOnceNoRunNeedsIt)
 {
     Bench bench({ 10000, 10000 });
     bench.submit("job", 1);
@@ -358,12 +362,12 @@
     EXPECT_FALSE(releaseAgent(bench.scheduler, busy));
     EXPECT_TRUE(releaseAgent(bench.scheduler, idle));
     EXPECT_EQ(bench.scheduler.agents.count(idle), 0U);
-    bench.report(busy, { endOf("job", 0, 1, RunEnd::Done) });
+    bench.report(busy, { runReport("job", 0, 1, RunEnd::Done) });
     EXPECT_TRUE(releaseAgent(bench.scheduler, busy));
 }
 
 // A suitable endpoint exists but has no session yet: the job is not refused.
-TEST(SchedulerPlacing, AJobWaitsForAnEndpointThatIsKnownToSuit)
+TEST(SchedulerPlacement, AJobWaitsForAKnownSuitableEndpoint)
 {
     Bench bench({ 10000 });
     jobs::StepSpec step;
@@ -378,11 +382,11 @@
     options.suitableUnconnected = true;
     const SchedulerActions waits = submit(bench.scheduler, spec, options, bench.now, &bench.number);
     EXPECT_TRUE(waits.answers.empty());
-    EXPECT_EQ(startsIn(bench.welcome("agent-1", makeView(20000))), 1U);
+    EXPECT_EQ(startsIn(bench.openSession("agent-1", makeView(20000))), 1U);
 }
 
 // The most urgent queue is removed: starts of the next one may wait at agents.
-TEST(SchedulerPlacing, WhatGoesFirstIsLearnedAnewWhenTheQueuesChange)
+TEST(SchedulerPlacement, PrioritiesInUseAreLearnedAnewWhenTheQueuesChange)
 {
     Bench bench({ 10000 });
     for (const std::uint32_t priority : { 0U, 1U, 2U }) {
@@ -398,7 +402,7 @@
 }
 
 // A start that waits at an agent may still begin: the job is not answered before the agent reports.
-TEST(SchedulerPlacing, AJobThatWaitsAtAnAgentIsRefusedOnlyAfterTheAgentsWord)
+TEST(SchedulerPlacement, AJobThatWaitsAtAnAgentIsRefusedOnlyAfterItsReport)
 {
     Bench bench({ 10000 });
     bench.priority = 1;
@@ -406,12 +410,12 @@
     bench.report("agent-0", {}, 0);
     bench.priority = 0;
     bench.submit("job", 1);
-    EXPECT_TRUE(bench.pass(Milliseconds(100)).answers.empty());
+    EXPECT_TRUE(bench.advance(Milliseconds(100)).answers.empty());
     const SchedulerActions actions = bench.report("agent-0",
-                                                  { endOf("job", 0, 1, RunEnd::NeverBegan,
-                                                          RefusedStart::NoRoom) },
+                                                  { runReport("job", 0, 1, RunEnd::NeverBegan,
+                                                              RefusedStart::NoRoom) },
                                                   0);
-    const SchedulerActions next = bench.pass(Milliseconds(1));
+    const SchedulerActions next = bench.advance(Milliseconds(1));
     ASSERT_EQ(actions.answers.size() + next.answers.size(), 1U);
 }
 
--- a/packages/scheduler/tests/waitestimate_test.cpp
+++ b/packages/scheduler/tests/waitestimate_test.cpp
@@ -1,12 +1,12 @@
 /*
     Decisions by the forecast: refusal at arrival, late jobs that keep waiting, and when callers
-   retry.
+    retry.
 
     [SECTION] Helpers
     [SECTION] Arrivals
     [SECTION] Late jobs
     [SECTION] Long overloads
-    [SECTION] Coming back
+    [SECTION] Retry times
 */
 #include "bench.h"
 
@@ -30,11 +30,11 @@
         : Bench({ 1000 }, settings)
     {
         submit("running", 1);
-        tell(0);
+        sendUpdate(0);
     }
 
     // An update with this free capacity and the test's rate.
-    SchedulerActions tell(std::int64_t free)
+    SchedulerActions sendUpdate(std::int64_t free)
     {
         jobs::AgentUpdate update;
         update.startsTaken = scheduler.agents.at("agent-0").startsSent;
@@ -46,13 +46,13 @@
     }
 
     // Lets time pass in ticks, with the same update in each.
-    SchedulerActions wait(Milliseconds span, std::int64_t free)
+    SchedulerActions wait(Milliseconds duration, std::int64_t free)
     {
-        constexpr Milliseconds Turn { 20 };
+        constexpr Milliseconds Tick { 20 };
         SchedulerActions all;
-        for (Milliseconds gone { 0 }; gone < span; gone += Turn) {
-            now += Turn;
-            for (SchedulerActions one : { tell(free), tick(scheduler, now) }) {
+        for (Milliseconds passed { 0 }; passed < duration; passed += Tick) {
+            now += Tick;
+            for (SchedulerActions one : { sendUpdate(free), tick(scheduler, now) }) {
                 all.answers.insert(all.answers.end(), one.answers.begin(), one.answers.end());
                 all.sends.insert(all.sends.end(), one.sends.begin(), one.sends.end());
             }
@@ -60,28 +60,29 @@
         return all;
     }
 
-    SchedulerActions submitPatient(const std::string &id, std::optional<Milliseconds> patience,
-                                   std::uint32_t tasks = 1)
+    SchedulerActions submitWithDeadline(const std::string &id,
+                                        std::optional<Milliseconds> callerTimeout,
+                                        std::uint32_t tasks = 1)
     {
         jobs::JobSpec spec;
         spec.id = id;
         spec.traits = traits;
         spec.steps.resize(1);
         spec.steps[0].tasks = tasks;
-        spec.steps[0].room = { taskCores, 10, 0 };
+        spec.steps[0].room = { taskMilliCores, 10, 0 };
         spec.steps[0].estimate = Milliseconds(100);
-        JobOptions its = options();
-        if (patience)
-            its.callerDeadline = now + *patience;
+        JobOptions jobOptions = options();
+        if (callerTimeout)
+            jobOptions.callerDeadline = now + *callerTimeout;
         if (timeout)
-            its.startDeadline = now + *timeout;
-        return scheduler::submit(scheduler, spec, its, now, &number);
+            jobOptions.startDeadline = now + *timeout;
+        return scheduler::submit(scheduler, spec, jobOptions, now, &number);
     }
 
     std::vector<jobs::WaitingRoom> waiting;
     std::uint32_t freedPerSecond = 0;
     std::optional<Milliseconds> timeout;
-    std::int64_t taskCores = 1000;
+    std::int64_t taskMilliCores = 1000;
 };
 
 std::vector<std::string> startedIn(const SchedulerActions &actions)
@@ -103,7 +104,7 @@
     std::uint32_t freedPerSecond;
 
     // Millicores that wait at the agent with priority 0
-    std::int64_t waitingThere;
+    std::int64_t waitingAtAgent;
     std::uint32_t priority;
 
     // Age of the agent's update
@@ -122,9 +123,9 @@
     settings.forecast = GetParam().forecast;
     BusyBench bench(settings);
     bench.freedPerSecond = GetParam().freedPerSecond;
-    if (GetParam().waitingThere > 0)
-        bench.waiting = { { 0, GetParam().waitingThere } };
-    bench.tell(0);
+    if (GetParam().waitingAtAgent > 0)
+        bench.waiting = { { 0, GetParam().waitingAtAgent } };
+    bench.sendUpdate(0);
     bench.now += GetParam().age;
     bench.priority = GetParam().priority;
     const SchedulerActions actions = bench.submit("job", 1);
@@ -139,11 +140,12 @@
 INSTANTIATE_TEST_SUITE_P(
         Scheduler, ForecastArrivals,
         testing::Values(
-                ForecastCase { "RoomComesInTime", true, 20000, 1000, 1, Milliseconds(0), false },
+                ForecastCase { "CapacityComesInTime", true, 20000, 1000, 1, Milliseconds(0),
+                               false },
                 ForecastCase { "TooLittleComes", true, 10000, 1000, 1, Milliseconds(0), true },
                 ForecastCase { "NothingGoesBeforeIt", true, 1000, 0, 1, Milliseconds(0), false },
                 ForecastCase { "LessUrgentWaitsThere", true, 10000, 0, 0, Milliseconds(0), false },
-                ForecastCase { "NothingCameFree", true, 0, 1000, 1, Milliseconds(0), false },
+                ForecastCase { "NothingWasFreed", true, 0, 1000, 1, Milliseconds(0), false },
                 ForecastCase { "TheAgentIsCutOff", true, 10000, 1000, 1, Milliseconds(501), false },
                 ForecastCase { "SwitchedOff", false, 10000, 1000, 1, Milliseconds(0), false }),
         [](const auto &tested) { return tested.param.name; });
@@ -163,14 +165,15 @@
 { };
 
 // Agents have reported four such ends. A queue does not get what more urgent jobs take.
-TEST_P(Shares, AreThePartOfFreedRoomThatComesToAPriority)
+TEST_P(Shares, AreThePartOfFreedCapacityForAPriority)
 {
     Bench bench({ 1000 }, withForecast(false));
-    addTo(bench.scheduler.told["align"], bench.scheduler.settings.shareSpan, 4000, bench.now);
+    addTo(bench.scheduler.reportedFreed["align"], bench.scheduler.settings.shareWindow, 4000,
+          bench.now);
     std::map<std::uint32_t, FadingSum> &own = bench.scheduler.freed["align"].own;
-    const Milliseconds span = bench.scheduler.settings.shareSpan;
-    addTo(own[0], span, 1000.0 * GetParam().urgentEnds, bench.now);
-    addTo(own[2], span, 1000.0 * GetParam().otherEnds, bench.now);
+    const Milliseconds window = bench.scheduler.settings.shareWindow;
+    addTo(own[0], window, 1000.0 * GetParam().urgentEnds, bench.now);
+    addTo(own[2], window, 1000.0 * GetParam().otherEnds, bench.now);
     EXPECT_NEAR(shareFor(bench.scheduler, "align", GetParam().priority, bench.now),
                 GetParam().share, 0.001);
 }
@@ -178,18 +181,18 @@
 INSTANTIATE_TEST_SUITE_P(Scheduler, Shares,
                          testing::Values(ShareCase { "AllOfTheMostUrgent", 1, 1, 0, 0.5 },
                                          ShareCase { "TheRestOfTheOthers", 1, 1, 2, 0.25 },
-                                         ShareCase { "MoreThanWasTold", 5, 0, 0, 1 },
+                                         ShareCase { "MoreThanReported", 5, 0, 0, 1 },
                                          ShareCase { "NeverNothing", 1, 0, 2, 0.01 }),
                          [](const auto &tested) { return tested.param.name; });
 
 // [SECTION] Late jobs
 
-struct WaitOnCase
+struct LateWaitCase
 {
     const char *name;
     bool serveLate;
     std::uint32_t freedPerSecond;
-    std::optional<Milliseconds> patience;
+    std::optional<Milliseconds> callerTimeout;
     std::optional<Milliseconds> timeout;
 
     // Time since the job's arrival
@@ -197,17 +200,17 @@
     bool refused;
 };
 
-class WaitingOn : public testing::TestWithParam<WaitOnCase>
+class LateWaits : public testing::TestWithParam<LateWaitCase>
 { };
 
 // 100 ms of work due within 220 ms, which counts as late after 70 ms.
-TEST_P(WaitingOn, LastsAsLongAsTheJobBeginsBeforeItsCallerIsGone)
+TEST_P(LateWaits, LastWhileTheJobStartsBeforeItsCallerIsGone)
 {
     BusyBench bench(withForecast(GetParam().serveLate));
     bench.freedPerSecond = GetParam().freedPerSecond;
     bench.timeout = GetParam().timeout;
-    bench.tell(0);
-    bench.submitPatient("job", GetParam().patience);
+    bench.sendUpdate(0);
+    bench.submitWithDeadline("job", GetParam().callerTimeout);
     const SchedulerActions actions = bench.wait(GetParam().after, 0);
     ASSERT_EQ(actions.answers.size(), GetParam().refused ? 1U : 0U);
     if (GetParam().refused) {
@@ -217,65 +220,65 @@
               GetParam().refused || !GetParam().serveLate ? 0U : 1U);
 }
 
-INSTANTIATE_TEST_SUITE_P(Scheduler, WaitingOn,
-                         testing::Values(WaitOnCase { "RefusedAsEverIfNotAsked",
-                                                      false,
-                                                      10000,
-                                                      Milliseconds(1000),
-                                                      {},
-                                                      Milliseconds(100),
-                                                      true },
-                                         WaitOnCase { "WhileRoomComesFree",
-                                                      true,
-                                                      10000,
-                                                      Milliseconds(1000),
-                                                      {},
-                                                      Milliseconds(400),
-                                                      false },
-                                         WaitOnCase { "UntilItsCallerWouldBeGone",
-                                                      true,
-                                                      10000,
-                                                      Milliseconds(500),
-                                                      {},
-                                                      Milliseconds(420),
-                                                      true },
-                                         WaitOnCase { "UntilItsResultIsWorthNothing",
-                                                      true,
-                                                      10000,
-                                                      Milliseconds(1000),
-                                                      {},
-                                                      Milliseconds(600),
-                                                      true },
-                                         WaitOnCase { "NotWhileRoomComesTooSlowly",
-                                                      true,
-                                                      1000,
-                                                      Milliseconds(1000),
-                                                      {},
-                                                      Milliseconds(100),
-                                                      true },
-                                         WaitOnCase { "NotWhileNothingIsKnown",
-                                                      true,
-                                                      0,
-                                                      Milliseconds(1000),
-                                                      {},
-                                                      Milliseconds(100),
-                                                      true },
-                                         WaitOnCase { "NotWithoutPatienceBeyondTheObjective",
-                                                      true,
-                                                      10000,
-                                                      Milliseconds(160),
-                                                      {},
-                                                      Milliseconds(100),
-                                                      true },
-                                         WaitOnCase { "NotIfItWouldBeginAfterTheTimeout", true,
-                                                      2500, Milliseconds(5000), Milliseconds(300),
-                                                      Milliseconds(100), true },
-                                         WaitOnCase { "NotBeyondTheQueuesTimeout", true, 10000,
-                                                      Milliseconds(1000), Milliseconds(300),
-                                                      Milliseconds(300), true },
-                                         WaitOnCase { "NotWithATimeoutWithinTheObjective", true,
-                                                      10000, Milliseconds(1000), Milliseconds(60),
-                                                      Milliseconds(100), true }),
+INSTANTIATE_TEST_SUITE_P(Scheduler, LateWaits,
+                         testing::Values(LateWaitCase { "RefusedIfNotConfigured",
+                                                        false,
+                                                        10000,
+                                                        Milliseconds(1000),
+                                                        {},
+                                                        Milliseconds(100),
+                                                        true },
+                                         LateWaitCase { "WhileCapacityIsFreed",
+                                                        true,
+                                                        10000,
+                                                        Milliseconds(1000),
+                                                        {},
+                                                        Milliseconds(400),
+                                                        false },
+                                         LateWaitCase { "UntilItsCallerWouldBeGone",
+                                                        true,
+                                                        10000,
+                                                        Milliseconds(500),
+                                                        {},
+                                                        Milliseconds(420),
+                                                        true },
+                                         LateWaitCase { "UntilItsResultIsOfNoUse",
+                                                        true,
+                                                        10000,
+                                                        Milliseconds(1000),
+                                                        {},
+                                                        Milliseconds(600),
+                                                        true },
+                                         LateWaitCase { "NotWhileTooLittleIsFreed",
+                                                        true,
+                                                        1000,
+                                                        Milliseconds(1000),
+                                                        {},
+                                                        Milliseconds(100),
+                                                        true },
+                                         LateWaitCase { "NotWhileNothingIsKnown",
+                                                        true,
+                                                        0,
+                                                        Milliseconds(1000),
+                                                        {},
+                                                        Milliseconds(100),
+                                                        true },
+                                         LateWaitCase { "NotWithADeadlineWithinTheObjective",
+                                                        true,
+                                                        10000,
+                                                        Milliseconds(160),
+                                                        {},
+                                                        Milliseconds(100),
+                                                        true },
+                                         LateWaitCase { "NotIfItWouldStartAfterTheTimeout", true,
+                                                        2500, Milliseconds(5000), Milliseconds(300),
+                                                        Milliseconds(100), true },
+                                         LateWaitCase { "NotBeyondTheQueuesTimeout", true, 10000,
+                                                        Milliseconds(1000), Milliseconds(300),
+                                                        Milliseconds(300), true },
+                                         LateWaitCase { "NotWithATimeoutWithinTheObjective", true,
+                                                        10000, Milliseconds(1000), Milliseconds(60),
+                                                        Milliseconds(100), true }),
                          [](const auto &tested) { return tested.param.name; });
 
 struct LateStartCase
@@ -283,9 +286,9 @@
     const char *name;
 
     // For how long the agent reports free capacity
-    Milliseconds rested;
+    Milliseconds reportedFor;
     std::uint32_t tasks;
-    std::int64_t taskCores;
+    std::int64_t taskMilliCores;
     std::int64_t free;
 
     // Whether a job of the agent's whole capacity waits that can be on time for 160 ms
@@ -297,13 +300,13 @@
 { };
 
 // A late job that keeps waiting, at an agent of one core.
-TEST_P(LateStarts, TakeOnlyRoomThatNobodyElseWants)
+TEST_P(LateStarts, TakeOnlyCapacityThatNobodyElseNeeds)
 {
     BusyBench bench(withForecast(true));
     bench.freedPerSecond = 10000;
-    bench.tell(0);
-    bench.taskCores = GetParam().taskCores;
-    bench.submitPatient("late", Milliseconds(1000), GetParam().tasks);
+    bench.sendUpdate(0);
+    bench.taskMilliCores = GetParam().taskMilliCores;
+    bench.submitWithDeadline("late", Milliseconds(1000), GetParam().tasks);
     ASSERT_TRUE(bench.wait(Milliseconds(200), 0).answers.empty());
     jobs::StepSpec step;
     step.tasks = 1;
@@ -311,21 +314,26 @@
     step.estimate = Milliseconds(1000);
     if (GetParam().onTimeWaits)
         bench.submit("on-time", { step });
-    EXPECT_EQ(startedIn(bench.wait(GetParam().rested, GetParam().free)), GetParam().started);
+    EXPECT_EQ(startedIn(bench.wait(GetParam().reportedFor, GetParam().free)), GetParam().started);
 }
 
 INSTANTIATE_TEST_SUITE_P(
         Scheduler, LateStarts,
         testing::Values(
+                LateStartCase { "CapacityThatStaysFree",
+                                Milliseconds(120),
+                                1,
+                                1000,
+                                1000,
+                                false,
+                                { "late" } },
                 LateStartCase {
-                        "RoomThatStaysFree", Milliseconds(120), 1, 1000, 1000, false, { "late" } },
-                LateStartCase {
-                        "NotRoomThatIsJustFree", Milliseconds(20), 1, 1000, 1000, false, {} },
+                        "NotCapacityJustFreed", Milliseconds(20), 1, 1000, 1000, false, {} },
                 LateStartCase { "AsAWhole", Milliseconds(120), 2, 500, 1000, false, { "late" } },
                 LateStartCase { "NotInPart", Milliseconds(120), 2, 500, 500, false, {} },
                 LateStartCase {
                         "OnTimeGoesFirst", Milliseconds(20), 1, 1000, 1000, true, { "on-time" } },
-                LateStartCase { "RoomThatIsTooSmallForOthers",
+                LateStartCase { "CapacityTooSmallForOthers",
                                 Milliseconds(120),
                                 1,
                                 500,
@@ -336,11 +344,11 @@
         [](const auto &tested) { return tested.param.name; });
 
 // Later steps need no capacity yet.
-TEST(LateStart, NeedsRoomForItsFirstStepOnly)
+TEST(LateStart, NeedsCapacityForItsFirstStepOnly)
 {
     BusyBench bench(withForecast(true));
     bench.freedPerSecond = 20000;
-    bench.tell(0);
+    bench.sendUpdate(0);
     jobs::JobSpec spec;
     spec.id = "late";
     spec.traits = bench.traits;
@@ -356,23 +364,23 @@
     EXPECT_EQ(startsIn(bench.wait(Milliseconds(120), 1000)), 1U);
 }
 
-// What a job that has begun holds would be wasted.
-TEST(LateStart, DoesNotHoldUpWhatHasBegun)
+// What a job that has started holds would be wasted.
+TEST(LateStart, DoesNotDelayStartedJobs)
 {
     SchedulerSettings settings = withForecast(true);
     settings.maxUnplaced = 1;
     BusyBench bench(settings);
     bench.freedPerSecond = 20000;
-    bench.report("agent-0", { endOf("running", 0, 1, RunEnd::Done) }, 1000);
+    bench.report("agent-0", { runReport("running", 0, 1, RunEnd::Done) }, 1000);
     bench.submit("begun", 2);
     bench.wait(Milliseconds(500), 0);
     // This entry's share is all freed capacity.
-    addTo(bench.scheduler.freed["align"].own[0], settings.shareSpan, 20000, bench.now);
-    bench.taskCores = 600;
+    addTo(bench.scheduler.freed["align"].own[0], settings.shareWindow, 20000, bench.now);
+    bench.taskMilliCores = 600;
     bench.timeout = Milliseconds(9000);
-    bench.submitPatient("late", Milliseconds(9000), 2);
+    bench.submitWithDeadline("late", Milliseconds(9000), 2);
     bench.wait(Milliseconds(100), 0);
-    ASSERT_EQ(bench.scheduler.queue.rbegin()->group, Rank::Hopeless);
+    ASSERT_EQ(bench.scheduler.queue.rbegin()->group, QueueGroup::Expired);
     EXPECT_EQ(forecastStatus(bench.scheduler, bench.now).waitingLate, 1U);
     EXPECT_EQ(startedIn(bench.wait(Milliseconds(20), 1000)), std::vector<std::string> { "begun" });
 }
@@ -383,8 +391,8 @@
     BusyBench bench(withForecast(true));
     bench.scheduler.leastUrgent = 1;
     bench.freedPerSecond = 10000;
-    bench.tell(0);
-    bench.submitPatient("late", Milliseconds(1000));
+    bench.sendUpdate(0);
+    bench.submitWithDeadline("late", Milliseconds(1000));
     bench.wait(Milliseconds(200), 0);
     for (const AgentSend &send : bench.wait(Milliseconds(120), 1000).sends) {
         if (const auto *start = std::get_if<jobs::StartTasks>(&send.message)) {
@@ -392,61 +400,61 @@
         }
     }
     EXPECT_EQ(bench.scheduler.counters.servedLate, 0U);
-    bench.report("agent-0", { endOf("late", 0, 1, RunEnd::Done) });
+    bench.report("agent-0", { runReport("late", 0, 1, RunEnd::Done) });
     EXPECT_EQ(bench.scheduler.counters.servedLate, 1U);
 }
 
 // [SECTION] Long overloads
 
-struct LongSpellCase
+struct LongOverloadCase
 {
     const char *name;
 
     // Late jobs that wait, and how long there have been such
     std::size_t jobs;
-    Milliseconds lasted;
+    Milliseconds duration;
 
     // Millicores recently given to late jobs
-    double taken;
+    double granted;
     std::size_t waiting;
 };
 
-class LongSpells : public testing::TestWithParam<LongSpellCase>
+class LongOverloads : public testing::TestWithParam<LongOverloadCase>
 { };
 
-// Jobs of one core and 100 ms; by the forecast all of them would begin in time.
-TEST_P(LongSpells, LetAsManyWaitAsLateJobsGotRoomFor)
+// Jobs of one core and 100 ms; by the forecast all of them would start in time.
+TEST_P(LongOverloads, LetAsManyWaitAsLateJobsGotCapacityFor)
 {
     BusyBench bench(withForecast(true));
     bench.freedPerSecond = 100000;
-    bench.tell(0);
+    bench.sendUpdate(0);
     for (std::size_t i = 0; i < GetParam().jobs; ++i)
-        bench.submitPatient("job-" + std::to_string(i), Milliseconds(5000));
-    LateSpell &spell = bench.scheduler.lateSpells["align"];
-    spell.since = bench.now - GetParam().lasted;
-    spell.seenAt = bench.now;
-    spell.taken = { GetParam().taken, bench.now };
+        bench.submitWithDeadline("job-" + std::to_string(i), Milliseconds(5000));
+    LatePeriod &period = bench.scheduler.latePeriods["align"];
+    period.since = bench.now - GetParam().duration;
+    period.lastSeenAt = bench.now;
+    period.granted = { GetParam().granted, bench.now };
     bench.wait(Milliseconds(100), 0);
     EXPECT_EQ(forecastStatus(bench.scheduler, bench.now).waitingLate, GetParam().waiting);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-        Scheduler, LongSpells,
-        testing::Values(LongSpellCase { "AllWhileItIsYoung", 5, Milliseconds(0), 0, 5 },
-                        LongSpellCase { "TwoToTryOnceItIsOld", 5, Milliseconds(2000), 0, 2 },
-                        LongSpellCase { "MoreWhereLateJobsGotRoom", 5, Milliseconds(2000), 10000,
-                                        4 }),
+        Scheduler, LongOverloads,
+        testing::Values(LongOverloadCase { "AllAtItsBeginning", 5, Milliseconds(0), 0, 5 },
+                        LongOverloadCase { "TwoOnceItIsLong", 5, Milliseconds(2000), 0, 2 },
+                        LongOverloadCase { "MoreIfLateJobsGotCapacity", 5, Milliseconds(2000),
+                                           10000, 4 }),
         [](const auto &tested) { return tested.param.name; });
 
-// [SECTION] Coming back
+// [SECTION] Retry times
 
 // Callers refused together must not all retry together.
-TEST(ComingBack, IsSpreadOverThoseWhoAreRefusedTogether)
+TEST(RetryTimes, AreSpreadOverCallersRefusedTogether)
 {
     BusyBench bench(withForecast(false));
     bench.freedPerSecond = 2000;
     bench.waiting = { { 0, 1000 } };
-    bench.tell(0);
+    bench.sendUpdate(0);
     bench.priority = 1;
     std::set<Milliseconds> times;
     for (int i = 0; i < 20; ++i) {
