--- a/tests/fleet/world.cpp
+++ b/tests/fleet/world.cpp
@@ -103,7 +103,7 @@
     std::uniform_int_distribution<int> cores(1000, 2200);
     jobs::JobSpec spec;
     spec.id = nameOf("job", static_cast<int>(++m_lastJob));
-    spec.traits.kept = false;
+    spec.traits.durable = false;
     jobs::StepSpec step;
     step.tasks = static_cast<std::uint32_t>(tasks(m_random));
     step.estimate = Milliseconds(span(m_random));
@@ -237,7 +237,7 @@
         scheduler::SchedulerSettings settings = m_settings.scheduler;
         settings.seed = m_random();
         entry.state = scheduler::makeScheduler(settings);
-        entry.state.entries = static_cast<std::uint32_t>(m_settings.entries);
+        entry.state.entryCount = static_cast<std::uint32_t>(m_settings.entries);
         entry.calls.clear();
         entry.endsUnread.clear();
         entry.watch = {};
@@ -429,7 +429,7 @@
         agent.toldLeavingAt = m_now;
 }
 
-// An order goes out, may be done late and unanswered, and is answered once.
+// An order goes out, may be done late and unanswered, and is result once.
 template<class Order, class Do, class Answered>
 void World::order(int number, const Order &order, Milliseconds wait, Do run, Answered back)
 {
@@ -465,7 +465,7 @@
                 [this, number, id = stop.id](const runner::CommandResult &result) {
                     Agent &agent = *m_agents[static_cast<std::size_t>(number)];
                     carryOut(number,
-                             runner::handleStopResult(agent.state, id, answered, clockOf(agent)));
+                             runner::handleStopResult(agent.state, id, result, clockOf(agent)));
                 });
     for (const runner::StartCommand &start : actions.starts)
         order(
@@ -473,19 +473,19 @@
                 [this, number](FakeEndpoint &endpoint, const runner::StartCommand &wanted) {
                     const Milliseconds work = m_specs.at(wanted.id.task.job).steps[0].estimate;
                     const bool wasThere = endpoint.runs().count(wanted.id) != 0;
-                    const auto answered = endpoint.start(wanted, m_now, work);
-                    if (answered.answer == runner::CommandStatus::Ok && !wasThere)
+                    const auto result = endpoint.start(wanted, m_now, work);
+                    if (result.status == runner::CommandStatus::Ok && !wasThere)
                         noteCrashing(number, wanted.id);
-                    if (answered.answer == runner::CommandStatus::Ok)
+                    if (result.status == runner::CommandStatus::Ok)
                         m_began.insert(wanted.id.task.job);
-                    if (answered.answer == runner::CommandStatus::Ok)
+                    if (result.status == runner::CommandStatus::Ok)
                         noteStart(number);
                     return result;
                 },
                 [this, number, id = start.id](const runner::CommandResult &result) {
                     Agent &agent = *m_agents[static_cast<std::size_t>(number)];
                     carryOut(number,
-                             runner::handleStartResult(agent.state, id, answered, clockOf(agent)));
+                             runner::handleStartResult(agent.state, id, result, clockOf(agent)));
                 });
     if (actions.poll) {
         const runner::PollCommand &poll = *actions.poll;
--- a/tests/rig/rig.cpp
+++ b/tests/rig/rig.cpp
@@ -222,7 +222,7 @@
 RigReport Rig::play()
 {
     for (EntryHost &entry : m_entries)
-        entry.state.entries = static_cast<std::uint32_t>(m_entries.size());
+        entry.state.entryCount = static_cast<std::uint32_t>(m_entries.size());
     for (std::size_t host = 0; host < m_hosts.size(); ++host) {
         carryOut(host,
                  runner::handleCordons(m_hosts[host].state, {}, runner::CordonSource::Control,
@@ -316,7 +316,7 @@
         longest = std::max(longest, call.work.back());
     }
     call.spec.id = "job-" + std::to_string(++m_lastJob);
-    call.spec.traits.kept = false;
+    call.spec.traits.durable = false;
     call.spec.steps = { step };
     call.objective = std::chrono::duration_cast<Microseconds>(longest * Stretch) + Latency;
     call.size = width * work / (load.width * static_cast<double>(load.work.count()));
@@ -588,7 +588,7 @@
     const auto seen = [&](const runner::EndedRun &row) { return row.number <= order.lastSeenEnd; };
     host.ended.erase(std::remove_if(host.ended.begin(), host.ended.end(), seen), host.ended.end());
     runner::PollResult poll;
-    poll.answered = { runner::CommandStatus::Ok, clock() };
+    poll.result = { runner::CommandStatus::Ok, clock() };
     for (const auto &[id, run] : host.runs) {
         const double whole = static_cast<double>((run.doneAt - run.startedAt).count());
         const double ran = static_cast<double>((m_now - run.startedAt).count());
