--- a/packages/fleet/src/agentshell.cpp
+++ b/packages/fleet/src/agentshell.cpp
@@ -336,7 +336,7 @@
           count(m_runner.waiting.size()));
     gauge("foxwing_sessions", "Entries in touch", count(m_runner.sessions.size()));
     gauge("foxwing_endpoint_pace", "Time taken against estimates",
-          m_runner.endpointIncarnation.pace);
+          m_runner.endpointIncarnation.slowdown);
     gauge("foxwing_endpoint_bad", "Evidence against the endpoint, 0 to 1",
           m_runner.endpointIncarnation.faultScore);
     gauge("foxwing_cordons_revision", "Cordons known here", count(m_runner.cordons.revision));
--- a/packages/runner/include/foxwing/runner/runner.h
+++ b/packages/runner/include/foxwing/runner/runner.h
@@ -16,7 +16,7 @@
         RunnerState runner = makeRunner(settings, incarnation, fence);
         RunnerActions actions = handleHeartbeat(runner, report, now);
         ... execute the actions ...
-        actions = handleStartResult(runner, id, answered, now);
+        actions = handleStartResult(runner, id, result, now);
 
     [SECTION] Settings
     [SECTION] Commands
@@ -56,36 +56,36 @@
 
     // How long a poll waits at the endpoint for a run to end while something runs. Also bounds the
     // age of the progress reports, which must stay well below the duration of the shortest tasks.
-    Milliseconds busyWait { 60 };
+    Milliseconds busyPollWait { 60 };
 
     // The same while nothing runs. Well below leaseSpan, since a run that starts meanwhile has only
     // the lease of its start command until the poll returns.
-    Milliseconds idleWait { 200 };
+    Milliseconds idlePollWait { 200 };
 
     // A start without a reply is repeated under the same run number for this long, then the run is
     // stopped. Allows several attempts of 25 ms, so that few runs are stopped even if half of all
     // commands get lost.
-    Milliseconds startGivenUp { 150 };
+    Milliseconds startTimeout { 150 };
 
-    // For this long after a failed poll, polls wait at the endpoint no longer than doubtfulWait:
-    // a lost poll delays its reports by the time that it waits.
-    Milliseconds doubtfulSpan { 1000 };
-    Milliseconds doubtfulWait { 20 };
+    // For this long after a failed poll, polls wait at the endpoint no longer than
+    // cautiousPollWait: a lost poll delays its reports by the time that it waits.
+    Milliseconds pollFailureWindow { 1000 };
+    Milliseconds cautiousPollWait { 20 };
 
     // Consecutive polls that fail before the endpoint counts as unreachable. Until then the next
     // poll follows at once and doesn't wait, so it renews the lease as well. With half of the
     // commands lost, seven in a row fail about once in a hundred times.
-    std::uint32_t looksBeforeOutOfReach { 7 };
+    std::uint32_t maxFailedPolls { 7 };
 
     // Between polls of an endpoint that is unreachable or still has runs of an earlier agent.
-    Milliseconds lookPause { 40 };
+    Milliseconds pollRetryDelay { 40 };
 
     // A stop is repeated after this long if the run's end isn't listed. The endpoint takes up to
     // 50 ms to stop a run.
-    Milliseconds stopRepeat { 70 };
+    Milliseconds stopRetryInterval { 70 };
 
     // When a run can't be stopped for this long, the lease of the whole endpoint is not renewed.
-    Milliseconds stopGivenUp { 350 };
+    Milliseconds stopTimeout { 350 };
 
     // Longest delay of capacity updates to entries with waiting work. Well below the duration of
     // the shortest tasks, so that capacity doesn't stay idle.
@@ -98,56 +98,57 @@
 
     // Progress is compared with the estimate after this run time: twice the delay that a reply can
     // have on a busy host.
-    Milliseconds judgeAfter { 40 };
+    Milliseconds stragglerCheckDelay { 40 };
 
-    // A run is behind if its projected duration exceeds this percentage of its estimate. Estimates
-    // are off by 40 percent and endpoints differ in speed by 25.
-    std::uint32_t behindPercent { 250 };
+    // A run is a straggler if its projected duration exceeds this percentage of its estimate, or if
+    // it is stalled. Estimates are off by 40 percent and endpoints differ in speed by 25.
+    std::uint32_t stragglerPercent { 250 };
 
     // A run without progress for this long, plus a tenth of its estimate, is stalled.
-    Milliseconds stillAfter { 45 };
+    Milliseconds stallTimeout { 45 };
 
-    // How often a run that is behind is reported again.
-    Milliseconds lagRepeat { 150 };
+    // How often a straggler is reported again.
+    Milliseconds stragglerReportInterval { 150 };
 
     // Averaging window of the rate at which ended runs free capacity: several of the shortest
     // tasks, and less than a burst of work.
-    Milliseconds freedSpan { 300 };
+    Milliseconds freedWindow { 300 };
 
     // Limit of the rows about waiting starts in an update. The last row sums up the least urgent
     // priorities, so that updates stay small whatever queues are declared.
-    std::size_t mostWaitingRows = 8;
+    std::size_t maxWaitingRows = 8;
 
     // Starts of one priority and of more urgent ones may wait for up to this percentage of the
     // endpoint's capacity.
-    std::int64_t waitingPercent = 15;
+    std::int64_t maxWaitingPercent = 15;
 
     // A new agent waits this long for the cordons from control, then accepts those that an entry
     // knows, since control may be down. With control up, links to it are established within 0.1 s.
-    Milliseconds cordonWait { 1000 };
+    Milliseconds cordonTimeout { 1000 };
 
     // Previous incarnations of the endpoint that are remembered: more than can crash within the
     // longest delay of a heartbeat.
-    std::size_t mostFormerLives = 16;
+    std::size_t maxPreviousIncarnations = 16;
 
     // How long, and how many, tasks are remembered that ran when the endpoint crashed. Longer than
     // entries remember a job, and enough for several crashes of a full endpoint.
-    Milliseconds crashesRememberedFor { 60000 };
-    std::size_t mostCrashedTasks = 256;
+    Milliseconds crashRetention { 60000 };
+    std::size_t maxCrashedTasks = 256;
 
     // Limit of log lines per second about ignored heartbeats. Endpoints send one every 1.5 s.
-    std::uint32_t passedOverLines = 5;
+    std::uint32_t maxIgnoredHeartbeatLines = 5;
 
-    // Whether an endpoint whose runs fail or lag is put on probation: it then gets one run at a
-    // time, and a pause after each fault.
+    // Whether an endpoint whose runs fail or straggle is put on probation: it then gets one run at
+    // a time, and a pause after each fault.
     bool probationEnabled = true;
 
-    // The fault score rises by badStep with each failure or lag, and is multiplied by goodFactor
-    // with each run that ends on time. Probation lasts while it is at least trialAbove.
-    double badStep = 0.25;
-    double goodFactor = 0.7;
-    double trialAbove = 0.7;
-    Milliseconds trialRest { 400 };
+    // The fault score rises by faultStep with each failure or straggler, and is multiplied by
+    // faultDecay with each run that ends on time. Probation lasts while it is at least
+    // probationThreshold.
+    double faultStep = 0.25;
+    double faultDecay = 0.7;
+    double probationThreshold = 0.7;
+    Milliseconds probationPause { 400 };
 };
 
 // [SECTION] Commands
@@ -269,7 +270,7 @@
     jobs::Room capacity;
     bool leaving = false;
 
-    // While leaving: time that is left at least
+    // While leaving: minimum time until it is gone
     Milliseconds remaining { 0 };
     std::uint64_t sequence = 0;
     std::optional<Milliseconds> clock;
@@ -279,7 +280,7 @@
 
 enum class RunState {
     // The start command has not been confirmed yet.
-    Ordered,
+    Starting,
     Running,
     Stopping,
 };
@@ -290,44 +291,44 @@
     std::string payload;
     jobs::Room room;
     Milliseconds estimate { 0 };
-    RunState state = RunState::Ordered;
+    RunState state = RunState::Starting;
 
     // Number of start commands sent
-    std::uint32_t tries = 0;
-    Time orderedAt {};
+    std::uint32_t attempts = 0;
+    Time startSentAt {};
     Time startedAt {};
 
     // The endpoint has confirmed or listed it.
-    bool seen = false;
+    bool confirmed = false;
 
     // Stopping
-    Time stopSince {};
-    Time stopOrderedAt {};
+    Time stoppingSince {};
+    Time stopSentAt {};
 
     // A stop command has been sent and has no result yet.
-    bool stopUnderWay = false;
+    bool stopPending = false;
 
     // Number of the first poll that proves the run gone if it doesn't list it: the first one after
     // an acknowledged stop, a refusal as an old run, or a new incarnation. 0 if there is none.
-    std::uint64_t goneIfMissingIn = 0;
+    std::uint64_t decisivePoll = 0;
 
     // Started in a previous incarnation of the endpoint and not yet listed by the current one
-    bool ofFormerLife = false;
+    bool carriedOver = false;
 
     // How it ended if it was lost with that incarnation
-    jobs::RunEnd formerEnd = jobs::RunEnd::Lost;
+    jobs::RunEnd endIfLost = jobs::RunEnd::Lost;
 
     std::uint32_t percent = 0;
     Time progressAt {};
-    bool behind = false;
-    bool still = false;
+    bool straggling = false;
+    bool stalled = false;
 
     // Remaining time at its current speed; zero if it is stalled
-    Milliseconds left { 0 };
+    Milliseconds remaining { 0 };
 
-    // When it was last reported as behind, and whether it ever was
-    Time lagToldAt {};
-    bool lagged = false;
+    // When it was last reported as a straggler, and whether it ever was
+    Time stragglerReportedAt {};
+    bool wasStraggling = false;
 };
 
 // A start that waits at this agent for capacity. No command for it has been sent yet.
@@ -350,30 +351,30 @@
     bool welcomed = false;
 
     // Closed; kept until its runs have stopped.
-    bool over = false;
+    bool closed = false;
     std::uint64_t beat = 0;
     std::uint64_t startsTaken = 0;
-    std::uint64_t toldBeat = 0;
-    std::uint64_t toldStarts = 0;
+    std::uint64_t reportedHeartbeat = 0;
+    std::uint64_t reportedStarts = 0;
 
     // A start was refused for lack of capacity: more of it is reported at once.
-    bool refusedRoom = false;
+    bool refusedForCapacity = false;
 
     // Work waits for capacity at the entry.
     bool wantsRoom = false;
 
     // There is something to report at once.
     bool dirty = false;
-    Time toldAt {};
-    jobs::Room toldFree;
-    std::uint32_t toldMostStarts = 0;
-    bool toldLeaving = false;
-    std::uint64_t toldView = 0;
+    Time lastSentAt {};
+    jobs::Room reportedFree;
+    std::uint32_t reportedMaxStarts = 0;
+    bool reportedLeaving = false;
+    std::uint64_t reportedView = 0;
     std::vector<jobs::RunReport> ended;
     std::vector<jobs::LagReport> lagging;
 
     // The last crash that was reported to it
-    std::uint64_t toldCrash = 0;
+    std::uint64_t reportedCrash = 0;
 };
 
 // A task that ran when the endpoint crashed.
@@ -382,8 +383,8 @@
     jobs::TaskId task;
     std::uint32_t crashes = 0;
 
-    // The last of these crashes, and its number in the order of all crashes
-    Time at {};
+    // The last of these crashes, and its number among all crashes
+    Time crashedAt {};
     std::uint64_t number = 0;
 };
 
@@ -421,24 +422,25 @@
     std::uint64_t lastSeenEnd = 0;
 
     // Consecutive failed polls, and the last failure
-    std::uint32_t looksFailed = 0;
-    std::optional<Time> lookFailedAt;
+    std::uint32_t failedPolls = 0;
+    std::optional<Time> pollFailedAt;
 
     // Health: fault score from 0 to 1, the last fault, and the mean of run time to estimate
     double faultScore = 0;
-    Time badAt {};
-    double pace = 1.0;
+    Time lastFaultAt {};
+    double slowdown = 1.0;
 };
 
 struct RunnerState
 {
     RunnerSettings settings;
+
     // Of this agent
     std::uint64_t incarnation = 0;
     std::uint64_t fence = 0;
 
     // Consecutive rejections of the fence; each one doubles the next raise.
-    std::uint32_t fencedOff = 0;
+    std::uint32_t fenceRejections = 0;
 
     // The endpoint; its id is empty while none is known.
     EndpointReport endpoint;
@@ -449,23 +451,23 @@
 
     // The newest heartbeat of another incarnation while the current one replies or is the younger
     // one: a delayed or stray heartbeat, or the next incarnation's. The next poll tells which.
-    // doubtfulLook is the last poll that was sent before it arrived.
-    std::optional<EndpointReport> doubtful;
-    std::uint64_t doubtfulLook = 0;
+    // candidateAfterPoll is the last poll that was sent before it arrived.
+    std::optional<EndpointReport> candidate;
+    std::uint64_t candidateAfterPoll = 0;
 
     // Version of the endpoint's description; entries get the description again when it changes.
-    std::uint64_t viewNumber = 1;
+    std::uint64_t viewVersion = 1;
     bool stopping = false;
 
     // Tasks that ran in a crash of any incarnation of the endpoint, the last one at the end
-    std::deque<CrashedTask> crashed;
+    std::deque<CrashedTask> crashedTasks;
     std::uint64_t lastCrash = 0;
 
     // The newest known cordons; nothing is started before they are known.
     catalog::Cordons cordons;
     bool cordonsKnown = false;
-    bool heardFromEntry = false;
-    Time firstTick {};
+    bool cordonsFromEntry = false;
+    Time firstTickAt {};
 
     std::map<jobs::RunId, Run> runs;
     std::map<std::uint64_t, Session> sessions;
@@ -479,9 +481,9 @@
     // Polls: number of the last one sent; results of polls up to lastAnsweredPoll are ignored.
     std::uint64_t pollNumber = 0;
     std::uint64_t lastAnsweredPoll = 0;
-    bool lookUnderWay = false;
-    Time nextLook {};
-    bool wasOnTrial = false;
+    bool pollPending = false;
+    Time nextPollAt {};
+    bool wasOnProbation = false;
 
     // Counters for metrics
     std::uint64_t started = 0;
@@ -492,9 +494,9 @@
     std::uint64_t unanswered = 0;
     std::uint64_t ignoredHeartbeats = 0;
 
-    // Log lines about ignored heartbeats in the second that began at passedOverSecond
-    Time passedOverSecond {};
-    std::uint32_t passedOverLines = 0;
+    // Log lines about ignored heartbeats in the second that started at ignoredHeartbeatSecond
+    Time ignoredHeartbeatSecond {};
+    std::uint32_t ignoredHeartbeatLines = 0;
 };
 
 struct RunnerActions
@@ -505,7 +507,7 @@
     std::vector<std::pair<std::uint64_t, jobs::Welcome>> acceptances;
     std::vector<std::pair<std::uint64_t, jobs::AgentUpdate>> updates;
 
-    // Sessions whose connections are to be closed
+    // Numbers of sessions whose connections are to be closed
     std::vector<std::uint64_t> closes;
     std::vector<eventlog::Event> events;
 };
@@ -517,7 +519,7 @@
 RunnerState makeRunner(const RunnerSettings &settings, std::uint64_t incarnation,
                        std::uint64_t fence);
 
-// The endpoint's heartbeat, and its notice that it has shut down.
+// Heartbeats of the endpoint, and the notice that it has shut down.
 RunnerActions handleHeartbeat(RunnerState &runner, const EndpointReport &report, Time now);
 RunnerActions handleDeregistration(RunnerState &runner, const IncarnationId &endpointIncarnation,
                                    Time now);
@@ -550,7 +552,7 @@
 
 RunnerActions tick(RunnerState &runner, Time now);
 
-// Planned shutdown: no new starts are taken. Complete once finished() returns true.
+// Planned shutdown: no new starts are taken. Complete once isShutDown() returns true.
 RunnerActions beginShutdown(RunnerState &runner, Time now);
 RunnerActions stopAllRuns(RunnerState &runner, Time now);
 bool isShutDown(const RunnerState &runner);
--- a/packages/runner/src/crashes.cpp
+++ b/packages/runner/src/crashes.cpp
@@ -16,29 +16,29 @@
 
 void forgetOldCrashes(RunnerState &runner, Time now)
 {
-    std::deque<CrashedTask> &crashed = runner.crashed;
-    while (!crashed.empty() && now >= crashed.front().at + runner.settings.crashesRememberedFor)
+    std::deque<CrashedTask> &crashed = runner.crashedTasks;
+    while (!crashed.empty() && now >= crashed.front().crashedAt + runner.settings.crashRetention)
         crashed.pop_front();
-    while (crashed.size() > runner.settings.mostCrashedTasks)
+    while (crashed.size() > runner.settings.maxCrashedTasks)
         crashed.pop_front();
 }
 
 } // namespace
 
-void noteCrash(RunnerState &runner, const jobs::TaskId &task, Time now)
+void recordCrash(RunnerState &runner, const jobs::TaskId &task, Time now)
 {
-    CrashedTask noted;
-    noted.task = task;
-    const auto known = std::find_if(runner.crashed.begin(), runner.crashed.end(),
+    CrashedTask crash;
+    crash.task = task;
+    const auto known = std::find_if(runner.crashedTasks.begin(), runner.crashedTasks.end(),
                                     [&](const CrashedTask &other) { return other.task == task; });
-    if (known != runner.crashed.end()) {
-        noted = *known;
-        runner.crashed.erase(known);
+    if (known != runner.crashedTasks.end()) {
+        crash = *known;
+        runner.crashedTasks.erase(known);
     }
-    ++noted.crashes;
-    noted.at = now;
-    noted.number = ++runner.lastCrash;
-    runner.crashed.push_back(noted);
+    ++crash.crashes;
+    crash.crashedAt = now;
+    crash.number = ++runner.lastCrash;
+    runner.crashedTasks.push_back(crash);
     forgetOldCrashes(runner, now);
 }
 
@@ -46,8 +46,8 @@
                                             Time now)
 {
     std::vector<jobs::CrashReport> reports;
-    for (const CrashedTask &crashed : runner.crashed) {
-        const bool old = now >= crashed.at + runner.settings.crashesRememberedFor;
+    for (const CrashedTask &crashed : runner.crashedTasks) {
+        const bool old = now >= crashed.crashedAt + runner.settings.crashRetention;
         if (crashed.number > number && !old)
             reports.push_back({ crashed.task, crashed.crashes });
     }
--- a/packages/runner/src/lives.cpp
+++ b/packages/runner/src/incarnations.cpp
@@ -34,7 +34,7 @@
     return !(left == right);
 }
 
-std::int64_t bornField(const std::optional<WallTime> &startedAt)
+std::int64_t startTimeField(const std::optional<WallTime> &startedAt)
 {
     return startedAt ? startedAt->time_since_epoch().count() : 0;
 }
@@ -46,28 +46,28 @@
     // Fences are milliseconds shifted left by ten bits. The first step makes up for a clock that
     // was a minute ahead; each further one is twice as large.
     constexpr std::uint64_t FirstStep = 60000ULL << 10U;
-    constexpr std::uint32_t MostDoublings = 10;
-    runner.fence += FirstStep << std::min(runner.fencedOff, MostDoublings);
-    ++runner.fencedOff;
+    constexpr std::uint32_t MaxDoublings = 10;
+    runner.fence += FirstStep << std::min(runner.fenceRejections, MaxDoublings);
+    ++runner.fenceRejections;
     actions.events.push_back(change("fence-raised").with("fence", runner.fence));
 }
 
 // Delayed start commands for one incarnation must not take effect in the next one, whose clock and
 // run numbers don't reject them. With a higher fence they are rejected after the next poll.
-static void fenceOffOrders(RunnerState &runner)
+static void fenceOffCommands(RunnerState &runner)
 {
     ++runner.fence;
 }
 
 // [SECTION] Incarnations
 
-void endAll(RunnerState &runner, RunEnd end, const char *why, Time now, RunnerActions &actions)
+void endAllRuns(RunnerState &runner, RunEnd end, const char *why, Time now, RunnerActions &actions)
 {
     if (runner.runs.empty() && runner.endpointIncarnation.orphans.empty())
         return;
     actions.events.push_back(
             change("all-runs-over").with("why", why).with("runs", runner.runs.size()));
-    fenceOffOrders(runner);
+    fenceOffCommands(runner);
     while (!runner.runs.empty()) {
         const RunId id = runner.runs.begin()->first;
         endRun(runner, id, end, RefusedStart::None, now, actions);
@@ -75,7 +75,7 @@
     runner.endpointIncarnation.orphans.clear();
 }
 
-RunEnd endOfLife(const RunnerState &runner)
+RunEnd lossOutcome(const RunnerState &runner)
 {
     return runner.endpoint.leaving ? RunEnd::Lost : RunEnd::Crashed;
 }
@@ -85,62 +85,64 @@
 // Commands in flight while an endpoint restarted with the same id may have reached either
 // incarnation. A run counts as lost only once the new incarnation, polled with a higher fence,
 // doesn't list it; reported earlier, its task could be started elsewhere while it still runs.
-void leaveRunsToNextList(RunnerState &runner)
+void carryRunsOver(RunnerState &runner)
 {
     for (auto &[id, run] : runner.runs) {
-        run.ofFormerLife = true;
-        run.formerEnd = endOfLife(runner);
-        run.goneIfMissingIn = runner.pollNumber + 1;
+        run.carriedOver = true;
+        run.endIfLost = lossOutcome(runner);
+        run.decisivePoll = runner.pollNumber + 1;
     }
-    fenceOffOrders(runner);
+    fenceOffCommands(runner);
 }
 
-void rememberFormerLife(RunnerState &runner)
+void rememberIncarnation(RunnerState &runner)
 {
     if (!runner.endpoint.endpointIncarnation.id.empty())
         runner.previousIncarnations.push_back(runner.endpoint.endpointIncarnation);
-    if (runner.previousIncarnations.size() > runner.settings.mostFormerLives)
+    if (runner.previousIncarnations.size() > runner.settings.maxPreviousIncarnations)
         runner.previousIncarnations.pop_front();
 }
 
-bool isFormerLife(const RunnerState &runner, const IncarnationId &endpointIncarnation)
+bool isPreviousIncarnation(const RunnerState &runner, const IncarnationId &endpointIncarnation)
 {
-    const std::deque<IncarnationId> &former = runner.previousIncarnations;
-    return std::find(former.begin(), former.end(), endpointIncarnation) != former.end();
+    const std::deque<IncarnationId> &previous = runner.previousIncarnations;
+    return std::find(previous.begin(), previous.end(), endpointIncarnation) != previous.end();
 }
 
-void beginLife(RunnerState &runner, const IncarnationId &endpointIncarnation, const char *toldBy,
-               Time now, RunnerActions &actions)
+void beginIncarnation(RunnerState &runner, const IncarnationId &endpointIncarnation,
+                      const char *source, Time now, RunnerActions &actions)
 {
-    actions.events.push_back(change("endpoint-life")
-                                     .with("life", endpointIncarnation.id)
-                                     .with("born_ms", bornField(endpointIncarnation.startedAt))
-                                     .with("before", runner.endpoint.endpointIncarnation.id)
-                                     .with("before_born_ms",
-                                           bornField(runner.endpoint.endpointIncarnation.startedAt))
-                                     .with("told_by", toldBy)
-                                     .with("runs", runner.runs.size()));
+    actions.events.push_back(
+            change("endpoint-life")
+                    .with("life", endpointIncarnation.id)
+                    .with("born_ms", startTimeField(endpointIncarnation.startedAt))
+                    .with("before", runner.endpoint.endpointIncarnation.id)
+                    .with("before_born_ms",
+                          startTimeField(runner.endpoint.endpointIncarnation.startedAt))
+                    .with("told_by", source)
+                    .with("runs", runner.runs.size()));
     // The endpoint rejects commands for another id, so all runs are certainly lost.
     if (endpointIncarnation.id == runner.endpoint.endpointIncarnation.id)
-        leaveRunsToNextList(runner);
+        carryRunsOver(runner);
     else
-        endAll(runner, endOfLife(runner), "the endpoint has a new incarnation", now, actions);
-    rememberFormerLife(runner);
+        endAllRuns(runner, lossOutcome(runner), "the endpoint has a new incarnation", now, actions);
+    rememberIncarnation(runner);
     runner.endpoint = EndpointReport();
     runner.endpoint.endpointIncarnation = endpointIncarnation;
     runner.endpointIncarnation = IncarnationState();
-    runner.doubtful.reset();
-    ++runner.viewNumber;
+    runner.candidate.reset();
+    ++runner.viewVersion;
     // A pending poll was for the previous incarnation; its result is ignored.
-    runner.lookUnderWay = false;
+    runner.pollPending = false;
     runner.lastAnsweredPoll = runner.pollNumber;
-    runner.nextLook = now;
+    runner.nextPollAt = now;
 }
 
 // Applies a heartbeat of the current incarnation.
-void describe(RunnerState &runner, const EndpointReport &report, Time now, RunnerActions &actions)
+void applyReport(RunnerState &runner, const EndpointReport &report, Time now,
+                 RunnerActions &actions)
 {
-    const EndpointReport before = std::exchange(runner.endpoint, report);
+    const EndpointReport previous = std::exchange(runner.endpoint, report);
     if (!std::exchange(runner.endpointIncarnation.described, true))
         actions.events.push_back(change("endpoint-described")
                                          .with("life", report.endpointIncarnation.id)
@@ -148,126 +150,127 @@
                                          .with("data_centre", report.dataCentre)
                                          .with("milli_cores", report.capacity.milliCores)
                                          .with("megabytes", report.capacity.megabytes));
-    const bool sameView = before.leaving == report.leaving && before.labels == report.labels
-            && before.capacity == report.capacity && before.service == report.service
-            && before.dataCentre == report.dataCentre;
+    const bool sameView = previous.leaving == report.leaving && previous.labels == report.labels
+            && previous.capacity == report.capacity && previous.service == report.service
+            && previous.dataCentre == report.dataCentre;
     if (!sameView)
-        ++runner.viewNumber;
-    if (report.leaving && !before.leaving)
+        ++runner.viewVersion;
+    if (report.leaving && !previous.leaving)
         actions.events.push_back(change("endpoint-leaving")
                                          .with("life", report.endpointIncarnation.id)
                                          .with("remaining_ms", report.remaining)
                                          .with("runs", runner.runs.size()));
-    takeClock(runner, { CommandStatus::Ok, report.clock }, now);
+    updateClock(runner, { CommandStatus::Ok, report.clock }, now);
 }
 
 } // namespace
 
-void lifeListed(RunnerState &runner, const IncarnationId &endpointIncarnation, Time now,
-                RunnerActions &actions)
+void handleOtherIncarnation(RunnerState &runner, const IncarnationId &endpointIncarnation, Time now,
+                            RunnerActions &actions)
 {
-    const std::optional<EndpointReport> heard = runner.doubtful;
-    beginLife(runner, endpointIncarnation, "its list of runs", now, actions);
-    if (heard && heard->endpointIncarnation == endpointIncarnation)
-        describe(runner, *heard, now, actions);
+    const std::optional<EndpointReport> candidate = runner.candidate;
+    beginIncarnation(runner, endpointIncarnation, "its list of runs", now, actions);
+    if (candidate && candidate->endpointIncarnation == endpointIncarnation)
+        applyReport(runner, *candidate, now, actions);
 }
 
 // A candidate that arrived after the poll was sent is kept.
-void lifeConfirmed(RunnerState &runner, std::uint64_t poll)
+void confirmIncarnation(RunnerState &runner, std::uint64_t poll)
 {
     runner.endpointIncarnation.responded = true;
-    if (poll > runner.doubtfulLook)
-        runner.doubtful.reset();
+    if (poll > runner.candidateAfterPoll)
+        runner.candidate.reset();
 }
 
-void lifeDisowned(RunnerState &runner, Time now, RunnerActions &actions)
+void rejectIncarnation(RunnerState &runner, Time now, RunnerActions &actions)
 {
     // The endpoint's own reply outranks the order in which heartbeats arrived.
     runner.previousIncarnations.clear();
-    const std::optional<EndpointReport> heard = runner.doubtful;
-    if (!heard || heard->endpointIncarnation.id == runner.endpoint.endpointIncarnation.id)
+    const std::optional<EndpointReport> candidate = runner.candidate;
+    if (!candidate || candidate->endpointIncarnation.id == runner.endpoint.endpointIncarnation.id)
         return;
-    beginLife(runner, heard->endpointIncarnation,
-              "a heartbeat, after the endpoint rejected the previous id", now, actions);
-    describe(runner, *heard, now, actions);
+    beginIncarnation(runner, candidate->endpointIncarnation,
+                     "a heartbeat, after the endpoint rejected the previous id", now, actions);
+    applyReport(runner, *candidate, now, actions);
 }
 
 // [SECTION] Heartbeats
 
 namespace {
 
-const char *whyNotOfThisLife(const RunnerState &runner, const EndpointReport &report)
+// Why a heartbeat of the current incarnation is ignored; null if it is accepted.
+const char *whyIgnoredCurrent(const RunnerState &runner, const EndpointReport &report)
 {
-    const EndpointReport &present = runner.endpoint;
-    if (report.sequence < present.sequence)
+    const EndpointReport &current = runner.endpoint;
+    if (report.sequence < current.sequence)
         return "older than the last heartbeat received";
     // An incarnation keeps its service and data centre. If a foreign heartbeat were accepted, its
     // sequence number could make the endpoint's own heartbeats look outdated.
-    const bool moved = report.service != present.service || report.dataCentre != present.dataCentre;
+    const bool moved = report.service != current.service || report.dataCentre != current.dataCentre;
     return runner.endpointIncarnation.described && moved ? "it changes the service or data centre"
                                                          : nullptr;
 }
 
-// Why a heartbeat is ignored; null if it is accepted.
-const char *whyPassedOver(const RunnerState &runner, const EndpointReport &report)
+// The same for any heartbeat.
+const char *whyIgnored(const RunnerState &runner, const EndpointReport &report)
 {
-    const IncarnationId &present = runner.endpoint.endpointIncarnation;
-    if (present.id.empty())
+    const IncarnationId &current = runner.endpoint.endpointIncarnation;
+    if (current.id.empty())
         return nullptr;
-    if (report.endpointIncarnation == present)
-        return whyNotOfThisLife(runner, report);
-    if (isFormerLife(runner, report.endpointIncarnation))
+    if (report.endpointIncarnation == current)
+        return whyIgnoredCurrent(runner, report);
+    if (isPreviousIncarnation(runner, report.endpointIncarnation))
         return "from a previous incarnation";
-    if (report.endpointIncarnation.id == present.id && !report.endpointIncarnation.startedAt)
+    if (report.endpointIncarnation.id == current.id && !report.endpointIncarnation.startedAt)
         return "it has no start time";
-    if (report.endpointIncarnation.startedAt && present.startedAt
-        && *report.endpointIncarnation.startedAt < *present.startedAt)
+    if (report.endpointIncarnation.startedAt && current.startedAt
+        && *report.endpointIncarnation.startedAt < *current.startedAt)
         return "its incarnation started before the current one";
     // A valid heartbeat with another id must not displace an endpoint that works.
-    if (report.endpointIncarnation.id != present.id && runner.endpointIncarnation.responded
-        && runner.endpointIncarnation.looksFailed == 0)
+    if (report.endpointIncarnation.id != current.id && runner.endpointIncarnation.responded
+        && runner.endpointIncarnation.failedPolls == 0)
         return "the current incarnation is reachable";
     return nullptr;
 }
 
 // Logged, at a limited rate, since the sender gets a positive reply nevertheless.
-void logPassedOver(RunnerState &runner, const EndpointReport &report, const char *why, Time now,
-                   RunnerActions &actions)
+void logIgnored(RunnerState &runner, const EndpointReport &report, const char *why, Time now,
+                RunnerActions &actions)
 {
     ++runner.ignoredHeartbeats;
-    if (now >= runner.passedOverSecond + Seconds(1)) {
-        runner.passedOverSecond = now;
-        runner.passedOverLines = 0;
+    if (now >= runner.ignoredHeartbeatSecond + Seconds(1)) {
+        runner.ignoredHeartbeatSecond = now;
+        runner.ignoredHeartbeatLines = 0;
     }
-    if (++runner.passedOverLines > runner.settings.passedOverLines)
+    if (++runner.ignoredHeartbeatLines > runner.settings.maxIgnoredHeartbeatLines)
         return;
     actions.events.push_back(
             change("heartbeat-passed-over")
                     .with("why", why)
                     .with("life", report.endpointIncarnation.id)
-                    .with("born_ms", bornField(report.endpointIncarnation.startedAt))
+                    .with("born_ms", startTimeField(report.endpointIncarnation.startedAt))
                     .with("sequence", report.sequence)
                     .with("leaving", report.leaving ? 1 : 0)
                     .with("present", runner.endpoint.endpointIncarnation.id)
                     .with("present_born_ms",
-                          bornField(runner.endpoint.endpointIncarnation.startedAt))
+                          startTimeField(runner.endpoint.endpointIncarnation.startedAt))
                     .with("present_sequence", runner.endpoint.sequence)
                     .with("total", runner.ignoredHeartbeats));
 }
 
 // Keeps the heartbeat of a possible next incarnation until a poll confirms or rejects it.
-void keepDoubtful(RunnerState &runner, const EndpointReport &report)
+void keepCandidate(RunnerState &runner, const EndpointReport &report)
 {
     if (report.endpointIncarnation == runner.endpoint.endpointIncarnation
-        || isFormerLife(runner, report.endpointIncarnation))
+        || isPreviousIncarnation(runner, report.endpointIncarnation))
         return;
-    const bool older = runner.doubtful
-            && runner.doubtful->endpointIncarnation == report.endpointIncarnation
-            && report.sequence < runner.doubtful->sequence;
+    const bool older = runner.candidate
+            && runner.candidate->endpointIncarnation == report.endpointIncarnation
+            && report.sequence < runner.candidate->sequence;
     if (older)
         return;
-    runner.doubtful = report;
-    runner.doubtfulLook = runner.pollNumber;
+    runner.candidate = report;
+    runner.candidateAfterPoll = runner.pollNumber;
 }
 
 } // namespace
@@ -275,14 +278,14 @@
 RunnerActions handleHeartbeat(RunnerState &runner, const EndpointReport &report, Time now)
 {
     RunnerActions actions;
-    if (const char *why = whyPassedOver(runner, report)) {
-        logPassedOver(runner, report, why, now, actions);
-        keepDoubtful(runner, report);
+    if (const char *why = whyIgnored(runner, report)) {
+        logIgnored(runner, report, why, now, actions);
+        keepCandidate(runner, report);
         return actions;
     }
     if (report.endpointIncarnation != runner.endpoint.endpointIncarnation)
-        beginLife(runner, report.endpointIncarnation, "a heartbeat", now, actions);
-    describe(runner, report, now, actions);
+        beginIncarnation(runner, report.endpointIncarnation, "a heartbeat", now, actions);
+    applyReport(runner, report, now, actions);
     finishEvent(runner, now, actions);
     return actions;
 }
@@ -291,13 +294,13 @@
                                    Time now)
 {
     RunnerActions actions;
-    const IncarnationId &present = runner.endpoint.endpointIncarnation;
-    const bool isPresent = endpointIncarnation == present
-            || (endpointIncarnation.id == present.id && !endpointIncarnation.startedAt);
-    if (isPresent && !endpointIncarnation.id.empty()) {
+    const IncarnationId &current = runner.endpoint.endpointIncarnation;
+    const bool isCurrent = endpointIncarnation == current
+            || (endpointIncarnation.id == current.id && !endpointIncarnation.startedAt);
+    if (isCurrent && !endpointIncarnation.id.empty()) {
         actions.events.push_back(change("endpoint-left").with("life", endpointIncarnation.id));
         runner.endpoint.leaving = true;
-        ++runner.viewNumber;
+        ++runner.viewVersion;
     }
     finishEvent(runner, now, actions);
     return actions;
--- a/packages/runner/src/internal.h
+++ b/packages/runner/src/internal.h
@@ -18,10 +18,10 @@
 // [SECTION] Capacity and updates
 
 // Capacity that is free for new runs; zero while nothing may start.
-jobs::Room freeRoom(const RunnerState &runner);
+jobs::Room freeCapacity(const RunnerState &runner);
 std::uint32_t mostStarts(const RunnerState &runner, Time now);
-bool onTrial(const RunnerState &runner);
-bool isOutOfReach(const RunnerState &runner);
+bool isOnProbation(const RunnerState &runner);
+bool isUnreachable(const RunnerState &runner);
 
 // The last step of every event: sends updates to entries, and the next poll if it is due.
 void finishEvent(RunnerState &runner, Time now, RunnerActions &actions);
@@ -29,10 +29,10 @@
 // [SECTION] Waiting starts
 
 // Capacity for waiting starts of this priority and of more urgent ones.
-jobs::Room waitingRoom(const RunnerState &runner, std::uint32_t priority);
+jobs::Room waitingDemand(const RunnerState &runner, std::uint32_t priority);
 
 // Waiting starts as reported to entries, most urgent first.
-std::vector<jobs::WaitingRoom> waitingRows(const RunnerState &runner);
+std::vector<jobs::WaitingRoom> backlogRows(const RunnerState &runner);
 bool mayWaitHere(const RunnerState &runner, const jobs::StartTasks &message);
 bool isWaiting(const RunnerState &runner, const jobs::TaskId &task);
 void addWaiting(RunnerState &runner, WaitingStart start);
@@ -55,8 +55,8 @@
 eventlog::Event runEvent(const char *name, const jobs::RunId &id);
 
 // Sends a start command, the first one or a repeated one. Needs a lease deadline.
-void orderStart(RunnerState &runner, const jobs::RunId &id, Run &run, Time now,
-                RunnerActions &actions);
+void sendStart(RunnerState &runner, const jobs::RunId &id, Run &run, Time now,
+               RunnerActions &actions);
 
 // Starts a run that fits.
 void startRun(RunnerState &runner, const WaitingStart &start, Time now, RunnerActions &actions);
@@ -68,20 +68,20 @@
 // Frees the run's capacity and reports its end to the entry.
 void endRun(RunnerState &runner, const jobs::RunId &id, jobs::RunEnd end,
             jobs::RefusedStart refused, Time now, RunnerActions &actions);
-void beginStopping(RunnerState &runner, const jobs::RunId &id, Run &run, const char *why, Time now,
-                   RunnerActions &actions);
-void orderStop(RunnerState &runner, const jobs::RunId &id, Run &run, Time now,
-               RunnerActions &actions);
+void stopRun(RunnerState &runner, const jobs::RunId &id, Run &run, const char *why, Time now,
+             RunnerActions &actions);
+void sendStop(RunnerState &runner, const jobs::RunId &id, Run &run, Time now,
+              RunnerActions &actions);
 
 // The lease's end if it is renewed now; nothing while the endpoint's clock is unknown, or while the
 // lease must not be renewed.
 std::optional<Milliseconds> leaseDeadline(const RunnerState &runner, Time now);
-void takeClock(RunnerState &runner, const CommandResult &result, Time now);
+void updateClock(RunnerState &runner, const CommandResult &result, Time now);
 
 // [SECTION] Crashes
 
 // Counts a crash of the endpoint while it ran the task.
-void noteCrash(RunnerState &runner, const jobs::TaskId &task, Time now);
+void recordCrash(RunnerState &runner, const jobs::TaskId &task, Time now);
 
 // Remembered crashes with a higher number.
 std::vector<jobs::CrashReport> crashesAfter(const RunnerState &runner, std::uint64_t number,
@@ -90,24 +90,24 @@
 // [SECTION] Incarnations
 
 // For log lines: milliseconds since 1970, or 0 if unknown.
-std::int64_t bornField(const std::optional<WallTime> &startedAt);
+std::int64_t startTimeField(const std::optional<WallTime> &startedAt);
 
 // Ends all runs; only when none of them can be running any more.
-void endAll(RunnerState &runner, jobs::RunEnd end, const char *why, Time now,
-            RunnerActions &actions);
+void endAllRuns(RunnerState &runner, jobs::RunEnd end, const char *why, Time now,
+                RunnerActions &actions);
 
 // How runs end that are lost with the current incarnation.
-jobs::RunEnd endOfLife(const RunnerState &runner);
+jobs::RunEnd lossOutcome(const RunnerState &runner);
 
 // A list of runs came from another incarnation than the current one.
-void lifeListed(RunnerState &runner, const IncarnationId &endpointIncarnation, Time now,
-                RunnerActions &actions);
+void handleOtherIncarnation(RunnerState &runner, const IncarnationId &endpointIncarnation, Time now,
+                            RunnerActions &actions);
 
 // The current incarnation has replied to this poll.
-void lifeConfirmed(RunnerState &runner, std::uint64_t poll);
+void confirmIncarnation(RunnerState &runner, std::uint64_t poll);
 
 // The endpoint replied that it is not the current incarnation.
-void lifeDisowned(RunnerState &runner, Time now, RunnerActions &actions);
+void rejectIncarnation(RunnerState &runner, Time now, RunnerActions &actions);
 
 // The endpoint rejects commands because another agent, or an earlier incarnation of this one, has
 // used a higher fence.
@@ -115,13 +115,13 @@
 
 // [SECTION] Health
 
-void noteGood(RunnerState &runner, const Run &run, Milliseconds took);
-void noteBad(RunnerState &runner, Time now);
+void recordSuccess(RunnerState &runner, const Run &run, Milliseconds took);
+void recordFault(RunnerState &runner, Time now);
 
 // Updates a run from the endpoint's progress report.
-void noteProgress(RunnerState &runner, Run &run, std::uint32_t percent, Time now);
+void recordProgress(RunnerState &runner, Run &run, std::uint32_t percent, Time now);
 
-// Reports runs that are behind; called once the progress of all runs is known.
-void judgeRuns(RunnerState &runner, Time now, RunnerActions &actions);
+// Reports stragglers; called once the progress of all runs is known.
+void reportStragglers(RunnerState &runner, Time now, RunnerActions &actions);
 
 } // namespace foxwing::runner
--- a/packages/runner/src/answers.cpp
+++ b/packages/runner/src/results.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-RefusedStart refusedFor(CommandStatus status)
+RefusedStart refusalFor(CommandStatus status)
 {
     if (status == CommandStatus::OldRun)
         return RefusedStart::OldRun;
@@ -28,8 +28,8 @@
 
 void markStarted(Run &run, Time now)
 {
-    run.seen = true;
-    if (run.state != RunState::Ordered)
+    run.confirmed = true;
+    if (run.state != RunState::Starting)
         return;
     run.state = RunState::Running;
     run.startedAt = now;
@@ -37,41 +37,41 @@
 }
 
 // The command or its reply may have been lost, or the command may yet take effect. Repeating it is
-// safe, since the endpoint starts a run only once. After startGivenUp the run is stopped, so that
+// safe, since the endpoint starts a run only once. After startTimeout the run is stopped, so that
 // it can't start any more.
-void startUnanswered(RunnerState &runner, const RunId &id, Run &run, Time now,
-                     RunnerActions &actions)
+void handleMissingReply(RunnerState &runner, const RunId &id, Run &run, Time now,
+                        RunnerActions &actions)
 {
     ++runner.unanswered;
-    if (run.state != RunState::Ordered)
+    if (run.state != RunState::Starting)
         return;
     // Not if the capacity was reduced since the first attempt and is exceeded by now.
-    const bool stillFits = jobs::fits({}, freeRoom(runner));
-    if (now < run.orderedAt + runner.settings.startGivenUp && leaseDeadline(runner, now)
+    const bool stillFits = jobs::fits({}, freeCapacity(runner));
+    if (now < run.startSentAt + runner.settings.startTimeout && leaseDeadline(runner, now)
         && stillFits)
-        return orderStart(runner, id, run, now, actions);
-    noteBad(runner, now);
-    beginStopping(runner, id, run, "no reply to its start command", now, actions);
+        return sendStart(runner, id, run, now, actions);
+    recordFault(runner, now);
+    stopRun(runner, id, run, "no reply to its start command", now, actions);
 }
 
 // The endpoint refuses this attempt. An earlier attempt may have taken effect, or may do so yet.
-void startRefused(RunnerState &runner, const RunId &id, Run &run, CommandStatus status, Time now,
-                  RunnerActions &actions)
+void handleStartRefusal(RunnerState &runner, const RunId &id, Run &run, CommandStatus status,
+                        Time now, RunnerActions &actions)
 {
     actions.events.push_back(runEvent("start-refused", id)
                                      .with("answer", toString(status))
-                                     .with("tries", run.tries));
+                                     .with("tries", run.attempts));
     if (status == CommandStatus::Busy || status == CommandStatus::ConnectionRefused)
-        noteBad(runner, now);
-    if (run.tries <= 1 || status == CommandStatus::OtherIncarnation) {
-        endRun(runner, id, RunEnd::NeverBegan, refusedFor(status), now, actions);
+        recordFault(runner, now);
+    if (run.attempts <= 1 || status == CommandStatus::OtherIncarnation) {
+        endRun(runner, id, RunEnd::NeverBegan, refusalFor(status), now, actions);
     } else if (status == CommandStatus::OldRun) {
         // It has run; its end is in the result of the pending poll or the next one.
-        run.seen = true;
-        run.goneIfMissingIn = runner.pollNumber + 1;
+        run.confirmed = true;
+        run.decisivePoll = runner.pollNumber + 1;
     } else {
-        beginStopping(runner, id, run, "its start was refused after an attempt without a reply",
-                      now, actions);
+        stopRun(runner, id, run, "its start was refused after an attempt without a reply", now,
+                actions);
     }
 }
 
@@ -81,9 +81,9 @@
 
 // Results from a previous incarnation say nothing about the clock and fence of the current one; the
 // next poll shows what became of the run. Results for ended runs are ignored as well.
-bool tellsOfThisLife(const RunnerState &runner, std::map<RunId, Run>::const_iterator run)
+bool isFromCurrentIncarnation(const RunnerState &runner, std::map<RunId, Run>::const_iterator run)
 {
-    return run != runner.runs.end() && !run->second.ofFormerLife;
+    return run != runner.runs.end() && !run->second.carriedOver;
 }
 
 } // namespace
@@ -93,11 +93,11 @@
 {
     RunnerActions actions;
     const auto found = runner.runs.find(id);
-    if (!tellsOfThisLife(runner, found)) {
+    if (!isFromCurrentIncarnation(runner, found)) {
         finishEvent(runner, now, actions);
         return actions;
     }
-    takeClock(runner, result, now);
+    updateClock(runner, result, now);
     if (result.status == CommandStatus::Fenced)
         raiseFence(runner, actions);
     switch (result.status) {
@@ -105,11 +105,11 @@
         markStarted(found->second, now);
         break;
     case CommandStatus::None:
-        if (!found->second.seen)
-            startUnanswered(runner, id, found->second, now, actions);
+        if (!found->second.confirmed)
+            handleMissingReply(runner, id, found->second, now, actions);
         break;
     default:
-        startRefused(runner, id, found->second, result.status, now, actions);
+        handleStartRefusal(runner, id, found->second, result.status, now, actions);
         break;
     }
     finishEvent(runner, now, actions);
@@ -122,13 +122,13 @@
     RunnerActions actions;
     const auto found = runner.runs.find(id);
     if (found != runner.runs.end())
-        found->second.stopUnderWay = false;
-    if (tellsOfThisLife(runner, found)) {
-        takeClock(runner, result, now);
+        found->second.stopPending = false;
+    if (isFromCurrentIncarnation(runner, found)) {
+        updateClock(runner, result, now);
         if (result.status == CommandStatus::Fenced)
             raiseFence(runner, actions);
         if (result.status == CommandStatus::Ok)
-            found->second.goneIfMissingIn = runner.pollNumber + 1;
+            found->second.decisivePoll = runner.pollNumber + 1;
     }
     finishEvent(runner, now, actions);
     return actions;
@@ -138,7 +138,7 @@
 
 namespace {
 
-void takeEnds(RunnerState &runner, const PollResult &poll, Time now, RunnerActions &actions)
+void handleEnded(RunnerState &runner, const PollResult &poll, Time now, RunnerActions &actions)
 {
     for (const EndedRun &row : poll.ended) {
         runner.endpointIncarnation.lastSeenEnd = std::max(runner.endpointIncarnation.lastSeenEnd,
@@ -149,22 +149,22 @@
 }
 
 // Stops runs that another incarnation of this agent has left behind.
-void stopOrphans(RunnerState &runner, const std::set<RunId> &seen,
+void stopOrphans(RunnerState &runner, const std::set<RunId> &listed,
                  const std::optional<WallTime> &startedAt, RunnerActions &actions)
 {
-    for (const RunId &id : seen) {
+    for (const RunId &id : listed) {
         if (runner.endpointIncarnation.orphans.insert(id).second)
             actions.events.push_back(runEvent("orphan-stopping", id));
         actions.stops.push_back({ id, runner.fence, runner.endpoint.endpointIncarnation.id });
     }
-    runner.endpointIncarnation.orphans = seen;
-    const bool clean = seen.empty();
+    runner.endpointIncarnation.orphans = listed;
+    const bool clean = listed.empty();
     if (clean && !runner.endpointIncarnation.clean)
         actions.events.push_back(change("endpoint-clean")
                                          .with("life", runner.endpoint.endpointIncarnation.id)
-                                         .with("born_ms", bornField(startedAt)));
+                                         .with("born_ms", startTimeField(startedAt)));
     if (clean != runner.endpointIncarnation.clean)
-        ++runner.viewNumber;
+        ++runner.viewVersion;
     runner.endpointIncarnation.clean = clean;
 }
 
@@ -172,24 +172,24 @@
 void markListed(Run &run, Time now)
 {
     markStarted(run, now);
-    if (!run.ofFormerLife)
+    if (!run.carriedOver)
         return;
-    run.ofFormerLife = false;
-    run.goneIfMissingIn = 0;
+    run.carriedOver = false;
+    run.decisivePoll = 0;
     run.startedAt = now;
     run.progressAt = now;
 }
 
-RunEnd endWhenMissing(const Run &run)
+RunEnd outcomeIfMissing(const Run &run)
 {
     // It may have started in the previous incarnation.
-    if (run.ofFormerLife)
-        return run.formerEnd;
-    return run.seen ? RunEnd::Stopped : RunEnd::NeverBegan;
+    if (run.carriedOver)
+        return run.endIfLost;
+    return run.confirmed ? RunEnd::Stopped : RunEnd::NeverBegan;
 }
 
-void takeRunning(RunnerState &runner, std::uint64_t number, const PollResult &poll, Time now,
-                 RunnerActions &actions)
+void handleRunning(RunnerState &runner, std::uint64_t number, const PollResult &poll, Time now,
+                   RunnerActions &actions)
 {
     std::set<RunId> orphans;
     std::set<RunId> listed;
@@ -201,51 +201,53 @@
             continue;
         }
         markListed(found->second, now);
-        noteProgress(runner, found->second, row.percent, now);
+        recordProgress(runner, found->second, row.percent, now);
     }
-    judgeRuns(runner, now, actions);
-    std::vector<std::pair<RunId, RunEnd>> gone;
+    reportStragglers(runner, now, actions);
+    std::vector<std::pair<RunId, RunEnd>> ended;
     for (const auto &[id, run] : runner.runs) {
-        const bool missing = listed.count(id) == 0 && run.goneIfMissingIn != 0;
-        if (missing && number >= run.goneIfMissingIn)
-            gone.emplace_back(id, endWhenMissing(run));
+        const bool missing = listed.count(id) == 0 && run.decisivePoll != 0;
+        if (missing && number >= run.decisivePoll)
+            ended.emplace_back(id, outcomeIfMissing(run));
     }
-    for (const auto &[id, end] : gone)
+    for (const auto &[id, end] : ended)
         endRun(runner, id, end, RefusedStart::Endpoint, now, actions);
     stopOrphans(runner, orphans, poll.startedAt, actions);
 }
 
-// The pause between failed polls grows up to this multiple of lookPause.
-constexpr std::uint32_t MostPauses = 10;
+// The pause between failed polls grows up to this multiple of pollRetryDelay.
+constexpr std::uint32_t MaxDelayFactor = 10;
 
-void lookFailed(RunnerState &runner, const CommandResult &result, Time now, RunnerActions &actions)
+void handlePollFailure(RunnerState &runner, const CommandResult &result, Time now,
+                       RunnerActions &actions)
 {
-    ++runner.endpointIncarnation.looksFailed;
-    runner.endpointIncarnation.lookFailedAt = now;
-    const std::uint32_t most = runner.settings.looksBeforeOutOfReach;
-    const std::uint32_t pauses = runner.endpointIncarnation.looksFailed
-            - std::min(runner.endpointIncarnation.looksFailed, most - 1);
-    runner.nextLook = now + runner.settings.lookPause * std::min(pauses, MostPauses);
+    ++runner.endpointIncarnation.failedPolls;
+    runner.endpointIncarnation.pollFailedAt = now;
+    const std::uint32_t limit = runner.settings.maxFailedPolls;
+    const std::uint32_t delayFactor = runner.endpointIncarnation.failedPolls
+            - std::min(runner.endpointIncarnation.failedPolls, limit - 1);
+    runner.nextPollAt = now
+            + runner.settings.pollRetryDelay * std::min(delayFactor, MaxDelayFactor);
     if (result.status == CommandStatus::Fenced)
         raiseFence(runner, actions);
-    if (runner.endpointIncarnation.looksFailed == most)
+    if (runner.endpointIncarnation.failedPolls == limit)
         actions.events.push_back(change("endpoint-out-of-reach")
                                          .with("life", runner.endpoint.endpointIncarnation.id)
                                          .with("answer", toString(result.status)));
     // Nothing listens at its address, twice in a row: the process is gone, and its runs with it.
-    const bool gone = result.status == CommandStatus::ConnectionRefused
-            && runner.endpointIncarnation.looksFailed > 1;
-    if (gone || result.status == CommandStatus::OtherIncarnation)
-        endAll(runner, endOfLife(runner), toString(result.status), now, actions);
+    const bool processGone = result.status == CommandStatus::ConnectionRefused
+            && runner.endpointIncarnation.failedPolls > 1;
+    if (processGone || result.status == CommandStatus::OtherIncarnation)
+        endAllRuns(runner, lossOutcome(runner), toString(result.status), now, actions);
     if (result.status == CommandStatus::OtherIncarnation)
-        lifeDisowned(runner, now, actions);
+        rejectIncarnation(runner, now, actions);
 }
 
-bool isOfAnotherLife(const RunnerState &runner, const PollResult &poll)
+bool isFromOtherIncarnation(const RunnerState &runner, const PollResult &poll)
 {
-    const std::optional<WallTime> &present = runner.endpoint.endpointIncarnation.startedAt;
-    return poll.result.status == CommandStatus::Ok && poll.startedAt && present
-            && *poll.startedAt != *present;
+    const std::optional<WallTime> &current = runner.endpoint.endpointIncarnation.startedAt;
+    return poll.result.status == CommandStatus::Ok && poll.startedAt && current
+            && *poll.startedAt != *current;
 }
 
 } // namespace
@@ -258,28 +260,29 @@
     if (number <= runner.lastAnsweredPoll)
         return actions;
     runner.lastAnsweredPoll = number;
-    runner.lookUnderWay = false;
-    if (isOfAnotherLife(runner, poll)) {
+    runner.pollPending = false;
+    if (isFromOtherIncarnation(runner, poll)) {
         // This poll acknowledged end numbers of the previous incarnation, so its list of ends may
         // be incomplete; the next poll starts anew.
-        lifeListed(runner, { runner.endpoint.endpointIncarnation.id, poll.startedAt }, now,
-                   actions);
+        handleOtherIncarnation(runner, { runner.endpoint.endpointIncarnation.id, poll.startedAt },
+                               now, actions);
         finishEvent(runner, now, actions);
         return actions;
     }
-    takeClock(runner, poll.result, now);
+    updateClock(runner, poll.result, now);
     if (poll.result.status == CommandStatus::Ok) {
-        if (isOutOfReach(runner))
+        if (isUnreachable(runner))
             actions.events.push_back(change("endpoint-in-reach")
                                              .with("life", runner.endpoint.endpointIncarnation.id));
-        runner.endpointIncarnation.looksFailed = 0;
-        runner.fencedOff = 0;
-        lifeConfirmed(runner, number);
-        runner.nextLook = runner.endpointIncarnation.clean ? now : now + runner.settings.lookPause;
-        takeEnds(runner, poll, now, actions);
-        takeRunning(runner, number, poll, now, actions);
+        runner.endpointIncarnation.failedPolls = 0;
+        runner.fenceRejections = 0;
+        confirmIncarnation(runner, number);
+        runner.nextPollAt = runner.endpointIncarnation.clean ? now
+                                                             : now + runner.settings.pollRetryDelay;
+        handleEnded(runner, poll, now, actions);
+        handleRunning(runner, number, poll, now, actions);
     } else {
-        lookFailed(runner, poll.result, now, actions);
+        handlePollFailure(runner, poll.result, now, actions);
     }
     finishEvent(runner, now, actions);
     return actions;
--- a/packages/runner/src/runner.cpp
+++ b/packages/runner/src/runner.cpp
@@ -1,11 +1,11 @@
 /*
     Runs, cordons and timers. Messages of entries are in sessions.cpp, results of commands in
-    answers.cpp, incarnations of the endpoint and its heartbeats in lives.cpp.
+    results.cpp, incarnations of the endpoint and its heartbeats in incarnations.cpp.
 
-    [SECTION] Names
+    [SECTION] Construction and names
     [SECTION] Runs
     [SECTION] Cordons
-    [SECTION] Time
+    [SECTION] Timers and shutdown
 */
 #include <foxwing/runner/runner.h>
 
@@ -21,7 +21,7 @@
 using jobs::RunEnd;
 using jobs::RunId;
 
-// [SECTION] Names
+// [SECTION] Construction and names
 
 const char *toString(CommandStatus status)
 {
@@ -73,7 +73,7 @@
 
 namespace {
 
-void countEnd(RunnerState &runner, RunEnd end)
+void countOutcome(RunnerState &runner, RunEnd end)
 {
     if (end == RunEnd::Done)
         ++runner.done;
@@ -89,10 +89,10 @@
 
 // Failed runs don't count: an endpoint where everything fails would seem to free the most
 // capacity.
-static void noteFreed(RunnerState &runner, const Run &run, RunEnd end, Time now)
+static void recordFreed(RunnerState &runner, const Run &run, RunEnd end, Time now)
 {
     if (end == RunEnd::Done || end == RunEnd::Stopped)
-        addTo(runner.freed, runner.settings.freedSpan, static_cast<double>(run.room.milliCores),
+        addTo(runner.freed, runner.settings.freedWindow, static_cast<double>(run.room.milliCores),
               now);
 }
 
@@ -104,51 +104,51 @@
         return;
     const Run run = found->second;
     runner.runs.erase(found);
-    countEnd(runner, end);
-    noteFreed(runner, run, end, now);
+    countOutcome(runner, end);
+    recordFreed(runner, run, end, now);
     if (end == RunEnd::Crashed)
-        noteCrash(runner, id.task, now);
-    const bool began = run.startedAt != Time {};
-    const auto took = std::chrono::duration_cast<Milliseconds>(began ? now - run.startedAt
-                                                                     : Microseconds(0));
+        recordCrash(runner, id.task, now);
+    const bool started = run.startedAt != Time {};
+    const auto took = std::chrono::duration_cast<Milliseconds>(started ? now - run.startedAt
+                                                                       : Microseconds(0));
     if (end == RunEnd::Done)
-        noteGood(runner, run, took);
+        recordSuccess(runner, run, took);
     if (end == RunEnd::Failed)
-        noteBad(runner, now);
+        recordFault(runner, now);
     if (end != RunEnd::Done)
         actions.events.push_back(runEvent("run-ended", id)
                                          .with("end", jobs::toString(end))
                                          .with("refused", jobs::toString(refused))
                                          .with("ran_ms", took));
     const auto session = runner.sessions.find(run.session);
-    if (session == runner.sessions.end() || session->second.over)
+    if (session == runner.sessions.end() || session->second.closed)
         return;
     session->second.ended.push_back({ id, end, refused, took });
     session->second.dirty = true;
 }
 
-void orderStop(RunnerState &runner, const RunId &id, Run &run, Time now, RunnerActions &actions)
+void sendStop(RunnerState &runner, const RunId &id, Run &run, Time now, RunnerActions &actions)
 {
-    run.stopOrderedAt = now;
-    run.stopUnderWay = true;
+    run.stopSentAt = now;
+    run.stopPending = true;
     actions.stops.push_back({ id, runner.fence, runner.endpoint.endpointIncarnation.id });
 }
 
-void beginStopping(RunnerState &runner, const RunId &id, Run &run, const char *why, Time now,
-                   RunnerActions &actions)
+void stopRun(RunnerState &runner, const RunId &id, Run &run, const char *why, Time now,
+             RunnerActions &actions)
 {
     if (run.state == RunState::Stopping)
         return;
     actions.events.push_back(runEvent("run-stopping", id)
                                      .with("why", why)
                                      .with("percent", run.percent)
-                                     .with("since_ordered_ms", now - run.orderedAt));
+                                     .with("since_ordered_ms", now - run.startSentAt));
     run.state = RunState::Stopping;
-    run.stopSince = now;
-    orderStop(runner, id, run, now, actions);
+    run.stoppingSince = now;
+    sendStop(runner, id, run, now, actions);
 }
 
-void takeClock(RunnerState &runner, const CommandResult &result, Time now)
+void updateClock(RunnerState &runner, const CommandResult &result, Time now)
 {
     if (!result.endpointClock)
         return;
@@ -169,7 +169,7 @@
     const bool wasCordoned = isCordoned(runner);
     if (cordons.revision > runner.cordons.revision)
         runner.cordons = cordons;
-    runner.heardFromEntry |= source == CordonSource::Entry;
+    runner.cordonsFromEntry |= source == CordonSource::Entry;
     runner.cordonsKnown |= source == CordonSource::Control;
     if (isCordoned(runner) != wasCordoned)
         actions.events.push_back(
@@ -182,17 +182,17 @@
     return actions;
 }
 
-// [SECTION] Time
+// [SECTION] Timers and shutdown
 
 namespace {
 
 // Falls back to the cordons from an entry if control has not sent any in time.
-void takeEntrysWord(RunnerState &runner, Time now, RunnerActions &actions)
+void acceptEntryCordons(RunnerState &runner, Time now, RunnerActions &actions)
 {
-    if (runner.firstTick == Time {})
-        runner.firstTick = now;
-    if (runner.cordonsKnown || !runner.heardFromEntry
-        || now < runner.firstTick + runner.settings.cordonWait)
+    if (runner.firstTickAt == Time {})
+        runner.firstTickAt = now;
+    if (runner.cordonsKnown || !runner.cordonsFromEntry
+        || now < runner.firstTickAt + runner.settings.cordonTimeout)
         return;
     runner.cordonsKnown = true;
     actions.events.push_back(change("cordons-from-entry")
@@ -204,13 +204,15 @@
 // elapsed there.
 constexpr int SlowestClockPercent = 98;
 
-bool leaseIsOver(const RunnerState &runner, Time now)
+bool isLeaseExpired(const RunnerState &runner, Time now)
 {
     // Commands for a previous incarnation may have reached the current one, with a deadline on the
     // previous one's clock.
-    const bool leftOver = std::any_of(runner.runs.begin(), runner.runs.end(),
-                                      [](const auto &item) { return item.second.ofFormerLife; });
-    if (!runner.endpointIncarnation.clockSample || leftOver)
+    const bool anyCarriedOver = std::any_of(runner.runs.begin(), runner.runs.end(),
+                                            [](const auto &item) {
+                                                return item.second.carriedOver;
+                                            });
+    if (!runner.endpointIncarnation.clockSample || anyCarriedOver)
         return false;
     const auto elapsed = std::chrono::duration_cast<Milliseconds>(
             now - runner.endpointIncarnation.clockSampledAt);
@@ -218,23 +220,23 @@
             > runner.endpointIncarnation.leaseUntil;
 }
 
-void repeatStops(RunnerState &runner, Time now, RunnerActions &actions)
+void retryStops(RunnerState &runner, Time now, RunnerActions &actions)
 {
     for (auto &[id, run] : runner.runs) {
-        if (run.state == RunState::Stopping && !run.stopUnderWay
-            && now >= run.stopOrderedAt + runner.settings.stopRepeat)
-            orderStop(runner, id, run, now, actions);
+        if (run.state == RunState::Stopping && !run.stopPending
+            && now >= run.stopSentAt + runner.settings.stopRetryInterval)
+            sendStop(runner, id, run, now, actions);
     }
 }
 
-void endSilentSessions(RunnerState &runner, Time now, RunnerActions &actions)
+void endTimedOutSessions(RunnerState &runner, Time now, RunnerActions &actions)
 {
-    std::vector<std::uint64_t> silent;
+    std::vector<std::uint64_t> timedOut;
     for (const auto &[number, session] : runner.sessions) {
-        if (!session.over && now >= session.heardAt + runner.settings.sessionTimeout)
-            silent.push_back(number);
+        if (!session.closed && now >= session.heardAt + runner.settings.sessionTimeout)
+            timedOut.push_back(number);
     }
-    for (const std::uint64_t number : silent)
+    for (const std::uint64_t number : timedOut)
         endSession(runner, number, "the entry has timed out", now, actions);
 }
 
@@ -243,13 +245,13 @@
 RunnerActions tick(RunnerState &runner, Time now)
 {
     RunnerActions actions;
-    takeEntrysWord(runner, now, actions);
-    endSilentSessions(runner, now, actions);
-    repeatStops(runner, now, actions);
-    if (!runner.runs.empty() && runner.endpointIncarnation.looksFailed > 0
-        && leaseIsOver(runner, now))
-        endAll(runner, RunEnd::Lapsed, "the lease has expired and the endpoint is unreachable", now,
-               actions);
+    acceptEntryCordons(runner, now, actions);
+    endTimedOutSessions(runner, now, actions);
+    retryStops(runner, now, actions);
+    if (!runner.runs.empty() && runner.endpointIncarnation.failedPolls > 0
+        && isLeaseExpired(runner, now))
+        endAllRuns(runner, RunEnd::Lapsed, "the lease has expired and the endpoint is unreachable",
+                   now, actions);
     finishEvent(runner, now, actions);
     return actions;
 }
@@ -266,7 +268,7 @@
 {
     RunnerActions actions;
     for (auto &[id, run] : runner.runs)
-        beginStopping(runner, id, run, "the agent shuts down", now, actions);
+        stopRun(runner, id, run, "the agent shuts down", now, actions);
     finishEvent(runner, now, actions);
     return actions;
 }
--- a/packages/runner/src/sessions.cpp
+++ b/packages/runner/src/sessions.cpp
@@ -20,16 +20,16 @@
                 RunnerActions &actions)
 {
     Session &session = runner.sessions.at(number);
-    if (session.over)
+    if (session.closed)
         return;
-    session.over = true;
+    session.closed = true;
     dropWaitingOf(runner, number);
     std::uint64_t runs = 0;
     for (auto &[id, run] : runner.runs) {
         if (run.session != number)
             continue;
         ++runs;
-        beginStopping(runner, id, run, why, now, actions);
+        stopRun(runner, id, run, why, now, actions);
     }
     actions.closes.push_back(number);
     actions.events.push_back(change("session-over")
@@ -41,13 +41,13 @@
 
 namespace {
 
-// Finds an open session and notes that it was heard. A session that has timed out is closed
+// Finds an open session and notes that it was sender. A session that has timed out is closed
 // instead: after a pause of this process or a network partition, old messages arrive as if new.
-std::map<std::uint64_t, Session>::iterator hearSession(RunnerState &runner, std::uint64_t number,
-                                                       Time now, RunnerActions &actions)
+std::map<std::uint64_t, Session>::iterator touchSession(RunnerState &runner, std::uint64_t number,
+                                                        Time now, RunnerActions &actions)
 {
     const auto found = runner.sessions.find(number);
-    if (found == runner.sessions.end() || found->second.over)
+    if (found == runner.sessions.end() || found->second.closed)
         return runner.sessions.end();
     if (now >= found->second.heardAt + runner.settings.sessionTimeout) {
         endSession(runner, number, "the entry had timed out", now, actions);
@@ -70,25 +70,25 @@
                                       [&](const auto &run) { return run.first.task == id.task; });
     if (sameTask || isWaiting(runner, id.task))
         return RefusedStart::NotReady;
-    jobs::Room free = freeRoom(runner);
-    free -= waitingRoom(runner, message.priority);
+    jobs::Room free = freeCapacity(runner);
+    free -= waitingDemand(runner, message.priority);
     return jobs::fits(message.room, free) ? RefusedStart::None : RefusedStart::NoRoom;
 }
 
 } // namespace
 
-void orderStart(RunnerState &runner, const RunId &id, Run &run, Time now, RunnerActions &actions)
+void sendStart(RunnerState &runner, const RunId &id, Run &run, Time now, RunnerActions &actions)
 {
-    StartCommand order;
-    order.id = id;
-    order.payload = run.payload;
-    order.deadline = *leaseDeadline(runner, now);
-    order.fence = runner.fence;
-    order.endpointIncarnation = runner.endpoint.endpointIncarnation.id;
+    StartCommand command;
+    command.id = id;
+    command.payload = run.payload;
+    command.deadline = *leaseDeadline(runner, now);
+    command.fence = runner.fence;
+    command.endpointIncarnation = runner.endpoint.endpointIncarnation.id;
     runner.endpointIncarnation.leaseUntil = std::max(runner.endpointIncarnation.leaseUntil,
-                                                     order.deadline);
-    ++run.tries;
-    actions.starts.push_back(std::move(order));
+                                                     command.deadline);
+    ++run.attempts;
+    actions.starts.push_back(std::move(command));
 }
 
 void startRun(RunnerState &runner, const WaitingStart &start, Time now, RunnerActions &actions)
@@ -98,9 +98,9 @@
     run.payload = start.payload;
     run.room = start.room;
     run.estimate = start.estimate;
-    run.orderedAt = now;
+    run.startSentAt = now;
     run.progressAt = now;
-    orderStart(runner, start.id, run, now, actions);
+    sendStart(runner, start.id, run, now, actions);
     runner.runs.emplace(start.id, std::move(run));
     ++runner.started;
 }
@@ -112,7 +112,7 @@
     if (found == runner.sessions.end())
         return;
     found->second.dirty = true;
-    found->second.refusedRoom |= why == RefusedStart::NoRoom;
+    found->second.refusedForCapacity |= why == RefusedStart::NoRoom;
     found->second.ended.push_back({ id, RunEnd::NeverBegan, why, Milliseconds(0) });
 }
 
@@ -145,11 +145,12 @@
                          const jobs::StartTasks &message, Time now)
 {
     RunnerActions actions;
-    const auto found = hearSession(runner, session, now, actions);
+    const auto found = touchSession(runner, session, now, actions);
     if (found == runner.sessions.end() || !found->second.welcomed)
         return actions;
-    for (const jobs::StartTasks::Start &wanted : message.starts) {
-        const RunId id { { message.job, message.repeat, message.step, wanted.index }, wanted.run };
+    for (const jobs::StartTasks::Start &requested : message.starts) {
+        const RunId id { { message.job, message.repeat, message.step, requested.index },
+                         requested.run };
         ++found->second.startsTaken;
         const WaitingStart start { id,
                                    session,
@@ -174,13 +175,13 @@
                        Time now)
 {
     RunnerActions actions;
-    hearSession(runner, session, now, actions);
+    touchSession(runner, session, now, actions);
     for (const RunId &id : message.runs) {
         if (dropWaiting(runner, id))
             continue;
         const auto run = runner.runs.find(id);
         if (run != runner.runs.end() && run->second.session == session)
-            beginStopping(runner, id, run->second, "the entry asked for it", now, actions);
+            stopRun(runner, id, run->second, "the entry asked for it", now, actions);
     }
     finishEvent(runner, now, actions);
     return actions;
@@ -190,12 +191,12 @@
                                      const jobs::SessionBeat &message, Time now)
 {
     RunnerActions actions;
-    const auto found = hearSession(runner, session, now, actions);
+    const auto found = touchSession(runner, session, now, actions);
     if (found != runner.sessions.end()) {
-        Session &heard = found->second;
-        heard.beat = std::max(heard.beat, message.number);
-        heard.dirty |= message.wantsRoom && !heard.wantsRoom;
-        heard.wantsRoom = message.wantsRoom;
+        Session &sender = found->second;
+        sender.beat = std::max(sender.beat, message.number);
+        sender.dirty |= message.wantsRoom && !sender.wantsRoom;
+        sender.wantsRoom = message.wantsRoom;
     }
     finishEvent(runner, now, actions);
     return actions;
--- a/packages/runner/src/offer.cpp
+++ b/packages/runner/src/updates.cpp
@@ -15,21 +15,21 @@
 
 // [SECTION] Capacity
 
-bool isOutOfReach(const RunnerState &runner)
+bool isUnreachable(const RunnerState &runner)
 {
-    return runner.endpointIncarnation.looksFailed >= runner.settings.looksBeforeOutOfReach;
+    return runner.endpointIncarnation.failedPolls >= runner.settings.maxFailedPolls;
 }
 
 namespace {
 
 // More starts than fit on any endpoint.
-constexpr std::uint32_t AnyNumber = 10000;
+constexpr std::uint32_t UnlimitedStarts = 10000;
 
 bool mayStart(const RunnerState &runner)
 {
     return runner.endpointIncarnation.described && !runner.endpoint.leaving && !runner.stopping
             && runner.endpointIncarnation.clean && runner.endpointIncarnation.clockSample
-            && !isOutOfReach(runner) && runner.cordonsKnown && !isCordoned(runner);
+            && !isUnreachable(runner) && runner.cordonsKnown && !isCordoned(runner);
 }
 
 } // namespace
@@ -39,7 +39,7 @@
     return catalog::isCordoned(runner.cordons, runner.endpoint.dataCentre);
 }
 
-jobs::Room freeRoom(const RunnerState &runner)
+jobs::Room freeCapacity(const RunnerState &runner)
 {
     if (!mayStart(runner))
         return {};
@@ -50,9 +50,9 @@
 }
 
 // Negative while waiting starts need more than is free.
-static jobs::Room offeredRoom(const RunnerState &runner)
+static jobs::Room availableCapacity(const RunnerState &runner)
 {
-    jobs::Room free = freeRoom(runner);
+    jobs::Room free = freeCapacity(runner);
     for (const WaitingStart &start : runner.waiting)
         free -= start.room;
     return free;
@@ -62,7 +62,7 @@
 {
     Microseconds oldest { 0 };
     for (const auto &[id, run] : runner.runs)
-        oldest = std::max(oldest, now - run.orderedAt);
+        oldest = std::max(oldest, now - run.startSentAt);
     return oldest;
 }
 
@@ -72,10 +72,11 @@
     // once, over and over.
     if (!mayStart(runner) || !leaseDeadline(runner, now))
         return 0;
-    if (!onTrial(runner))
-        return AnyNumber;
-    const bool rested = now >= runner.endpointIncarnation.badAt + runner.settings.trialRest;
-    return runner.runs.empty() && rested ? 1 : 0;
+    if (!isOnProbation(runner))
+        return UnlimitedStarts;
+    const bool pauseOver = now
+            >= runner.endpointIncarnation.lastFaultAt + runner.settings.probationPause;
+    return runner.runs.empty() && pauseOver ? 1 : 0;
 }
 
 jobs::EndpointView makeEndpointView(const RunnerState &runner, Time now)
@@ -86,9 +87,9 @@
     view.dataCentre = runner.endpoint.dataCentre;
     view.labels = runner.endpoint.labels;
     view.capacity = runner.endpoint.capacity;
-    view.free = offeredRoom(runner);
+    view.free = availableCapacity(runner);
     view.mostStarts = mostStarts(runner, now);
-    view.paceMille = static_cast<std::uint32_t>(runner.endpointIncarnation.pace * 1000);
+    view.paceMille = static_cast<std::uint32_t>(runner.endpointIncarnation.slowdown * 1000);
     view.leaving = runner.endpoint.leaving || runner.stopping;
     return view;
 }
@@ -106,128 +107,133 @@
     });
 }
 
-void welcome(RunnerState &runner, std::uint64_t number, Session &session, Time now,
-             RunnerActions &actions)
+void acceptSession(RunnerState &runner, std::uint64_t number, Session &session, Time now,
+                   RunnerActions &actions)
 {
     if (!runner.endpointIncarnation.clean || ownerHasOtherRuns(runner, number, session))
         return;
     session.welcomed = true;
-    session.toldView = runner.viewNumber;
+    session.reportedView = runner.viewVersion;
     jobs::Welcome message;
     message.incarnation = runner.incarnation;
     message.endpoint = makeEndpointView(runner, now);
     message.crashed = crashesAfter(runner, 0, now);
-    session.toldCrash = runner.lastCrash;
-    session.toldFree = message.endpoint.free;
-    session.toldMostStarts = message.endpoint.mostStarts;
-    session.toldLeaving = message.endpoint.leaving;
-    session.toldAt = now;
+    session.reportedCrash = runner.lastCrash;
+    session.reportedFree = message.endpoint.free;
+    session.reportedMaxStarts = message.endpoint.mostStarts;
+    session.reportedLeaving = message.endpoint.leaving;
+    session.lastSentAt = now;
     actions.acceptances.emplace_back(number, std::move(message));
 }
 
 // Longest delay of a capacity update. Grows with the number of entries that need capacity, so that
 // the total number of updates doesn't.
-Microseconds tellInterval(const RunnerState &runner, const Session &session)
+Microseconds updateInterval(const RunnerState &runner, const Session &session)
 {
     if (!session.wantsRoom)
         return runner.settings.idleUpdateInterval;
-    const auto wanting = std::count_if(runner.sessions.begin(), runner.sessions.end(),
-                                       [](const auto &item) { return item.second.wantsRoom; });
-    return runner.settings.capacityUpdateInterval * std::max<std::ptrdiff_t>(1, wanting / 4);
+    const auto waitingEntries = std::count_if(runner.sessions.begin(), runner.sessions.end(),
+                                              [](const auto &item) {
+                                                  return item.second.wantsRoom;
+                                              });
+    return runner.settings.capacityUpdateInterval * std::max<std::ptrdiff_t>(1, waitingEntries / 4);
 }
 
-// Ends and refusals of the entry's own starts are reported at once.
-bool dueToTell(const RunnerState &runner, const Session &session, const jobs::Room &free,
-               std::uint32_t most, Time now)
+// Ends, refusals and changes of the endpoint's state are reported at once; free capacity and
+// acknowledged heartbeats with a delay.
+bool isUpdateDue(const RunnerState &runner, const Session &session, const jobs::Room &free,
+                 std::uint32_t startLimit, Time now)
 {
     const bool leaving = runner.endpoint.leaving || runner.stopping;
-    if (session.dirty || session.toldCrash != runner.lastCrash
-        || session.toldView != runner.viewNumber || leaving != session.toldLeaving
-        || most != session.toldMostStarts)
+    if (session.dirty || session.reportedCrash != runner.lastCrash
+        || session.reportedView != runner.viewVersion || leaving != session.reportedLeaving
+        || startLimit != session.reportedMaxStarts)
         return true;
-    if (session.refusedRoom && free.milliCores > session.toldFree.milliCores)
+    if (session.refusedForCapacity && free.milliCores > session.reportedFree.milliCores)
         return true;
-    if (session.beat != session.toldBeat
-        && now >= session.toldAt + runner.settings.idleUpdateInterval)
+    if (session.beat != session.reportedHeartbeat
+        && now >= session.lastSentAt + runner.settings.idleUpdateInterval)
         return true;
-    const bool changed = !(free == session.toldFree) || session.startsTaken != session.toldStarts;
-    return changed && now >= session.toldAt + tellInterval(runner, session);
+    const bool changed = !(free == session.reportedFree)
+            || session.startsTaken != session.reportedStarts;
+    return changed && now >= session.lastSentAt + updateInterval(runner, session);
 }
 
-void tell(RunnerState &runner, std::uint64_t number, Session &session, const jobs::Room &free,
-          std::uint32_t most, Time now, RunnerActions &actions)
+void sendUpdate(RunnerState &runner, std::uint64_t number, Session &session, const jobs::Room &free,
+                std::uint32_t startLimit, Time now, RunnerActions &actions)
 {
     jobs::AgentUpdate update;
     update.beat = session.beat;
     update.startsTaken = session.startsTaken;
     update.free = free;
-    update.mostStarts = most;
-    update.paceMille = static_cast<std::uint32_t>(runner.endpointIncarnation.pace * 1000);
+    update.mostStarts = startLimit;
+    update.paceMille = static_cast<std::uint32_t>(runner.endpointIncarnation.slowdown * 1000);
     update.leaving = runner.endpoint.leaving || runner.stopping;
-    update.waiting = waitingRows(runner);
+    update.waiting = backlogRows(runner);
     update.freedPerSecond = static_cast<std::uint32_t>(
-            std::lround(perSecond(runner.freed, runner.settings.freedSpan, now)));
+            std::lround(perSecond(runner.freed, runner.settings.freedWindow, now)));
     update.ended.swap(session.ended);
     update.lagging.swap(session.lagging);
-    if (session.toldView != runner.viewNumber)
+    if (session.reportedView != runner.viewVersion)
         update.endpoint.push_back(makeEndpointView(runner, now));
-    update.crashed = crashesAfter(runner, session.toldCrash, now);
-    session.toldCrash = runner.lastCrash;
-    session.toldView = runner.viewNumber;
-    session.toldBeat = session.beat;
-    session.toldStarts = session.startsTaken;
-    session.toldFree = free;
-    session.toldMostStarts = most;
-    session.toldLeaving = update.leaving;
-    session.toldAt = now;
+    update.crashed = crashesAfter(runner, session.reportedCrash, now);
+    session.reportedCrash = runner.lastCrash;
+    session.reportedView = runner.viewVersion;
+    session.reportedHeartbeat = session.beat;
+    session.reportedStarts = session.startsTaken;
+    session.reportedFree = free;
+    session.reportedMaxStarts = startLimit;
+    session.reportedLeaving = update.leaving;
+    session.lastSentAt = now;
     session.dirty = false;
-    session.refusedRoom = session.refusedRoom && free.milliCores <= 0;
+    session.refusedForCapacity = session.refusedForCapacity && free.milliCores <= 0;
     actions.updates.emplace_back(number, std::move(update));
 }
 
-void dropEndedSessions(RunnerState &runner)
+void eraseClosedSessions(RunnerState &runner)
 {
     for (auto item = runner.sessions.begin(); item != runner.sessions.end();) {
         const bool hasRuns = std::any_of(runner.runs.begin(), runner.runs.end(),
                                          [&](const auto &run) {
                                              return run.second.session == item->first;
                                          });
-        item = item->second.over && !hasRuns ? runner.sessions.erase(item) : std::next(item);
+        item = item->second.closed && !hasRuns ? runner.sessions.erase(item) : std::next(item);
     }
 }
 
 // [SECTION] Polls
 
-bool leaseIsLeftToEnd(const RunnerState &runner, Time now)
+bool leaseMustExpire(const RunnerState &runner, Time now)
 {
     return std::any_of(runner.runs.begin(), runner.runs.end(), [&](const auto &item) {
         return item.second.state == RunState::Stopping
-                && now >= item.second.stopSince + runner.settings.stopGivenUp;
+                && now >= item.second.stoppingSince + runner.settings.stopTimeout;
     });
 }
 
-void orderLook(RunnerState &runner, Time now, RunnerActions &actions)
+void sendPoll(RunnerState &runner, Time now, RunnerActions &actions)
 {
-    if (runner.lookUnderWay || runner.endpoint.endpointIncarnation.id.empty()
-        || now < runner.nextLook)
+    if (runner.pollPending || runner.endpoint.endpointIncarnation.id.empty()
+        || now < runner.nextPollAt)
         return;
-    runner.lookUnderWay = true;
+    runner.pollPending = true;
     PollCommand poll;
     poll.number = ++runner.pollNumber;
     poll.fence = runner.fence;
     poll.endpointIncarnation = runner.endpoint.endpointIncarnation.id;
     poll.lastSeenEnd = runner.endpointIncarnation.lastSeenEnd;
-    const bool quick = !runner.endpointIncarnation.clean || !runner.endpointIncarnation.clockSample
-            || runner.endpointIncarnation.looksFailed > 0;
+    const bool immediate = !runner.endpointIncarnation.clean
+            || !runner.endpointIncarnation.clockSample
+            || runner.endpointIncarnation.failedPolls > 0;
     const bool busy = !runner.runs.empty();
-    const bool doubtful = runner.endpointIncarnation.lookFailedAt
-            && now < *runner.endpointIncarnation.lookFailedAt + runner.settings.doubtfulSpan;
-    poll.wait = quick          ? Milliseconds(0)
-            : busy && doubtful ? runner.settings.doubtfulWait
-            : busy             ? runner.settings.busyWait
-                               : runner.settings.idleWait;
+    const bool recentFailure = runner.endpointIncarnation.pollFailedAt
+            && now < *runner.endpointIncarnation.pollFailedAt + runner.settings.pollFailureWindow;
+    poll.wait = immediate           ? Milliseconds(0)
+            : busy && recentFailure ? runner.settings.cautiousPollWait
+            : busy                  ? runner.settings.busyPollWait
+                                    : runner.settings.idlePollWait;
     // The lease isn't renewed while the endpoint is unreachable, so that its end is known here.
-    if (busy && !isOutOfReach(runner))
+    if (busy && !isUnreachable(runner))
         poll.deadline = leaseDeadline(runner, now);
     if (poll.deadline)
         runner.endpointIncarnation.leaseUntil = std::max(runner.endpointIncarnation.leaseUntil,
@@ -239,7 +245,7 @@
 
 std::optional<Milliseconds> leaseDeadline(const RunnerState &runner, Time now)
 {
-    if (!runner.endpointIncarnation.clockSample || leaseIsLeftToEnd(runner, now))
+    if (!runner.endpointIncarnation.clockSample || leaseMustExpire(runner, now))
         return std::nullopt;
     const auto elapsed = std::chrono::duration_cast<Milliseconds>(
             now - runner.endpointIncarnation.clockSampledAt);
@@ -250,30 +256,30 @@
 
 void finishEvent(RunnerState &runner, Time now, RunnerActions &actions)
 {
-    dropEndedSessions(runner);
+    eraseClosedSessions(runner);
     startWaiting(runner, now, actions);
-    if (onTrial(runner) != runner.wasOnTrial) {
-        runner.wasOnTrial = onTrial(runner);
+    if (isOnProbation(runner) != runner.wasOnProbation) {
+        runner.wasOnProbation = isOnProbation(runner);
         actions.events.push_back(
-                eventlog::change(runner.wasOnTrial ? "endpoint-on-trial" : "endpoint-trusted")
+                eventlog::change(runner.wasOnProbation ? "endpoint-on-trial" : "endpoint-trusted")
                         .with("life", runner.endpoint.endpointIncarnation.id)
                         .with("bad_percent",
                               static_cast<int>(runner.endpointIncarnation.faultScore * 100))
                         .with("pace_percent",
-                              static_cast<int>(runner.endpointIncarnation.pace * 100))
+                              static_cast<int>(runner.endpointIncarnation.slowdown * 100))
                         .with("runs", std::uint64_t { runner.runs.size() }));
     }
-    const jobs::Room free = offeredRoom(runner);
-    const std::uint32_t most = mostStarts(runner, now);
+    const jobs::Room free = availableCapacity(runner);
+    const std::uint32_t startLimit = mostStarts(runner, now);
     for (auto &[number, session] : runner.sessions) {
-        if (session.over)
+        if (session.closed)
             continue;
         if (!session.welcomed)
-            welcome(runner, number, session, now, actions);
-        else if (dueToTell(runner, session, free, most, now))
-            tell(runner, number, session, free, most, now, actions);
+            acceptSession(runner, number, session, now, actions);
+        else if (isUpdateDue(runner, session, free, startLimit, now))
+            sendUpdate(runner, number, session, free, startLimit, now, actions);
     }
-    orderLook(runner, now, actions);
+    sendPoll(runner, now, actions);
 }
 
 } // namespace foxwing::runner
--- a/packages/runner/src/waiting.cpp
+++ b/packages/runner/src/waiting.cpp
@@ -17,7 +17,7 @@
 
 // [SECTION] Waiting starts
 
-jobs::Room waitingRoom(const RunnerState &runner, std::uint32_t priority)
+jobs::Room waitingDemand(const RunnerState &runner, std::uint32_t priority)
 {
     jobs::Room room;
     for (const WaitingStart &start : runner.waiting) {
@@ -27,11 +27,11 @@
     return room;
 }
 
-std::vector<jobs::WaitingRoom> waitingRows(const RunnerState &runner)
+std::vector<jobs::WaitingRoom> backlogRows(const RunnerState &runner)
 {
     std::vector<jobs::WaitingRoom> rows;
     for (const WaitingStart &start : runner.waiting) {
-        const bool full = rows.size() >= runner.settings.mostWaitingRows;
+        const bool full = rows.size() >= runner.settings.maxWaitingRows;
         if (rows.empty() || (rows.back().priority != start.priority && !full))
             rows.push_back({ start.priority, 0 });
         rows.back().milliCores += start.room.milliCores;
@@ -43,9 +43,9 @@
 {
     if (message.mayWait.count() <= 0 || !jobs::fits(message.room, runner.endpoint.capacity))
         return false;
-    const std::int64_t waiting = waitingRoom(runner, message.priority).milliCores;
+    const std::int64_t waiting = waitingDemand(runner, message.priority).milliCores;
     return (waiting + message.room.milliCores) * 100
-            <= runner.endpoint.capacity.milliCores * runner.settings.waitingPercent;
+            <= runner.endpoint.capacity.milliCores * runner.settings.maxWaitingPercent;
 }
 
 bool isWaiting(const RunnerState &runner, const jobs::TaskId &task)
@@ -64,21 +64,21 @@
 void startWaiting(RunnerState &runner, Time now, RunnerActions &actions)
 {
     const bool mayStart = mostStarts(runner, now) > 0;
-    const RefusedStart never = runner.endpoint.leaving || runner.stopping ? RefusedStart::Leaving
-            : isCordoned(runner)                                          ? RefusedStart::Cordoned
-                                                                          : RefusedStart::NotReady;
-    std::vector<WaitingStart> rest;
-    rest.swap(runner.waiting);
+    const RefusedStart refusal = runner.endpoint.leaving || runner.stopping ? RefusedStart::Leaving
+            : isCordoned(runner)                                            ? RefusedStart::Cordoned
+                                 : RefusedStart::NotReady;
+    std::vector<WaitingStart> pending;
+    pending.swap(runner.waiting);
     bool blocked = false;
-    for (const WaitingStart &start : rest) {
+    for (const WaitingStart &start : pending) {
         if (!mayStart || mostStarts(runner, now) == 0) {
-            refuseStart(runner, start.session, start.id, never);
+            refuseStart(runner, start.session, start.id, refusal);
         } else if (now >= start.until || !jobs::fits(start.room, runner.endpoint.capacity)) {
             // An expired start is refused even if it fits now: after a pause of this process its
             // entry may have started the task elsewhere, and both would run. One that exceeds a
             // reduced total capacity would only block the others.
             refuseStart(runner, start.session, start.id, RefusedStart::NoRoom);
-        } else if (!blocked && jobs::fits(start.room, freeRoom(runner))) {
+        } else if (!blocked && jobs::fits(start.room, freeCapacity(runner))) {
             startRun(runner, start, now, actions);
         } else {
             // Freed capacity is reserved for it; otherwise smaller starts could starve it.
@@ -104,8 +104,8 @@
 
 void dropWaitingOf(RunnerState &runner, std::uint64_t session)
 {
-    const auto its = [&](const WaitingStart &start) { return start.session == session; };
-    runner.waiting.erase(std::remove_if(runner.waiting.begin(), runner.waiting.end(), its),
+    const auto ofSession = [&](const WaitingStart &start) { return start.session == session; };
+    runner.waiting.erase(std::remove_if(runner.waiting.begin(), runner.waiting.end(), ofSession),
                          runner.waiting.end());
 }
 
--- a/packages/runner/tests/crashes_test.cpp
+++ b/packages/runner/tests/crashes_test.cpp
@@ -1,100 +1,101 @@
 /*
-    What an agent remembers of the tasks under which its endpoint crashed, and whom it tells.
+    Records of tasks that ran when the endpoint crashed, and their reports to entries.
 
     [SECTION] Crashes
 */
-#include "bench.h"
+#include "fixture.h"
 
 namespace foxwing::runner {
 namespace {
 
 // [SECTION] Crashes
 
-constexpr std::uint64_t OtherEntry = 2;
+constexpr std::uint64_t OtherSession = 2;
 
-// What an entry was told: crashes by the task's index
-std::map<std::uint32_t, std::uint32_t> toldTo(std::uint64_t session, const RunnerActions &actions)
+// Crash counts that were reported to a session, by task index
+std::map<std::uint32_t, std::uint32_t> crashesReportedTo(std::uint64_t session,
+                                                         const RunnerActions &actions)
 {
-    std::map<std::uint32_t, std::uint32_t> told;
+    std::map<std::uint32_t, std::uint32_t> reported;
     const auto add = [&](std::uint64_t to, const std::vector<jobs::CrashReport> &crashed) {
         for (const jobs::CrashReport &report : crashed) {
             if (to == session)
-                told[report.task.index] = report.crashes;
+                reported[report.task.index] = report.crashes;
         }
     };
     for (const auto &[to, message] : actions.acceptances)
         add(to, message.crashed);
     for (const auto &[to, message] : actions.updates)
         add(to, message.crashed);
-    return told;
+    return reported;
 }
 
-// Another life comes without a word, and shows that nothing runs there.
-RunnerActions crash(Bench &bench, const std::string &nextLife)
+// A new incarnation without previous notice of leaving; no runs are listed.
+RunnerActions crash(RunnerFixture &fixture, const std::string &nextId)
 {
-    const RunnerActions actions = bench.replacedBy(nextLife);
-    bench.answerLook({});
+    const RunnerActions actions = fixture.replaceEndpoint(nextId);
+    fixture.completePoll({});
     return actions;
 }
 
 using Crashes = std::map<std::uint32_t, std::uint32_t>;
 
-TEST(RunnerCrashes, AreToldToAllEntriesOnce)
+TEST(RunnerCrashes, AreReportedToAllEntriesOnce)
 {
-    Bench bench;
-    openSession(bench.runner, OtherEntry, "entry-2", bench.now);
-    bench.start(1);
-    bench.start(2);
-    const RunnerActions actions = crash(bench, "life-2");
-    EXPECT_EQ(toldTo(Entry, actions), Crashes({ { 1, 1 }, { 2, 1 } }));
-    EXPECT_EQ(toldTo(OtherEntry, actions), Crashes({ { 1, 1 }, { 2, 1 } }));
-    EXPECT_EQ(toldTo(OtherEntry, bench.pass(Milliseconds(200))), Crashes());
+    RunnerFixture fixture;
+    openSession(fixture.runner, OtherSession, "entry-2", fixture.now);
+    fixture.start(1);
+    fixture.start(2);
+    const RunnerActions actions = crash(fixture, "incarnation-2");
+    EXPECT_EQ(crashesReportedTo(EntrySession, actions), Crashes({ { 1, 1 }, { 2, 1 } }));
+    EXPECT_EQ(crashesReportedTo(OtherSession, actions), Crashes({ { 1, 1 }, { 2, 1 } }));
+    EXPECT_EQ(crashesReportedTo(OtherSession, fixture.advance(Milliseconds(200))), Crashes());
 }
 
-TEST(RunnerCrashes, AreToldToEntriesThatComeLater)
+TEST(RunnerCrashes, AreReportedToNewSessions)
 {
-    Bench bench;
-    bench.start(1);
-    crash(bench, "life-2");
-    bench.start(1, 1000, 2);
-    crash(bench, "life-3");
-    const RunnerActions actions = openSession(bench.runner, OtherEntry, "entry-2", bench.now);
-    EXPECT_EQ(toldTo(OtherEntry, actions), Crashes({ { 1, 2 } }));
+    RunnerFixture fixture;
+    fixture.start(1);
+    crash(fixture, "incarnation-2");
+    fixture.start(1, 1000, 2);
+    crash(fixture, "incarnation-3");
+    const RunnerActions actions = openSession(fixture.runner, OtherSession, "entry-2", fixture.now);
+    EXPECT_EQ(crashesReportedTo(OtherSession, actions), Crashes({ { 1, 2 } }));
 }
 
-struct MemoryCase
+struct CrashMemoryCase
 {
     const char *name;
-    std::size_t most;
+    std::size_t limit;
     Milliseconds after;
-    Crashes told;
+    Crashes reported;
 };
 
-std::ostream &operator<<(std::ostream &out, const MemoryCase &tested)
+std::ostream &operator<<(std::ostream &out, const CrashMemoryCase &tested)
 {
     return out << tested.name;
 }
 
-class Memory : public testing::TestWithParam<MemoryCase>
+class CrashMemory : public testing::TestWithParam<CrashMemoryCase>
 { };
 
-TEST_P(Memory, OfCrashesIsBounded)
+TEST_P(CrashMemory, IsBounded)
 {
-    Bench bench;
-    bench.runner.settings.mostCrashedTasks = GetParam().most;
-    bench.start(1);
-    bench.start(2);
-    crash(bench, "life-2");
-    bench.now += GetParam().after;
-    const RunnerActions actions = openSession(bench.runner, OtherEntry, "entry-2", bench.now);
-    EXPECT_EQ(toldTo(OtherEntry, actions), GetParam().told);
+    RunnerFixture fixture;
+    fixture.runner.settings.maxCrashedTasks = GetParam().limit;
+    fixture.start(1);
+    fixture.start(2);
+    crash(fixture, "incarnation-2");
+    fixture.now += GetParam().after;
+    const RunnerActions actions = openSession(fixture.runner, OtherSession, "entry-2", fixture.now);
+    EXPECT_EQ(crashesReportedTo(OtherSession, actions), GetParam().reported);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-        Runner, Memory,
-        testing::Values(MemoryCase { "InTime", 256, Milliseconds(0), { { 1, 1 }, { 2, 1 } } },
-                        MemoryCase { "LaterThanItIsKept", 256, Milliseconds(60000), {} },
-                        MemoryCase { "MoreThanAreKept", 1, Milliseconds(0), { { 2, 1 } } }),
+        Runner, CrashMemory,
+        testing::Values(CrashMemoryCase { "InTime", 256, Milliseconds(0), { { 1, 1 }, { 2, 1 } } },
+                        CrashMemoryCase { "AfterTheRetention", 256, Milliseconds(60000), {} },
+                        CrashMemoryCase { "AboveTheLimit", 1, Milliseconds(0), { { 2, 1 } } }),
         [](const auto &tested) { return tested.param.name; });
 
 } // namespace
--- a/packages/runner/tests/sessions_test.cpp
+++ b/packages/runner/tests/sessions_test.cpp
@@ -1,132 +1,140 @@
 /*
-    What entries are told, and what ends with them.
+    Sessions of entries and the updates that they get.
 
     [SECTION] Sessions
+    [SECTION] Updates
 */
-#include "bench.h"
+#include "fixture.h"
 
 namespace foxwing::runner {
 namespace {
 
 // [SECTION] Sessions
 
-TEST(RunnerSessions, ASilentEntrysRunsAreStopped)
+TEST(RunnerSessions, RunsOfATimedOutEntryAreStopped)
 {
-    Bench bench;
-    bench.start(1);
-    bench.now += bench.runner.settings.sessionTimeout;
-    const RunnerActions actions = tick(bench.runner, bench.now);
+    RunnerFixture fixture;
+    fixture.start(1);
+    fixture.now += fixture.runner.settings.sessionTimeout;
+    const RunnerActions actions = tick(fixture.runner, fixture.now);
     EXPECT_EQ(actions.stops.size(), 1U);
-    EXPECT_EQ(actions.closes, std::vector<std::uint64_t> { Entry });
+    EXPECT_EQ(actions.closes, std::vector<std::uint64_t> { EntrySession });
 }
 
-TEST(RunnerSessions, WhatArrivesAfterASilenceIsNotTaken)
+TEST(RunnerSessions, MessagesAfterATimeoutAreIgnored)
 {
-    Bench bench;
-    bench.now += bench.runner.settings.sessionTimeout + Milliseconds(1);
-    EXPECT_TRUE(bench.start(1).starts.empty());
-    EXPECT_TRUE(bench.runner.runs.empty());
+    RunnerFixture fixture;
+    fixture.now += fixture.runner.settings.sessionTimeout + Milliseconds(1);
+    EXPECT_TRUE(fixture.start(1).starts.empty());
+    EXPECT_TRUE(fixture.runner.runs.empty());
 }
 
-TEST(RunnerSessions, AnEntryIsWelcomedOnceItsEarlierRunsAreOver)
+TEST(RunnerSessions, SessionIsAcceptedOnceEarlierRunsHaveEnded)
 {
-    Bench bench;
-    bench.start(1);
-    handleStartResult(bench.runner, runId(1), { CommandStatus::Ok, bench.clock() }, bench.now);
-    RunnerActions actions = openSession(bench.runner, 2, "entry-1", bench.now);
+    RunnerFixture fixture;
+    fixture.start(1);
+    handleStartResult(fixture.runner, runId(1), { CommandStatus::Ok, fixture.clock() },
+                      fixture.now);
+    RunnerActions actions = openSession(fixture.runner, 2, "entry-1", fixture.now);
     EXPECT_EQ(actions.stops.size(), 1U);
     EXPECT_TRUE(actions.acceptances.empty());
     PollResult poll;
     poll.ended = { { 1, runId(1), RunEnd::Stopped } };
-    actions = bench.answerLook(poll);
+    actions = fixture.completePoll(poll);
     ASSERT_EQ(actions.acceptances.size(), 1U);
     EXPECT_EQ(actions.acceptances[0].first, 2U);
 }
 
-// Fifteen entries, and a second in which the room changes every 10 ms: what each is told.
-struct TellingCase
+// [SECTION] Updates
+
+// Number of updates to each of 15 entries in one second, with free capacity changing every 10 ms.
+struct CapacityUpdateCase
 {
     const char *name;
-    std::uint64_t wanting;
-    std::size_t leastWanting;
-    std::size_t mostWanting;
-    std::size_t mostOthers;
+    std::uint64_t waitingEntries;
+    std::size_t minWaiting;
+    std::size_t maxWaiting;
+    std::size_t maxOthers;
 };
 
-class Telling : public testing::TestWithParam<TellingCase>
+class CapacityUpdates : public testing::TestWithParam<CapacityUpdateCase>
 { };
 
-TEST_P(Telling, OfRoomFollowsWhoWantsIt)
+TEST_P(CapacityUpdates, DependOnTheNumberOfWaitingEntries)
 {
     constexpr std::uint64_t Entries = 15;
-    Bench bench;
+    RunnerFixture fixture;
     for (std::uint64_t entry = 2; entry <= Entries; ++entry)
-        openSession(bench.runner, entry, "entry-" + std::to_string(entry), bench.now);
-    for (std::uint64_t entry = 1; entry <= GetParam().wanting; ++entry)
-        handleSessionHeartbeat(bench.runner, entry, { 1, true }, bench.now);
-    std::map<std::uint64_t, std::size_t> told;
+        openSession(fixture.runner, entry, "entry-" + std::to_string(entry), fixture.now);
+    for (std::uint64_t entry = 1; entry <= GetParam().waitingEntries; ++entry)
+        handleSessionHeartbeat(fixture.runner, entry, { 1, true }, fixture.now);
+    std::map<std::uint64_t, std::size_t> updates;
     const auto count = [&](const RunnerActions &actions) {
         for (const auto &[entry, update] : actions.updates)
-            ++told[entry];
+            ++updates[entry];
     };
     for (std::int64_t turn = 0; turn < 100; ++turn) {
-        bench.runner.runs[runId(1000)].room.milliCores = turn;
-        count(bench.pass(Milliseconds(5)));
-        count(bench.pass(Milliseconds(5)));
+        fixture.runner.runs[runId(1000)].room.milliCores = turn;
+        count(fixture.advance(Milliseconds(5)));
+        count(fixture.advance(Milliseconds(5)));
     }
     for (std::uint64_t entry = 1; entry <= Entries; ++entry) {
-        const bool wants = entry <= GetParam().wanting;
-        EXPECT_GE(told[entry], wants ? GetParam().leastWanting : 8) << entry;
-        EXPECT_LE(told[entry], wants ? GetParam().mostWanting : GetParam().mostOthers) << entry;
+        const bool waits = entry <= GetParam().waitingEntries;
+        EXPECT_GE(updates[entry], waits ? GetParam().minWaiting : 8) << entry;
+        EXPECT_LE(updates[entry], waits ? GetParam().maxWaiting : GetParam().maxOthers) << entry;
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(Runner, Telling,
-                         testing::Values(TellingCase { "Nobody", 0, 0, 0, 11 },
-                                         TellingCase { "One", 1, 90, 101, 11 },
-                                         TellingCase { "Four", 4, 90, 101, 11 },
-                                         TellingCase { "All", 15, 25, 40, 0 }),
+INSTANTIATE_TEST_SUITE_P(Runner, CapacityUpdates,
+                         testing::Values(CapacityUpdateCase { "Nobody", 0, 0, 0, 11 },
+                                         CapacityUpdateCase { "One", 1, 90, 101, 11 },
+                                         CapacityUpdateCase { "Four", 4, 90, 101, 11 },
+                                         CapacityUpdateCase { "All", 15, 25, 40, 0 }),
                          [](const auto &tested) { return tested.param.name; });
 
-TEST(RunnerSessions, AnEntryThatBeginsToWantRoomIsToldAtOnce)
+TEST(RunnerSessions, EntryThatStartsToNeedCapacityGetsAnUpdateAtOnce)
 {
-    Bench bench;
-    bench.start(1);
-    bench.now += Milliseconds(5);
-    const RunnerActions calm = handleSessionHeartbeat(bench.runner, Entry, { 1, false }, bench.now);
-    EXPECT_TRUE(calm.updates.empty());
-    const RunnerActions wants = handleSessionHeartbeat(bench.runner, Entry, { 2, true }, bench.now);
-    ASSERT_EQ(wants.updates.size(), 1U);
-    EXPECT_EQ(wants.updates[0].second.free.milliCores, 3000);
-    EXPECT_EQ(wants.updates[0].second.startsTaken, 1U);
+    RunnerFixture fixture;
+    fixture.start(1);
+    fixture.now += Milliseconds(5);
+    const RunnerActions idle = handleSessionHeartbeat(fixture.runner, EntrySession, { 1, false },
+                                                      fixture.now);
+    EXPECT_TRUE(idle.updates.empty());
+    const RunnerActions waiting = handleSessionHeartbeat(fixture.runner, EntrySession, { 2, true },
+                                                         fixture.now);
+    ASSERT_EQ(waiting.updates.size(), 1U);
+    EXPECT_EQ(waiting.updates[0].second.free.milliCores, 3000);
+    EXPECT_EQ(waiting.updates[0].second.startsTaken, 1U);
 }
 
-TEST(RunnerSessions, EndsAreToldAtOnceAndStartsWithTheNextNews)
+TEST(RunnerSessions, EndsAreReportedAtOnceAndStartsWithTheNextUpdate)
 {
-    Bench bench;
-    EXPECT_TRUE(bench.start(1).updates.empty());
-    handleStartResult(bench.runner, runId(1), { CommandStatus::Ok, bench.clock() }, bench.now);
-    const RunnerActions actions = bench.end(1);
+    RunnerFixture fixture;
+    EXPECT_TRUE(fixture.start(1).updates.empty());
+    handleStartResult(fixture.runner, runId(1), { CommandStatus::Ok, fixture.clock() },
+                      fixture.now);
+    const RunnerActions actions = fixture.end(1);
     ASSERT_EQ(actions.updates.size(), 1U);
     EXPECT_EQ(actions.updates[0].second.ended.size(), 1U);
     EXPECT_EQ(actions.updates[0].second.startsTaken, 1U);
 }
 
-// What the next update to the entry says.
-jobs::AgentUpdate nextUpdate(Bench &bench)
+// The next update to the entry.
+jobs::AgentUpdate nextUpdate(RunnerFixture &fixture)
 {
-    bench.pass(bench.runner.settings.idleUpdateInterval);
-    const RunnerActions actions = handleSessionHeartbeat(bench.runner, Entry,
-                                                         { ++bench.lastBeat, true }, bench.now);
+    fixture.advance(fixture.runner.settings.idleUpdateInterval);
+    const RunnerActions actions = handleSessionHeartbeat(fixture.runner, EntrySession,
+                                                         { ++fixture.lastHeartbeat, true },
+                                                         fixture.now);
     return actions.updates.empty() ? jobs::AgentUpdate() : actions.updates.back().second;
 }
 
 struct WaitingRowsCase
 {
     const char *name;
-    std::size_t mostRows;
+    std::size_t maxRows;
 
-    // Of starts of 100 thousandths of a core each
+    // Of starts that need 100 thousandths of a core each
     std::vector<std::uint32_t> priorities;
     std::vector<std::pair<std::uint32_t, std::int64_t>> rows;
 };
@@ -134,11 +142,11 @@
 class WaitingRows : public testing::TestWithParam<WaitingRowsCase>
 { };
 
-TEST_P(WaitingRows, TellWhatWaitsByPriority)
+TEST_P(WaitingRows, ListWaitingStartsByPriority)
 {
-    Bench bench;
-    bench.runner.settings.mostWaitingRows = GetParam().mostRows;
-    bench.start(0, 4000);
+    RunnerFixture fixture;
+    fixture.runner.settings.maxWaitingRows = GetParam().maxRows;
+    fixture.start(0, 4000);
     std::uint32_t index = 0;
     for (const std::uint32_t priority : GetParam().priorities) {
         jobs::StartTasks message;
@@ -148,10 +156,10 @@
         message.priority = priority;
         message.mayWait = Milliseconds(1000);
         message.starts = { { ++index, 1 } };
-        startTasks(bench.runner, Entry, message, bench.now);
+        startTasks(fixture.runner, EntrySession, message, fixture.now);
     }
     std::vector<std::pair<std::uint32_t, std::int64_t>> rows;
-    for (const jobs::WaitingRoom &row : nextUpdate(bench).waiting)
+    for (const jobs::WaitingRoom &row : nextUpdate(fixture).waiting)
         rows.emplace_back(row.priority, row.milliCores);
     EXPECT_EQ(rows, GetParam().rows);
 }
@@ -177,24 +185,25 @@
     double perSecond;
 };
 
-class FreedPace : public testing::TestWithParam<FreedCase>
+class FreedRate : public testing::TestWithParam<FreedCase>
 { };
 
-// A run of 900 thousandths of a core gives its room back: 3000 a second over 300 ms.
-TEST_P(FreedPace, IsToldAndFades)
+// A run that frees 900 thousandths of a core: 3000 per second over the window of 300 ms.
+TEST_P(FreedRate, IsReportedAndDecays)
 {
-    Bench bench;
-    bench.start(1, 900);
-    handleStartResult(bench.runner, runId(1), { CommandStatus::Ok, bench.clock() }, bench.now);
+    RunnerFixture fixture;
+    fixture.start(1, 900);
+    handleStartResult(fixture.runner, runId(1), { CommandStatus::Ok, fixture.clock() },
+                      fixture.now);
     PollResult poll;
     poll.ended = { { 1, runId(1), GetParam().end } };
-    bench.answerLook(poll);
-    bench.pass(GetParam().after - bench.runner.settings.idleUpdateInterval);
-    EXPECT_NEAR(nextUpdate(bench).freedPerSecond, GetParam().perSecond, 2);
+    fixture.completePoll(poll);
+    fixture.advance(GetParam().after - fixture.runner.settings.idleUpdateInterval);
+    EXPECT_NEAR(nextUpdate(fixture).freedPerSecond, GetParam().perSecond, 2);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-        Runner, FreedPace,
+        Runner, FreedRate,
         testing::Values(FreedCase { "Done", RunEnd::Done, Milliseconds(100), 3000 * 0.7165 },
                         FreedCase { "LongAgo", RunEnd::Done, Milliseconds(300), 3000 * 0.3679 },
                         FreedCase { "Stopped", RunEnd::Stopped, Milliseconds(100), 3000 * 0.7165 },
