--- a/packages/runner/src/waiting.cpp
+++ b/packages/runner/src/waiting.cpp
@@ -17,7 +17,7 @@
 
 // [SECTION] Waiting starts
 
-jobs::ResourceVector waitingRoom(const RunnerState &runner, std::uint32_t priority)
+jobs::ResourceVector waitingDemand(const RunnerState &runner, std::uint32_t priority)
 {
     jobs::ResourceVector demand;
     for (const WaitingStart &start : runner.waiting) {
@@ -27,11 +27,11 @@
     return demand;
 }
 
-std::vector<jobs::PriorityBacklog> waitingRows(const RunnerState &runner)
+std::vector<jobs::PriorityBacklog> backlogRows(const RunnerState &runner)
 {
     std::vector<jobs::PriorityBacklog> rows;
     for (const WaitingStart &start : runner.waiting) {
-        const bool full = rows.size() >= runner.settings.mostWaitingRows;
+        const bool full = rows.size() >= runner.settings.maxWaitingRows;
         if (rows.empty() || (rows.back().priority != start.priority && !full))
             rows.push_back({ start.priority, 0 });
         rows.back().milliCores += start.demand.milliCores;
@@ -43,9 +43,9 @@
 {
     if (message.maxWait.count() <= 0 || !jobs::fits(message.demand, runner.endpoint.capacity))
         return false;
-    const std::int64_t waiting = waitingRoom(runner, message.priority).milliCores;
+    const std::int64_t waiting = waitingDemand(runner, message.priority).milliCores;
     return (waiting + message.demand.milliCores) * 100
-            <= runner.endpoint.capacity.milliCores * runner.settings.waitingPercent;
+            <= runner.endpoint.capacity.milliCores * runner.settings.maxWaitingPercent;
 }
 
 bool isWaiting(const RunnerState &runner, const jobs::TaskId &task)
@@ -64,21 +64,21 @@
 void startWaiting(RunnerState &runner, Time now, RunnerActions &actions)
 {
     const bool mayStart = maxStarts(runner, now) > 0;
-    const StartRefusal never = runner.endpoint.leaving || runner.stopping ? StartRefusal::Leaving
-            : isCordoned(runner)                                          ? StartRefusal::Cordoned
-                                                                          : StartRefusal::NotReady;
-    std::vector<WaitingStart> rest;
-    rest.swap(runner.waiting);
+    const StartRefusal refusal = runner.endpoint.leaving || runner.stopping ? StartRefusal::Leaving
+            : isCordoned(runner)                                            ? StartRefusal::Cordoned
+                                 : StartRefusal::NotReady;
+    std::vector<WaitingStart> pending;
+    pending.swap(runner.waiting);
     bool blocked = false;
-    for (const WaitingStart &start : rest) {
+    for (const WaitingStart &start : pending) {
         if (!mayStart || maxStarts(runner, now) == 0) {
-            refuseStart(runner, start.session, start.id, never);
+            refuseStart(runner, start.session, start.id, refusal);
         } else if (now >= start.until || !jobs::fits(start.demand, runner.endpoint.capacity)) {
             // An expired start is refused even if it fits now: after a pause of this process its
             // entry may have started the task elsewhere, and both would run. One that exceeds a
             // reduced total capacity would only block the others.
             refuseStart(runner, start.session, start.id, StartRefusal::NoCapacity);
-        } else if (!blocked && jobs::fits(start.demand, freeRoom(runner))) {
+        } else if (!blocked && jobs::fits(start.demand, freeCapacity(runner))) {
             startRun(runner, start, now, actions);
         } else {
             // Freed capacity is reserved for it; otherwise smaller starts could starve it.
@@ -104,8 +104,8 @@
 
 void dropWaitingOf(RunnerState &runner, std::uint64_t session)
 {
-    const auto its = [&](const WaitingStart &start) { return start.session == session; };
-    runner.waiting.erase(std::remove_if(runner.waiting.begin(), runner.waiting.end(), its),
+    const auto ofSession = [&](const WaitingStart &start) { return start.session == session; };
+    runner.waiting.erase(std::remove_if(runner.waiting.begin(), runner.waiting.end(), ofSession),
                          runner.waiting.end());
 }
 
