--- a/packages/runner/include/foxwing/runner/runner.h
+++ b/packages/runner/include/foxwing/runner/runner.h
@@ -309,14 +309,14 @@
     bool stopPending = false;
 
     // Number of the first poll that proves the run gone if it doesn't list it: the first one after
-    // an acknowledged stop, a refusal as an old run, or a new incarnation. 0 if there is none.
+    // an acknowledged stop, a refusal as a stale run, or a new incarnation. 0 if there is none.
     std::uint64_t decisivePoll = 0;
 
     // Started in a previous incarnation of the endpoint and not yet listed by the current one
     bool carriedOver = false;
 
     // How it ended if it was lost with that incarnation
-    jobs::RunOutcome endIfLost = jobs::RunOutcome::Lost;
+    jobs::RunOutcome outcomeIfLost = jobs::RunOutcome::Lost;
 
     std::uint32_t percent = 0;
     Time progressAt {};
--- a/packages/runner/src/incarnations.cpp
+++ b/packages/runner/src/incarnations.cpp
@@ -90,7 +90,7 @@
 {
     for (auto &[id, run] : runner.runs) {
         run.carriedOver = true;
-        run.endIfLost = lossOutcome(runner);
+        run.outcomeIfLost = lossOutcome(runner);
         run.decisivePoll = runner.pollNumber + 1;
     }
     fenceOffCommands(runner);
--- a/packages/runner/src/results.cpp
+++ b/packages/runner/src/results.cpp
@@ -184,7 +184,7 @@
 {
     // It may have started in the previous incarnation.
     if (run.carriedOver)
-        return run.endIfLost;
+        return run.outcomeIfLost;
     return run.confirmed ? RunOutcome::Stopped : RunOutcome::NeverStarted;
 }
 
--- a/packages/runner/src/waiting.cpp
+++ b/packages/runner/src/waiting.cpp
@@ -1,7 +1,7 @@
 /*
     Starts that wait at the agent for capacity.
 
-    Freed capacity goes to the most urgent start of all entries, whichever entry hears of it first,
+    Freed capacity goes to the most urgent start of all entries, whichever entry learns of it first,
     and isn't idle for a round trip to an entry.
 
     [SECTION] Waiting starts
