--- a/packages/runner/src/incarnations.cpp
+++ b/packages/runner/src/incarnations.cpp
@@ -122,7 +122,7 @@
                           startTimeField(runner.endpoint.endpointIncarnation.startedAt))
                     .with("told_by", source)
                     .with("runs", runner.runs.size()));
-    // The endpoint rejects commands for another id, so all runs are certainly lost.
+    // Commands for another id are rejected, so with a new id all runs are certainly lost.
     if (endpointIncarnation.id == runner.endpoint.endpointIncarnation.id)
         carryRunsOver(runner);
     else
--- a/packages/runner/src/sessions.cpp
+++ b/packages/runner/src/sessions.cpp
@@ -41,8 +41,8 @@
 
 namespace {
 
-// Finds an open session and notes that it was sender. A session that has timed out is closed
-// instead: after a pause of this process or a network partition, old messages arrive as if new.
+// Finds an open session and notes the time. A session that has timed out is closed instead: after a
+// pause of this process or a network partition, old messages arrive as if new.
 std::map<std::uint64_t, Session>::iterator touchSession(RunnerState &runner, std::uint64_t number,
                                                         Time now, RunnerActions &actions)
 {
