--- a/packages/journal/include/foxwing/journal/journal.h
+++ b/packages/journal/include/foxwing/journal/journal.h
@@ -1,11 +1,11 @@
 /*
-    A journal of records under one folder, with snapshots.
+    Journal (write-ahead log) with snapshots in one folder.
 
-    The folder holds one snapshot and the records that follow it. Nothing counts as written before
-    sync() has returned true; files are synced with fdatasync, new and renamed files with a sync of
-    the folder too. Each record carries its index and a checksum. When a journal is opened, an
-    unfinished record at the end is cut off; a bad record with others behind it is damage, and an
-    error that names file and offset.
+    The folder holds the latest snapshot and the records after it. Nothing is durable until sync()
+    has returned true. Files are synced with fdatasync; for new and renamed files the folder is
+    synced too. Each record has an index and a checksum. Opening a journal truncates an incomplete
+    record at the end; an invalid record followed by valid ones is reported as damage, with file and
+    offset.
 
         Error reason;
         std::optional<Journal> journal = Journal::open("data/journal", &reason);
@@ -36,17 +36,17 @@
     std::string payload;
 };
 
-// What was found when a journal was opened.
+// Content of a journal when it was opened.
 struct Recovered
 {
-    // The newest snapshot and the index of the last entry that is in it; 0 and empty if none.
+    // The latest snapshot and the index of the last entry it includes; empty and 0 if none.
     std::uint64_t snapshotIndex = 0;
     std::string snapshot;
 
-    // All entries after it.
+    // All entries after the snapshot.
     std::vector<Entry> entries;
 
-    // Bytes of an unfinished record that were cut from the end.
+    // Size of the incomplete record at the end, which open() truncates.
     std::uint64_t cutBytes = 0;
 };
 
@@ -55,28 +55,28 @@
 class Journal
 {
 public:
-    // Opens the journal in a folder, made if it is not there.
+    // Opens the journal in a folder, which is created if it doesn't exist.
     static std::optional<Journal> open(const std::string &folder, Error *reason);
 
-    // Reads without changing anything: for looking at the journal of a stopped process.
+    // Reads a journal without changing it, for inspection while its process is stopped.
     static std::optional<Recovered> inspect(const std::string &folder, Error *reason);
 
     Journal(Journal &&other) noexcept;
     Journal &operator=(Journal &&other) noexcept;
     ~Journal();
 
-    // What open() found; empty after the first call.
+    // The content found by open(); empty after the first call.
     Recovered takeRecovered();
 
-    // Adds an entry with the next index, in memory until sync().
+    // Buffers an entry in memory until sync(). Returns its index.
     std::uint64_t append(const std::string &payload);
 
-    // Writes and syncs all that was appended. After an error the journal takes nothing more, since
-    // what the disk holds is not known: the process must be started anew.
+    // Writes and syncs the appended entries. Fails for good after the first error, since the state
+    // of the disk is then unknown: the process must be restarted.
     bool sync(Error *reason);
 
-    // Replaces all entries up to lastIndex() by a snapshot that holds their effect. Everything must
-    // be synced.
+    // Replaces all entries up to lastIndex() with a snapshot that includes their effect. All
+    // entries must be synced.
     bool replaceBySnapshot(const std::string &snapshot, Error *reason);
 
     std::uint64_t lastIndex() const { return m_lastIndex; }
--- a/packages/journal/src/journal.cpp
+++ b/packages/journal/src/journal.cpp
@@ -1,9 +1,9 @@
 /*
-    Files of the journal.
+    File format, recovery and writing of the journal.
 
-    journal-INDEX holds the header and then records from INDEX + 1 on; snapshot-INDEX holds the
-   header and one record with the state after INDEX. A record is: length (4 bytes), index (8),
-   checksum of index and payload (8), payload; all numbers little-endian.
+    journal-INDEX holds the header and the records from INDEX + 1 on; snapshot-INDEX holds the
+    header and one record with the state after INDEX. A record consists of payload length (4 bytes),
+    index (8), checksum of index and payload (8), and payload. Numbers are little-endian.
 
     [SECTION] Records
     [SECTION] Files
@@ -29,7 +29,7 @@
 
 // [SECTION] Records
 
-// Names the format; a later format gets another number.
+// Identifies the file format. The last digit is its version.
 constexpr char Header[] = "FOXWJNL1";
 constexpr std::size_t HeaderSize = 8;
 constexpr std::size_t RecordHeadSize = 20;
@@ -62,7 +62,7 @@
     out += payload;
 }
 
-// The length of the good record at a place, or nothing.
+// The length of the valid record at an offset, or nothing.
 std::optional<std::size_t> recordAt(const std::string &content, std::size_t at)
 {
     if (at + RecordHeadSize > content.size())
@@ -77,8 +77,9 @@
     return RecordHeadSize + length;
 }
 
-// Whether any good record stands after a bad place. Lengths there can't be trusted, so every byte
-// is tried; an empty run of zeros has a valid-looking record of length 0 only if its checksum fits.
+// Whether there is a valid record anywhere after an invalid one. Tries every offset, since the
+// length of an invalid record can't be trusted. Zeros don't pass as records of length 0, because
+// their checksum is wrong.
 bool goodRecordAfter(const std::string &content, std::size_t at)
 {
     for (std::size_t place = at + 1; place + RecordHeadSize <= content.size(); ++place) {
@@ -128,7 +129,7 @@
     return content.str();
 }
 
-// The highest index among files "PREFIX-INDEX" of a folder.
+// The highest index among the files of a folder that are named prefix + INDEX.
 std::optional<std::uint64_t> newestFile(const std::string &folder, const std::string &prefix)
 {
     std::optional<std::uint64_t> newest;
@@ -174,12 +175,13 @@
 {
     return fail(reason, ErrorKind::Internal,
                 path + ": damaged at offset " + std::to_string(offset)
-                        + "; don't cut it by hand: empty this host's data folder and let it catch "
-                          "up from the others, or restore the folder from a copy",
+                        + "; do not truncate it by hand: empty this host's data folder and let it "
+                          "catch up from the others, or restore the folder from a backup",
                 Outcome::Unknown);
 }
 
-// Reads the entries of a journal file; the length of its good part goes to goodSize.
+// Reads the entries of a journal file. Sets goodSize to the length of its valid part, and cut to
+// the length of the rest.
 std::optional<std::vector<Entry>> readEntries(const std::string &path, std::uint64_t firstIndex,
                                               std::size_t *goodSize, std::size_t *cut,
                                               Error *reason)
@@ -191,7 +193,7 @@
     *goodSize = std::min(content->size(), HeaderSize);
     *cut = 0;
     if (content->size() < HeaderSize)
-        return entries; // it was made, but its header was never synced
+        return entries; // created, but the process stopped before the header was synced
     if (content->compare(0, HeaderSize, Header) != 0)
         return damaged(path, 0, reason);
     while (*goodSize < content->size()) {
@@ -248,7 +250,7 @@
     Journal journal;
     journal.m_folder = folder;
     if (::mkdir(folder.c_str(), 0700) != 0 && errno != EEXIST)
-        return fail(reason, ErrorKind::Internal, problem(folder) + "; make its parent folder");
+        return fail(reason, ErrorKind::Internal, problem(folder) + "; create its parent folder");
     if (!journal.recover(reason))
         return std::nullopt;
     return journal;
@@ -296,7 +298,8 @@
 {
     m_failed = true;
     fail(reason, ErrorKind::Internal,
-         problem(what) + "; see that the disk has space and is sound, then start this host anew",
+         problem(what)
+                 + "; make sure that the disk has space and works, then start this host again",
          Outcome::Unknown);
     return false;
 }
@@ -346,8 +349,8 @@
 bool Journal::sync(Error *reason)
 {
     if (m_failed) {
-        fail(reason, ErrorKind::Internal, m_fileName + ": failed before; start this host anew",
-             Outcome::Unknown);
+        fail(reason, ErrorKind::Internal,
+             m_fileName + ": a write failed before; start this host again", Outcome::Unknown);
         return false;
     }
     if (!writeAll(m_file, m_unsynced) || ::fdatasync(m_file) != 0)
@@ -371,7 +374,7 @@
         return failWith(path, reason);
     if (!openFile(m_lastIndex, reason))
         return false;
-    // The old files are of no more use; that they are gone need not last.
+    // The old files are obsolete. Their removal need not be synced.
     if (oldFile != m_fileName)
         ::unlink(oldFile.c_str());
     removeSnapshotsBut(m_folder, m_lastIndex);
--- a/packages/journal/tests/journal_test.cpp
+++ b/packages/journal/tests/journal_test.cpp
@@ -1,5 +1,5 @@
 /*
-    What lasts, what is cut and what is damage.
+    Durability, truncation of incomplete records, and detection of damage.
 
     [SECTION] Helpers
     [SECTION] Tests
@@ -139,7 +139,7 @@
     EXPECT_TRUE(found.entries.empty());
 }
 
-// A limit on the size of files stands for a full disk: write() fails in the same way.
+// A file size limit simulates a full disk: write() fails in the same way.
 TEST_F(JournalFolder, FullDiskStopsTheJournalForGood)
 {
     Error reason;
--- a/packages/quorum/include/foxwing/quorum/messages.h
+++ b/packages/quorum/include/foxwing/quorum/messages.h
@@ -1,9 +1,9 @@
 /*
-    What the hosts of an agreement group tell each other, and what each keeps on disk.
+    Messages between the hosts of a consensus group, and the records that each keeps on disk.
 
     The protocol is Raft (Ongaro and Ousterhout, "In Search of an Understandable Consensus
     Algorithm", USENIX ATC 2014) with pre-vote, a leader that steps down without a quorum, reads
-    confirmed by a round of heartbeats, learners, and one change of members at a time.
+    confirmed by a round of heartbeats, learners, and single-server membership changes.
 
     [SECTION] Entries
     [SECTION] Records
@@ -26,7 +26,7 @@
 
 enum class EntryKind {
     Command,
-    // The first entry of each leader: what came before is committed with it.
+    // First entry of each leader: commits the entries of earlier terms with it.
     Empty,
     Members,
 };
@@ -35,7 +35,7 @@
     return EntryKind::Members;
 }
 
-// Who votes and who only listens. In force from the moment it is in the log.
+// In effect as soon as the entry is in the log, not only when it is committed.
 struct Members
 {
     std::vector<std::string> voters;
@@ -55,7 +55,7 @@
     EntryKind kind = EntryKind::Command;
     std::string payload;
 
-    // For entries of the kind Members
+    // Only for EntryKind::Members
     Members members;
 };
 template<class Fields>
@@ -70,15 +70,14 @@
 
 // [SECTION] Records
 
-// One thing to be kept on disk, in order.
 struct VoteRecord
 {
     static constexpr const char *Type = "vote";
     std::uint64_t term = 0;
     std::string votedFor;
 
-    // Whether this host may vote: it was there from the first start, or was admitted as a learner
-    // since its disk was empty.
+    // Whether this host may vote: it took part in creating the group, or was admitted as a learner
+    // since its disk was last empty.
     bool joined = false;
 };
 template<class Fields>
@@ -89,7 +88,7 @@
     fields("joined", record.joined);
 }
 
-// Replaces all entries from its index on.
+// Replaces all log entries from its index on.
 struct EntryRecord
 {
     static constexpr const char *Type = "entry";
@@ -101,7 +100,7 @@
     fields("entry", record.entry);
 }
 
-// Everything up to an index, instead of the entries.
+// Replaces all log entries up to and including its index.
 struct SnapshotRecord
 {
     static constexpr const char *Type = "snapshot";
@@ -119,6 +118,7 @@
     fields("state", record.state);
 }
 
+// What is kept on disk, in the order of writing.
 using Record = std::variant<VoteRecord, EntryRecord, SnapshotRecord>;
 
 // [SECTION] Elections
@@ -131,7 +131,7 @@
     std::uint64_t lastIndex = 0;
     std::uint64_t lastTerm = 0;
 
-    // Only asks whether a vote would be given; changes nothing.
+    // Pre-vote: asks whether the vote would be granted, without changing term or vote.
     bool pre = false;
 };
 template<class Fields>
@@ -163,7 +163,7 @@
 
 // [SECTION] Replication
 
-// Also the heartbeat.
+// Also serves as the heartbeat.
 struct Append
 {
     static constexpr const char *Type = "append";
@@ -174,10 +174,10 @@
     std::vector<LogEntry> entries;
     std::uint64_t commit = 0;
 
-    // Comes back in the reply; confirms reads.
+    // Returned in the reply; confirms reads.
     std::uint64_t round = 0;
 
-    // The receiver is a learner of the leader's present group.
+    // The receiver is a learner in the leader's current members.
     bool asLearner = false;
 };
 template<class Fields>
@@ -201,10 +201,10 @@
     std::uint64_t round = 0;
     bool matches = false;
 
-    // The last entry known to be the same and on disk; or where to try next.
+    // If matches: the last entry that is identical and on disk. Otherwise the index to try next.
     std::uint64_t index = 0;
 
-    // False from a host that lost its disk and was not admitted anew: it counts for no quorum.
+    // False if the host lost its disk and was not admitted again: it counts towards no quorum.
     bool counts = true;
 };
 template<class Fields>
--- a/packages/quorum/include/foxwing/quorum/quorum.h
+++ b/packages/quorum/include/foxwing/quorum/quorum.h
@@ -1,10 +1,10 @@
 /*
-    An agreement group: a few hosts that agree on a log of commands.
+    Raft consensus group: a few hosts that agree on a log of commands. No I/O of its own.
 
-    The shell gives messages, ticks and proposals in. What comes out is to be handled in this order:
-    write the records, sync them, call synced() with their number, and send what it releases.
-   Nothing that depends on a record leaves before that. Committed entries are to be applied in
-   order.
+    The caller passes in messages, ticks and proposals, and handles the returned actions in this
+    order: write the records, sync them, call synced() with their number, send the messages it
+    releases. Messages that depend on a record are held back until then. Committed entries are
+    applied in order.
 
         QuorumState quorum = makeQuorum(settings, recovered, now);
         QuorumActions actions = propose(quorum, "command", now);
@@ -36,50 +36,50 @@
     std::string self;
     std::uint64_t seed = 1;
 
-    // Voters of a group that is started for the first time; empty for a host that joins one.
+    // Voters of a newly created group; empty for a host that joins an existing one.
     std::vector<std::string> firstVoters;
 
-    // A host that hears no leader for this long, up to twice as long, asks for votes. A leader that
-    // hears no quorum for this long steps down.
+    // A host starts an election when it has received nothing from a leader for one to two timeouts
+    // (randomized). A leader that has received nothing from a quorum for one timeout steps down.
     Milliseconds electionSpan { 600 };
     Milliseconds heartbeatInterval { 120 };
 
-    // The same for the first election after a start, when there may be no leader at all. The vote
-    // before the vote keeps it from disturbing a leader that is there.
-    // Also the pause after which a host without a leader asks again once something has changed that
-    // speaks for it: a voter that it now reaches, or a vote that it refused for a shorter log.
+    // Timeout of the first election after a start. May be short, since the pre-vote keeps the host
+    // from disrupting an existing leader.
+    // Also the upper bound of the random delay after which a host without a leader tries again on a
+    // change in its favour: a voter was connected, or it refused its vote to an older log.
     Milliseconds firstElectionSpan { 100 };
 
-    // A host without a leader that has helped another one in the vote before the vote asks no
-    // sooner than this: two that ask at the same moment can take each other's votes, and a whole
-    // election span is lost. Longer than two syncs of a disk at 9 ms and a round trip.
+    // A host without a leader that has granted a pre-vote delays its own by at least this much, as
+    // simultaneous candidates can split the vote and lose a whole election timeout. Must exceed two
+    // disk syncs (9 ms each) and a round trip.
     Milliseconds yieldSpan { 50 };
 
-    // Entries in one message
+    // Per Append message
     std::size_t mostEntries = 64;
 
-    // The hosts bring themselves in, see adviseMembers(); an even number of voters is then allowed
-    // on the way.
+    // Members are added and removed automatically, see adviseMembers(). Allows an even number of
+    // voters in between.
     bool selfManaged = false;
 
-    // A self-managed group removes a learner that was not heard for this long. Longer than any
-    // restart or cut that a host is to return from.
+    // A self-managed group removes a learner that has been silent for this long. Must exceed any
+    // restart or network partition after which a host is expected to return.
     Milliseconds forgetLearnerAfter { 20000 };
 
-    // Every host that is there votes, so that the group goes on whenever more than half of them
-    // are up and connected. A voter that was not heard for this long is removed if those that are
-    // left could not bear the loss of leastVoters / 2 more, and leastVoters are left: a host that
-    // was replaced must not count among those that may be lost. One that comes back is brought in
-    // again. Above a heartbeat that is lost and sent again by the kernel (1 s), and well under the
-    // 4 s after which the users count a replacement in full.
+    // All available hosts vote, so that the group makes progress while a majority of them is
+    // connected. A voter that has been silent for this long is removed if the remaining ones could
+    // not tolerate the loss of leastVoters / 2 more and number at least leastVoters: a replaced
+    // host must not use up the failures that the group tolerates. A host that returns is added
+    // again. Must exceed the TCP retransmission of a lost heartbeat (1 s) and stay well below the
+    // 4 s within which a replacement must count in full.
     Milliseconds dropSpareAfter { 1500 };
 
-    // Where that loss can be borne, a silent voter is removed after this: it may only be starting
-    // again, and until it votes anew the group would hang on fewer hosts.
+    // Used instead while the group can tolerate that loss: the voter may only be restarting, and
+    // without it the group would depend on fewer hosts.
     Milliseconds dropIdleAfter { 30000 };
 
-    // Voters that a self-managed group keeps, however long they are silent: with five, two may be
-    // lost at once.
+    // A self-managed group removes a silent voter only while at least this many others are up. Five
+    // tolerate the loss of two at once.
     std::size_t leastVoters = 5;
 };
 
@@ -92,7 +92,7 @@
     Leader,
 };
 
-// What the leader knows of another host.
+// The leader's replication state of another member.
 struct Peer
 {
     std::uint64_t next = 1;
@@ -110,14 +110,14 @@
     QuorumMessage message;
 };
 
-// Messages that wait until everything up to a number is on disk.
+// A message that must not be sent before all records up to syncNumber are on disk.
 struct HeldSend
 {
     std::uint64_t syncNumber = 0;
     Outgoing send;
 };
 
-// A read that is answered once a quorum has confirmed the leader.
+// A linearizable read, answered once a quorum has confirmed the leader in this round or later.
 struct PendingRead
 {
     std::uint64_t id = 0;
@@ -130,7 +130,7 @@
     QuorumSettings settings;
     std::mt19937_64 random;
 
-    // On disk
+    // Persistent
     std::uint64_t term = 0;
     std::string votedFor;
     bool joined = false;
@@ -146,24 +146,25 @@
     std::string leader;
     std::uint64_t commit = 0;
 
-    // What the leader had committed when it was heard last; above commit while this host lags.
+    // The leader's commit index in its last message; above commit while this host lags.
     std::uint64_t leaderCommit = 0;
     std::uint64_t applied = 0;
     Time electionAt {};
     Time yieldUntil {};
 
-    // Since a leader was heard: a host with an older log than this one's has asked for votes.
+    // A host with an older log has requested a vote since this host last had a leader.
     bool refusedOlderLog = false;
     Time leaderHeardAt {};
     std::set<std::string> votes;
 
-    // Disk: records handed out so far, and the last that is known to be synced.
+    // Number of the last record passed to the caller and of the last one known to be synced, and
+    // the index of the last log entry known to be synced.
     std::uint64_t handedOut = 0;
     std::uint64_t syncedUpTo = 0;
     std::uint64_t syncedIndex = 0;
     std::deque<HeldSend> held;
 
-    // Which entry was last when a record was handed out, to know what is synced.
+    // The last log entry at the time of a record, to derive syncedIndex from synced records.
     struct Mark
     {
         std::uint64_t syncNumber = 0;
@@ -184,22 +185,22 @@
 
 struct QuorumActions
 {
-    // To be written in this order, then synced; then synced(syncNumber) is due.
+    // To be written in this order and synced, followed by a call of synced(syncNumber).
     std::vector<Record> records;
     std::uint64_t syncNumber = 0;
 
     std::vector<Outgoing> sends;
 
-    // To be applied, in order. A snapshot that came from the leader goes before them.
+    // To be applied in order, after the snapshot from the leader if there is one.
     std::optional<SnapshotRecord> installed;
     std::vector<LogEntry> committed;
 
-    // Reads that may be answered now, and those that can't because this host leads no more.
+    // Reads that may be answered now, and reads that failed since this host is not the leader.
     std::vector<std::uint64_t> confirmedReads;
     std::vector<std::uint64_t> failedReads;
 };
 
-// What a host found on its disk.
+// State read from disk at start.
 struct RecoveredQuorum
 {
     VoteRecord vote;
@@ -209,54 +210,55 @@
 
 // [SECTION] Functions
 
-// A host that starts. Everything recovered counts as synced. A host with an empty disk that is not
-// among firstVoters neither votes nor counts until a leader has admitted it as a learner: if it
-// was a voter before, it has forgotten its votes.
+// Everything recovered counts as synced. A host with an empty disk that starts without firstVoters
+// neither votes nor counts towards a quorum until a leader has admitted it as a learner: it may
+// have been a voter before and lost its votes.
 QuorumState makeQuorum(const QuorumSettings &settings, const RecoveredQuorum &recovered, Time now);
 
-// Adds one record to what was recovered, in the order in which they were written.
+// Adds one record to the recovered state; call in the order in which they were written.
 void replay(RecoveredQuorum &recovered, const Record &record);
 
 QuorumActions handle(QuorumState &quorum, const QuorumMessage &message, Time now);
 QuorumActions tick(QuorumState &quorum, Time now);
 
-// A connection to a voter is there again. Without a leader this host then asks for votes soon: with
-// the voter that was missing there may be a majority.
+// A connection to a voter was established. If this host has no leader, it starts an election soon,
+// since there may now be a majority.
 void voterReached(QuorumState &quorum, Time now);
 
 // All records up to this number are on disk.
 QuorumActions synced(QuorumState &quorum, std::uint64_t syncNumber, Time now);
 
-// A command for the log; nothing if this host does not lead. The index under which it will be
-// committed, unless another leader comes between, goes to index.
+// Appends a command to the log; nothing if this host is not the leader. Sets index to where the
+// command will be committed, unless another leader takes over first.
 std::optional<QuorumActions> propose(QuorumState &quorum, const std::string &payload, Time now,
                                      std::uint64_t *index);
 
-// Other members. Only one host may be added or removed at a time, and only when the last change is
-// committed; a learner may vote only once it has caught up; the voters that remain must be an odd
-// number, except for the moment in which one host replaces another.
+// Proposes a membership change. Only one voter may be added or removed at a time, and only after
+// the last change is committed. A learner must have caught up before it may vote. The number of
+// voters must be odd, except while one host replaces another or in a self-managed group.
 std::optional<QuorumActions> proposeMembers(QuorumState &quorum, const Members &members, Time now,
                                             Error *reason);
 
-// A control host that is there, and may not be a member yet.
+// A control host that is connected and may not be a member yet.
 struct Candidate
 {
     std::string id;
 
-    // Where it is reached. A host whose disk was lost comes back there under another id.
+    // A host that lost its disk returns at the same address with another id.
     std::string address;
 };
 
-// The next change of members for a self-managed group: brings in hosts that are there, first as
-// learners, lets those vote that have caught up, removes a voter whose place was taken by a host
-// with a new disk. Nothing if all is as it should be, or this host can't change it now.
+// The next membership change of a self-managed group: adds available hosts as learners, promotes
+// learners that have caught up, and removes members that are silent or were replaced by a host with
+// a new disk. Nothing if no change is needed or this host can't propose one now.
 std::optional<Members> adviseMembers(const QuorumState &quorum,
                                      const std::vector<Candidate> &candidates, Time now);
 
-// Confirms that this host still leads; the read with this id is answered later.
+// Starts a round of heartbeats that confirms this host as the leader. The result is reported in
+// confirmedReads or failedReads, possibly of later actions.
 QuorumActions requestRead(QuorumState &quorum, std::uint64_t id, Time now);
 
-// The state after all applied entries, to take their place on disk.
+// Replaces all applied entries, also on disk, by a snapshot of the state after them.
 QuorumActions compact(QuorumState &quorum, std::string state);
 
 bool leads(const QuorumState &quorum);
--- a/packages/quorum/src/election.cpp
+++ b/packages/quorum/src/election.cpp
@@ -1,8 +1,8 @@
 /*
-    Elections with a vote before the vote: a host that was cut off disturbs nobody when it returns.
+    Elections with a pre-vote: a host that returns from a network partition disrupts no leader.
 
     [SECTION] Roles
-    [SECTION] Asking
+    [SECTION] Candidates
     [SECTION] Voting
 */
 #include "internal.h"
@@ -38,12 +38,12 @@
     setElectionTime(quorum, now, quorum.settings.electionSpan);
 }
 
-// [SECTION] Asking
+// [SECTION] Candidates
 
-// Also a host that a change of members removes, as long as it does not know that the change is
-// committed, and a learner whose log is newer than that of a voter who asked: either may be the
-// only one with the newest log. Votes are counted from voters only. A host that was removed for
-// good never asks: it would lead, step down and lead again.
+// Besides voters: a host removed by a membership change that it does not know to be committed, and
+// a learner with a newer log than a voter that requested its vote. Either may have the only copy of
+// the newest entries. Only voters' votes count. A host whose removal is committed must not stand,
+// as it would become leader and step down repeatedly.
 static bool mayLead(const QuorumState &quorum)
 {
     const std::vector<std::string> &learners = quorum.members.learners;
@@ -56,8 +56,8 @@
 
 namespace {
 
-// Something speaks for another try, so it need not wait for the end of the election span. After a
-// loss of power in all places the first start of a task came 0.15 s sooner.
+// Brings the next election forward, without waiting for the end of the election timeout. Shortens
+// recovery when all hosts restart at once.
 void askSoon(QuorumState &quorum, Time now)
 {
     if (!quorum.leader.empty() || quorum.role == Role::Leader || quorum.role == Role::Candidate)
@@ -161,7 +161,7 @@
     return request.lastIndex >= lastIndex(quorum);
 }
 
-// A host that hears its leader helps nobody to replace it.
+// A host in contact with its leader grants no votes for a new term.
 bool hearsLeader(const QuorumState &quorum, Time now)
 {
     if (quorum.role == Role::Leader)
--- a/packages/quorum/src/internal.h
+++ b/packages/quorum/src/internal.h
@@ -1,5 +1,5 @@
 /*
-    Inside the agreement group: what its files share.
+    Functions shared by the files of this package.
 
     [SECTION] Log
     [SECTION] Members
@@ -14,36 +14,36 @@
 
 // [SECTION] Log
 
-// The term of an entry; 0 if it is not known here.
+// The term of an entry; 0 if the entry is neither in the log nor the last one of the snapshot.
 std::uint64_t termAt(const QuorumState &quorum, std::uint64_t index);
 
 const LogEntry *entryAt(const QuorumState &quorum, std::uint64_t index);
 
-// Puts an entry at its index; whatever stood there and after it goes.
+// Stores an entry at its index and removes the entries from there on.
 void putEntry(QuorumState &quorum, const LogEntry &entry, QuorumActions &actions);
 
-// Term and vote change together and are kept on disk.
+// Sets term and vote and records them on disk.
 void setVote(QuorumState &quorum, std::uint64_t term, const std::string &votedFor,
              QuorumActions &actions);
 
-// Hands out a record for the disk.
+// Numbers a record and adds it to the actions.
 void writeRecord(QuorumState &quorum, Record record, QuorumActions &actions);
 
-// Sends once all that was handed out so far is synced.
+// Sends once all records so far are synced.
 void sendAfterSync(QuorumState &quorum, const std::string &to, QuorumMessage message,
                    QuorumActions &actions);
 
-// Moves the commit index and hands out what is to be applied.
+// Advances the commit index and adds the newly committed entries to the actions.
 void commitUpTo(QuorumState &quorum, std::uint64_t index, QuorumActions &actions);
 
 // [SECTION] Members
 
 bool isVoter(const QuorumState &quorum, const std::string &id);
 
-// Works members out anew from snapshot and log.
+// Recomputes members and membersIndex from snapshot and log.
 void refreshMembers(QuorumState &quorum);
 
-// Whether the voters for which the test holds are a majority.
+// Whether the test is true for a majority of the voters.
 template<class Test>
 bool majority(const QuorumState &quorum, Test test)
 {
@@ -61,7 +61,7 @@
                        QuorumActions &actions);
 void handleVoteReply(QuorumState &quorum, const VoteReply &reply, Time now, QuorumActions &actions);
 void tickElection(QuorumState &quorum, Time now, QuorumActions &actions);
-// The next election is due after the span, up to twice of it.
+// Schedules the next election after one to two timeouts.
 void setElectionTime(QuorumState &quorum, Time now, Microseconds span);
 
 // [SECTION] Replication
@@ -74,10 +74,11 @@
                    QuorumActions &actions);
 void tickLeader(QuorumState &quorum, Time now, QuorumActions &actions);
 
-// Sends what each peer lacks, or a heartbeat where it is due.
+// Sends each member the entries it lacks; with heartbeat also to members that lack none or have a
+// message in flight.
 void replicateAll(QuorumState &quorum, bool heartbeat, Time now, QuorumActions &actions);
 
-// The leader commits what a quorum has on disk.
+// Commits the entries that a quorum has on disk.
 void advanceCommit(QuorumState &quorum, QuorumActions &actions);
 void confirmReads(QuorumState &quorum, QuorumActions &actions);
 
--- a/packages/quorum/src/log.cpp
+++ b/packages/quorum/src/log.cpp
@@ -1,5 +1,5 @@
 /*
-    The log and the disk.
+    The log, its records on disk, and commits.
 
     [SECTION] Reading
     [SECTION] Writing
@@ -56,7 +56,7 @@
         quorum.log.pop_back();
     quorum.log.push_back(entry);
     quorum.syncedIndex = std::min(quorum.syncedIndex, entry.index - 1);
-    // A cut may take back a change of members.
+    // Truncation may undo a membership change.
     if (cuts || entry.kind == EntryKind::Members)
         refreshMembers(quorum);
     writeRecord(quorum, EntryRecord { entry }, actions);
@@ -90,7 +90,7 @@
     while (!quorum.marks.empty() && quorum.marks.front().syncNumber <= quorum.syncedUpTo) {
         const QuorumState::Mark mark = quorum.marks.front();
         quorum.marks.pop_front();
-        // The entry may have been replaced meanwhile; then a later mark stands for the new one.
+        // If the entry has been replaced since, a later mark covers its replacement.
         if (termAt(quorum, mark.index) == mark.term)
             quorum.syncedIndex = std::max(quorum.syncedIndex, mark.index);
     }
--- a/packages/quorum/src/members.cpp
+++ b/packages/quorum/src/members.cpp
@@ -1,7 +1,7 @@
 /*
-    Who belongs to the group.
+    Members of the group and their changes.
 
-    [SECTION] Present members
+    [SECTION] Current members
     [SECTION] Changes
     [SECTION] Self-managed groups
 */
@@ -11,7 +11,7 @@
 
 namespace foxwing::quorum {
 
-// [SECTION] Present members
+// [SECTION] Current members
 
 bool isVoter(const QuorumState &quorum, const std::string &id)
 {
@@ -71,7 +71,7 @@
     const auto added = missingFrom(wanted.voters, quorum.members.voters);
     const auto removed = missingFrom(quorum.members.voters, wanted.voters);
     if (quorum.role != Role::Leader)
-        return refuse(reason, "this host does not lead the group; ask the leader");
+        return refuse(reason, "this host is not the leader of the group; ask the leader");
     if (quorum.membersIndex > quorum.commit || quorum.commit < quorum.termStart)
         return refuse(reason, "the last change of members is not committed yet; try again soon");
     if (wanted.voters.empty())
@@ -79,14 +79,15 @@
     if (added.size() + removed.size() > 1)
         return refuse(reason, "only one voter can be added or removed at a time");
     if (!added.empty() && !caughtUp(quorum, added[0]))
-        return refuse(reason, added[0] + " has not caught up; add it as a learner, and wait");
-    // From an odd number to an even one only on the way of a replacement: a learner has become the
-    // additional voter, and the next change removes another.
+        return refuse(reason,
+                      added[0] + " has not caught up; add it as a learner and wait until it has");
+    // An even number is allowed only while a host is being replaced: a learner was promoted, and
+    // the next change removes another voter.
     const bool even = wanted.voters.size() % 2 == 0;
     if (even && added.empty() && !quorum.settings.selfManaged)
         return refuse(reason,
-                      "an even number of voters tolerates no more failures than one fewer, and "
-                      "needs one more for a quorum; add a replacement before you remove a voter");
+                      "an even number of voters tolerates no more failures than one fewer but "
+                      "needs a larger quorum; add a replacement before you remove a voter");
     return true;
 }
 
@@ -113,7 +114,7 @@
 
 namespace {
 
-// Ids are an address, a slash, and what tells one disk at that address from the next.
+// An id is an address, a slash, and a part that differs for each new disk at that address.
 std::string addressOf(const std::string &id)
 {
     return id.substr(0, id.find('/'));
@@ -133,7 +134,7 @@
             || (peer != quorum.peers.end() && now <= peer->second.lastReceivedAt + span);
 }
 
-// A voter that is away, with enough others there.
+// Whether a voter is silent and enough others are up to remove it.
 bool isSpare(const QuorumState &quorum, const std::string &id, Time now)
 {
     const QuorumSettings &settings = quorum.settings;
--- a/packages/quorum/src/quorum.cpp
+++ b/packages/quorum/src/quorum.cpp
@@ -1,5 +1,5 @@
 /*
-    The entry points of the agreement group.
+    Public functions of the consensus group.
 
     [SECTION] Start
     [SECTION] Messages and time
--- a/packages/quorum/src/replication.cpp
+++ b/packages/quorum/src/replication.cpp
@@ -1,5 +1,5 @@
 /*
-    The leader's log at the other hosts.
+    Replication of the leader's log to the other members.
 
     [SECTION] Sending
     [SECTION] Receiving
@@ -18,7 +18,7 @@
 
 namespace {
 
-// A message that may be lost is sent again after this many heartbeats.
+// An unanswered message is sent again after this many heartbeat intervals.
 constexpr int ResendHeartbeats = 2;
 
 void sendSnapshot(QuorumState &quorum, const std::string &to, QuorumActions &actions)
@@ -48,7 +48,7 @@
             break;
         append.entries.push_back(*entryAt(quorum, index));
     }
-    // Entries may go out before the leader itself has them on disk: it counts itself only after.
+    // Needs no sync: the leader counts itself towards the quorum only once the entries are synced.
     actions.sends.push_back({ to, std::move(append) });
 }
 
@@ -98,7 +98,7 @@
     entry.index = lastIndex(quorum) + 1;
     entry.term = quorum.term;
     entry.kind = EntryKind::Empty;
-    // The first entry of all says who the group is.
+    // The very first entry defines the members.
     if (entry.index == 1) {
         entry.kind = EntryKind::Members;
         entry.members = quorum.members;
@@ -115,7 +115,7 @@
 
 namespace {
 
-// Entries that are not here yet, or that differ; the first difference ends what was here.
+// Stores the entries that are missing or differ. The first that differs truncates the log.
 void takeEntries(QuorumState &quorum, const Append &append, QuorumActions &actions)
 {
     for (const LogEntry &entry : append.entries) {
@@ -135,7 +135,7 @@
     return reply;
 }
 
-// False if the message is from a deposed leader, who is told so.
+// False if the message is from an earlier term; its sender then gets a reply with the current term.
 bool acceptLeader(QuorumState &quorum, const std::string &from, std::uint64_t term,
                   std::uint64_t round, Time now, QuorumActions &actions)
 {
@@ -240,7 +240,7 @@
     };
     while (index < lastIndex(quorum) && hasEntry(index + 1))
         ++index;
-    // Entries of earlier terms are committed only with one of this term.
+    // Entries of earlier terms are committed only together with one of the current term.
     if (index >= quorum.termStart)
         commitUpTo(quorum, index, actions);
 }
--- a/packages/quorum/tests/election_test.cpp
+++ b/packages/quorum/tests/election_test.cpp
@@ -1,8 +1,8 @@
 /*
-    When a host that hears no leader asks for votes.
+    When a host without contact to a leader requests votes.
 
     [SECTION] Helpers
-    [SECTION] Asking
+    [SECTION] Tests
 */
 #include <gtest/gtest.h>
 
@@ -15,7 +15,7 @@
 
 const Time Start { Seconds(100) };
 
-// One of three voters, with a log of three entries of term 2.
+// One of three voters, with three log entries of term 2.
 QuorumState makeVoter()
 {
     QuorumSettings settings;
@@ -46,7 +46,7 @@
     return request;
 }
 
-// A first try that nobody has answered; the next is a whole election span away.
+// A first pre-vote without an answer; the next is at least one election timeout away.
 Time tryInVain(QuorumState &quorum)
 {
     const Time later = Start + Milliseconds(40);
@@ -65,7 +65,7 @@
     return false;
 }
 
-// [SECTION] Asking
+// [SECTION] Tests
 
 enum class Happens {
     Nothing,
@@ -81,7 +81,7 @@
     bool hearsLeader;
     Happens happens;
 
-    // After it has happened
+    // Time from the event to the check
     Milliseconds after;
     bool asks;
 };
@@ -135,8 +135,8 @@
                              Milliseconds(50), true }),
         [](const auto &tested) { return tested.param.name; });
 
-// Only a learner has the last entries of a leader that is gone with its disk; the voters that are
-// left need it to go on.
+// Guards against a group that is stuck because only a learner has the last entries of a leader that
+// lost its disk.
 TEST(QuorumElection, ALearnerWithTheNewestLogLeadsUntilVotersHaveIt)
 {
     QuorumState quorum = makeVoter();
@@ -161,7 +161,7 @@
     EXPECT_TRUE(leads(quorum));
 }
 
-// It knows that its removal is committed; a host with an older log that asks changes nothing.
+// Its removal is committed, so that a vote request with an older log makes no difference.
 TEST(QuorumElection, ARemovedHostNeverAsks)
 {
     QuorumState quorum = makeVoter();
@@ -171,7 +171,7 @@
     EXPECT_FALSE(asks(tick(quorum, Start + Seconds(2))));
 }
 
-// Two hosts that start at the same moment must not ask at the same moment.
+// Guards against split votes between hosts that start at the same moment.
 TEST(QuorumElection, AHostThatHelpedAnotherPutsItsOwnFirstTryOff)
 {
     QuorumState quorum = makeVoter();
--- a/packages/quorum/tests/members_test.cpp
+++ b/packages/quorum/tests/members_test.cpp
@@ -1,5 +1,5 @@
 /*
-    How a self-managed group brings hosts in and lets them go.
+    Membership changes of a self-managed group.
 
     [SECTION] Tests
 */
@@ -14,7 +14,7 @@
 
 const Time Now { Seconds(100) };
 
-// A leader of the given voters that has committed everything, with all of them heard just now.
+// A leader that has committed everything and just received a message from all members.
 QuorumState makeLeader(const std::vector<std::string> &voters,
                        const std::vector<std::string> &learners = {})
 {
@@ -110,7 +110,7 @@
     const char *name;
     std::size_t voters;
 
-    // How many of them are away, and for how long
+    // How many of them are silent, and for how long
     std::size_t away;
     Milliseconds silent;
     bool removed;
@@ -136,7 +136,7 @@
     }
 }
 
-// A group of five that must bear the loss of two at once.
+// With a minimum of five voters, two of which may be lost at once.
 INSTANTIATE_TEST_SUITE_P(
         Quorum, Silence,
         testing::Values(SilenceCase { "Five", 5, 1, Seconds(60), false },
@@ -152,8 +152,8 @@
                         SilenceCase { "TenWithOneAwayForLong", 10, 1, Seconds(31), true }),
         [](const auto &tested) { return tested.param.name; });
 
-// Three seeds found the group and the others are brought in, until all vote: any majority of the
-// hosts is then one of the voters.
+// Hosts that join a group of three must all become voters, so that any majority of the hosts is a
+// quorum.
 TEST(QuorumMembers, EveryHostThatIsThereVotesInTheEnd)
 {
     constexpr std::size_t Hosts = 10;
--- a/packages/replica/include/foxwing/replica/replica.h
+++ b/packages/replica/include/foxwing/replica/replica.h
@@ -1,14 +1,13 @@
 /*
-    One host of an agreement group, with its disk: the group's messages, journal and committed
-    commands. Commands and snapshots are texts whose meaning is the owner's.
+    One host of a consensus group with its journal on disk. Commands and snapshots are opaque
+    strings.
 
-    Decisions are taken on the owner's thread by quorum::QuorumState; a thread of its own writes and
-    syncs what they hand out, in order. Everything that comes while a write is under way shares the
-    next one.
+    quorum::QuorumState runs on the owner's thread; a writer thread writes and syncs its records in
+    order. Records that arrive during a write are batched into the next one.
 
         Replica replica(settings, events);
         Error reason;
-        auto state = replica.open(&reason);   // the state as of the newest snapshot
+        auto state = replica.open(&reason);   // state of the latest snapshot
         ...
         replica.receive(message);             // from other hosts
         replica.tick();                       // every few milliseconds
@@ -40,35 +39,35 @@
     quorum::QuorumSettings quorum;
     std::string dataFolder;
 
-    // Added to each synced write, so that measurements can stand for slow disks.
+    // Added to each sync, to simulate slow disks in measurements.
     Milliseconds addedDelay { 0 };
 
-    // A snapshot is taken and the journal cut after this many commands.
+    // Log entries after which a snapshot is due, which replaces the journal.
     std::uint32_t snapshotEvery = 5000;
 };
 
 // [SECTION] Events
 
-// All but runOnLoop are called on the owner's thread.
+// Called on the owner's thread, except runOnLoop.
 struct ReplicaEvents
 {
-    // Runs a function on the owner's thread soon; called from any thread.
+    // Posts a function to the owner's thread. Must be callable from any thread.
     std::function<void(std::function<void()>)> runOnLoop;
 
     std::function<void(const std::string &to, quorum::QuorumMessage message)> send;
 
-    // A command is committed; index and term tell whose it was. An error ends this host's part.
+    // A command is committed; index and term identify the proposal. An error stops this replica.
     std::function<bool(const std::string &command, std::uint64_t index, std::uint64_t term,
                        Error *reason)>
             committed;
 
-    // The state was replaced by a leader's snapshot.
+    // The leader's snapshot has replaced the state. An error stops this replica.
     std::function<bool(const std::string &state, Error *reason)> installed;
 
-    // A read may be answered, or can't be, since this host leads no more.
+    // A read may be answered, or failed since this host is not the leader.
     std::function<void(std::uint64_t id, bool confirmed)> read;
 
-    // The disk failed: this host takes no more part.
+    // The disk failed, or committed or installed returned an error. This replica has stopped.
     std::function<void(const Error &)> failed;
 };
 
@@ -83,26 +82,27 @@
     Replica(const Replica &) = delete;
     Replica &operator=(const Replica &) = delete;
 
-    // Opens the journal; the state as of its snapshot, empty if there is none.
+    // Opens the journal and returns the state of its snapshot, empty if there is none.
     std::optional<std::string> open(Error *reason);
 
-    // All on the owner's thread.
+    // To be called on the owner's thread, like all functions below.
     void receive(const quorum::QuorumMessage &message);
     void tick();
 
-    // A connection to another member is there again.
+    // A connection to a voter was established.
     void voterReached();
 
-    // The index and term under which a command will be committed; nothing if this host can't lead.
+    // Index and term under which the command will be committed, unless another leader takes over
+    // first; nothing if this host is not the leader or has stopped.
     std::optional<quorum::LogEntry> propose(const std::string &command);
     bool proposeMembers(const quorum::Members &members, Error *reason);
     void requestRead(std::uint64_t id);
 
-    // Takes the place of all applied commands on disk.
+    // A snapshot replaces all applied commands on disk.
     bool wantsSnapshot() const;
     void takeSnapshot(const std::string &state);
 
-    // Whether this host leads and has committed something in its term, so that its state is
+    // Whether this host is the leader and has committed an entry of its term, so that its state is
     // current.
     bool leadsNow() const;
     const quorum::QuorumState &state() const { return m_state; }
@@ -112,7 +112,7 @@
     bool failed() const { return m_failed; }
 
 private:
-    // One thing for the writer: records, or the whole journal anew.
+    // Records to append, then a snapshot that replaces the journal unless it is empty.
     struct WriteJob
     {
         std::vector<std::string> records;
--- a/packages/replica/src/replica.cpp
+++ b/packages/replica/src/replica.cpp
@@ -1,5 +1,5 @@
 /*
-    The shell around one host of an agreement group.
+    Journal, writer thread and actions of one host of a consensus group.
 
     [SECTION] Recovery
     [SECTION] Actions
@@ -17,7 +17,7 @@
 
 // [SECTION] Recovery
 
-// A snapshot of the journal holds everything that the group keeps on disk.
+// Content of a journal snapshot: everything that the host keeps on disk.
 struct WholeState
 {
     quorum::VoteRecord vote;
@@ -156,7 +156,7 @@
             m_journal->append(record);
         if (job.snapshot.empty())
             continue;
-        // The whole state was taken after the records of the same job.
+        // The snapshot includes the records of its job, so they must be synced first.
         if (!m_journal->sync(reason) || !m_journal->replaceBySnapshot(job.snapshot, reason))
             return false;
     }
--- a/tests/agreement/agreement_test.cpp
+++ b/tests/agreement/agreement_test.cpp
@@ -1,12 +1,12 @@
 /*
-    Random schedules of faults against the agreement group: crashes that lose what was not synced,
-    cuts both ways and one way, lost, doubled and late messages, pauses, lost disks replaced through
-    changes of members.
+    Simulation of the consensus group under random faults: crashes that lose unsynced records, full
+    and one-way network partitions, lost, duplicated and delayed messages, paused hosts, and lost
+    disks whose hosts are replaced through membership changes.
 
-    What is checked: hosts apply the same commands in the same order; no command that was
-   acknowledged is lost or applied twice; confirmed reads see every command acknowledged before they
-   began; after healing the group goes on. FOXWING_SCHEDULES and FOXWING_SEED as for the other
-   schedules.
+    Checks that all hosts apply the same commands in the same order, that no acknowledged command is
+    lost or applied twice, that confirmed reads see every command acknowledged before they started,
+    and that the group makes progress once all faults are over. The first seed is FOXWING_SEED, the
+    number of schedules FOXWING_SCHEDULES.
 
     [SECTION] World
     [SECTION] Network and disk
@@ -64,13 +64,13 @@
     Time pausedUntil {};
     Time restartAt {};
 
-    // The disk: what is synced, and what is only written.
+    // Synced content of the disk, and records that a crash loses.
     RecoveredQuorum disk;
     std::vector<Record> unsynced;
     std::deque<std::pair<std::uint64_t, std::size_t>> syncMarks;
     std::deque<PendingSync> syncs;
 
-    // Payloads of all commands applied, in order; the state of the replicated machine.
+    // State of the replicated state machine: the payloads of all applied commands, in order.
     std::vector<std::string> applied;
     bool lostDisk = false;
 };
@@ -86,13 +86,17 @@
     std::map<std::string, Host> hosts;
     std::vector<std::string> cut;
 
-    // Commands acknowledged to clients, and what the longest history says.
+    // Commands that are not acknowledged yet, each with the host that proposed it.
     std::map<std::string, std::pair<std::string, std::uint64_t>> proposed;
     std::vector<std::string> acknowledged;
 
-    // Proposed in the last second, long after all had healed
+    // Proposed in the last second, well after all faults were over
     std::set<std::string> proposedHealed;
+
+    // All commands that any host has applied, in order
     std::vector<std::string> history;
+
+    // Pending reads, each with the number of commands acknowledged before it
     std::map<std::uint64_t, std::size_t> reads;
     std::uint64_t nextCommand = 1;
     std::uint64_t nextRead = 1;
@@ -152,7 +156,7 @@
     }
 }
 
-// Hosts must agree on every position of the history.
+// Checks that the hosts agree on each position of the history.
 void applyCommand(World &world, Host &host, const std::string &payload)
 {
     const std::size_t place = host.applied.size();
@@ -241,7 +245,7 @@
     host.state = std::make_unique<QuorumState>(makeQuorum(settings, host.disk, world.now));
     host.applied = split(host.disk.snapshot.state);
     ++world.starts;
-    // Hosts dial each other as soon as one is there again.
+    // Running hosts connect to the started one at once.
     for (auto &item : world.hosts) {
         if (item.second.state)
             voterReached(*item.second.state, world.now);
@@ -286,7 +290,7 @@
     }
 }
 
-// One step of replacing a host: learner, then voter, then the old one goes.
+// One step of replacing a host: adds a learner, promotes it to voter, or removes an old voter.
 void changeMembers(World &world)
 {
     for (Host *host : running(world)) {
@@ -347,7 +351,7 @@
     Host &host = victim->second;
     const std::int64_t kind = between(world, 0, 9);
     if (kind == 0) {
-        // Power fails everywhere at the same moment.
+        // Power loss on all hosts at once
         for (auto &item : world.hosts)
             crash(world, item.second);
     } else if (kind == 1 && !world.diskLost) {
@@ -442,7 +446,7 @@
 {
     for (const std::string &id : voters) {
         world.hosts[id].id = id;
-        // A first start is synced before anything else happens.
+        // The initial state of the disk is synced.
         world.hosts[id].disk.snapshot.members.voters = voters;
         world.hosts[id].disk.vote.joined = true;
         startHost(world, world.hosts[id], voters);
@@ -455,7 +459,6 @@
     tickWorld(world);
 }
 
-// Chaos until then.
 void runChaos(World &world, Time until)
 {
     while (world.now < until) {
@@ -464,7 +467,7 @@
     }
 }
 
-// All has healed; the group must go on, with everything that was acknowledged.
+// Ends all faults. The group must make progress without having lost an acknowledged command.
 void runToTheEnd(World &world)
 {
     world.chaos = false;
@@ -491,13 +494,12 @@
     return world;
 }
 
-// Right after an acknowledgement two of five lose their disks, and all others lose power at that
-// moment.
+// Right after an acknowledgement two of five hosts lose their disks while all others lose power.
 World runFinalFault(std::uint64_t seed)
 {
     World world;
     world.random.seed(seed);
-    // No disk is lost and no host replaced before: no more than two of five are borne.
+    // No earlier disk losses or replacements: five hosts tolerate the loss of two disks.
     world.diskLost = true;
     world.replacements = 2;
     startAll(world, FiveVoters);
@@ -572,10 +574,11 @@
     }
 }
 
-// What a majority has on its disks outlasts the loss of two disks and of all power at one moment.
+// Guards against losing commands that a majority has on disk, when two disks are lost and all hosts
+// lose power at once.
 TEST(Agreement, AcknowledgedOutlastsDisksAndPowerLostAtOnce)
 {
-    // Of the broken guards only a missing sync loses what was acknowledged.
+    // Of the broken guards only a missing sync loses acknowledged commands.
     if (BrokenGuard != Guard::None && BrokenGuard != Guard::Sync)
         return;
     const std::uint64_t count = numberFrom("FOXWING_SCHEDULES", 2000) / 50;
