--- a/apps/foxwing/operatorcommands.cpp
+++ b/apps/foxwing/operatorcommands.cpp
@@ -324,7 +324,7 @@
     }
     std::printf("snapshot at %llu, %zu bytes; %zu entries after it; %llu bytes to be cut\n",
                 static_cast<unsigned long long>(found->snapshotIndex), found->snapshot.size(),
-                found->entries.size(), static_cast<unsigned long long>(found->cutBytes));
+                found->entries.size(), static_cast<unsigned long long>(found->truncatedBytes));
     for (const journal::Entry &entry : found->entries)
         std::printf("%llu %s\n", static_cast<unsigned long long>(entry.index),
                     entry.payload.c_str());
--- a/packages/fleet/src/controlshell.cpp
+++ b/packages/fleet/src/controlshell.cpp
@@ -197,9 +197,10 @@
 bool ControlShell::isCurrent(Time now) const
 {
     const quorum::QuorumState &group = m_replica->state();
-    return m_replica->leadsNow()
-            || (!group.leader.empty() && group.commit > 0 && group.commit >= group.leaderCommit
-                && now < group.leaderHeardAt + CurrentSpan);
+    return m_replica->isReadyLeader()
+            || (!group.leader.empty() && group.commitIndex > 0
+                && group.commitIndex >= group.leaderCommit
+                && now < group.lastLeaderContact + CurrentSpan);
 }
 
 void ControlShell::tellAgreed()
@@ -234,11 +235,11 @@
     replica::ReplicaSettings settings;
     settings.quorum.self = m_core.self.groupId;
     settings.quorum.seed = device();
-    settings.quorum.firstVoters = firstVotersFor(m_core.settings, m_core.self.groupId);
+    settings.quorum.initialVoters = firstVotersFor(m_core.settings, m_core.self.groupId);
     settings.quorum.selfManaged = true;
-    settings.quorum.leastVoters = 2 * m_core.settings.toleratedLosses + 1;
-    settings.quorum.electionSpan = ElectionSpan;
-    settings.quorum.firstElectionSpan = FirstElectionSpan;
+    settings.quorum.minVoters = 2 * m_core.settings.toleratedLosses + 1;
+    settings.quorum.electionTimeout = ElectionSpan;
+    settings.quorum.firstElectionTimeout = FirstElectionSpan;
     settings.quorum.heartbeatInterval = HeartbeatInterval;
     settings.dataFolder = m_core.settings.dataFolder + "/journal";
     settings.snapshotEvery = SnapshotEvery;
@@ -299,7 +300,7 @@
                             });
                 link->send(encodeFrame(Frame(directory::Announce { m_core.self })));
                 writeEvent(m_core.log, change("control-connected").with("host", address));
-                m_replica->voterReached();
+                m_replica->voterConnected();
             });
 }
 
@@ -373,9 +374,9 @@
     if (applied == catalog::Applied::Changed)
         adopted(before);
     m_operators.committed(index, term, applied);
-    if (m_replica->wantsSnapshot())
+    if (m_replica->needsSnapshot())
         fabric::asio::post(m_core.io, [this] {
-            if (m_replica->wantsSnapshot())
+            if (m_replica->needsSnapshot())
                 m_replica->takeSnapshot(writeJson(toJson(m_agreed)));
         });
     return true;
@@ -412,10 +413,10 @@
     if (now < m_nextMembers)
         return;
     m_nextMembers = now + MembersInterval;
-    std::vector<quorum::Candidate> candidates;
+    std::vector<quorum::AvailableHost> candidates;
     for (const directory::NodeInfo &node : directory::connectedControls(m_nodes.directory()))
         candidates.push_back({ node.groupId, node.address });
-    const auto members = quorum::adviseMembers(m_replica->state(), candidates, now);
+    const auto members = quorum::nextMembers(m_replica->state(), candidates, now);
     if (!members)
         return;
     Error reason;
@@ -449,7 +450,7 @@
     const std::string &leader = m_replica->state().leader;
     const auto peer = m_controls.find(addressOf(leader));
     operators::GroupView view;
-    view.leads = m_replica->leadsNow();
+    view.leads = m_replica->isReadyLeader();
     view.isNamedLeader = leader == m_core.self.groupId;
     view.reachesLeader = peer != m_controls.end() && peer->second.link != nullptr;
     view.held = &m_agreed;
@@ -502,9 +503,9 @@
     gauge("foxwing_cordoned_data_centres", "Data centres that get nothing new",
           m_agreed.cordons.dataCentres.size());
     gauge("foxwing_group_term", "Term of the group", group.term);
-    gauge("foxwing_group_commit", "Entries committed", group.commit);
+    gauge("foxwing_group_commit", "Entries committed", group.commitIndex);
     gauge("foxwing_group_voters", "Voters", group.members.voters.size());
-    gauge("foxwing_group_leads", "Whether this host leads", quorum::leads(group) ? 1 : 0);
+    gauge("foxwing_group_leads", "Whether this host leads", quorum::isLeader(group) ? 1 : 0);
     gauge("foxwing_nodes", "Nodes in touch", m_nodes.count());
     return samples;
 }
--- a/packages/journal/include/foxwing/journal/journal.h
+++ b/packages/journal/include/foxwing/journal/journal.h
@@ -47,7 +47,7 @@
     std::vector<Entry> entries;
 
     // Size of the incomplete record at the end, which open() truncates.
-    std::uint64_t cutBytes = 0;
+    std::uint64_t truncatedBytes = 0;
 };
 
 // [SECTION] Journal
@@ -77,7 +77,7 @@
 
     // Replaces all entries up to lastIndex() with a snapshot that includes their effect. All
     // entries must be synced.
-    bool replaceBySnapshot(const std::string &snapshot, Error *reason);
+    bool replaceWithSnapshot(const std::string &snapshot, Error *reason);
 
     std::uint64_t lastIndex() const { return m_lastIndex; }
     bool failed() const { return m_failed; }
--- a/packages/journal/src/journal.cpp
+++ b/packages/journal/src/journal.cpp
@@ -237,7 +237,7 @@
     if (!entries)
         return std::nullopt;
     found.entries = std::move(*entries);
-    found.cutBytes = cut;
+    found.truncatedBytes = cut;
     return found;
 }
 
@@ -359,7 +359,7 @@
     return true;
 }
 
-bool Journal::replaceBySnapshot(const std::string &snapshot, Error *reason)
+bool Journal::replaceWithSnapshot(const std::string &snapshot, Error *reason)
 {
     const std::string oldFile = m_fileName;
     const std::string path = pathOf(m_folder, "snapshot", m_lastIndex);
--- a/packages/journal/tests/journal_test.cpp
+++ b/packages/journal/tests/journal_test.cpp
@@ -86,7 +86,7 @@
         setContent(whole.substr(0, size));
         const Recovered found = openJournal().takeRecovered();
         ASSERT_EQ(found.entries.size(), 2U) << size;
-        EXPECT_EQ(found.cutBytes, size - lastStart);
+        EXPECT_EQ(found.truncatedBytes, size - lastStart);
     }
 }
 
@@ -112,10 +112,10 @@
     Error reason;
     {
         Journal journal = openJournal();
-        ASSERT_TRUE(journal.replaceBySnapshot("state after three", &reason)) << reason.message;
+        ASSERT_TRUE(journal.replaceWithSnapshot("state after three", &reason)) << reason.message;
         journal.append("four");
         ASSERT_TRUE(journal.sync(&reason));
-        ASSERT_TRUE(journal.replaceBySnapshot("state after four", &reason));
+        ASSERT_TRUE(journal.replaceWithSnapshot("state after four", &reason));
         journal.append("five");
         ASSERT_TRUE(journal.sync(&reason));
     }
@@ -131,7 +131,7 @@
     writeThree();
     Error reason;
     const std::string before = content();
-    ASSERT_TRUE(openJournal().replaceBySnapshot("state", &reason));
+    ASSERT_TRUE(openJournal().replaceWithSnapshot("state", &reason));
     std::remove((m_folder + "/journal-3").c_str());
     setContent(before);
     const Recovered found = openJournal().takeRecovered();
--- a/packages/node/src/controlrole.cpp
+++ b/packages/node/src/controlrole.cpp
@@ -123,7 +123,7 @@
 // What is volatile begins anew with each leadership: nodes tell it again.
 void ControlRole::followLeadership()
 {
-    const bool leading = m_log.leadsNow();
+    const bool leading = m_log.isReadyLeader();
     if (leading == m_leading)
         return;
     m_leading = leading;
@@ -191,7 +191,7 @@
     add("foxwing_control_leads", "1 if this host leads the group", m_leading ? 1 : 0, true);
     add("foxwing_control_term", "Term of the group", static_cast<double>(m_log.state().term), true);
     add("foxwing_control_committed", "Index of the last committed entry",
-        static_cast<double>(m_log.state().commit), true);
+        static_cast<double>(m_log.state().commitIndex), true);
     add("foxwing_control_journal_failed", "1 if the journal can't be written", m_failed ? 1 : 0,
         true);
 }
--- a/packages/node/src/grouplog.cpp
+++ b/packages/node/src/grouplog.cpp
@@ -17,7 +17,7 @@
 // [SECTION] Settings
 
 // A single control host needs no word of the operator to begin: nobody else could know more.
-std::vector<std::string> firstVoters(const settings::Settings &settings)
+std::vector<std::string> initialVoters(const settings::Settings &settings)
 {
     std::vector<std::string> voters;
     if (!settings.bootstrap && settings.cluster.control.size() > 1)
@@ -32,7 +32,7 @@
     replica::ReplicaSettings made;
     made.quorum.self = settings.node.id;
     made.quorum.seed = static_cast<std::uint64_t>(wallClockNow().time_since_epoch().count());
-    made.quorum.firstVoters = firstVoters(settings);
+    made.quorum.initialVoters = initialVoters(settings);
     made.dataFolder = settings.node.dataFolder;
     made.addedDelay = settings.journal.addedDelay;
     made.snapshotEvery = settings.journal.snapshotEvery;
@@ -103,7 +103,7 @@
     const auto state = m_replica.open(reason);
     if (!state)
         return std::nullopt;
-    if (m_bootstrap && !m_replica.wasBlank())
+    if (m_bootstrap && !m_replica.wasEmpty())
         logChange(LogLevel::Warning, "bootstrap-left",
                   { { "remedy",
                       "remove control.bootstrap from the settings: the group has begun" } });
@@ -117,7 +117,7 @@
 
 void GroupLog::offerSnapshot(const control::ClusterState &cluster)
 {
-    if (m_replica.wantsSnapshot())
+    if (m_replica.needsSnapshot())
         m_replica.takeSnapshot(writeJson(control::saveCluster(cluster)));
 }
 
--- a/packages/node/src/grouplog.h
+++ b/packages/node/src/grouplog.h
@@ -62,7 +62,7 @@
     // Takes the place of all applied commands on disk once there are enough.
     void offerSnapshot(const control::ClusterState &cluster);
 
-    bool leadsNow() const { return m_replica.leadsNow(); }
+    bool isReadyLeader() const { return m_replica.isReadyLeader(); }
     const quorum::QuorumState &state() const { return m_replica.state(); }
     bool failed() const { return m_replica.failed(); }
 
--- a/packages/node/src/operatorapi.cpp
+++ b/packages/node/src/operatorapi.cpp
@@ -145,7 +145,7 @@
     }
     Json::Value json = toJson(m_log.state().members);
     json["leader"] = m_log.state().leader;
-    json["committed"] = m_log.state().membersIndex <= m_log.state().commit;
+    json["committed"] = m_log.state().membersIndex <= m_log.state().commitIndex;
     responder.reply(200, "application/json", writeJson(json));
 }
 
@@ -169,7 +169,7 @@
     if (!entry)
         return refuseAsFollower(responder);
     // A group of one host may have committed it already.
-    if (m_log.state().applied < entry->index)
+    if (m_log.state().appliedIndex < entry->index)
         m_waiting.emplace(entry->index, WaitingChange { entry->term, responder });
 }
 
--- a/packages/quorum/include/foxwing/quorum/messages.h
+++ b/packages/quorum/include/foxwing/quorum/messages.h
@@ -27,7 +27,7 @@
 enum class EntryKind {
     Command,
     // First entry of each leader: commits the entries of earlier terms with it.
-    Empty,
+    NoOp,
     Members,
 };
 constexpr EntryKind lastOf(EntryKind)
@@ -132,7 +132,7 @@
     std::uint64_t lastTerm = 0;
 
     // Pre-vote: asks whether the vote would be granted, without changing term or vote.
-    bool pre = false;
+    bool preVote = false;
 };
 template<class Fields>
 void describe(Fields &fields, VoteRequest &request)
@@ -141,7 +141,7 @@
     fields("term", request.term);
     fields("lastIndex", request.lastIndex);
     fields("lastTerm", request.lastTerm);
-    fields("pre", request.pre);
+    fields("pre", request.preVote);
 }
 
 struct VoteReply
@@ -149,7 +149,7 @@
     static constexpr const char *Type = "vote-reply";
     std::string from;
     std::uint64_t term = 0;
-    bool pre = false;
+    bool preVote = false;
     bool granted = false;
 };
 template<class Fields>
@@ -157,7 +157,7 @@
 {
     fields("from", reply.from);
     fields("term", reply.term);
-    fields("pre", reply.pre);
+    fields("pre", reply.preVote);
     fields("granted", reply.granted);
 }
 
@@ -172,7 +172,7 @@
     std::uint64_t previousIndex = 0;
     std::uint64_t previousTerm = 0;
     std::vector<LogEntry> entries;
-    std::uint64_t commit = 0;
+    std::uint64_t commitIndex = 0;
 
     // Returned in the reply; confirms reads.
     std::uint64_t round = 0;
@@ -188,7 +188,7 @@
     fields("previousIndex", append.previousIndex);
     fields("previousTerm", append.previousTerm);
     fields("entries", append.entries);
-    fields("commit", append.commit);
+    fields("commit", append.commitIndex);
     fields("round", append.round);
     fields("asLearner", append.asLearner);
 }
@@ -205,7 +205,7 @@
     std::uint64_t index = 0;
 
     // False if the host lost its disk and was not admitted again: it counts towards no quorum.
-    bool counts = true;
+    bool joined = true;
 };
 template<class Fields>
 void describe(Fields &fields, AppendReply &reply)
@@ -215,7 +215,7 @@
     fields("round", reply.round);
     fields("matches", reply.matches);
     fields("index", reply.index);
-    fields("counts", reply.counts);
+    fields("counts", reply.joined);
 }
 
 struct InstallSnapshot
--- a/packages/quorum/include/foxwing/quorum/quorum.h
+++ b/packages/quorum/include/foxwing/quorum/quorum.h
@@ -37,50 +37,50 @@
     std::uint64_t seed = 1;
 
     // Voters of a newly created group; empty for a host that joins an existing one.
-    std::vector<std::string> firstVoters;
+    std::vector<std::string> initialVoters;
 
     // A host starts an election when it has received nothing from a leader for one to two timeouts
     // (randomized). A leader that has received nothing from a quorum for one timeout steps down.
-    Milliseconds electionSpan { 600 };
+    Milliseconds electionTimeout { 600 };
     Milliseconds heartbeatInterval { 120 };
 
     // Timeout of the first election after a start. May be short, since the pre-vote keeps the host
     // from disrupting an existing leader.
     // Also the upper bound of the random delay after which a host without a leader tries again on a
     // change in its favour: a voter was connected, or it refused its vote to an older log.
-    Milliseconds firstElectionSpan { 100 };
+    Milliseconds firstElectionTimeout { 100 };
 
     // A host without a leader that has granted a pre-vote delays its own by at least this much, as
     // simultaneous candidates can split the vote and lose a whole election timeout. Must exceed two
     // disk syncs (9 ms each) and a round trip.
-    Milliseconds yieldSpan { 50 };
+    Milliseconds preVoteBackoff { 50 };
 
     // Per Append message
-    std::size_t mostEntries = 64;
+    std::size_t maxAppendEntries = 64;
 
-    // Members are added and removed automatically, see adviseMembers(). Allows an even number of
+    // Members are added and removed automatically, see nextMembers(). Allows an even number of
     // voters in between.
     bool selfManaged = false;
 
     // A self-managed group removes a learner that has been silent for this long. Must exceed any
     // restart or network partition after which a host is expected to return.
-    Milliseconds forgetLearnerAfter { 20000 };
+    Milliseconds learnerTimeout { 20000 };
 
     // All available hosts vote, so that the group makes progress while a majority of them is
     // connected. A voter that has been silent for this long is removed if the remaining ones could
-    // not tolerate the loss of leastVoters / 2 more and number at least leastVoters: a replaced
+    // not tolerate the loss of minVoters / 2 more and number at least minVoters: a replaced
     // host must not use up the failures that the group tolerates. A host that returns is added
     // again. Must exceed the TCP retransmission of a lost heartbeat (1 s) and stay well below the
     // 4 s within which a replacement must count in full.
-    Milliseconds dropSpareAfter { 1500 };
+    Milliseconds voterTimeout { 1500 };
 
     // Used instead while the group can tolerate that loss: the voter may only be restarting, and
     // without it the group would depend on fewer hosts.
-    Milliseconds dropIdleAfter { 30000 };
+    Milliseconds longVoterTimeout { 30000 };
 
     // A self-managed group removes a silent voter only while at least this many others are up. Five
     // tolerate the loss of two at once.
-    std::size_t leastVoters = 5;
+    std::size_t minVoters = 5;
 };
 
 // [SECTION] State
@@ -95,13 +95,13 @@
 // The leader's replication state of another member.
 struct Peer
 {
-    std::uint64_t next = 1;
-    std::uint64_t match = 0;
+    std::uint64_t nextIndex = 1;
+    std::uint64_t matchIndex = 0;
     std::uint64_t ackedRound = 0;
     Time lastReceivedAt {};
-    Time sentAt {};
-    bool waiting = false;
-    bool counts = true;
+    Time lastSentAt {};
+    bool awaitingReply = false;
+    bool joined = true;
 };
 
 struct Outgoing
@@ -111,7 +111,7 @@
 };
 
 // A message that must not be sent before all records up to syncNumber are on disk.
-struct HeldSend
+struct DeferredMessage
 {
     std::uint64_t syncNumber = 0;
     Outgoing send;
@@ -144,41 +144,41 @@
     // Volatile
     Role role = Role::Follower;
     std::string leader;
-    std::uint64_t commit = 0;
+    std::uint64_t commitIndex = 0;
 
     // The leader's commit index in its last message; above commit while this host lags.
     std::uint64_t leaderCommit = 0;
-    std::uint64_t applied = 0;
-    Time electionAt {};
-    Time yieldUntil {};
+    std::uint64_t appliedIndex = 0;
+    Time electionDeadline {};
+    Time backoffUntil {};
 
     // A host with an older log has requested a vote since this host last had a leader.
     bool refusedOlderLog = false;
-    Time leaderHeardAt {};
+    Time lastLeaderContact {};
     std::set<std::string> votes;
 
     // Number of the last record passed to the caller and of the last one known to be synced, and
     // the index of the last log entry known to be synced.
-    std::uint64_t handedOut = 0;
-    std::uint64_t syncedUpTo = 0;
+    std::uint64_t lastSyncNumber = 0;
+    std::uint64_t syncedNumber = 0;
     std::uint64_t syncedIndex = 0;
-    std::deque<HeldSend> held;
+    std::deque<DeferredMessage> deferredMessages;
 
     // The last log entry at the time of a record, to derive syncedIndex from synced records.
-    struct Mark
+    struct SyncMark
     {
         std::uint64_t syncNumber = 0;
         std::uint64_t index = 0;
         std::uint64_t term = 0;
     };
-    std::deque<Mark> marks;
+    std::deque<SyncMark> syncMarks;
 
     // Leader only
     std::map<std::string, Peer> peers;
     std::uint64_t round = 0;
     Time nextHeartbeat {};
     std::deque<PendingRead> reads;
-    std::uint64_t termStart = 0;
+    std::uint64_t termStartIndex = 0;
 };
 
 // [SECTION] Actions
@@ -210,9 +210,9 @@
 
 // [SECTION] Functions
 
-// Everything recovered counts as synced. A host with an empty disk that starts without firstVoters
-// neither votes nor counts towards a quorum until a leader has admitted it as a learner: it may
-// have been a voter before and lost its votes.
+// Everything recovered counts as synced. A host with an empty disk that starts without
+// initialVoters neither votes nor counts towards a quorum until a leader has admitted it as a
+// learner: it may have been a voter before and lost its votes.
 QuorumState makeQuorum(const QuorumSettings &settings, const RecoveredQuorum &recovered, Time now);
 
 // Adds one record to the recovered state; call in the order in which they were written.
@@ -223,7 +223,7 @@
 
 // A connection to a voter was established. If this host has no leader, it starts an election soon,
 // since there may now be a majority.
-void voterReached(QuorumState &quorum, Time now);
+void voterConnected(QuorumState &quorum, Time now);
 
 // All records up to this number are on disk.
 QuorumActions synced(QuorumState &quorum, std::uint64_t syncNumber, Time now);
@@ -240,7 +240,7 @@
                                             Error *reason);
 
 // A control host that is connected and may not be a member yet.
-struct Candidate
+struct AvailableHost
 {
     std::string id;
 
@@ -251,8 +251,8 @@
 // The next membership change of a self-managed group: adds available hosts as learners, promotes
 // learners that have caught up, and removes members that are silent or were replaced by a host with
 // a new disk. Nothing if no change is needed or this host can't propose one now.
-std::optional<Members> adviseMembers(const QuorumState &quorum,
-                                     const std::vector<Candidate> &candidates, Time now);
+std::optional<Members> nextMembers(const QuorumState &quorum,
+                                   const std::vector<AvailableHost> &candidates, Time now);
 
 // Starts a round of heartbeats that confirms this host as the leader. The result is reported in
 // confirmedReads or failedReads, possibly of later actions.
@@ -261,7 +261,7 @@
 // Replaces all applied entries, also on disk, by a snapshot of the state after them.
 QuorumActions compact(QuorumState &quorum, std::string state);
 
-bool leads(const QuorumState &quorum);
+bool isLeader(const QuorumState &quorum);
 std::uint64_t lastIndex(const QuorumState &quorum);
 std::uint64_t lastTerm(const QuorumState &quorum);
 
--- a/packages/quorum/src/election.cpp
+++ b/packages/quorum/src/election.cpp
@@ -18,7 +18,7 @@
 void setElectionTime(QuorumState &quorum, Time now, Microseconds span)
 {
     std::uniform_int_distribution<std::int64_t> extra(0, span.count());
-    quorum.electionAt = now + span + Microseconds(extra(quorum.random));
+    quorum.electionDeadline = now + span + Microseconds(extra(quorum.random));
 }
 
 void becomeFollower(QuorumState &quorum, std::uint64_t term, const std::string &leader, Time now,
@@ -35,7 +35,7 @@
     quorum.leader = leader;
     quorum.refusedOlderLog = quorum.refusedOlderLog && leader.empty();
     quorum.votes.clear();
-    setElectionTime(quorum, now, quorum.settings.electionSpan);
+    setElectionTime(quorum, now, quorum.settings.electionTimeout);
 }
 
 // [SECTION] Candidates
@@ -50,7 +50,7 @@
     const bool learns = std::find(learners.begin(), learners.end(), quorum.settings.self)
             != learners.end();
     return quorum.joined
-            && (isVoter(quorum, quorum.settings.self) || quorum.membersIndex > quorum.commit
+            && (isVoter(quorum, quorum.settings.self) || quorum.membersIndex > quorum.commitIndex
                 || (learns && quorum.refusedOlderLog));
 }
 
@@ -63,9 +63,9 @@
     if (!quorum.leader.empty() || quorum.role == Role::Leader || quorum.role == Role::Candidate)
         return;
     std::uniform_int_distribution<std::int64_t>
-            extra(0, Microseconds(quorum.settings.firstElectionSpan).count());
-    const Time soon = std::max(now + Microseconds(extra(quorum.random)), quorum.yieldUntil);
-    quorum.electionAt = std::min(quorum.electionAt, soon);
+            extra(0, Microseconds(quorum.settings.firstElectionTimeout).count());
+    const Time soon = std::max(now + Microseconds(extra(quorum.random)), quorum.backoffUntil);
+    quorum.electionDeadline = std::min(quorum.electionDeadline, soon);
 }
 
 void refuseOlderLog(QuorumState &quorum, Time now)
@@ -78,18 +78,18 @@
 {
     if (!quorum.leader.empty())
         return;
-    quorum.yieldUntil = now + quorum.settings.yieldSpan;
-    quorum.electionAt = std::max(quorum.electionAt, quorum.yieldUntil);
+    quorum.backoffUntil = now + quorum.settings.preVoteBackoff;
+    quorum.electionDeadline = std::max(quorum.electionDeadline, quorum.backoffUntil);
 }
 
-void askForVotes(QuorumState &quorum, bool pre, QuorumActions &actions)
+void askForVotes(QuorumState &quorum, bool preVote, QuorumActions &actions)
 {
     VoteRequest request;
     request.from = quorum.settings.self;
-    request.term = pre ? quorum.term + 1 : quorum.term;
+    request.term = preVote ? quorum.term + 1 : quorum.term;
     request.lastIndex = lastIndex(quorum);
     request.lastTerm = lastTerm(quorum);
-    request.pre = pre;
+    request.preVote = preVote;
     quorum.votes = { quorum.settings.self };
     for (const std::string &voter : quorum.members.voters) {
         if (voter != quorum.settings.self)
@@ -108,25 +108,25 @@
     quorum.role = Role::Candidate;
     setVote(quorum, quorum.term + 1, quorum.settings.self, actions);
     askForVotes(quorum, false, actions);
-    setElectionTime(quorum, now, quorum.settings.electionSpan);
+    setElectionTime(quorum, now, quorum.settings.electionTimeout);
     if (hasWon(quorum))
         startLeading(quorum, now, actions);
 }
 
 } // namespace
 
-void voterReached(QuorumState &quorum, Time now)
+void voterConnected(QuorumState &quorum, Time now)
 {
     askSoon(quorum, now);
 }
 
 void tickElection(QuorumState &quorum, Time now, QuorumActions &actions)
 {
-    if (now < quorum.electionAt || !mayLead(quorum))
+    if (now < quorum.electionDeadline || !mayLead(quorum))
         return;
     quorum.role = Role::PreCandidate;
     quorum.leader.clear();
-    setElectionTime(quorum, now, quorum.settings.electionSpan);
+    setElectionTime(quorum, now, quorum.settings.electionTimeout);
     askForVotes(quorum, true, actions);
     if (hasWon(quorum))
         startElection(quorum, now, actions);
@@ -134,17 +134,17 @@
 
 void handleVoteReply(QuorumState &quorum, const VoteReply &reply, Time now, QuorumActions &actions)
 {
-    if (reply.term > quorum.term && !(reply.pre && reply.granted))
+    if (reply.term > quorum.term && !(reply.preVote && reply.granted))
         return becomeFollower(quorum, reply.term, {}, now, actions);
     const bool awaited = reply.granted
-            && (reply.pre ? quorum.role == Role::PreCandidate && reply.term == quorum.term + 1
-                          : quorum.role == Role::Candidate && reply.term == quorum.term);
+            && (reply.preVote ? quorum.role == Role::PreCandidate && reply.term == quorum.term + 1
+                              : quorum.role == Role::Candidate && reply.term == quorum.term);
     if (!awaited)
         return;
     quorum.votes.insert(reply.from);
     if (!hasWon(quorum))
         return;
-    if (reply.pre)
+    if (reply.preVote)
         startElection(quorum, now, actions);
     else
         startLeading(quorum, now, actions);
@@ -166,7 +166,8 @@
 {
     if (quorum.role == Role::Leader)
         return true;
-    return !quorum.leader.empty() && now < quorum.leaderHeardAt + quorum.settings.electionSpan;
+    return !quorum.leader.empty()
+            && now < quorum.lastLeaderContact + quorum.settings.electionTimeout;
 }
 
 } // namespace
@@ -178,8 +179,8 @@
         return;
     VoteReply reply;
     reply.from = quorum.settings.self;
-    reply.pre = request.pre;
-    if (request.pre) {
+    reply.preVote = request.preVote;
+    if (request.preVote) {
         reply.term = request.term;
         reply.granted = request.term > quorum.term && upToDate(quorum, request);
         if (!reply.granted)
@@ -197,7 +198,7 @@
             && quorum.role == Role::Follower;
     if (reply.granted) {
         setVote(quorum, quorum.term, request.from, actions);
-        setElectionTime(quorum, now, quorum.settings.electionSpan);
+        setElectionTime(quorum, now, quorum.settings.electionTimeout);
     }
     reply.term = quorum.term;
     sendAfterSync(quorum, request.from, reply, actions);
--- a/packages/quorum/src/log.cpp
+++ b/packages/quorum/src/log.cpp
@@ -45,8 +45,8 @@
 void writeRecord(QuorumState &quorum, Record record, QuorumActions &actions)
 {
     actions.records.push_back(std::move(record));
-    actions.syncNumber = ++quorum.handedOut;
-    quorum.marks.push_back({ quorum.handedOut, lastIndex(quorum), lastTerm(quorum) });
+    actions.syncNumber = ++quorum.lastSyncNumber;
+    quorum.syncMarks.push_back({ quorum.lastSyncNumber, lastIndex(quorum), lastTerm(quorum) });
 }
 
 void putEntry(QuorumState &quorum, const LogEntry &entry, QuorumActions &actions)
@@ -76,27 +76,29 @@
                    QuorumActions &actions)
 {
     Outgoing send { to, std::move(message) };
-    if (quorum.syncedUpTo >= quorum.handedOut || !holds(Guard::Sync))
+    if (quorum.syncedNumber >= quorum.lastSyncNumber || !holds(Guard::Sync))
         actions.sends.push_back(std::move(send));
     else
-        quorum.held.push_back({ quorum.handedOut, std::move(send) });
+        quorum.deferredMessages.push_back({ quorum.lastSyncNumber, std::move(send) });
 }
 
 QuorumActions synced(QuorumState &quorum, std::uint64_t syncNumber, Time now)
 {
     (void)now;
     QuorumActions actions;
-    quorum.syncedUpTo = std::max(quorum.syncedUpTo, syncNumber);
-    while (!quorum.marks.empty() && quorum.marks.front().syncNumber <= quorum.syncedUpTo) {
-        const QuorumState::Mark mark = quorum.marks.front();
-        quorum.marks.pop_front();
+    quorum.syncedNumber = std::max(quorum.syncedNumber, syncNumber);
+    while (!quorum.syncMarks.empty()
+           && quorum.syncMarks.front().syncNumber <= quorum.syncedNumber) {
+        const QuorumState::SyncMark mark = quorum.syncMarks.front();
+        quorum.syncMarks.pop_front();
         // If the entry has been replaced since, a later mark covers its replacement.
         if (termAt(quorum, mark.index) == mark.term)
             quorum.syncedIndex = std::max(quorum.syncedIndex, mark.index);
     }
-    while (!quorum.held.empty() && quorum.held.front().syncNumber <= quorum.syncedUpTo) {
-        actions.sends.push_back(std::move(quorum.held.front().send));
-        quorum.held.pop_front();
+    while (!quorum.deferredMessages.empty()
+           && quorum.deferredMessages.front().syncNumber <= quorum.syncedNumber) {
+        actions.sends.push_back(std::move(quorum.deferredMessages.front().send));
+        quorum.deferredMessages.pop_front();
     }
     if (quorum.role == Role::Leader)
         advanceCommit(quorum, actions);
@@ -107,12 +109,12 @@
 
 void commitUpTo(QuorumState &quorum, std::uint64_t index, QuorumActions &actions)
 {
-    quorum.commit = std::max(quorum.commit, std::min(index, lastIndex(quorum)));
-    while (quorum.applied < quorum.commit) {
-        const LogEntry *entry = entryAt(quorum, quorum.applied + 1);
+    quorum.commitIndex = std::max(quorum.commitIndex, std::min(index, lastIndex(quorum)));
+    while (quorum.appliedIndex < quorum.commitIndex) {
+        const LogEntry *entry = entryAt(quorum, quorum.appliedIndex + 1);
         if (!entry)
             return;
-        ++quorum.applied;
+        ++quorum.appliedIndex;
         actions.committed.push_back(*entry);
     }
 }
@@ -120,11 +122,11 @@
 QuorumActions compact(QuorumState &quorum, std::string state)
 {
     QuorumActions actions;
-    if (quorum.applied <= quorum.snapshot.index)
+    if (quorum.appliedIndex <= quorum.snapshot.index)
         return actions;
     SnapshotRecord snapshot;
-    snapshot.index = quorum.applied;
-    snapshot.term = termAt(quorum, quorum.applied);
+    snapshot.index = quorum.appliedIndex;
+    snapshot.term = termAt(quorum, quorum.appliedIndex);
     snapshot.state = std::move(state);
     snapshot.members = quorum.snapshot.members;
     while (!quorum.log.empty() && quorum.log.front().index <= snapshot.index) {
--- a/packages/quorum/src/members.cpp
+++ b/packages/quorum/src/members.cpp
@@ -30,7 +30,7 @@
         quorum.membersIndex = entry.index;
     }
     if (quorum.members.voters.empty() && lastIndex(quorum) == 0)
-        quorum.members.voters = quorum.settings.firstVoters;
+        quorum.members.voters = quorum.settings.initialVoters;
 }
 
 // [SECTION] Changes
@@ -63,7 +63,7 @@
 {
     const auto peer = quorum.peers.find(id);
     return contains(quorum.members.learners, id) && peer != quorum.peers.end()
-            && peer->second.counts && peer->second.match >= quorum.commit;
+            && peer->second.joined && peer->second.matchIndex >= quorum.commitIndex;
 }
 
 bool mayChange(const QuorumState &quorum, const Members &wanted, Error *reason)
@@ -72,7 +72,7 @@
     const auto removed = missingFrom(quorum.members.voters, wanted.voters);
     if (quorum.role != Role::Leader)
         return refuse(reason, "this host is not the leader of the group; ask the leader");
-    if (quorum.membersIndex > quorum.commit || quorum.commit < quorum.termStart)
+    if (quorum.membersIndex > quorum.commitIndex || quorum.commitIndex < quorum.termStartIndex)
         return refuse(reason, "the last change of members is not committed yet; try again soon");
     if (wanted.voters.empty())
         return refuse(reason, "a group needs at least one voter");
@@ -120,9 +120,9 @@
     return id.substr(0, id.find('/'));
 }
 
-bool isReplaced(const std::string &id, const std::vector<Candidate> &candidates)
+bool isReplaced(const std::string &id, const std::vector<AvailableHost> &candidates)
 {
-    return std::any_of(candidates.begin(), candidates.end(), [&](const Candidate &candidate) {
+    return std::any_of(candidates.begin(), candidates.end(), [&](const AvailableHost &candidate) {
         return candidate.address == addressOf(id) && candidate.id != id;
     });
 }
@@ -141,18 +141,18 @@
     const std::vector<std::string> &voters = quorum.members.voters;
     const auto there = static_cast<std::size_t>(
             std::count_if(voters.begin(), voters.end(), [&](const std::string &voter) {
-                return heardWithin(quorum, voter, settings.dropSpareAfter, now);
+                return heardWithin(quorum, voter, settings.voterTimeout, now);
             }));
     const std::size_t majority = voters.size() / 2 + 1;
-    const bool bearsMore = there >= majority + settings.leastVoters / 2;
-    const Milliseconds span = bearsMore ? settings.dropIdleAfter : settings.dropSpareAfter;
-    return !heardWithin(quorum, id, span, now) && there >= settings.leastVoters;
+    const bool bearsMore = there >= majority + settings.minVoters / 2;
+    const Milliseconds span = bearsMore ? settings.longVoterTimeout : settings.voterTimeout;
+    return !heardWithin(quorum, id, span, now) && there >= settings.minVoters;
 }
 
-bool isCandidate(const std::string &id, const std::vector<Candidate> &candidates)
+bool isCandidate(const std::string &id, const std::vector<AvailableHost> &candidates)
 {
     return std::any_of(candidates.begin(), candidates.end(),
-                       [&](const Candidate &candidate) { return candidate.id == id; });
+                       [&](const AvailableHost &candidate) { return candidate.id == id; });
 }
 
 void drop(std::vector<std::string> &list, const std::string &id)
@@ -162,11 +162,12 @@
 
 } // namespace
 
-std::optional<Members> adviseMembers(const QuorumState &quorum,
-                                     const std::vector<Candidate> &candidates, Time now)
+std::optional<Members> nextMembers(const QuorumState &quorum,
+                                   const std::vector<AvailableHost> &candidates, Time now)
 {
-    const bool mayChangeNow = quorum.role == Role::Leader && quorum.membersIndex <= quorum.commit
-            && quorum.commit >= quorum.termStart;
+    const bool mayChangeNow = quorum.role == Role::Leader
+            && quorum.membersIndex <= quorum.commitIndex
+            && quorum.commitIndex >= quorum.termStartIndex;
     if (!mayChangeNow)
         return std::nullopt;
     Members members = quorum.members;
@@ -182,13 +183,13 @@
         Members changed = members;
         drop(changed.learners, id);
         if (isReplaced(id, candidates)
-            || !heardWithin(quorum, id, quorum.settings.forgetLearnerAfter, now))
+            || !heardWithin(quorum, id, quorum.settings.learnerTimeout, now))
             return changed;
         changed.voters.push_back(id);
         if (caughtUp(quorum, id) && isCandidate(id, candidates))
             return changed;
     }
-    for (const Candidate &candidate : candidates) {
+    for (const AvailableHost &candidate : candidates) {
         if (contains(members.voters, candidate.id) || contains(members.learners, candidate.id))
             continue;
         members.learners.push_back(candidate.id);
--- a/packages/quorum/src/quorum.cpp
+++ b/packages/quorum/src/quorum.cpp
@@ -43,19 +43,19 @@
     quorum.random.seed(settings.seed ^ hash64(settings.self));
     quorum.term = recovered.vote.term;
     quorum.votedFor = recovered.vote.votedFor;
-    const bool first = !settings.firstVoters.empty() && lastIndex(quorum) == 0;
+    const bool first = !settings.initialVoters.empty() && lastIndex(quorum) == 0;
     quorum.joined = recovered.vote.joined || first || !holds(Guard::CatchUp);
     quorum.snapshot = recovered.snapshot;
     quorum.log.assign(recovered.entries.begin(), recovered.entries.end());
-    quorum.commit = quorum.snapshot.index;
-    quorum.applied = quorum.snapshot.index;
+    quorum.commitIndex = quorum.snapshot.index;
+    quorum.appliedIndex = quorum.snapshot.index;
     quorum.syncedIndex = lastIndex(quorum);
     refreshMembers(quorum);
-    setElectionTime(quorum, now, settings.firstElectionSpan);
+    setElectionTime(quorum, now, settings.firstElectionTimeout);
     return quorum;
 }
 
-bool leads(const QuorumState &quorum)
+bool isLeader(const QuorumState &quorum)
 {
     return quorum.role == Role::Leader;
 }
@@ -118,7 +118,7 @@
         actions.confirmedReads.push_back(id);
         return actions;
     }
-    quorum.reads.push_back({ id, ++quorum.round, quorum.commit });
+    quorum.reads.push_back({ id, ++quorum.round, quorum.commitIndex });
     replicateAll(quorum, true, now, actions);
     confirmReads(quorum, actions);
     return actions;
--- a/packages/quorum/src/replication.cpp
+++ b/packages/quorum/src/replication.cpp
@@ -37,14 +37,14 @@
     Append append;
     append.from = quorum.settings.self;
     append.term = quorum.term;
-    append.previousIndex = peer.next - 1;
+    append.previousIndex = peer.nextIndex - 1;
     append.previousTerm = termAt(quorum, append.previousIndex);
-    append.commit = quorum.commit;
+    append.commitIndex = quorum.commitIndex;
     append.round = quorum.round;
     const std::vector<std::string> &learners = quorum.members.learners;
     append.asLearner = std::find(learners.begin(), learners.end(), to) != learners.end();
-    for (std::uint64_t index = peer.next; index <= lastIndex(quorum); ++index) {
-        if (append.entries.size() == quorum.settings.mostEntries)
+    for (std::uint64_t index = peer.nextIndex; index <= lastIndex(quorum); ++index) {
+        if (append.entries.size() == quorum.settings.maxAppendEntries)
             break;
         append.entries.push_back(*entryAt(quorum, index));
     }
@@ -56,13 +56,14 @@
                QuorumActions &actions)
 {
     Peer &peer = quorum.peers[to];
-    const bool lacks = peer.next <= lastIndex(quorum);
-    const bool overdue = now >= peer.sentAt + ResendHeartbeats * quorum.settings.heartbeatInterval;
-    if (!heartbeat && (!lacks || (peer.waiting && !overdue)))
+    const bool lacks = peer.nextIndex <= lastIndex(quorum);
+    const bool overdue = now
+            >= peer.lastSentAt + ResendHeartbeats * quorum.settings.heartbeatInterval;
+    if (!heartbeat && (!lacks || (peer.awaitingReply && !overdue)))
         return;
-    peer.sentAt = now;
-    peer.waiting = lacks;
-    if (peer.next <= quorum.snapshot.index)
+    peer.lastSentAt = now;
+    peer.awaitingReply = lacks;
+    if (peer.nextIndex <= quorum.snapshot.index)
         sendSnapshot(quorum, to, actions);
     else
         sendEntries(quorum, to, peer, actions);
@@ -91,19 +92,19 @@
     quorum.peers.clear();
     quorum.votes.clear();
     for (const std::string &id : others(quorum)) {
-        quorum.peers[id].next = lastIndex(quorum) + 1;
+        quorum.peers[id].nextIndex = lastIndex(quorum) + 1;
         quorum.peers[id].lastReceivedAt = now;
     }
     LogEntry entry;
     entry.index = lastIndex(quorum) + 1;
     entry.term = quorum.term;
-    entry.kind = EntryKind::Empty;
+    entry.kind = EntryKind::NoOp;
     // The very first entry defines the members.
     if (entry.index == 1) {
         entry.kind = EntryKind::Members;
         entry.members = quorum.members;
     }
-    quorum.termStart = entry.index;
+    quorum.termStartIndex = entry.index;
     putEntry(quorum, entry, actions);
     ++quorum.round;
     quorum.nextHeartbeat = now + quorum.settings.heartbeatInterval;
@@ -131,7 +132,7 @@
     reply.from = quorum.settings.self;
     reply.term = quorum.term;
     reply.round = round;
-    reply.counts = quorum.joined;
+    reply.joined = quorum.joined;
     return reply;
 }
 
@@ -144,7 +145,7 @@
         return false;
     }
     becomeFollower(quorum, term, from, now, actions);
-    quorum.leaderHeardAt = now;
+    quorum.lastLeaderContact = now;
     return true;
 }
 
@@ -154,7 +155,7 @@
 {
     if (!acceptLeader(quorum, append.from, append.term, append.round, now, actions))
         return;
-    quorum.leaderCommit = append.commit;
+    quorum.leaderCommit = append.commitIndex;
     if (append.asLearner && !quorum.joined) {
         quorum.joined = true;
         writeRecord(quorum, VoteRecord { quorum.term, quorum.votedFor, true }, actions);
@@ -164,13 +165,13 @@
             || termAt(quorum, append.previousIndex) == append.previousTerm;
     if (!known) {
         reply.index = std::min(append.previousIndex - 1, lastIndex(quorum));
-        reply.index = std::max(reply.index, quorum.commit);
+        reply.index = std::max(reply.index, quorum.commitIndex);
         return sendAfterSync(quorum, append.from, reply, actions);
     }
     takeEntries(quorum, append, actions);
     reply.matches = true;
     reply.index = std::max(append.previousIndex + append.entries.size(), quorum.snapshot.index);
-    commitUpTo(quorum, std::min(append.commit, reply.index), actions);
+    commitUpTo(quorum, std::min(append.commitIndex, reply.index), actions);
     sendAfterSync(quorum, append.from, reply, actions);
 }
 
@@ -180,15 +181,15 @@
     if (!acceptLeader(quorum, install.from, install.term, install.round, now, actions))
         return;
     const SnapshotRecord &snapshot = install.snapshot;
-    if (snapshot.index > quorum.commit) {
+    if (snapshot.index > quorum.commitIndex) {
         const bool continues = termAt(quorum, snapshot.index) == snapshot.term;
         if (!continues)
             quorum.log.clear();
         while (!quorum.log.empty() && quorum.log.front().index <= snapshot.index)
             quorum.log.pop_front();
         quorum.snapshot = snapshot;
-        quorum.commit = snapshot.index;
-        quorum.applied = snapshot.index;
+        quorum.commitIndex = snapshot.index;
+        quorum.appliedIndex = snapshot.index;
         refreshMembers(quorum);
         quorum.syncedIndex = std::min(quorum.syncedIndex, snapshot.index);
         writeRecord(quorum, snapshot, actions);
@@ -212,14 +213,14 @@
         return;
     Peer &peer = found->second;
     peer.lastReceivedAt = now;
-    peer.counts = reply.counts;
-    peer.waiting = false;
+    peer.joined = reply.joined;
+    peer.awaitingReply = false;
     peer.ackedRound = std::max(peer.ackedRound, reply.round);
     if (reply.matches) {
-        peer.match = std::max(peer.match, reply.index);
-        peer.next = std::max(peer.next, peer.match + 1);
+        peer.matchIndex = std::max(peer.matchIndex, reply.index);
+        peer.nextIndex = std::max(peer.nextIndex, peer.matchIndex + 1);
     } else {
-        peer.next = std::max(peer.match, std::min(reply.index, peer.next - 1)) + 1;
+        peer.nextIndex = std::max(peer.matchIndex, std::min(reply.index, peer.nextIndex - 1)) + 1;
     }
     advanceCommit(quorum, actions);
     confirmReads(quorum, actions);
@@ -228,20 +229,20 @@
 
 void advanceCommit(QuorumState &quorum, QuorumActions &actions)
 {
-    std::uint64_t index = quorum.commit;
+    std::uint64_t index = quorum.commitIndex;
     const auto hasEntry = [&](std::uint64_t wanted) {
         return majority(quorum, [&](const std::string &voter) {
             if (voter == quorum.settings.self)
                 return !holds(Guard::Sync) || quorum.syncedIndex >= wanted;
             const auto peer = quorum.peers.find(voter);
-            return peer != quorum.peers.end() && peer->second.counts
-                    && peer->second.match >= wanted;
+            return peer != quorum.peers.end() && peer->second.joined
+                    && peer->second.matchIndex >= wanted;
         });
     };
     while (index < lastIndex(quorum) && hasEntry(index + 1))
         ++index;
     // Entries of earlier terms are committed only together with one of the current term.
-    if (index >= quorum.termStart)
+    if (index >= quorum.termStartIndex)
         commitUpTo(quorum, index, actions);
 }
 
@@ -253,10 +254,10 @@
             if (voter == quorum.settings.self)
                 return true;
             const auto peer = quorum.peers.find(voter);
-            return peer != quorum.peers.end() && peer->second.counts
+            return peer != quorum.peers.end() && peer->second.joined
                     && peer->second.ackedRound >= read.round;
         });
-        if (!confirmed || quorum.commit < quorum.termStart)
+        if (!confirmed || quorum.commitIndex < quorum.termStartIndex)
             return;
         actions.confirmedReads.push_back(read.id);
         quorum.reads.pop_front();
@@ -271,11 +272,11 @@
         if (voter == quorum.settings.self)
             return true;
         const auto peer = quorum.peers.find(voter);
-        return peer != quorum.peers.end() && peer->second.counts
-                && now < peer->second.lastReceivedAt + quorum.settings.electionSpan;
+        return peer != quorum.peers.end() && peer->second.joined
+                && now < peer->second.lastReceivedAt + quorum.settings.electionTimeout;
     });
     const bool removed = !isVoter(quorum, quorum.settings.self)
-            && quorum.commit >= std::max(quorum.membersIndex, quorum.termStart);
+            && quorum.commitIndex >= std::max(quorum.membersIndex, quorum.termStartIndex);
     if ((!heard && holds(Guard::QuorumCheck)) || removed)
         return becomeFollower(quorum, quorum.term, {}, now, actions);
     if (now >= quorum.nextHeartbeat) {
--- a/packages/quorum/tests/election_test.cpp
+++ b/packages/quorum/tests/election_test.cpp
@@ -20,8 +20,8 @@
 {
     QuorumSettings settings;
     settings.self = "a";
-    settings.firstElectionSpan = Milliseconds(20);
-    settings.electionSpan = Milliseconds(400);
+    settings.firstElectionTimeout = Milliseconds(20);
+    settings.electionTimeout = Milliseconds(400);
     RecoveredQuorum recovered;
     recovered.vote.term = 2;
     recovered.vote.joined = true;
@@ -42,7 +42,7 @@
     request.term = 3;
     request.lastIndex = lastIndex;
     request.lastTerm = 2;
-    request.pre = true;
+    request.preVote = true;
     return request;
 }
 
@@ -52,7 +52,7 @@
     const Time later = Start + Milliseconds(40);
     tick(quorum, later);
     EXPECT_EQ(quorum.role, Role::PreCandidate);
-    EXPECT_GE(quorum.electionAt, later + Milliseconds(400));
+    EXPECT_GE(quorum.electionDeadline, later + Milliseconds(400));
     return later;
 }
 
@@ -96,7 +96,7 @@
     if (what == Happens::EqualLogAsks || what == Happens::EqualLogAsksAndVoterIsReached)
         handle(quorum, askedBefore(3), now);
     if (what == Happens::VoterIsReached || what == Happens::EqualLogAsksAndVoterIsReached)
-        voterReached(quorum, now);
+        voterConnected(quorum, now);
 }
 
 TEST_P(Asking, FollowsWhatChanged)
@@ -146,19 +146,19 @@
     EXPECT_FALSE(asks(tick(quorum, later)));
     handle(quorum, askedBefore(2), later);
     EXPECT_TRUE(asks(tick(quorum, later + Milliseconds(20))));
-    for (const bool pre : { true, false }) {
+    for (const bool preVote : { true, false }) {
         for (const char *voter : { "a", "b" }) {
             VoteReply reply;
             reply.from = voter;
             reply.term = 3;
             reply.granted = true;
-            reply.pre = pre;
+            reply.preVote = preVote;
             handle(quorum, reply, later + Milliseconds(25));
         }
     }
-    EXPECT_TRUE(leads(quorum));
+    EXPECT_TRUE(isLeader(quorum));
     tick(quorum, later + Milliseconds(30));
-    EXPECT_TRUE(leads(quorum));
+    EXPECT_TRUE(isLeader(quorum));
 }
 
 // Its removal is committed, so that a vote request with an older log makes no difference.
@@ -166,7 +166,7 @@
 {
     QuorumState quorum = makeVoter();
     quorum.settings.self = "d";
-    quorum.commit = 3;
+    quorum.commitIndex = 3;
     handle(quorum, askedBefore(2), Start);
     EXPECT_FALSE(asks(tick(quorum, Start + Seconds(2))));
 }
@@ -177,8 +177,8 @@
     QuorumState quorum = makeVoter();
     const Time helped = Start + Milliseconds(19);
     handle(quorum, askedBefore(3), helped);
-    EXPECT_FALSE(asks(tick(quorum, helped + quorum.settings.yieldSpan - Milliseconds(1))));
-    EXPECT_TRUE(asks(tick(quorum, helped + quorum.settings.yieldSpan)));
+    EXPECT_FALSE(asks(tick(quorum, helped + quorum.settings.preVoteBackoff - Milliseconds(1))));
+    EXPECT_TRUE(asks(tick(quorum, helped + quorum.settings.preVoteBackoff)));
 }
 
 } // namespace
--- a/packages/quorum/tests/members_test.cpp
+++ b/packages/quorum/tests/members_test.cpp
@@ -24,20 +24,20 @@
     QuorumState quorum = makeQuorum(settings, {}, Now);
     quorum.role = Role::Leader;
     quorum.members = { voters, learners };
-    quorum.commit = 5;
-    quorum.termStart = 5;
+    quorum.commitIndex = 5;
+    quorum.termStartIndex = 5;
     for (const std::string &id : voters)
         quorum.peers[id].lastReceivedAt = Now;
     for (const std::string &id : learners) {
         quorum.peers[id].lastReceivedAt = Now;
-        quorum.peers[id].match = 5;
+        quorum.peers[id].matchIndex = 5;
     }
     return quorum;
 }
 
-std::vector<Candidate> candidates(const std::vector<std::string> &ids)
+std::vector<AvailableHost> candidates(const std::vector<std::string> &ids)
 {
-    std::vector<Candidate> made;
+    std::vector<AvailableHost> made;
     made.reserve(ids.size());
     for (const std::string &id : ids)
         made.push_back({ id, id.substr(0, id.find('/')) });
@@ -65,7 +65,7 @@
 TEST_P(Advice, IsTheNextChange)
 {
     const QuorumState quorum = makeLeader(GetParam().voters, GetParam().learners);
-    const auto members = adviseMembers(quorum, candidates(GetParam().present), Now);
+    const auto members = nextMembers(quorum, candidates(GetParam().present), Now);
     ASSERT_EQ(members.has_value(), !GetParam().votersThen.empty());
     if (!members)
         return;
@@ -128,7 +128,7 @@
     const Time later = Now + GetParam().silent;
     for (std::size_t i = 0; i < voters.size(); ++i)
         quorum.peers[voters[i]].lastReceivedAt = i >= 1 && i <= GetParam().away ? Now : later;
-    const auto members = adviseMembers(quorum, {}, later);
+    const auto members = nextMembers(quorum, {}, later);
     ASSERT_EQ(members.has_value(), GetParam().removed);
     if (members) {
         EXPECT_EQ(members->voters.size(), GetParam().voters - 1);
@@ -163,10 +163,10 @@
     QuorumState quorum = makeLeader({ hosts[0], hosts[1], hosts[2] });
     for (const std::string &host : hosts) {
         quorum.peers[host].lastReceivedAt = Now;
-        quorum.peers[host].match = quorum.commit;
+        quorum.peers[host].matchIndex = quorum.commitIndex;
     }
     for (std::size_t change = 0; change < 3 * Hosts; ++change) {
-        const auto members = adviseMembers(quorum, candidates(hosts), Now);
+        const auto members = nextMembers(quorum, candidates(hosts), Now);
         if (!members)
             break;
         quorum.members = *members;
@@ -179,11 +179,11 @@
 {
     QuorumState quorum = makeLeader({ "a/1", "b/1", "c/1" });
     quorum.membersIndex = 6;
-    EXPECT_FALSE(adviseMembers(quorum, candidates({ "d/1" }), Now));
+    EXPECT_FALSE(nextMembers(quorum, candidates({ "d/1" }), Now));
     quorum.membersIndex = 5;
-    EXPECT_TRUE(adviseMembers(quorum, candidates({ "d/1" }), Now));
+    EXPECT_TRUE(nextMembers(quorum, candidates({ "d/1" }), Now));
     quorum.role = Role::Follower;
-    EXPECT_FALSE(adviseMembers(quorum, candidates({ "d/1" }), Now));
+    EXPECT_FALSE(nextMembers(quorum, candidates({ "d/1" }), Now));
 }
 
 } // namespace
--- a/packages/replica/include/foxwing/replica/replica.h
+++ b/packages/replica/include/foxwing/replica/replica.h
@@ -90,7 +90,7 @@
     void tick();
 
     // A connection to a voter was established.
-    void voterReached();
+    void voterConnected();
 
     // Index and term under which the command will be committed, unless another leader takes over
     // first; nothing if this host is not the leader or has stopped.
@@ -99,16 +99,16 @@
     void requestRead(std::uint64_t id);
 
     // A snapshot replaces all applied commands on disk.
-    bool wantsSnapshot() const;
+    bool needsSnapshot() const;
     void takeSnapshot(const std::string &state);
 
     // Whether this host is the leader and has committed an entry of its term, so that its state is
     // current.
-    bool leadsNow() const;
+    bool isReadyLeader() const;
     const quorum::QuorumState &state() const { return m_state; }
 
     // Whether the journal was empty when it was opened.
-    bool wasBlank() const { return m_wasBlank; }
+    bool wasEmpty() const { return m_wasEmpty; }
     bool failed() const { return m_failed; }
 
 private:
@@ -132,7 +132,7 @@
     ReplicaEvents m_events;
     quorum::QuorumState m_state;
     std::optional<journal::Journal> m_journal;
-    bool m_wasBlank = false;
+    bool m_wasEmpty = false;
     bool m_failed = false;
 
     std::mutex m_mutex;
--- a/packages/replica/src/replica.cpp
+++ b/packages/replica/src/replica.cpp
@@ -77,7 +77,7 @@
     quorum::RecoveredQuorum recovered;
     if (!recover(m_journal->takeRecovered(), recovered, reason))
         return std::nullopt;
-    m_wasBlank = recovered.vote.term == 0 && recovered.entries.empty();
+    m_wasEmpty = recovered.vote.term == 0 && recovered.entries.empty();
     m_state = quorum::makeQuorum(m_settings.quorum, recovered, steadyNow());
     m_writer = std::thread([this] { runWriter(); });
     return recovered.snapshot.state;
@@ -157,7 +157,7 @@
         if (job.snapshot.empty())
             continue;
         // The snapshot includes the records of its job, so they must be synced first.
-        if (!m_journal->sync(reason) || !m_journal->replaceBySnapshot(job.snapshot, reason))
+        if (!m_journal->sync(reason) || !m_journal->replaceWithSnapshot(job.snapshot, reason))
             return false;
     }
     if (m_settings.addedDelay.count() > 0)
@@ -201,10 +201,10 @@
         carryOut(quorum::tick(m_state, steadyNow()));
 }
 
-void Replica::voterReached()
+void Replica::voterConnected()
 {
     if (!m_failed)
-        quorum::voterReached(m_state, steadyNow());
+        quorum::voterConnected(m_state, steadyNow());
 }
 
 std::optional<quorum::LogEntry> Replica::propose(const std::string &command)
@@ -233,9 +233,9 @@
     carryOut(quorum::requestRead(m_state, id, steadyNow()));
 }
 
-bool Replica::wantsSnapshot() const
+bool Replica::needsSnapshot() const
 {
-    return m_state.applied >= m_state.snapshot.index + m_settings.snapshotEvery;
+    return m_state.appliedIndex >= m_state.snapshot.index + m_settings.snapshotEvery;
 }
 
 void Replica::takeSnapshot(const std::string &state)
@@ -243,9 +243,9 @@
     carryOut(quorum::compact(m_state, state));
 }
 
-bool Replica::leadsNow() const
+bool Replica::isReadyLeader() const
 {
-    return !m_failed && quorum::leads(m_state) && m_state.commit >= m_state.termStart;
+    return !m_failed && quorum::isLeader(m_state) && m_state.commitIndex >= m_state.termStartIndex;
 }
 
 } // namespace foxwing::replica
--- a/tests/agreement/agreement_test.cpp
+++ b/tests/agreement/agreement_test.cpp
@@ -235,20 +235,20 @@
     }
 }
 
-void startHost(World &world, Host &host, const std::vector<std::string> &firstVoters)
+void startHost(World &world, Host &host, const std::vector<std::string> &initialVoters)
 {
     QuorumSettings settings;
     settings.self = host.id;
     settings.seed = world.random();
-    settings.firstVoters = firstVoters;
-    settings.firstElectionSpan = world.starts % 2 == 0 ? Milliseconds(20) : Milliseconds(100);
+    settings.initialVoters = initialVoters;
+    settings.firstElectionTimeout = world.starts % 2 == 0 ? Milliseconds(20) : Milliseconds(100);
     host.state = std::make_unique<QuorumState>(makeQuorum(settings, host.disk, world.now));
     host.applied = split(host.disk.snapshot.state);
     ++world.starts;
     // Running hosts connect to the started one at once.
     for (auto &item : world.hosts) {
         if (item.second.state)
-            voterReached(*item.second.state, world.now);
+            voterConnected(*item.second.state, world.now);
     }
 }
 
@@ -267,7 +267,7 @@
 void proposeSomething(World &world)
 {
     for (Host *host : running(world)) {
-        if (!leads(*host->state))
+        if (!isLeader(*host->state))
             continue;
         const std::string payload = "command " + std::to_string(world.nextCommand++);
         if (!world.chaos)
@@ -282,7 +282,7 @@
 void readSomething(World &world)
 {
     for (Host *host : running(world)) {
-        if (!leads(*host->state))
+        if (!isLeader(*host->state))
             continue;
         const std::uint64_t id = world.nextRead++;
         world.reads[id] = world.acknowledged.size();
@@ -294,7 +294,7 @@
 void changeMembers(World &world)
 {
     for (Host *host : running(world)) {
-        if (!leads(*host->state))
+        if (!isLeader(*host->state))
             continue;
         const Members present = host->state->members;
         Members wanted = present;
