--- a/packages/journal/src/journal.cpp
+++ b/packages/journal/src/journal.cpp
@@ -32,20 +32,20 @@
 // Identifies the file format. The last digit is its version.
 constexpr char Header[] = "FOXWJNL1";
 constexpr std::size_t HeaderSize = 8;
-constexpr std::size_t RecordHeadSize = 20;
-constexpr std::uint32_t LongestPayload = 256U << 20U;
+constexpr std::size_t RecordHeaderSize = 20;
+constexpr std::uint32_t MaxPayloadSize = 256U << 20U;
 
-void putNumber(std::string &out, std::uint64_t number, int bytes)
+void appendNumber(std::string &out, std::uint64_t number, int bytes)
 {
     for (int i = 0; i < bytes; ++i)
         out.push_back(static_cast<char>((number >> (8 * i)) & 0xffU));
 }
 
-std::uint64_t takeNumber(const std::string &in, std::size_t at, int bytes)
+std::uint64_t readNumber(const std::string &in, std::size_t offset, int bytes)
 {
     std::uint64_t number = 0;
     for (int i = 0; i < bytes; ++i)
-        number |= static_cast<std::uint64_t>(static_cast<unsigned char>(in[at + i])) << (8 * i);
+        number |= static_cast<std::uint64_t>(static_cast<unsigned char>(in[offset + i])) << (8 * i);
     return number;
 }
 
@@ -54,36 +54,36 @@
     return XXH64(data, size, index);
 }
 
-void putRecord(std::string &out, std::uint64_t index, const std::string &payload)
+void appendRecord(std::string &out, std::uint64_t index, const std::string &payload)
 {
-    putNumber(out, payload.size(), 4);
-    putNumber(out, index, 8);
-    putNumber(out, checksum(index, payload.data(), payload.size()), 8);
+    appendNumber(out, payload.size(), 4);
+    appendNumber(out, index, 8);
+    appendNumber(out, checksum(index, payload.data(), payload.size()), 8);
     out += payload;
 }
 
 // The length of the valid record at an offset, or nothing.
-std::optional<std::size_t> recordAt(const std::string &content, std::size_t at)
+std::optional<std::size_t> validRecordSize(const std::string &content, std::size_t offset)
 {
-    if (at + RecordHeadSize > content.size())
+    if (offset + RecordHeaderSize > content.size())
         return std::nullopt;
-    const std::uint64_t length = takeNumber(content, at, 4);
-    if (length > LongestPayload || at + RecordHeadSize + length > content.size())
+    const std::uint64_t length = readNumber(content, offset, 4);
+    if (length > MaxPayloadSize || offset + RecordHeaderSize + length > content.size())
         return std::nullopt;
-    const std::uint64_t index = takeNumber(content, at + 4, 8);
-    const std::uint64_t sum = takeNumber(content, at + 12, 8);
-    if (checksum(index, content.data() + at + RecordHeadSize, length) != sum)
+    const std::uint64_t index = readNumber(content, offset + 4, 8);
+    const std::uint64_t sum = readNumber(content, offset + 12, 8);
+    if (checksum(index, content.data() + offset + RecordHeaderSize, length) != sum)
         return std::nullopt;
-    return RecordHeadSize + length;
+    return RecordHeaderSize + length;
 }
 
 // Whether there is a valid record anywhere after an invalid one. Tries every offset, since the
 // length of an invalid record can't be trusted. Zeros don't pass as records of length 0, because
 // their checksum is wrong.
-bool goodRecordAfter(const std::string &content, std::size_t at)
+bool hasValidRecordAfter(const std::string &content, std::size_t start)
 {
-    for (std::size_t place = at + 1; place + RecordHeadSize <= content.size(); ++place) {
-        if (recordAt(content, place))
+    for (std::size_t offset = start + 1; offset + RecordHeaderSize <= content.size(); ++offset) {
+        if (validRecordSize(content, offset))
             return true;
     }
     return false;
@@ -91,7 +91,7 @@
 
 // [SECTION] Files
 
-std::string problem(const std::string &what)
+std::string systemError(const std::string &what)
 {
     return what + ": " + std::strerror(errno);
 }
@@ -108,13 +108,13 @@
 
 bool writeAll(int file, const std::string &content)
 {
-    std::size_t done = 0;
-    while (done < content.size()) {
-        const ssize_t written = ::write(file, content.data() + done, content.size() - done);
+    std::size_t total = 0;
+    while (total < content.size()) {
+        const ssize_t written = ::write(file, content.data() + total, content.size() - total);
         if (written < 0 && errno != EINTR)
             return false;
         if (written > 0)
-            done += static_cast<std::size_t>(written);
+            total += static_cast<std::size_t>(written);
     }
     return true;
 }
@@ -130,7 +130,7 @@
 }
 
 // The highest index among the files of a folder that are named prefix + INDEX.
-std::optional<std::uint64_t> newestFile(const std::string &folder, const std::string &prefix)
+std::optional<std::uint64_t> newestIndex(const std::string &folder, const std::string &prefix)
 {
     std::optional<std::uint64_t> newest;
     DIR *directory = ::opendir(folder.c_str());
@@ -150,7 +150,7 @@
     return newest;
 }
 
-void removeSnapshotsBut(const std::string &folder, std::uint64_t index)
+void removeOtherSnapshots(const std::string &folder, std::uint64_t index)
 {
     const std::string kept = "snapshot-" + std::to_string(index);
     DIR *directory = ::opendir(folder.c_str());
@@ -171,7 +171,7 @@
 
 // [SECTION] Recovery
 
-std::nullopt_t damaged(const std::string &path, std::size_t offset, Error *reason)
+std::nullopt_t failDamaged(const std::string &path, std::size_t offset, Error *reason)
 {
     return fail(reason, ErrorKind::Internal,
                 path + ": damaged at offset " + std::to_string(offset)
@@ -180,64 +180,66 @@
                 Outcome::Unknown);
 }
 
-// Reads the entries of a journal file. Sets goodSize to the length of its valid part, and cut to
-// the length of the rest.
+// Reads the entries of a journal file. Sets validSize to the length of its valid part, and excess
+// to the length of the rest.
 std::optional<std::vector<Entry>> readEntries(const std::string &path, std::uint64_t firstIndex,
-                                              std::size_t *goodSize, std::size_t *cut,
+                                              std::size_t *validSize, std::size_t *excess,
                                               Error *reason)
 {
     std::vector<Entry> entries;
     const std::optional<std::string> content = readFile(path);
     if (!content)
-        return fail(reason, ErrorKind::Internal, problem(path), Outcome::Unknown);
-    *goodSize = std::min(content->size(), HeaderSize);
-    *cut = 0;
+        return fail(reason, ErrorKind::Internal, systemError(path), Outcome::Unknown);
+    *validSize = std::min(content->size(), HeaderSize);
+    *excess = 0;
     if (content->size() < HeaderSize)
         return entries; // created, but the process stopped before the header was synced
     if (content->compare(0, HeaderSize, Header) != 0)
-        return damaged(path, 0, reason);
-    while (*goodSize < content->size()) {
-        const std::optional<std::size_t> size = recordAt(*content, *goodSize);
-        if (!size && goodRecordAfter(*content, *goodSize))
-            return damaged(path, *goodSize, reason);
+        return failDamaged(path, 0, reason);
+    while (*validSize < content->size()) {
+        const std::optional<std::size_t> size = validRecordSize(*content, *validSize);
+        if (!size && hasValidRecordAfter(*content, *validSize))
+            return failDamaged(path, *validSize, reason);
         if (!size)
             break;
-        const std::uint64_t index = takeNumber(*content, *goodSize + 4, 8);
+        const std::uint64_t index = readNumber(*content, *validSize + 4, 8);
         if (index != firstIndex + entries.size() + 1)
-            return damaged(path, *goodSize, reason);
+            return failDamaged(path, *validSize, reason);
         entries.push_back(
-                { index, content->substr(*goodSize + RecordHeadSize, *size - RecordHeadSize) });
-        *goodSize += *size;
+                { index,
+                  content->substr(*validSize + RecordHeaderSize, *size - RecordHeaderSize) });
+        *validSize += *size;
     }
-    *cut = content->size() - *goodSize;
+    *excess = content->size() - *validSize;
     return entries;
 }
 
-std::optional<Recovered> readFolder(const std::string &folder, std::size_t *goodSize, Error *reason)
+std::optional<Recovered> readFolder(const std::string &folder, std::size_t *validSize,
+                                    Error *reason)
 {
     Recovered found;
-    const std::optional<std::uint64_t> snapshot = newestFile(folder, "snapshot-");
+    const std::optional<std::uint64_t> snapshot = newestIndex(folder, "snapshot-");
     if (snapshot) {
         const std::string path = pathOf(folder, "snapshot", *snapshot);
         const std::optional<std::string> content = readFile(path);
-        const std::optional<std::size_t> size = content ? recordAt(*content, HeaderSize)
+        const std::optional<std::size_t> size = content ? validRecordSize(*content, HeaderSize)
                                                         : std::nullopt;
         if (!size || content->compare(0, HeaderSize, Header) != 0
             || HeaderSize + *size != content->size())
-            return damaged(path, 0, reason);
+            return failDamaged(path, 0, reason);
         found.snapshotIndex = *snapshot;
-        found.snapshot = content->substr(HeaderSize + RecordHeadSize);
+        found.snapshot = content->substr(HeaderSize + RecordHeaderSize);
     }
     const std::string path = pathOf(folder, "journal", found.snapshotIndex);
-    *goodSize = 0;
+    *validSize = 0;
     if (::access(path.c_str(), F_OK) != 0)
         return found;
-    std::size_t cut = 0;
-    auto entries = readEntries(path, found.snapshotIndex, goodSize, &cut, reason);
+    std::size_t excess = 0;
+    auto entries = readEntries(path, found.snapshotIndex, validSize, &excess, reason);
     if (!entries)
         return std::nullopt;
     found.entries = std::move(*entries);
-    found.truncatedBytes = cut;
+    found.truncatedBytes = excess;
     return found;
 }
 
@@ -250,7 +252,8 @@
     Journal journal;
     journal.m_folder = folder;
     if (::mkdir(folder.c_str(), 0700) != 0 && errno != EEXIST)
-        return fail(reason, ErrorKind::Internal, problem(folder) + "; create its parent folder");
+        return fail(reason, ErrorKind::Internal,
+                    systemError(folder) + "; create its parent folder");
     if (!journal.recover(reason))
         return std::nullopt;
     return journal;
@@ -258,8 +261,8 @@
 
 std::optional<Recovered> Journal::inspect(const std::string &folder, Error *reason)
 {
-    std::size_t goodSize = 0;
-    return readFolder(folder, &goodSize, reason);
+    std::size_t validSize = 0;
+    return readFolder(folder, &validSize, reason);
 }
 
 Journal::Journal(Journal &&other) noexcept
@@ -298,7 +301,7 @@
 {
     m_failed = true;
     fail(reason, ErrorKind::Internal,
-         problem(what)
+         systemError(what)
                  + "; make sure that the disk has space and works, then start this host again",
          Outcome::Unknown);
     return false;
@@ -306,15 +309,15 @@
 
 bool Journal::recover(Error *reason)
 {
-    std::size_t goodSize = 0;
-    auto found = readFolder(m_folder, &goodSize, reason);
+    std::size_t validSize = 0;
+    auto found = readFolder(m_folder, &validSize, reason);
     if (!found)
         return false;
     m_recovered = std::move(*found);
     m_lastIndex = m_recovered.snapshotIndex + m_recovered.entries.size();
     if (!openFile(m_recovered.snapshotIndex, reason))
         return false;
-    if (goodSize >= HeaderSize && ::ftruncate(m_file, static_cast<off_t>(goodSize)) != 0)
+    if (validSize >= HeaderSize && ::ftruncate(m_file, static_cast<off_t>(validSize)) != 0)
         return failWith(m_fileName, reason);
     return ::fdatasync(m_file) == 0 || failWith(m_fileName, reason);
 }
@@ -330,9 +333,9 @@
         return failWith(m_fileName, reason);
     if (static_cast<std::size_t>(status.st_size) >= HeaderSize)
         return true;
-    const bool made = ::ftruncate(m_file, 0) == 0 && writeAll(m_file, Header)
+    const bool created = ::ftruncate(m_file, 0) == 0 && writeAll(m_file, Header)
             && ::fdatasync(m_file) == 0 && syncFolder(m_folder);
-    return made || failWith(m_fileName, reason);
+    return created || failWith(m_fileName, reason);
 }
 
 Recovered Journal::takeRecovered()
@@ -342,7 +345,7 @@
 
 std::uint64_t Journal::append(const std::string &payload)
 {
-    putRecord(m_unsynced, ++m_lastIndex, payload);
+    appendRecord(m_unsynced, ++m_lastIndex, payload);
     return m_lastIndex;
 }
 
@@ -365,7 +368,7 @@
     const std::string path = pathOf(m_folder, "snapshot", m_lastIndex);
     const std::string partial = path + ".partial";
     std::string content = Header;
-    putRecord(content, m_lastIndex, snapshot);
+    appendRecord(content, m_lastIndex, snapshot);
     const int file = ::open(partial.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
     const bool written = file >= 0 && writeAll(file, content) && ::fdatasync(file) == 0;
     if (file >= 0)
@@ -377,7 +380,7 @@
     // The old files are obsolete. Their removal need not be synced.
     if (oldFile != m_fileName)
         ::unlink(oldFile.c_str());
-    removeSnapshotsBut(m_folder, m_lastIndex);
+    removeOtherSnapshots(m_folder, m_lastIndex);
     return true;
 }
 
--- a/packages/journal/tests/journal_test.cpp
+++ b/packages/journal/tests/journal_test.cpp
@@ -17,7 +17,7 @@
 
 // [SECTION] Helpers
 
-class JournalFolder : public testing::Test
+class JournalTest : public testing::Test
 {
 protected:
     void SetUp() override
@@ -35,7 +35,7 @@
         return std::move(*journal);
     }
 
-    void writeThree()
+    void writeThreeEntries()
     {
         Journal journal = openJournal();
         Error reason;
@@ -60,9 +60,9 @@
 
 // [SECTION] Tests
 
-TEST_F(JournalFolder, SyncedEntriesComeBackInOrder)
+TEST_F(JournalTest, SyncedEntriesAreRecoveredInOrder)
 {
-    writeThree();
+    writeThreeEntries();
     Journal journal = openJournal();
     const Recovered found = journal.takeRecovered();
     ASSERT_EQ(found.entries.size(), 3U);
@@ -71,44 +71,44 @@
     EXPECT_EQ(journal.append("four"), 4U);
 }
 
-TEST_F(JournalFolder, UnsyncedEntriesAreNotThere)
+TEST_F(JournalTest, UnsyncedEntriesAreNotRecovered)
 {
     openJournal().append("never synced");
     EXPECT_TRUE(openJournal().takeRecovered().entries.empty());
 }
 
-TEST_F(JournalFolder, TornTailIsCutAtEveryLength)
+TEST_F(JournalTest, IncompleteRecordIsTruncatedAtEveryLength)
 {
-    writeThree();
-    const std::string whole = content();
-    const std::size_t lastStart = whole.size() - 20 - 5;
-    for (std::size_t size = lastStart + 1; size < whole.size(); ++size) {
-        setContent(whole.substr(0, size));
+    writeThreeEntries();
+    const std::string intact = content();
+    const std::size_t lastStart = intact.size() - 20 - 5;
+    for (std::size_t size = lastStart + 1; size < intact.size(); ++size) {
+        setContent(intact.substr(0, size));
         const Recovered found = openJournal().takeRecovered();
         ASSERT_EQ(found.entries.size(), 2U) << size;
         EXPECT_EQ(found.truncatedBytes, size - lastStart);
     }
 }
 
-TEST_F(JournalFolder, DamageInTheMiddleIsAnErrorWithItsPlace)
+TEST_F(JournalTest, DamageBeforeTheEndIsAnErrorWithItsOffset)
 {
-    writeThree();
-    const std::string whole = content();
+    writeThreeEntries();
+    const std::string intact = content();
     const std::size_t firstPayload = 8 + 20;
-    for (const std::size_t place : { std::size_t { 8 }, firstPayload, firstPayload + 3 + 21 }) {
-        std::string bad = whole;
-        bad[place] = static_cast<char>(bad[place] ^ 0x40);
-        setContent(bad);
+    for (const std::size_t offset : { std::size_t { 8 }, firstPayload, firstPayload + 3 + 21 }) {
+        std::string corrupted = intact;
+        corrupted[offset] = static_cast<char>(corrupted[offset] ^ 0x40);
+        setContent(corrupted);
         Error reason;
-        EXPECT_FALSE(Journal::open(m_folder, &reason)) << place;
+        EXPECT_FALSE(Journal::open(m_folder, &reason)) << offset;
         EXPECT_NE(reason.message.find("journal-0: damaged at offset"), std::string::npos)
                 << reason.message;
     }
 }
 
-TEST_F(JournalFolder, SnapshotReplacesEntries)
+TEST_F(JournalTest, SnapshotReplacesEntries)
 {
-    writeThree();
+    writeThreeEntries();
     Error reason;
     {
         Journal journal = openJournal();
@@ -126,32 +126,32 @@
     EXPECT_EQ(found.entries[0].payload, "five");
 }
 
-TEST_F(JournalFolder, CrashBetweenSnapshotAndNewFileLosesNothing)
+TEST_F(JournalTest, CrashBetweenSnapshotAndNewFileLosesNoData)
 {
-    writeThree();
+    writeThreeEntries();
     Error reason;
-    const std::string before = content();
+    const std::string oldContent = content();
     ASSERT_TRUE(openJournal().replaceWithSnapshot("state", &reason));
     std::remove((m_folder + "/journal-3").c_str());
-    setContent(before);
+    setContent(oldContent);
     const Recovered found = openJournal().takeRecovered();
     EXPECT_EQ(found.snapshot, "state");
     EXPECT_TRUE(found.entries.empty());
 }
 
 // A file size limit simulates a full disk: write() fails in the same way.
-TEST_F(JournalFolder, FullDiskStopsTheJournalForGood)
+TEST_F(JournalTest, FullDiskFailsTheJournalPermanently)
 {
     Error reason;
     Journal journal = openJournal();
-    rlimit old {};
-    ASSERT_EQ(getrlimit(RLIMIT_FSIZE, &old), 0);
+    rlimit original {};
+    ASSERT_EQ(getrlimit(RLIMIT_FSIZE, &original), 0);
     std::signal(SIGXFSZ, SIG_IGN);
-    const rlimit tight { 1000, old.rlim_max };
-    ASSERT_EQ(setrlimit(RLIMIT_FSIZE, &tight), 0);
+    const rlimit limited { 1000, original.rlim_max };
+    ASSERT_EQ(setrlimit(RLIMIT_FSIZE, &limited), 0);
     journal.append(std::string(5000, 'x'));
     EXPECT_FALSE(journal.sync(&reason));
-    ASSERT_EQ(setrlimit(RLIMIT_FSIZE, &old), 0);
+    ASSERT_EQ(setrlimit(RLIMIT_FSIZE, &original), 0);
     EXPECT_NE(reason.message.find("disk has space"), std::string::npos) << reason.message;
     EXPECT_FALSE(journal.sync(&reason));
     EXPECT_TRUE(journal.failed());
--- a/packages/quorum/include/foxwing/quorum/quorum.h
+++ b/packages/quorum/include/foxwing/quorum/quorum.h
@@ -114,7 +114,7 @@
 struct DeferredMessage
 {
     std::uint64_t syncNumber = 0;
-    Outgoing send;
+    Outgoing outgoing;
 };
 
 // A linearizable read, answered once a quorum has confirmed the leader in this round or later.
@@ -146,7 +146,7 @@
     std::string leader;
     std::uint64_t commitIndex = 0;
 
-    // The leader's commit index in its last message; above commit while this host lags.
+    // The leader's commit index in its last message; above commitIndex while this host lags.
     std::uint64_t leaderCommit = 0;
     std::uint64_t appliedIndex = 0;
     Time electionDeadline {};
@@ -252,7 +252,7 @@
 // learners that have caught up, and removes members that are silent or were replaced by a host with
 // a new disk. Nothing if no change is needed or this host can't propose one now.
 std::optional<Members> nextMembers(const QuorumState &quorum,
-                                   const std::vector<AvailableHost> &candidates, Time now);
+                                   const std::vector<AvailableHost> &availableHosts, Time now);
 
 // Starts a round of heartbeats that confirms this host as the leader. The result is reported in
 // confirmedReads or failedReads, possibly of later actions.
--- a/packages/quorum/src/election.cpp
+++ b/packages/quorum/src/election.cpp
@@ -15,10 +15,10 @@
 
 // [SECTION] Roles
 
-void setElectionTime(QuorumState &quorum, Time now, Microseconds span)
+void scheduleElection(QuorumState &quorum, Time now, Microseconds timeout)
 {
-    std::uniform_int_distribution<std::int64_t> extra(0, span.count());
-    quorum.electionDeadline = now + span + Microseconds(extra(quorum.random));
+    std::uniform_int_distribution<std::int64_t> jitter(0, timeout.count());
+    quorum.electionDeadline = now + timeout + Microseconds(jitter(quorum.random));
 }
 
 void becomeFollower(QuorumState &quorum, std::uint64_t term, const std::string &leader, Time now,
@@ -35,7 +35,7 @@
     quorum.leader = leader;
     quorum.refusedOlderLog = quorum.refusedOlderLog && leader.empty();
     quorum.votes.clear();
-    setElectionTime(quorum, now, quorum.settings.electionTimeout);
+    scheduleElection(quorum, now, quorum.settings.electionTimeout);
 }
 
 // [SECTION] Candidates
@@ -44,37 +44,37 @@
 // a learner with a newer log than a voter that requested its vote. Either may have the only copy of
 // the newest entries. Only voters' votes count. A host whose removal is committed must not stand,
 // as it would become leader and step down repeatedly.
-static bool mayLead(const QuorumState &quorum)
+static bool canBeCandidate(const QuorumState &quorum)
 {
     const std::vector<std::string> &learners = quorum.members.learners;
-    const bool learns = std::find(learners.begin(), learners.end(), quorum.settings.self)
+    const bool isLearner = std::find(learners.begin(), learners.end(), quorum.settings.self)
             != learners.end();
     return quorum.joined
             && (isVoter(quorum, quorum.settings.self) || quorum.membersIndex > quorum.commitIndex
-                || (learns && quorum.refusedOlderLog));
+                || (isLearner && quorum.refusedOlderLog));
 }
 
 namespace {
 
 // Brings the next election forward, without waiting for the end of the election timeout. Shortens
 // recovery when all hosts restart at once.
-void askSoon(QuorumState &quorum, Time now)
+void retryElectionSoon(QuorumState &quorum, Time now)
 {
     if (!quorum.leader.empty() || quorum.role == Role::Leader || quorum.role == Role::Candidate)
         return;
     std::uniform_int_distribution<std::int64_t>
-            extra(0, Microseconds(quorum.settings.firstElectionTimeout).count());
-    const Time soon = std::max(now + Microseconds(extra(quorum.random)), quorum.backoffUntil);
+            jitter(0, Microseconds(quorum.settings.firstElectionTimeout).count());
+    const Time soon = std::max(now + Microseconds(jitter(quorum.random)), quorum.backoffUntil);
     quorum.electionDeadline = std::min(quorum.electionDeadline, soon);
 }
 
-void refuseOlderLog(QuorumState &quorum, Time now)
+void recordOlderLog(QuorumState &quorum, Time now)
 {
     quorum.refusedOlderLog = true;
-    askSoon(quorum, now);
+    retryElectionSoon(quorum, now);
 }
 
-void yieldTo(QuorumState &quorum, Time now)
+void delayElection(QuorumState &quorum, Time now)
 {
     if (!quorum.leader.empty())
         return;
@@ -82,7 +82,7 @@
     quorum.electionDeadline = std::max(quorum.electionDeadline, quorum.backoffUntil);
 }
 
-void askForVotes(QuorumState &quorum, bool preVote, QuorumActions &actions)
+void requestVotes(QuorumState &quorum, bool preVote, QuorumActions &actions)
 {
     VoteRequest request;
     request.from = quorum.settings.self;
@@ -107,8 +107,8 @@
 {
     quorum.role = Role::Candidate;
     setVote(quorum, quorum.term + 1, quorum.settings.self, actions);
-    askForVotes(quorum, false, actions);
-    setElectionTime(quorum, now, quorum.settings.electionTimeout);
+    requestVotes(quorum, false, actions);
+    scheduleElection(quorum, now, quorum.settings.electionTimeout);
     if (hasWon(quorum))
         startLeading(quorum, now, actions);
 }
@@ -117,17 +117,17 @@
 
 void voterConnected(QuorumState &quorum, Time now)
 {
-    askSoon(quorum, now);
+    retryElectionSoon(quorum, now);
 }
 
 void tickElection(QuorumState &quorum, Time now, QuorumActions &actions)
 {
-    if (now < quorum.electionDeadline || !mayLead(quorum))
+    if (now < quorum.electionDeadline || !canBeCandidate(quorum))
         return;
     quorum.role = Role::PreCandidate;
     quorum.leader.clear();
-    setElectionTime(quorum, now, quorum.settings.electionTimeout);
-    askForVotes(quorum, true, actions);
+    scheduleElection(quorum, now, quorum.settings.electionTimeout);
+    requestVotes(quorum, true, actions);
     if (hasWon(quorum))
         startElection(quorum, now, actions);
 }
@@ -136,10 +136,10 @@
 {
     if (reply.term > quorum.term && !(reply.preVote && reply.granted))
         return becomeFollower(quorum, reply.term, {}, now, actions);
-    const bool awaited = reply.granted
+    const bool expected = reply.granted
             && (reply.preVote ? quorum.role == Role::PreCandidate && reply.term == quorum.term + 1
                               : quorum.role == Role::Candidate && reply.term == quorum.term);
-    if (!awaited)
+    if (!expected)
         return;
     quorum.votes.insert(reply.from);
     if (!hasWon(quorum))
@@ -154,7 +154,7 @@
 
 namespace {
 
-bool upToDate(const QuorumState &quorum, const VoteRequest &request)
+bool isUpToDate(const QuorumState &quorum, const VoteRequest &request)
 {
     if (request.lastTerm != lastTerm(quorum))
         return request.lastTerm > lastTerm(quorum);
@@ -162,7 +162,7 @@
 }
 
 // A host in contact with its leader grants no votes for a new term.
-bool hearsLeader(const QuorumState &quorum, Time now)
+bool hasLeaderContact(const QuorumState &quorum, Time now)
 {
     if (quorum.role == Role::Leader)
         return true;
@@ -175,30 +175,30 @@
 void handleVoteRequest(QuorumState &quorum, const VoteRequest &request, Time now,
                        QuorumActions &actions)
 {
-    if (!quorum.joined || (hearsLeader(quorum, now) && request.term > quorum.term))
+    if (!quorum.joined || (hasLeaderContact(quorum, now) && request.term > quorum.term))
         return;
     VoteReply reply;
     reply.from = quorum.settings.self;
     reply.preVote = request.preVote;
     if (request.preVote) {
         reply.term = request.term;
-        reply.granted = request.term > quorum.term && upToDate(quorum, request);
+        reply.granted = request.term > quorum.term && isUpToDate(quorum, request);
         if (!reply.granted)
             reply.term = quorum.term;
         if (reply.granted)
-            yieldTo(quorum, now);
-        else if (!upToDate(quorum, request))
-            refuseOlderLog(quorum, now);
+            delayElection(quorum, now);
+        else if (!isUpToDate(quorum, request))
+            recordOlderLog(quorum, now);
         return sendAfterSync(quorum, request.from, reply, actions);
     }
     if (request.term > quorum.term)
         becomeFollower(quorum, request.term, {}, now, actions);
-    const bool free = quorum.votedFor.empty() || quorum.votedFor == request.from;
-    reply.granted = request.term == quorum.term && free && upToDate(quorum, request)
+    const bool voteAvailable = quorum.votedFor.empty() || quorum.votedFor == request.from;
+    reply.granted = request.term == quorum.term && voteAvailable && isUpToDate(quorum, request)
             && quorum.role == Role::Follower;
     if (reply.granted) {
         setVote(quorum, quorum.term, request.from, actions);
-        setElectionTime(quorum, now, quorum.settings.electionTimeout);
+        scheduleElection(quorum, now, quorum.settings.electionTimeout);
     }
     reply.term = quorum.term;
     sendAfterSync(quorum, request.from, reply, actions);
--- a/packages/quorum/src/internal.h
+++ b/packages/quorum/src/internal.h
@@ -20,7 +20,7 @@
 const LogEntry *entryAt(const QuorumState &quorum, std::uint64_t index);
 
 // Stores an entry at its index and removes the entries from there on.
-void putEntry(QuorumState &quorum, const LogEntry &entry, QuorumActions &actions);
+void storeEntry(QuorumState &quorum, const LogEntry &entry, QuorumActions &actions);
 
 // Sets term and vote and records them on disk.
 void setVote(QuorumState &quorum, std::uint64_t term, const std::string &votedFor,
@@ -62,7 +62,7 @@
 void handleVoteReply(QuorumState &quorum, const VoteReply &reply, Time now, QuorumActions &actions);
 void tickElection(QuorumState &quorum, Time now, QuorumActions &actions);
 // Schedules the next election after one to two timeouts.
-void setElectionTime(QuorumState &quorum, Time now, Microseconds span);
+void scheduleElection(QuorumState &quorum, Time now, Microseconds timeout);
 
 // [SECTION] Replication
 
--- a/packages/quorum/src/log.cpp
+++ b/packages/quorum/src/log.cpp
@@ -49,15 +49,15 @@
     quorum.syncMarks.push_back({ quorum.lastSyncNumber, lastIndex(quorum), lastTerm(quorum) });
 }
 
-void putEntry(QuorumState &quorum, const LogEntry &entry, QuorumActions &actions)
+void storeEntry(QuorumState &quorum, const LogEntry &entry, QuorumActions &actions)
 {
-    const bool cuts = entry.index <= lastIndex(quorum);
+    const bool truncates = entry.index <= lastIndex(quorum);
     while (lastIndex(quorum) >= entry.index)
         quorum.log.pop_back();
     quorum.log.push_back(entry);
     quorum.syncedIndex = std::min(quorum.syncedIndex, entry.index - 1);
     // Truncation may undo a membership change.
-    if (cuts || entry.kind == EntryKind::Members)
+    if (truncates || entry.kind == EntryKind::Members)
         refreshMembers(quorum);
     writeRecord(quorum, EntryRecord { entry }, actions);
 }
@@ -75,11 +75,11 @@
 void sendAfterSync(QuorumState &quorum, const std::string &to, QuorumMessage message,
                    QuorumActions &actions)
 {
-    Outgoing send { to, std::move(message) };
+    Outgoing outgoing { to, std::move(message) };
     if (quorum.syncedNumber >= quorum.lastSyncNumber || !holds(Guard::Sync))
-        actions.sends.push_back(std::move(send));
+        actions.sends.push_back(std::move(outgoing));
     else
-        quorum.deferredMessages.push_back({ quorum.lastSyncNumber, std::move(send) });
+        quorum.deferredMessages.push_back({ quorum.lastSyncNumber, std::move(outgoing) });
 }
 
 QuorumActions synced(QuorumState &quorum, std::uint64_t syncNumber, Time now)
@@ -97,7 +97,7 @@
     }
     while (!quorum.deferredMessages.empty()
            && quorum.deferredMessages.front().syncNumber <= quorum.syncedNumber) {
-        actions.sends.push_back(std::move(quorum.deferredMessages.front().send));
+        actions.sends.push_back(std::move(quorum.deferredMessages.front().outgoing));
         quorum.deferredMessages.pop_front();
     }
     if (quorum.role == Role::Leader)
--- a/packages/quorum/src/members.cpp
+++ b/packages/quorum/src/members.cpp
@@ -59,14 +59,14 @@
     return false;
 }
 
-bool caughtUp(const QuorumState &quorum, const std::string &id)
+bool hasCaughtUp(const QuorumState &quorum, const std::string &id)
 {
     const auto peer = quorum.peers.find(id);
     return contains(quorum.members.learners, id) && peer != quorum.peers.end()
             && peer->second.joined && peer->second.matchIndex >= quorum.commitIndex;
 }
 
-bool mayChange(const QuorumState &quorum, const Members &wanted, Error *reason)
+bool canChange(const QuorumState &quorum, const Members &wanted, Error *reason)
 {
     const auto added = missingFrom(wanted.voters, quorum.members.voters);
     const auto removed = missingFrom(quorum.members.voters, wanted.voters);
@@ -78,7 +78,7 @@
         return refuse(reason, "a group needs at least one voter");
     if (added.size() + removed.size() > 1)
         return refuse(reason, "only one voter can be added or removed at a time");
-    if (!added.empty() && !caughtUp(quorum, added[0]))
+    if (!added.empty() && !hasCaughtUp(quorum, added[0]))
         return refuse(reason,
                       added[0] + " has not caught up; add it as a learner and wait until it has");
     // An even number is allowed only while a host is being replaced: a learner was promoted, and
@@ -96,7 +96,7 @@
 std::optional<QuorumActions> proposeMembers(QuorumState &quorum, const Members &members, Time now,
                                             Error *reason)
 {
-    if (!mayChange(quorum, members, reason))
+    if (!canChange(quorum, members, reason))
         return std::nullopt;
     QuorumActions actions;
     LogEntry entry;
@@ -104,7 +104,7 @@
     entry.term = quorum.term;
     entry.kind = EntryKind::Members;
     entry.members = members;
-    putEntry(quorum, entry, actions);
+    storeEntry(quorum, entry, actions);
     replicateAll(quorum, false, now, actions);
     advanceCommit(quorum, actions);
     return actions;
@@ -120,42 +120,44 @@
     return id.substr(0, id.find('/'));
 }
 
-bool isReplaced(const std::string &id, const std::vector<AvailableHost> &candidates)
+bool isReplaced(const std::string &id, const std::vector<AvailableHost> &availableHosts)
 {
-    return std::any_of(candidates.begin(), candidates.end(), [&](const AvailableHost &candidate) {
-        return candidate.address == addressOf(id) && candidate.id != id;
-    });
+    return std::any_of(availableHosts.begin(), availableHosts.end(),
+                       [&](const AvailableHost &host) {
+                           return host.address == addressOf(id) && host.id != id;
+                       });
 }
 
-bool heardWithin(const QuorumState &quorum, const std::string &id, Milliseconds span, Time now)
+bool receivedWithin(const QuorumState &quorum, const std::string &id, Milliseconds timeout,
+                    Time now)
 {
     const auto peer = quorum.peers.find(id);
     return id == quorum.settings.self
-            || (peer != quorum.peers.end() && now <= peer->second.lastReceivedAt + span);
+            || (peer != quorum.peers.end() && now <= peer->second.lastReceivedAt + timeout);
 }
 
 // Whether a voter is silent and enough others are up to remove it.
-bool isSpare(const QuorumState &quorum, const std::string &id, Time now)
+bool isRemovable(const QuorumState &quorum, const std::string &id, Time now)
 {
     const QuorumSettings &settings = quorum.settings;
     const std::vector<std::string> &voters = quorum.members.voters;
-    const auto there = static_cast<std::size_t>(
+    const auto activeVoters = static_cast<std::size_t>(
             std::count_if(voters.begin(), voters.end(), [&](const std::string &voter) {
-                return heardWithin(quorum, voter, settings.voterTimeout, now);
+                return receivedWithin(quorum, voter, settings.voterTimeout, now);
             }));
     const std::size_t majority = voters.size() / 2 + 1;
-    const bool bearsMore = there >= majority + settings.minVoters / 2;
-    const Milliseconds span = bearsMore ? settings.longVoterTimeout : settings.voterTimeout;
-    return !heardWithin(quorum, id, span, now) && there >= settings.minVoters;
+    const bool toleratesMore = activeVoters >= majority + settings.minVoters / 2;
+    const Milliseconds timeout = toleratesMore ? settings.longVoterTimeout : settings.voterTimeout;
+    return !receivedWithin(quorum, id, timeout, now) && activeVoters >= settings.minVoters;
 }
 
-bool isCandidate(const std::string &id, const std::vector<AvailableHost> &candidates)
+bool isAvailable(const std::string &id, const std::vector<AvailableHost> &availableHosts)
 {
-    return std::any_of(candidates.begin(), candidates.end(),
-                       [&](const AvailableHost &candidate) { return candidate.id == id; });
+    return std::any_of(availableHosts.begin(), availableHosts.end(),
+                       [&](const AvailableHost &host) { return host.id == id; });
 }
 
-void drop(std::vector<std::string> &list, const std::string &id)
+void removeFrom(std::vector<std::string> &list, const std::string &id)
 {
     list.erase(std::remove(list.begin(), list.end(), id), list.end());
 }
@@ -163,36 +165,36 @@
 } // namespace
 
 std::optional<Members> nextMembers(const QuorumState &quorum,
-                                   const std::vector<AvailableHost> &candidates, Time now)
+                                   const std::vector<AvailableHost> &availableHosts, Time now)
 {
-    const bool mayChangeNow = quorum.role == Role::Leader
+    const bool canChangeNow = quorum.role == Role::Leader
             && quorum.membersIndex <= quorum.commitIndex
             && quorum.commitIndex >= quorum.termStartIndex;
-    if (!mayChangeNow)
+    if (!canChangeNow)
         return std::nullopt;
     Members members = quorum.members;
     for (const std::string &id : members.voters) {
         if (id == quorum.settings.self
-            || (!isReplaced(id, candidates) && !isSpare(quorum, id, now)))
+            || (!isReplaced(id, availableHosts) && !isRemovable(quorum, id, now)))
             continue;
-        Members fewer = members;
-        drop(fewer.voters, id);
-        return fewer;
+        Members changed = members;
+        removeFrom(changed.voters, id);
+        return changed;
     }
     for (const std::string &id : members.learners) {
         Members changed = members;
-        drop(changed.learners, id);
-        if (isReplaced(id, candidates)
-            || !heardWithin(quorum, id, quorum.settings.learnerTimeout, now))
+        removeFrom(changed.learners, id);
+        if (isReplaced(id, availableHosts)
+            || !receivedWithin(quorum, id, quorum.settings.learnerTimeout, now))
             return changed;
         changed.voters.push_back(id);
-        if (caughtUp(quorum, id) && isCandidate(id, candidates))
+        if (hasCaughtUp(quorum, id) && isAvailable(id, availableHosts))
             return changed;
     }
-    for (const AvailableHost &candidate : candidates) {
-        if (contains(members.voters, candidate.id) || contains(members.learners, candidate.id))
+    for (const AvailableHost &host : availableHosts) {
+        if (contains(members.voters, host.id) || contains(members.learners, host.id))
             continue;
-        members.learners.push_back(candidate.id);
+        members.learners.push_back(host.id);
         return members;
     }
     return std::nullopt;
--- a/packages/quorum/src/quorum.cpp
+++ b/packages/quorum/src/quorum.cpp
@@ -21,13 +21,13 @@
     if (const auto *vote = std::get_if<VoteRecord>(&record)) {
         recovered.vote = *vote;
     } else if (const auto *snapshot = std::get_if<SnapshotRecord>(&record)) {
-        std::vector<LogEntry> rest;
+        std::vector<LogEntry> remaining;
         for (const LogEntry &entry : recovered.entries) {
             if (entry.index > snapshot->index)
-                rest.push_back(entry);
+                remaining.push_back(entry);
         }
         recovered.snapshot = *snapshot;
-        recovered.entries = std::move(rest);
+        recovered.entries = std::move(remaining);
     } else {
         const LogEntry &entry = std::get<EntryRecord>(record).entry;
         while (!recovered.entries.empty() && recovered.entries.back().index >= entry.index)
@@ -43,15 +43,15 @@
     quorum.random.seed(settings.seed ^ hash64(settings.self));
     quorum.term = recovered.vote.term;
     quorum.votedFor = recovered.vote.votedFor;
-    const bool first = !settings.initialVoters.empty() && lastIndex(quorum) == 0;
-    quorum.joined = recovered.vote.joined || first || !holds(Guard::CatchUp);
+    const bool newGroup = !settings.initialVoters.empty() && lastIndex(quorum) == 0;
+    quorum.joined = recovered.vote.joined || newGroup || !holds(Guard::CatchUp);
     quorum.snapshot = recovered.snapshot;
     quorum.log.assign(recovered.entries.begin(), recovered.entries.end());
     quorum.commitIndex = quorum.snapshot.index;
     quorum.appliedIndex = quorum.snapshot.index;
     quorum.syncedIndex = lastIndex(quorum);
     refreshMembers(quorum);
-    setElectionTime(quorum, now, settings.firstElectionTimeout);
+    scheduleElection(quorum, now, settings.firstElectionTimeout);
     return quorum;
 }
 
@@ -101,7 +101,7 @@
     entry.term = quorum.term;
     entry.payload = payload;
     *index = entry.index;
-    putEntry(quorum, entry, actions);
+    storeEntry(quorum, entry, actions);
     replicateAll(quorum, false, now, actions);
     advanceCommit(quorum, actions);
     return actions;
--- a/packages/quorum/src/replication.cpp
+++ b/packages/quorum/src/replication.cpp
@@ -56,20 +56,20 @@
                QuorumActions &actions)
 {
     Peer &peer = quorum.peers[to];
-    const bool lacks = peer.nextIndex <= lastIndex(quorum);
+    const bool lacksEntries = peer.nextIndex <= lastIndex(quorum);
     const bool overdue = now
             >= peer.lastSentAt + ResendHeartbeats * quorum.settings.heartbeatInterval;
-    if (!heartbeat && (!lacks || (peer.awaitingReply && !overdue)))
+    if (!heartbeat && (!lacksEntries || (peer.awaitingReply && !overdue)))
         return;
     peer.lastSentAt = now;
-    peer.awaitingReply = lacks;
+    peer.awaitingReply = lacksEntries;
     if (peer.nextIndex <= quorum.snapshot.index)
         sendSnapshot(quorum, to, actions);
     else
         sendEntries(quorum, to, peer, actions);
 }
 
-std::vector<std::string> others(const QuorumState &quorum)
+std::vector<std::string> otherMembers(const QuorumState &quorum)
 {
     std::vector<std::string> ids = quorum.members.voters;
     ids.insert(ids.end(), quorum.members.learners.begin(), quorum.members.learners.end());
@@ -81,7 +81,7 @@
 
 void replicateAll(QuorumState &quorum, bool heartbeat, Time now, QuorumActions &actions)
 {
-    for (const std::string &id : others(quorum))
+    for (const std::string &id : otherMembers(quorum))
         replicate(quorum, id, heartbeat, now, actions);
 }
 
@@ -91,7 +91,7 @@
     quorum.leader = quorum.settings.self;
     quorum.peers.clear();
     quorum.votes.clear();
-    for (const std::string &id : others(quorum)) {
+    for (const std::string &id : otherMembers(quorum)) {
         quorum.peers[id].nextIndex = lastIndex(quorum) + 1;
         quorum.peers[id].lastReceivedAt = now;
     }
@@ -105,7 +105,7 @@
         entry.members = quorum.members;
     }
     quorum.termStartIndex = entry.index;
-    putEntry(quorum, entry, actions);
+    storeEntry(quorum, entry, actions);
     ++quorum.round;
     quorum.nextHeartbeat = now + quorum.settings.heartbeatInterval;
     replicateAll(quorum, true, now, actions);
@@ -117,12 +117,12 @@
 namespace {
 
 // Stores the entries that are missing or differ. The first that differs truncates the log.
-void takeEntries(QuorumState &quorum, const Append &append, QuorumActions &actions)
+void storeEntries(QuorumState &quorum, const Append &append, QuorumActions &actions)
 {
     for (const LogEntry &entry : append.entries) {
         if (entry.index <= quorum.snapshot.index || termAt(quorum, entry.index) == entry.term)
             continue;
-        putEntry(quorum, entry, actions);
+        storeEntry(quorum, entry, actions);
     }
 }
 
@@ -161,14 +161,14 @@
         writeRecord(quorum, VoteRecord { quorum.term, quorum.votedFor, true }, actions);
     }
     AppendReply reply = makeReply(quorum, append.round);
-    const bool known = append.previousIndex <= quorum.snapshot.index
+    const bool previousMatches = append.previousIndex <= quorum.snapshot.index
             || termAt(quorum, append.previousIndex) == append.previousTerm;
-    if (!known) {
+    if (!previousMatches) {
         reply.index = std::min(append.previousIndex - 1, lastIndex(quorum));
         reply.index = std::max(reply.index, quorum.commitIndex);
         return sendAfterSync(quorum, append.from, reply, actions);
     }
-    takeEntries(quorum, append, actions);
+    storeEntries(quorum, append, actions);
     reply.matches = true;
     reply.index = std::max(append.previousIndex + append.entries.size(), quorum.snapshot.index);
     commitUpTo(quorum, std::min(append.commitIndex, reply.index), actions);
@@ -182,8 +182,8 @@
         return;
     const SnapshotRecord &snapshot = install.snapshot;
     if (snapshot.index > quorum.commitIndex) {
-        const bool continues = termAt(quorum, snapshot.index) == snapshot.term;
-        if (!continues)
+        const bool matchesLog = termAt(quorum, snapshot.index) == snapshot.term;
+        if (!matchesLog)
             quorum.log.clear();
         while (!quorum.log.empty() && quorum.log.front().index <= snapshot.index)
             quorum.log.pop_front();
@@ -230,7 +230,7 @@
 void advanceCommit(QuorumState &quorum, QuorumActions &actions)
 {
     std::uint64_t index = quorum.commitIndex;
-    const auto hasEntry = [&](std::uint64_t wanted) {
+    const auto isOnQuorum = [&](std::uint64_t wanted) {
         return majority(quorum, [&](const std::string &voter) {
             if (voter == quorum.settings.self)
                 return !holds(Guard::Sync) || quorum.syncedIndex >= wanted;
@@ -239,7 +239,7 @@
                     && peer->second.matchIndex >= wanted;
         });
     };
-    while (index < lastIndex(quorum) && hasEntry(index + 1))
+    while (index < lastIndex(quorum) && isOnQuorum(index + 1))
         ++index;
     // Entries of earlier terms are committed only together with one of the current term.
     if (index >= quorum.termStartIndex)
@@ -268,7 +268,7 @@
 
 void tickLeader(QuorumState &quorum, Time now, QuorumActions &actions)
 {
-    const bool heard = majority(quorum, [&](const std::string &voter) {
+    const bool hasQuorum = majority(quorum, [&](const std::string &voter) {
         if (voter == quorum.settings.self)
             return true;
         const auto peer = quorum.peers.find(voter);
@@ -277,7 +277,7 @@
     });
     const bool removed = !isVoter(quorum, quorum.settings.self)
             && quorum.commitIndex >= std::max(quorum.membersIndex, quorum.termStartIndex);
-    if ((!heard && holds(Guard::QuorumCheck)) || removed)
+    if ((!hasQuorum && holds(Guard::QuorumCheck)) || removed)
         return becomeFollower(quorum, quorum.term, {}, now, actions);
     if (now >= quorum.nextHeartbeat) {
         ++quorum.round;
--- a/packages/quorum/tests/election_test.cpp
+++ b/packages/quorum/tests/election_test.cpp
@@ -35,7 +35,7 @@
     return makeQuorum(settings, recovered, Start);
 }
 
-VoteRequest askedBefore(std::uint64_t lastIndex)
+VoteRequest makePreVoteRequest(std::uint64_t lastIndex)
 {
     VoteRequest request;
     request.from = "b";
@@ -47,7 +47,7 @@
 }
 
 // A first pre-vote without an answer; the next is at least one election timeout away.
-Time tryInVain(QuorumState &quorum)
+Time startFailedPreVote(QuorumState &quorum)
 {
     const Time later = Start + Milliseconds(40);
     tick(quorum, later);
@@ -56,10 +56,10 @@
     return later;
 }
 
-bool asks(const QuorumActions &actions)
+bool requestsVotes(const QuorumActions &actions)
 {
-    for (const Outgoing &send : actions.sends) {
-        if (std::holds_alternative<VoteRequest>(send.message))
+    for (const Outgoing &outgoing : actions.sends) {
+        if (std::holds_alternative<VoteRequest>(outgoing.message))
             return true;
     }
     return false;
@@ -67,43 +67,44 @@
 
 // [SECTION] Tests
 
-enum class Happens {
+enum class Event {
     Nothing,
-    ShorterLogAsks,
-    EqualLogAsks,
-    VoterIsReached,
-    EqualLogAsksAndVoterIsReached,
+    OlderLogRequestsVote,
+    EqualLogRequestsVote,
+    VoterConnected,
+    EqualLogRequestsVoteAndVoterConnected,
 };
 
-struct AskingCase
+struct CandidacyCase
 {
     const char *name;
-    bool hearsLeader;
-    Happens happens;
+    bool hasLeaderContact;
+    Event event;
 
     // Time from the event to the check
     Milliseconds after;
-    bool asks;
+    bool requestsVotes;
 };
 
-class Asking : public testing::TestWithParam<AskingCase>
+class Candidacy : public testing::TestWithParam<CandidacyCase>
 { };
 
-void letHappen(QuorumState &quorum, Happens what, Time now)
+void applyEvent(QuorumState &quorum, Event event, Time now)
 {
-    if (what == Happens::ShorterLogAsks)
-        handle(quorum, askedBefore(2), now);
-    if (what == Happens::EqualLogAsks || what == Happens::EqualLogAsksAndVoterIsReached)
-        handle(quorum, askedBefore(3), now);
-    if (what == Happens::VoterIsReached || what == Happens::EqualLogAsksAndVoterIsReached)
+    if (event == Event::OlderLogRequestsVote)
+        handle(quorum, makePreVoteRequest(2), now);
+    if (event == Event::EqualLogRequestsVote
+        || event == Event::EqualLogRequestsVoteAndVoterConnected)
+        handle(quorum, makePreVoteRequest(3), now);
+    if (event == Event::VoterConnected || event == Event::EqualLogRequestsVoteAndVoterConnected)
         voterConnected(quorum, now);
 }
 
-TEST_P(Asking, FollowsWhatChanged)
+TEST_P(Candidacy, DependsOnEvents)
 {
     QuorumState quorum = makeVoter();
-    const Time now = tryInVain(quorum);
-    if (GetParam().hearsLeader) {
+    const Time now = startFailedPreVote(quorum);
+    if (GetParam().hasLeaderContact) {
         Append append;
         append.from = "c";
         append.term = 2;
@@ -111,41 +112,43 @@
         append.previousTerm = 2;
         handle(quorum, append, now);
     }
-    letHappen(quorum, GetParam().happens, now);
-    EXPECT_EQ(asks(tick(quorum, now + GetParam().after)), GetParam().asks);
+    applyEvent(quorum, GetParam().event, now);
+    EXPECT_EQ(requestsVotes(tick(quorum, now + GetParam().after)), GetParam().requestsVotes);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-        Quorum, Asking,
-        testing::Values(
-                AskingCase { "NothingNew", false, Happens::Nothing, Milliseconds(100), false },
-                AskingCase { "OwnLogIsLonger", false, Happens::ShorterLogAsks, Milliseconds(20),
-                             true },
-                AskingCase { "VoterIsReached", false, Happens::VoterIsReached, Milliseconds(20),
-                             true },
-                AskingCase { "LongerLogButALeader", true, Happens::ShorterLogAsks,
-                             Milliseconds(100), false },
-                AskingCase { "ReachedButALeader", true, Happens::VoterIsReached, Milliseconds(100),
-                             false },
-                AskingCase { "OtherIsHelped", false, Happens::EqualLogAsks, Milliseconds(100),
-                             false },
-                AskingCase { "HelpedOneGoesFirst", false, Happens::EqualLogAsksAndVoterIsReached,
-                             Milliseconds(40), false },
-                AskingCase { "HelpedOneHadItsTime", false, Happens::EqualLogAsksAndVoterIsReached,
-                             Milliseconds(50), true }),
+        Quorum, Candidacy,
+        testing::Values(CandidacyCase { "NoEvent", false, Event::Nothing, Milliseconds(100),
+                                        false },
+                        CandidacyCase { "OlderLogOfTheOther", false, Event::OlderLogRequestsVote,
+                                        Milliseconds(20), true },
+                        CandidacyCase { "VoterConnected", false, Event::VoterConnected,
+                                        Milliseconds(20), true },
+                        CandidacyCase { "OlderLogOfTheOtherWithALeader", true,
+                                        Event::OlderLogRequestsVote, Milliseconds(100), false },
+                        CandidacyCase { "VoterConnectedWithALeader", true, Event::VoterConnected,
+                                        Milliseconds(100), false },
+                        CandidacyCase { "PreVoteGranted", false, Event::EqualLogRequestsVote,
+                                        Milliseconds(100), false },
+                        CandidacyCase { "VoterConnectedDuringBackoff", false,
+                                        Event::EqualLogRequestsVoteAndVoterConnected,
+                                        Milliseconds(40), false },
+                        CandidacyCase { "VoterConnectedAfterBackoff", false,
+                                        Event::EqualLogRequestsVoteAndVoterConnected,
+                                        Milliseconds(50), true }),
         [](const auto &tested) { return tested.param.name; });
 
 // Guards against a group that is stuck because only a learner has the last entries of a leader that
 // lost its disk.
-TEST(QuorumElection, ALearnerWithTheNewestLogLeadsUntilVotersHaveIt)
+TEST(QuorumElection, LearnerWithTheNewestLogBecomesLeader)
 {
     QuorumState quorum = makeVoter();
     quorum.settings.self = "d";
     quorum.members = { { "a", "b", "c" }, { "d" } };
     const Time later = Start + Milliseconds(200);
-    EXPECT_FALSE(asks(tick(quorum, later)));
-    handle(quorum, askedBefore(2), later);
-    EXPECT_TRUE(asks(tick(quorum, later + Milliseconds(20))));
+    EXPECT_FALSE(requestsVotes(tick(quorum, later)));
+    handle(quorum, makePreVoteRequest(2), later);
+    EXPECT_TRUE(requestsVotes(tick(quorum, later + Milliseconds(20))));
     for (const bool preVote : { true, false }) {
         for (const char *voter : { "a", "b" }) {
             VoteReply reply;
@@ -162,23 +165,24 @@
 }
 
 // Its removal is committed, so that a vote request with an older log makes no difference.
-TEST(QuorumElection, ARemovedHostNeverAsks)
+TEST(QuorumElection, RemovedHostNeverRequestsVotes)
 {
     QuorumState quorum = makeVoter();
     quorum.settings.self = "d";
     quorum.commitIndex = 3;
-    handle(quorum, askedBefore(2), Start);
-    EXPECT_FALSE(asks(tick(quorum, Start + Seconds(2))));
+    handle(quorum, makePreVoteRequest(2), Start);
+    EXPECT_FALSE(requestsVotes(tick(quorum, Start + Seconds(2))));
 }
 
 // Guards against split votes between hosts that start at the same moment.
-TEST(QuorumElection, AHostThatHelpedAnotherPutsItsOwnFirstTryOff)
+TEST(QuorumElection, HostThatGrantedAPreVoteDelaysItsOwn)
 {
     QuorumState quorum = makeVoter();
-    const Time helped = Start + Milliseconds(19);
-    handle(quorum, askedBefore(3), helped);
-    EXPECT_FALSE(asks(tick(quorum, helped + quorum.settings.preVoteBackoff - Milliseconds(1))));
-    EXPECT_TRUE(asks(tick(quorum, helped + quorum.settings.preVoteBackoff)));
+    const Time grantedAt = Start + Milliseconds(19);
+    handle(quorum, makePreVoteRequest(3), grantedAt);
+    EXPECT_FALSE(requestsVotes(
+            tick(quorum, grantedAt + quorum.settings.preVoteBackoff - Milliseconds(1))));
+    EXPECT_TRUE(requestsVotes(tick(quorum, grantedAt + quorum.settings.preVoteBackoff)));
 }
 
 } // namespace
--- a/packages/quorum/tests/members_test.cpp
+++ b/packages/quorum/tests/members_test.cpp
@@ -35,99 +35,107 @@
     return quorum;
 }
 
-std::vector<AvailableHost> candidates(const std::vector<std::string> &ids)
+std::vector<AvailableHost> availableHosts(const std::vector<std::string> &ids)
 {
-    std::vector<AvailableHost> made;
-    made.reserve(ids.size());
+    std::vector<AvailableHost> result;
+    result.reserve(ids.size());
     for (const std::string &id : ids)
-        made.push_back({ id, id.substr(0, id.find('/')) });
-    return made;
+        result.push_back({ id, id.substr(0, id.find('/')) });
+    return result;
 }
 
-struct AdviceCase
+struct NextMembersCase
 {
     const char *name;
     std::vector<std::string> voters;
     std::vector<std::string> learners;
-    std::vector<std::string> present;
-    std::vector<std::string> votersThen;
-    std::vector<std::string> learnersThen;
+    std::vector<std::string> available;
+    std::vector<std::string> expectedVoters;
+    std::vector<std::string> expectedLearners;
 };
 
-std::ostream &operator<<(std::ostream &out, const AdviceCase &tested)
+std::ostream &operator<<(std::ostream &out, const NextMembersCase &testCase)
 {
-    return out << tested.name;
+    return out << testCase.name;
 }
 
-class Advice : public testing::TestWithParam<AdviceCase>
+class NextMembers : public testing::TestWithParam<NextMembersCase>
 { };
 
-TEST_P(Advice, IsTheNextChange)
+TEST_P(NextMembers, ReturnsTheNextChange)
 {
     const QuorumState quorum = makeLeader(GetParam().voters, GetParam().learners);
-    const auto members = nextMembers(quorum, candidates(GetParam().present), Now);
-    ASSERT_EQ(members.has_value(), !GetParam().votersThen.empty());
+    const auto members = nextMembers(quorum, availableHosts(GetParam().available), Now);
+    ASSERT_EQ(members.has_value(), !GetParam().expectedVoters.empty());
     if (!members)
         return;
-    EXPECT_EQ(members->voters, GetParam().votersThen);
-    EXPECT_EQ(members->learners, GetParam().learnersThen);
+    EXPECT_EQ(members->voters, GetParam().expectedVoters);
+    EXPECT_EQ(members->learners, GetParam().expectedLearners);
 }
 
-INSTANTIATE_TEST_SUITE_P(
-        Quorum, Advice,
-        testing::Values(
-                AdviceCase { "AllThere", { "a/1", "b/1", "c/1" }, {}, { "b/1", "c/1" }, {}, {} },
-                AdviceCase { "NewHostLearns",
-                             { "a/1", "b/1", "c/1" },
-                             {},
-                             { "b/1", "c/1", "d/1" },
-                             { "a/1", "b/1", "c/1" },
-                             { "d/1" } },
-                AdviceCase { "LearnerVotes",
-                             { "a/1", "b/1", "c/1" },
-                             { "d/1" },
-                             { "d/1" },
-                             { "a/1", "b/1", "c/1", "d/1" },
-                             {} },
-                AdviceCase {
-                        "LearnerThatIsAwayWaits", { "a/1", "b/1", "c/1" }, { "d/1" }, {}, {}, {} },
-                AdviceCase { "LostDiskGoesFirst",
-                             { "a/1", "b/1", "c/1" },
-                             {},
-                             { "b/1", "c/2" },
-                             { "a/1", "b/1" },
-                             {} },
-                AdviceCase { "LostDiskOfALearner",
-                             { "a/1", "b/1", "c/1" },
-                             { "d/1" },
-                             { "d/2" },
-                             { "a/1", "b/1", "c/1" },
-                             {} }),
-        [](const auto &tested) { return tested.param.name; });
-
-struct SilenceCase
+INSTANTIATE_TEST_SUITE_P(Quorum, NextMembers,
+                         testing::Values(NextMembersCase { "AllHostsAreMembers",
+                                                           { "a/1", "b/1", "c/1" },
+                                                           {},
+                                                           { "b/1", "c/1" },
+                                                           {},
+                                                           {} },
+                                         NextMembersCase { "NewHostBecomesLearner",
+                                                           { "a/1", "b/1", "c/1" },
+                                                           {},
+                                                           { "b/1", "c/1", "d/1" },
+                                                           { "a/1", "b/1", "c/1" },
+                                                           { "d/1" } },
+                                         NextMembersCase { "LearnerBecomesVoter",
+                                                           { "a/1", "b/1", "c/1" },
+                                                           { "d/1" },
+                                                           { "d/1" },
+                                                           { "a/1", "b/1", "c/1", "d/1" },
+                                                           {} },
+                                         NextMembersCase { "DisconnectedLearnerStays",
+                                                           { "a/1", "b/1", "c/1" },
+                                                           { "d/1" },
+                                                           {},
+                                                           {},
+                                                           {} },
+                                         NextMembersCase { "VoterWithLostDiskIsRemovedFirst",
+                                                           { "a/1", "b/1", "c/1" },
+                                                           {},
+                                                           { "b/1", "c/2" },
+                                                           { "a/1", "b/1" },
+                                                           {} },
+                                         NextMembersCase { "LearnerWithLostDiskIsRemoved",
+                                                           { "a/1", "b/1", "c/1" },
+                                                           { "d/1" },
+                                                           { "d/2" },
+                                                           { "a/1", "b/1", "c/1" },
+                                                           {} }),
+                         [](const auto &testCase) { return testCase.param.name; });
+
+struct SilentVotersCase
 {
     const char *name;
     std::size_t voters;
 
     // How many of them are silent, and for how long
-    std::size_t away;
-    Milliseconds silent;
+    std::size_t silentVoters;
+    Milliseconds silence;
     bool removed;
 };
 
-class Silence : public testing::TestWithParam<SilenceCase>
+class SilentVoters : public testing::TestWithParam<SilentVotersCase>
 { };
 
-TEST_P(Silence, RemovesAVoterOnlyIfEnoughAreLeft)
+TEST_P(SilentVoters, OneIsRemovedOnlyIfEnoughAreUp)
 {
     std::vector<std::string> voters;
     for (std::size_t i = 0; i < GetParam().voters; ++i)
         voters.push_back(std::string(1, static_cast<char>('a' + i)) + "/1");
     QuorumState quorum = makeLeader(voters);
-    const Time later = Now + GetParam().silent;
+    const Time later = Now + GetParam().silence;
     for (std::size_t i = 0; i < voters.size(); ++i)
-        quorum.peers[voters[i]].lastReceivedAt = i >= 1 && i <= GetParam().away ? Now : later;
+        quorum.peers[voters[i]].lastReceivedAt = i >= 1 && i <= GetParam().silentVoters ? Now
+                                                                                        : later;
     const auto members = nextMembers(quorum, {}, later);
     ASSERT_EQ(members.has_value(), GetParam().removed);
     if (members) {
@@ -138,23 +146,23 @@
 
 // With a minimum of five voters, two of which may be lost at once.
 INSTANTIATE_TEST_SUITE_P(
-        Quorum, Silence,
-        testing::Values(SilenceCase { "Five", 5, 1, Seconds(60), false },
-                        SilenceCase { "SixForLong", 6, 1, Seconds(60), true },
-                        SilenceCase { "SixAfterAReplacement", 6, 1, Seconds(2), true },
-                        SilenceCase { "SixForAMoment", 6, 1, Milliseconds(1400), false },
-                        SilenceCase { "SixWithTwoAway", 6, 2, Seconds(60), false },
-                        SilenceCase { "SevenWithTwoAway", 7, 2, Seconds(60), true },
-                        SilenceCase { "SevenWithTwoAwayForAMoment", 7, 2, Seconds(2), true },
-                        SilenceCase { "TenWithOneAwayForAMoment", 10, 1, Seconds(2), false },
-                        SilenceCase { "TenWithTwoAwayForAMoment", 10, 2, Seconds(2), false },
-                        SilenceCase { "TenWithThreeAway", 10, 3, Seconds(2), true },
-                        SilenceCase { "TenWithOneAwayForLong", 10, 1, Seconds(31), true }),
-        [](const auto &tested) { return tested.param.name; });
+        Quorum, SilentVoters,
+        testing::Values(SilentVotersCase { "Five", 5, 1, Seconds(60), false },
+                        SilentVotersCase { "SixForAMinute", 6, 1, Seconds(60), true },
+                        SilentVotersCase { "SixAfterAReplacement", 6, 1, Seconds(2), true },
+                        SilentVotersCase { "SixBriefly", 6, 1, Milliseconds(1400), false },
+                        SilentVotersCase { "SixWithTwoSilent", 6, 2, Seconds(60), false },
+                        SilentVotersCase { "SevenWithTwoSilent", 7, 2, Seconds(60), true },
+                        SilentVotersCase { "SevenWithTwoSilentBriefly", 7, 2, Seconds(2), true },
+                        SilentVotersCase { "TenWithOneSilentBriefly", 10, 1, Seconds(2), false },
+                        SilentVotersCase { "TenWithTwoSilentBriefly", 10, 2, Seconds(2), false },
+                        SilentVotersCase { "TenWithThreeSilentBriefly", 10, 3, Seconds(2), true },
+                        SilentVotersCase { "TenWithOneSilentForLong", 10, 1, Seconds(31), true }),
+        [](const auto &testCase) { return testCase.param.name; });
 
 // Hosts that join a group of three must all become voters, so that any majority of the hosts is a
 // quorum.
-TEST(QuorumMembers, EveryHostThatIsThereVotesInTheEnd)
+TEST(QuorumMembers, AllAvailableHostsBecomeVoters)
 {
     constexpr std::size_t Hosts = 10;
     std::vector<std::string> hosts;
@@ -166,7 +174,7 @@
         quorum.peers[host].matchIndex = quorum.commitIndex;
     }
     for (std::size_t change = 0; change < 3 * Hosts; ++change) {
-        const auto members = nextMembers(quorum, candidates(hosts), Now);
+        const auto members = nextMembers(quorum, availableHosts(hosts), Now);
         if (!members)
             break;
         quorum.members = *members;
@@ -175,15 +183,15 @@
     EXPECT_TRUE(quorum.members.learners.empty());
 }
 
-TEST(QuorumMembers, NothingChangesWhileAChangeIsUnderWayOrElsewhere)
+TEST(QuorumMembers, NoChangeWhileOneIsPendingOrAsFollower)
 {
     QuorumState quorum = makeLeader({ "a/1", "b/1", "c/1" });
     quorum.membersIndex = 6;
-    EXPECT_FALSE(nextMembers(quorum, candidates({ "d/1" }), Now));
+    EXPECT_FALSE(nextMembers(quorum, availableHosts({ "d/1" }), Now));
     quorum.membersIndex = 5;
-    EXPECT_TRUE(nextMembers(quorum, candidates({ "d/1" }), Now));
+    EXPECT_TRUE(nextMembers(quorum, availableHosts({ "d/1" }), Now));
     quorum.role = Role::Follower;
-    EXPECT_FALSE(nextMembers(quorum, candidates({ "d/1" }), Now));
+    EXPECT_FALSE(nextMembers(quorum, availableHosts({ "d/1" }), Now));
 }
 
 } // namespace
--- a/packages/replica/include/foxwing/replica/replica.h
+++ b/packages/replica/include/foxwing/replica/replica.h
@@ -120,10 +120,10 @@
         std::uint64_t syncNumber = 0;
     };
 
-    void carryOut(quorum::QuorumActions &&actions);
+    void execute(quorum::QuorumActions &&actions);
     void queueWrite(quorum::QuorumActions &actions);
     void applyCommitted(const std::vector<quorum::LogEntry> &entries);
-    std::string wholeState() const;
+    std::string persistentState() const;
     void runWriter();
     bool write(const std::vector<WriteJob> &jobs, Error *reason);
     void fail(const Error &reason);
--- a/packages/replica/src/replica.cpp
+++ b/packages/replica/src/replica.cpp
@@ -18,28 +18,28 @@
 // [SECTION] Recovery
 
 // Content of a journal snapshot: everything that the host keeps on disk.
-struct WholeState
+struct PersistentState
 {
     quorum::VoteRecord vote;
     quorum::SnapshotRecord snapshot;
     std::vector<quorum::LogEntry> entries;
 };
 template<class Fields>
-void describe(Fields &fields, WholeState &whole)
+void describe(Fields &fields, PersistentState &persistent)
 {
-    fields("vote", whole.vote);
-    fields("snapshot", whole.snapshot);
-    fields("entries", whole.entries);
+    fields("vote", persistent.vote);
+    fields("snapshot", persistent.snapshot);
+    fields("entries", persistent.entries);
 }
 
 bool recover(const journal::Recovered &found, quorum::RecoveredQuorum &recovered, Error *reason)
 {
     if (!found.snapshot.empty()) {
-        WholeState whole;
+        PersistentState persistent;
         const auto json = parseJson(found.snapshot, reason);
-        if (!json || !fromJson(*json, &whole, reason))
+        if (!json || !fromJson(*json, &persistent, reason))
             return false;
-        recovered = { whole.vote, whole.snapshot, whole.entries };
+        recovered = { persistent.vote, persistent.snapshot, persistent.entries };
     }
     for (const journal::Entry &entry : found.entries) {
         const auto json = parseJson(entry.payload, reason);
@@ -85,11 +85,13 @@
 
 // [SECTION] Actions
 
-std::string Replica::wholeState() const
+std::string Replica::persistentState() const
 {
     const quorum::VoteRecord vote { m_state.term, m_state.votedFor, m_state.joined };
-    const WholeState whole { vote, m_state.snapshot, { m_state.log.begin(), m_state.log.end() } };
-    return writeJson(toJson(whole));
+    const PersistentState persistent { vote,
+                                       m_state.snapshot,
+                                       { m_state.log.begin(), m_state.log.end() } };
+    return writeJson(toJson(persistent));
 }
 
 void Replica::queueWrite(quorum::QuorumActions &actions)
@@ -98,7 +100,7 @@
     job.syncNumber = actions.syncNumber;
     for (const quorum::Record &record : actions.records) {
         if (std::holds_alternative<quorum::SnapshotRecord>(record))
-            job.snapshot = wholeState();
+            job.snapshot = persistentState();
         else
             job.records.push_back(writeJson(encodeMessage(record)));
     }
@@ -119,14 +121,14 @@
     }
 }
 
-void Replica::carryOut(quorum::QuorumActions &&actions)
+void Replica::execute(quorum::QuorumActions &&actions)
 {
     if (m_failed)
         return;
     if (!actions.records.empty())
         queueWrite(actions);
-    for (quorum::Outgoing &send : actions.sends)
-        m_events.send(send.to, std::move(send.message));
+    for (quorum::Outgoing &outgoing : actions.sends)
+        m_events.send(outgoing.to, std::move(outgoing.message));
     if (actions.installed) {
         Error reason;
         if (!m_events.installed(actions.installed->state, &reason))
@@ -178,7 +180,7 @@
         Error reason;
         if (write(jobs, &reason)) {
             m_events.runOnLoop([this, number = jobs.back().syncNumber] {
-                carryOut(quorum::synced(m_state, number, steadyNow()));
+                execute(quorum::synced(m_state, number, steadyNow()));
             });
         } else {
             m_events.runOnLoop([this, reason] { fail(reason); });
@@ -192,13 +194,13 @@
 void Replica::receive(const quorum::QuorumMessage &message)
 {
     if (!m_failed)
-        carryOut(quorum::handle(m_state, message, steadyNow()));
+        execute(quorum::handle(m_state, message, steadyNow()));
 }
 
 void Replica::tick()
 {
     if (!m_failed)
-        carryOut(quorum::tick(m_state, steadyNow()));
+        execute(quorum::tick(m_state, steadyNow()));
 }
 
 void Replica::voterConnected()
@@ -216,7 +218,7 @@
     if (!actions)
         return std::nullopt;
     entry.term = m_state.term;
-    carryOut(std::move(*actions));
+    execute(std::move(*actions));
     return entry;
 }
 
@@ -224,13 +226,13 @@
 {
     auto actions = quorum::proposeMembers(m_state, members, steadyNow(), reason);
     if (actions)
-        carryOut(std::move(*actions));
+        execute(std::move(*actions));
     return actions.has_value();
 }
 
 void Replica::requestRead(std::uint64_t id)
 {
-    carryOut(quorum::requestRead(m_state, id, steadyNow()));
+    execute(quorum::requestRead(m_state, id, steadyNow()));
 }
 
 bool Replica::needsSnapshot() const
@@ -240,7 +242,7 @@
 
 void Replica::takeSnapshot(const std::string &state)
 {
-    carryOut(quorum::compact(m_state, state));
+    execute(quorum::compact(m_state, state));
 }
 
 bool Replica::isReadyLeader() const
