--- a/bench/beats.cpp
+++ b/bench/beats.cpp
@@ -42,7 +42,7 @@
         : m_agents(count)
     {
         for (std::size_t i = 0; i < count; ++i) {
-            control::Beat identity;
+            control::Heartbeat identity;
             identity.id = "stand-in-" + std::to_string(i);
             identity.incarnation = i + 1;
             identity.address = address;
@@ -54,10 +54,10 @@
         }
     }
 
-    control::Beat beat(std::size_t number)
+    control::Heartbeat beat(std::size_t number)
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        return control::nextBeat(m_agents[number].reporter, steadyNow());
+        return control::nextHeartbeat(m_agents[number].reporter, steadyNow());
     }
 
     // Updates do not name the agent; here its incarnation does.
@@ -111,18 +111,18 @@
         return 1;
     }
     // Each agent would have a connection of its own; a pool for each keeps them from sharing calls.
-    std::vector<std::unique_ptr<wire::LanePool>> pools;
+    std::vector<std::unique_ptr<wire::SenderPool>> pools;
     constexpr std::size_t Pools = 40;
     for (std::size_t i = 0; i < std::min(Pools, count); ++i) {
-        wire::LaneSettings lanes;
-        lanes.threads = 1;
-        lanes.from = "stand-in-" + std::to_string(i);
-        lanes.address = address;
-        lanes.secret = argv[2];
-        lanes.mostInCall = 1;
-        pools.push_back(std::make_unique<wire::LanePool>(lanes,
-                                                         [](const std::string &,
-                                                            std::vector<Json::Value> &&) {}));
+        wire::SenderSettings senderSettings;
+        senderSettings.threads = 1;
+        senderSettings.from = "stand-in-" + std::to_string(i);
+        senderSettings.address = address;
+        senderSettings.secret = argv[2];
+        senderSettings.maxBatchSize = 1;
+        pools.push_back(std::make_unique<wire::SenderPool>(senderSettings,
+                                                           [](const std::string &,
+                                                              std::vector<Json::Value> &&) {}));
     }
     std::uint64_t beats = 0;
     std::uint64_t beatBytes = 0;
@@ -131,7 +131,7 @@
     const auto total = static_cast<std::size_t>(seconds) * count;
     for (std::size_t i = 0; i < total; ++i) {
         std::this_thread::sleep_until(begin + gap * static_cast<std::int64_t>(i));
-        std::variant<control::Beat> message = fleet.beat(i % count);
+        std::variant<control::Heartbeat> message = fleet.beat(i % count);
         Json::Value json = encodeMessage(message);
         beatBytes += writeJson(json).size();
         ++beats;
--- a/packages/catalog/include/foxwing/catalog/agreed.h
+++ b/packages/catalog/include/foxwing/catalog/agreed.h
@@ -44,7 +44,7 @@
 }
 
 // An order to cordon a data centre or to take the cordon away.
-struct CordonOrder
+struct CordonCommand
 {
     static constexpr const char *Type = "cordon-order";
     std::string dataCentre;
@@ -54,7 +54,7 @@
     std::uint64_t basedOn = 0;
 };
 template<class Fields>
-void describe(Fields &fields, CordonOrder &order)
+void describe(Fields &fields, CordonCommand &order)
 {
     fields("dataCentre", order.dataCentre);
     fields("cordoned", order.cordoned);
@@ -76,9 +76,9 @@
 }
 
 // What the group's log holds.
-using Command = std::variant<DeclaredCatalog, CordonOrder>;
+using Command = std::variant<DeclaredCatalog, CordonCommand>;
 
-enum class Applied {
+enum class ApplyResult {
     Changed,
 
     // What was asked for is so already, by a newer order or another catalog.
@@ -90,7 +90,7 @@
 
 // [SECTION] Functions
 
-Applied apply(AgreedState &state, const Command &command);
+ApplyResult apply(AgreedState &state, const Command &command);
 bool isCordoned(const Cordons &cordons, const std::string &dataCentre);
 
 } // namespace foxwing::catalog
--- a/packages/control/include/foxwing/control/control.h
+++ b/packages/control/include/foxwing/control/control.h
@@ -6,7 +6,7 @@
     the shell does once it lasts.
 
         ControlState control = makeControl(settings);
-        ControlActions actions = handleBeat(control, beat, now, wallNow);
+        ControlActions actions = handleHeartbeat(control, beat, now, wallNow);
         for (const Command &command : actions.proposals)
             ...
 
@@ -35,10 +35,10 @@
     // This host
     std::string self;
     // A node that has not beaten for this long is dead. Longer than the entries' master lease.
-    Milliseconds deadAfter { 2500 };
+    Milliseconds nodeTimeout { 2500 };
 
     // Entries that come and go within this time make one new view.
-    Milliseconds viewPause { 300 };
+    Milliseconds minViewInterval { 300 };
 
     // Entries that keep each claim.
     std::uint32_t replicaCount = 2;
@@ -50,27 +50,27 @@
     Milliseconds configurationLease { 10000 };
 
     // A dead agent is remembered this long: as long as what it may have started.
-    Seconds agentMemory { 900 };
+    Seconds agentRetention { 900 };
 };
 
 // [SECTION] State
 
 struct NodeRecord
 {
-    Beat last;
+    Heartbeat last;
     Time lastReceivedAt {};
     bool live = true;
 
     // When a life of this node ended last; milliseconds since 1970.
     std::int64_t lostAt = 0;
-    Time diedAt {};
+    Time deadSince {};
 };
 
 struct ControlCounters
 {
-    std::uint64_t beats = 0;
+    std::uint64_t heartbeats = 0;
     std::uint64_t views = 0;
-    std::uint64_t deaths = 0;
+    std::uint64_t nodesLost = 0;
     std::uint64_t restarts = 0;
     std::uint64_t changesSent = 0;
 };
@@ -85,7 +85,7 @@
     std::uint64_t agentsVersion = 1;
 
     // Agents that were lost before this date may be missing from the list; milliseconds since 1970.
-    std::int64_t agentsSince = 0;
+    std::int64_t agentsCompleteSince = 0;
 
     // A view that was proposed and is not committed yet.
     bool viewProposed = false;
@@ -93,7 +93,7 @@
     std::set<std::uint32_t> readyShards;
 
     // Shares of teams' quotas, and the quotas as declared at this revision
-    ShareBook shares;
+    ShareTable shares;
     std::vector<TeamQuota> quotas;
     std::uint64_t quotasRevision = 0;
 
@@ -102,12 +102,12 @@
     bool ticked = false;
 
     // Views wait until nodes had the time to beat to a new leader.
-    Time settledAt {};
+    Time viewsAllowedAt {};
     ControlCounters counters;
 };
 
 // Who lags behind a revision.
-struct InForce
+struct RolloutStatus
 {
     std::uint64_t revision = 0;
     std::uint32_t nodes = 0;
@@ -133,7 +133,8 @@
 ControlState makeControl(const ControlSettings &settings, ClusterState cluster, Time now,
                          WallTime wallNow);
 
-ControlActions handleBeat(ControlState &control, const Beat &beat, Time now, WallTime wallNow);
+ControlActions handleHeartbeat(ControlState &control, const Heartbeat &beat, Time now,
+                               WallTime wallNow);
 
 // A command of this host's journal lasts: apply it.
 ChangeResult committed(ControlState &control, const Command &command);
@@ -141,6 +142,6 @@
 ControlActions tick(ControlState &control, Time now, WallTime wallNow);
 
 // How far a revision is in force, as far as nodes have reported.
-InForce inForce(const ControlState &control, std::uint64_t revision);
+RolloutStatus rolloutStatus(const ControlState &control, std::uint64_t revision);
 
 } // namespace foxwing::control
--- a/packages/control/include/foxwing/control/quota.h
+++ b/packages/control/include/foxwing/control/quota.h
@@ -7,7 +7,7 @@
    has been silent for longer than shares live. With no demand shares are equal, so that a team's
    first task need not wait; with demand they follow it.
 
-        takeShareReports(book, "entry-a", reports, now);
+        applyShareReports(book, "entry-a", reports, now);
         std::vector<ShareGrant> grants = grantShares(book, "entry-a", entries, quotas, now);
 
     [SECTION] Messages
@@ -62,7 +62,7 @@
 // [SECTION] State
 
 // What one entry may believe about one team.
-struct HeldShare
+struct EntryShare
 {
     ShareReport reported;
 
@@ -71,16 +71,16 @@
     Time lastReceivedAt {};
 };
 
-struct ShareBook
+struct ShareTable
 {
     // How long an entry keeps a share that control does not confirm.
-    Milliseconds shareLife { 12500 };
+    Milliseconds leaseDuration { 12500 };
 
     // By team, then by entry
-    std::map<std::string, std::map<std::string, HeldShare>> teams;
+    std::map<std::string, std::map<std::string, EntryShare>> teams;
 
     // Nothing is granted before all entries had the time to report to a new leader.
-    Time grantsFrom {};
+    Time grantsAllowedAt {};
 };
 
 struct TeamQuota
@@ -91,15 +91,15 @@
 
 // [SECTION] Functions
 
-void takeShareReports(ShareBook &book, const std::string &entry,
-                      const std::vector<ShareReport> &reports, Time now);
+void applyShareReports(ShareTable &book, const std::string &entry,
+                       const std::vector<ShareReport> &reports, Time now);
 
 // The shares that an entry is to apply now, for every team with a quota.
-std::vector<ShareGrant> grantShares(ShareBook &book, const std::string &entry,
+std::vector<ShareGrant> grantShares(ShareTable &book, const std::string &entry,
                                     const std::vector<std::string> &entries,
                                     const std::vector<TeamQuota> &quotas, Time now);
 
 // The most that all entries together may run of a team by what they may believe.
-std::uint32_t believedSum(const ShareBook &book, const std::string &team, Time now);
+std::uint32_t maxRunningTotal(const ShareTable &book, const std::string &team, Time now);
 
 } // namespace foxwing::control
--- a/packages/control/include/foxwing/control/reporter.h
+++ b/packages/control/include/foxwing/control/reporter.h
@@ -5,7 +5,7 @@
     when control has confirmed what the node applies.
 
         Reporter reporter = makeReporter(identity);
-        Beat beat = nextBeat(reporter, now);
+        Beat beat = nextHeartbeat(reporter, now);
         if (std::optional<Time> sentAt = acceptUpdate(reporter, update))
             ...
 
@@ -23,7 +23,7 @@
 
 // [SECTION] State
 
-struct SentBeat
+struct SentHeartbeat
 {
     std::uint64_t number = 0;
     Time at {};
@@ -32,10 +32,10 @@
 struct Reporter
 {
     // What every beat says; number, revision and view are filled in.
-    Beat identity;
+    Heartbeat identity;
 
     // Beats that are under way.
-    std::deque<SentBeat> sent;
+    std::deque<SentHeartbeat> sent;
     std::uint64_t number = 0;
 
     // What the node has
@@ -51,9 +51,9 @@
 
 // [SECTION] Functions
 
-Reporter makeReporter(const Beat &identity);
+Reporter makeReporter(const Heartbeat &identity);
 
-Beat nextBeat(Reporter &reporter, Time now);
+Heartbeat nextHeartbeat(Reporter &reporter, Time now);
 
 // Whether an update is current and not older than what the node has; if so, when the beat was sent
 // that it answers, and the caller must apply it.
--- a/packages/dispatch/include/foxwing/dispatch/dispatcher.h
+++ b/packages/dispatch/include/foxwing/dispatch/dispatcher.h
@@ -46,10 +46,10 @@
     Milliseconds leaseDuration { 1500 };
 
     // A worker that has not been heard of for this long is lost, and so are the tasks on it.
-    Milliseconds lostAfter { 4000 };
+    Milliseconds workerTimeout { 4000 };
 
     // A task about which nothing is heard for this long is asked for; the wait then doubles.
-    Milliseconds verifyAfter { 1000 };
+    Milliseconds verifyInterval { 1000 };
     Milliseconds longestVerify { 8000 };
 
     // After a refusal a job waits this long, doubled with each further one.
@@ -58,7 +58,7 @@
     std::uint32_t mostRefusals = 64;
 
     // Repeated starts of repeatable requests may be at most this share of all starts.
-    double retryShare = 0.1;
+    double retryRatio = 0.1;
     std::uint32_t retryReserve = 10;
 
     // Workers and outstanding tasks are looked at this often.
@@ -73,7 +73,7 @@
     std::size_t answerBytes = 256U << 20U;
 
     // Tasks that may wait in one service's queue.
-    std::uint32_t queueBound = 100000;
+    std::uint32_t maxQueuedTasks = 100000;
 
     QueueSettings queue;
     HealthSettings health;
@@ -106,7 +106,7 @@
     std::uint64_t jobs = 0;
     std::uint64_t starts = 0;
     std::uint64_t results = 0;
-    std::uint64_t foreignResults = 0;
+    std::uint64_t unexpectedResults = 0;
     std::uint64_t refusals = 0;
     std::uint64_t verifications = 0;
     std::uint64_t retries = 0;
@@ -188,7 +188,7 @@
     std::vector<std::string> agents;
 
     // There may have been others that can't be asked any more.
-    bool hasGaps = false;
+    bool incomplete = false;
 
     // When it was claimed, less the differences of clocks; milliseconds since 1970. An agent that
     // started later may have lost the memory of a task.
@@ -209,7 +209,7 @@
 
 // Why a job can't be taken now, if so: the queue is full or the deadline can't be met. Certain to
 // be "not run", since nothing was done yet.
-std::optional<Error> refuseJob(const Dispatcher &dispatcher, const JobSpec &spec, Time now);
+std::optional<Error> checkAdmission(const Dispatcher &dispatcher, const JobSpec &spec, Time now);
 
 // Queues a job whose claim this entry holds in this epoch.
 Actions submitJob(Dispatcher &dispatcher, const JobSpec &spec, std::uint64_t epoch, Time now);
@@ -230,8 +230,8 @@
 TeamLoad teamLoad(const Dispatcher &dispatcher, const std::string &team);
 
 // Takes a job over from a dead owner: fences it at the agents, collects, and goes on.
-Actions adoptJob(Dispatcher &dispatcher, const JobSpec &spec, std::uint64_t epoch,
-                 const Takeover &takeover, Time now);
+Actions takeOverJob(Dispatcher &dispatcher, const JobSpec &spec, std::uint64_t epoch,
+                    const Takeover &takeover, Time now);
 
 // Ends a job on the caller's word. No effect on one that has ended.
 Actions cancelJob(Dispatcher &dispatcher, const std::string &key, Time now);
@@ -252,9 +252,9 @@
 
 // Gives the lease of one worker to another entry: an idle one if there is any, else, if the other
 // entry has none at all, one of several busy ones. What runs there is finished all the same.
-Actions yieldWorker(Dispatcher &dispatcher, const std::string &service,
-                    const std::string &successor, const std::string &successorDataCentre,
-                    bool successorStarved);
+Actions transferWorker(Dispatcher &dispatcher, const std::string &service,
+                       const std::string &successor, const std::string &successorDataCentre,
+                       bool successorStarved);
 
 // Jobs that have not ended.
 std::size_t activeJobs(const Dispatcher &dispatcher);
--- a/packages/dispatch/include/foxwing/dispatch/fairqueue.h
+++ b/packages/dispatch/include/foxwing/dispatch/fairqueue.h
@@ -39,7 +39,7 @@
     QueueOrder order = QueueOrder::FairFewestRemaining;
 
     // A job that has waited this long goes before smaller ones of its team.
-    Milliseconds passOverBound { 2000 };
+    Milliseconds starvationLimit { 2000 };
 };
 
 // [SECTION] State
--- a/packages/dispatch/src/jobtable.cpp
+++ b/packages/dispatch/src/jobtable.cpp
@@ -91,7 +91,7 @@
     task.agent = worker.id;
     task.agentIncarnation = worker.incarnation;
     task.sentAt = now;
-    task.verifyWait = dispatcher.settings.verifyAfter;
+    task.verifyWait = dispatcher.settings.verifyInterval;
     task.nextVerify = now + task.verifyWait;
     task.charged = expectedTime(service, job.spec);
     chargeTeam(service.queue, job.spec.team, task.charged);
--- a/packages/edge/include/foxwing/edge/httpserver.h
+++ b/packages/edge/include/foxwing/edge/httpserver.h
@@ -75,13 +75,13 @@
     std::string certificateFile;
     std::string keyFile;
 
-    std::size_t mostBodyBytes = 32U << 20U;
+    std::size_t maxBodyBytes = 32U << 20U;
 
     // Requests whose bodies are still arriving; more are turned away.
-    std::size_t mostArriving = 2000;
+    std::size_t maxPendingBodies = 2000;
 
     // A body that has not arrived by then is given up.
-    Milliseconds bodySpan { 10000 };
+    Milliseconds bodyTimeout { 10000 };
 };
 
 class HttpServer
@@ -99,10 +99,10 @@
     // of the body comes after all. To be called now and then.
     // FIXME: cpprestsdk can neither answer before a body is there nor close the connection, so the
     // connection of a caller that falls silent stays; only the limit on descriptors bounds those.
-    void dropOverdue();
+    void expirePendingBodies();
 
     // Requests whose bodies are still coming
-    std::size_t arriving() const;
+    std::size_t pendingBodies() const;
 
 private:
     class Impl;
--- a/packages/edge/src/httpserver.cpp
+++ b/packages/edge/src/httpserver.cpp
@@ -114,7 +114,7 @@
         const std::string url = (secure ? "https://" : "http://") + m_settings.host + ":"
                 + std::to_string(m_settings.port);
         http::experimental::listener::http_listener_config config;
-        config.set_timeout(std::chrono::duration_cast<utility::seconds>(m_settings.bodySpan));
+        config.set_timeout(std::chrono::duration_cast<utility::seconds>(m_settings.bodyTimeout));
         if (secure)
             config.set_ssl_context_callback([this](boost::asio::ssl::context &context) {
                 context.set_options(boost::asio::ssl::context::default_workarounds
@@ -149,14 +149,14 @@
         }
     }
 
-    std::size_t arriving() const
+    std::size_t pendingBodies() const
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
         return m_arriving.size();
     }
 
     // Numbers grow with time, so the first that is not overdue ends the search.
-    void dropOverdue()
+    void expirePendingBodies()
     {
         std::vector<Responder> overdue;
         {
@@ -183,11 +183,11 @@
         if (!message.headers().has("Content-Length"))
             return refuse(responder, ErrorKind::BadRequest,
                           "send the body with a Content-Length header, not in chunks");
-        if (message.headers().content_length() > m_settings.mostBodyBytes)
+        if (message.headers().content_length() > m_settings.maxBodyBytes)
             return refuse(responder, ErrorKind::TooLarge,
-                          "a body may have at most " + std::to_string(m_settings.mostBodyBytes)
+                          "a body may have at most " + std::to_string(m_settings.maxBodyBytes)
                                   + " bytes; split the job");
-        if (arriving() >= m_settings.mostArriving)
+        if (pendingBodies() >= m_settings.maxPendingBodies)
             return refuse(responder, ErrorKind::Unavailable,
                           "too many requests arrive at this entry; come back in a second");
         readBody(message, std::move(request), responder);
@@ -224,7 +224,7 @@
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
         m_arriving.emplace(++m_lastArriving,
-                           Arriving { responder, steadyNow() + m_settings.bodySpan });
+                           Arriving { responder, steadyNow() + m_settings.bodyTimeout });
         return m_lastArriving;
     }
 
@@ -258,14 +258,14 @@
     return m_impl->start(reason);
 }
 
-std::size_t HttpServer::arriving() const
+std::size_t HttpServer::pendingBodies() const
 {
-    return m_impl->arriving();
+    return m_impl->pendingBodies();
 }
 
-void HttpServer::dropOverdue()
+void HttpServer::expirePendingBodies()
 {
-    m_impl->dropOverdue();
+    m_impl->expirePendingBodies();
 }
 
 void HttpServer::stop()
--- a/packages/fleet/src/messages.h
+++ b/packages/fleet/src/messages.h
@@ -32,7 +32,7 @@
 }
 
 // A control host that does not lead hands an operator's call on to the one that does.
-struct ForwardCall
+struct ForwardedCall
 {
     std::uint64_t call = 0;
 
@@ -40,23 +40,23 @@
     std::string request;
 };
 template<class Fields>
-void describe(Fields &fields, ForwardCall &forward)
+void describe(Fields &fields, ForwardedCall &forward)
 {
     fields("call", forward.call);
     fields("request", forward.request);
 }
 
-struct ForwardAnswer
+struct ForwardedAnswer
 {
     std::uint64_t call = 0;
-    OperatorOutcome outcome = OperatorOutcome::Unsure;
+    OperatorOutcome outcome = OperatorOutcome::Unconfirmed;
     std::string reason;
 
     // One, if a read was accepted
     std::vector<catalog::DeclaredCatalog> declared;
 };
 template<class Fields>
-void describe(Fields &fields, ForwardAnswer &answer)
+void describe(Fields &fields, ForwardedAnswer &answer)
 {
     fields("call", answer.call);
     fields("outcome", answer.outcome);
@@ -102,7 +102,7 @@
 
 // The order is the format: new ones go to the end.
 using Frame = std::variant<directory::Announce, directory::NodeHeartbeat,
-                           directory::DirectoryUpdate, AgreedPush, ForwardCall, ForwardAnswer,
+                           directory::DirectoryUpdate, AgreedPush, ForwardedCall, ForwardedAnswer,
                            GroupFrame, OpenSession, jobs::SessionAccepted, jobs::AgentUpdate,
                            jobs::StartTasks, jobs::StopRuns, jobs::SessionHeartbeat>;
 
--- a/packages/node/include/foxwing/node/log.h
+++ b/packages/node/include/foxwing/node/log.h
@@ -1,7 +1,7 @@
 /*
     Log lines over Boost.Log: one line for each change of state, as key=value pairs.
 
-        logChange(LogLevel::Info, "view", { { "number", "7" }, { "entries", "3" } });
+        logEvent(LogLevel::Info, "view", { { "number", "7" }, { "entries", "3" } });
 
     [SECTION] Functions
 */
@@ -28,8 +28,8 @@
 };
 
 // Lines go to standard error; level is one of the names that settings know.
-void startLog(const std::string &level, const std::string &node);
+void initLog(const std::string &level, const std::string &node);
 
-void logChange(LogLevel level, const char *event, std::initializer_list<LogField> fields);
+void logEvent(LogLevel level, const char *event, std::initializer_list<LogField> fields);
 
 } // namespace foxwing::node
--- a/packages/node/src/controlrole.cpp
+++ b/packages/node/src/controlrole.cpp
@@ -30,9 +30,9 @@
     auto cluster = m_log.open(reason);
     if (!cluster)
         return false;
-    logChange(LogLevel::Info, "journal-open",
-              { { "revision", std::to_string(cluster->store.revision) },
-                { "log", std::to_string(quorum::lastIndex(m_log.state())) } });
+    logEvent(LogLevel::Info, "journal-open",
+             { { "revision", std::to_string(cluster->store.revision) },
+               { "log", std::to_string(quorum::lastIndex(m_log.state())) } });
     m_state.settings = m_settings.control;
     m_state.cluster = std::move(*cluster);
     return true;
@@ -69,9 +69,9 @@
     m_log.offerSnapshot(m_state.cluster);
     if (const auto *view = std::get_if<control::ViewCommand>(&command)) {
         if (view->view.update == 0)
-            logChange(LogLevel::Info, "view",
-                      { { "number", std::to_string(view->view.number) },
-                        { "entries", std::to_string(view->view.members.size()) } });
+            logEvent(LogLevel::Info, "view",
+                     { { "number", std::to_string(view->view.number) },
+                       { "entries", std::to_string(view->view.members.size()) } });
         return;
     }
     answerChange(index, term, result);
@@ -81,8 +81,8 @@
 void ControlRole::onInstalled(control::ClusterState &&cluster)
 {
     m_state.cluster = std::move(cluster);
-    logChange(LogLevel::Info, "snapshot-installed",
-              { { "revision", std::to_string(m_state.cluster.store.revision) } });
+    logEvent(LogLevel::Info, "snapshot-installed",
+             { { "revision", std::to_string(m_state.cluster.store.revision) } });
 }
 
 void ControlRole::onRead(std::uint64_t id, bool confirmed)
@@ -101,7 +101,7 @@
 void ControlRole::onFailed(const Error &error)
 {
     if (!m_failed)
-        logChange(LogLevel::Error, "journal-failed", { { "reason", error.message } });
+        logEvent(LogLevel::Error, "journal-failed", { { "reason", error.message } });
     m_failed = true;
     dropOperators();
 }
@@ -123,13 +123,13 @@
 // What is volatile begins anew with each leadership: nodes tell it again.
 void ControlRole::followLeadership()
 {
-    const bool leading = m_log.leadsNow();
+    const bool leading = m_log.isReadyLeader();
     if (leading == m_leading)
         return;
     m_leading = leading;
-    logChange(LogLevel::Info, leading ? "leading" : "following",
-              { { "term", std::to_string(m_log.state().term) },
-                { "leader", m_log.state().leader } });
+    logEvent(LogLevel::Info, leading ? "leading" : "following",
+             { { "term", std::to_string(m_log.state().term) },
+               { "leader", m_log.state().leader } });
     if (leading)
         m_state = control::makeControl(m_settings.control, std::move(m_state.cluster), steadyNow(),
                                        wallClockNow());
@@ -139,12 +139,12 @@
 
 // [SECTION] Nodes
 
-void ControlRole::receive(const control::Beat &beat)
+void ControlRole::receive(const control::Heartbeat &beat)
 {
     m_post.learnAddress(beat.id, beat.address);
     if (!m_leading)
         return;
-    carryOut(control::handleBeat(m_state, beat, steadyNow(), wallClockNow()));
+    carryOut(control::handleHeartbeat(m_state, beat, steadyNow(), wallClockNow()));
 }
 
 void ControlRole::tick()
@@ -154,11 +154,11 @@
     followLeadership();
     if (!m_leading)
         return;
-    const std::uint64_t deaths = m_state.counters.deaths;
+    const std::uint64_t nodesLost = m_state.counters.nodesLost;
     carryOut(control::tick(m_state, now, wallClockNow()));
-    if (m_state.counters.deaths != deaths)
-        logChange(LogLevel::Warning, "nodes-dead",
-                  { { "count", std::to_string(m_state.counters.deaths - deaths) } });
+    if (m_state.counters.nodesLost != nodesLost)
+        logEvent(LogLevel::Warning, "nodes-dead",
+                 { { "count", std::to_string(m_state.counters.nodesLost - nodesLost) } });
     answerWatchers(now);
 }
 
@@ -170,11 +170,11 @@
         samples.push_back({ name, help, value, gauge });
     };
     const control::ControlCounters &counters = m_state.counters;
-    add("foxwing_control_beats_total", "Beats received", static_cast<double>(counters.beats),
+    add("foxwing_control_beats_total", "Beats received", static_cast<double>(counters.heartbeats),
         false);
     add("foxwing_control_views_total", "Views and updates of views made",
         static_cast<double>(counters.views), false);
-    add("foxwing_control_deaths_total", "Nodes found dead", static_cast<double>(counters.deaths),
+    add("foxwing_control_deaths_total", "Nodes found dead", static_cast<double>(counters.nodesLost),
         false);
     add("foxwing_control_restarts_total", "Nodes found restarted",
         static_cast<double>(counters.restarts), false);
@@ -184,14 +184,15 @@
         static_cast<double>(m_state.cluster.store.revision), true);
     add("foxwing_control_view", "Number of the view",
         static_cast<double>(m_state.cluster.view.number), true);
-    const control::InForce force = control::inForce(m_state, m_state.cluster.store.revision);
+    const control::RolloutStatus force = control::rolloutStatus(m_state,
+                                                                m_state.cluster.store.revision);
     add("foxwing_control_nodes", "Live nodes", force.nodes, true);
     add("foxwing_control_lagging", "Live nodes that lack the newest revision",
         static_cast<double>(force.lagging.size()), true);
     add("foxwing_control_leads", "1 if this host leads the group", m_leading ? 1 : 0, true);
     add("foxwing_control_term", "Term of the group", static_cast<double>(m_log.state().term), true);
     add("foxwing_control_committed", "Index of the last committed entry",
-        static_cast<double>(m_log.state().commit), true);
+        static_cast<double>(m_log.state().commitIndex), true);
     add("foxwing_control_journal_failed", "1 if the journal can't be written", m_failed ? 1 : 0,
         true);
 }
--- a/packages/operators/include/foxwing/operators/operators.h
+++ b/packages/operators/include/foxwing/operators/operators.h
@@ -46,7 +46,7 @@
 void describe(Fields &, ReadCatalog &)
 { }
 
-using OperatorRequest = std::variant<ReadCatalog, catalog::DeclaredCatalog, catalog::CordonOrder>;
+using OperatorRequest = std::variant<ReadCatalog, catalog::DeclaredCatalog, catalog::CordonCommand>;
 
 // For log lines
 const char *toString(const OperatorRequest &request);
@@ -58,7 +58,7 @@
     Invalid,
 
     // Not known, or not known to be the newest; another control host may know.
-    Unsure,
+    Unconfirmed,
     NotFound,
 };
 constexpr OperatorOutcome lastOf(OperatorOutcome)
@@ -74,30 +74,30 @@
     bool fromPeer = false;
 
     Time receivedAt {};
-    Time nextTry {};
+    Time retryAt {};
 
     // Under way: at this host's log under an index and a term, as a read of this host, or at the
     // host that leads
     std::uint64_t index = 0;
     std::uint64_t term = 0;
     bool reading = false;
-    bool handedOver = false;
+    bool forwarded = false;
 };
 
 // The agreement group as this host sees it now.
-struct GroupView
+struct GroupStatus
 {
     // This host leads, and its catalog is the newest.
-    bool leads = false;
+    bool isReadyLeader = false;
 
     // This host has heard that it leads, if it can't act yet.
-    bool isNamedLeader = false;
+    bool isElected = false;
 
     // The host that leads is known and connected.
     bool reachesLeader = false;
 
     // What is agreed on as far as this host knows
-    const catalog::AgreedState *held = nullptr;
+    const catalog::AgreedState *agreed = nullptr;
 };
 
 // [SECTION] State
@@ -106,16 +106,16 @@
 {
     // A call that can't be decided within this long is answered as unsure: callers go to another
     // host after a second.
-    Milliseconds patience { 900 };
+    Milliseconds callTimeout { 900 };
 
     // Between tries of a call that found no leader.
-    Milliseconds retry { 60 };
+    Milliseconds retryDelay { 60 };
 
     // A host that stood still for longer finds calls whose operators have gone elsewhere a second
     // after they sent them. It takes no order about cordons until it has gone through what came
     // meanwhile. Well above a sync of a slow disk's thread, which holds up nothing here.
-    Milliseconds stoodStill { 400 };
-    Milliseconds catchingUp { 100 };
+    Milliseconds pauseThreshold { 400 };
+    Milliseconds catchUpDuration { 100 };
 };
 
 struct OperatorState
@@ -126,16 +126,16 @@
 
     // The last tick, and until when what arrives may have been sent long ago
     Time tickedAt {};
-    Time catchesUpUntil {};
+    Time catchUpUntil {};
 
     // The last entry of the log that was committed, and what became of it
     std::uint64_t committedIndex = 0;
     std::uint64_t committedTerm = 0;
-    catalog::Applied committedAs = catalog::Applied::Unchanged;
+    catalog::ApplyResult committedResult = catalog::ApplyResult::Unchanged;
 
     // Counters for the metrics
     std::uint64_t accepted = 0;
-    std::uint64_t unsure = 0;
+    std::uint64_t unconfirmed = 0;
     std::uint64_t outdated = 0;
 };
 
@@ -144,7 +144,7 @@
 struct OperatorAnswer
 {
     std::uint64_t number = 0;
-    OperatorOutcome outcome = OperatorOutcome::Unsure;
+    OperatorOutcome outcome = OperatorOutcome::Unconfirmed;
     std::string reason;
 
     // Of a read that is accepted
@@ -160,14 +160,14 @@
     std::vector<std::uint64_t> reads;
 
     // For the host that leads; then peerAnswered() is due.
-    std::vector<std::uint64_t> handOvers;
+    std::vector<std::uint64_t> forwards;
     std::vector<OperatorAnswer> answers;
     std::vector<eventlog::Event> events;
 };
 
 // [SECTION] Functions
 
-OperatorActions addCall(OperatorState &operators, OperatorCall call, const GroupView &group,
+OperatorActions addCall(OperatorState &operators, OperatorCall call, const GroupStatus &group,
                         Time now, std::uint64_t *number);
 
 // Nobody waits for the call's answer any more; what was proposed for it may still be agreed on.
@@ -179,23 +179,23 @@
 // The log has taken the call's command; it counts once an entry with this index and term is
 // committed. That may have happened already.
 OperatorActions proposed(OperatorState &operators, std::uint64_t number, std::uint64_t index,
-                         std::uint64_t term, const GroupView &group, Time now);
+                         std::uint64_t term, const GroupStatus &group, Time now);
 
 // An entry is committed: calls that it was for are accepted, those whose place another leader's
 // entry took are tried again, and so are orders that were outdated when they were applied.
 OperatorActions committed(OperatorState &operators, std::uint64_t index, std::uint64_t term,
-                          catalog::Applied applied, const GroupView &group, Time now);
+                          catalog::ApplyResult applied, const GroupStatus &group, Time now);
 
 OperatorActions readDone(OperatorState &operators, std::uint64_t number, bool confirmed,
-                         const GroupView &group, Time now);
+                         const GroupStatus &group, Time now);
 
 // The host that leads has answered a call that was handed over.
 OperatorActions peerAnswered(OperatorState &operators, const OperatorAnswer &answer,
-                             const GroupView &group, Time now);
+                             const GroupStatus &group, Time now);
 
 // Nothing is under way at the log any more: its journal was opened anew.
 void logReopened(OperatorState &operators);
 
-OperatorActions tick(OperatorState &operators, const GroupView &group, Time now);
+OperatorActions tick(OperatorState &operators, const GroupStatus &group, Time now);
 
 } // namespace foxwing::operators
--- a/packages/quorum/src/election.cpp
+++ b/packages/quorum/src/election.cpp
@@ -1,8 +1,8 @@
 /*
-    Elections with a vote before the vote: a host that was cut off disturbs nobody when it returns.
+    Elections with a pre-vote: a host that returns from a network partition disrupts no leader.
 
     [SECTION] Roles
-    [SECTION] Asking
+    [SECTION] Candidates
     [SECTION] Voting
 */
 #include "internal.h"
@@ -15,10 +15,10 @@
 
 // [SECTION] Roles
 
-void setElectionTime(QuorumState &quorum, Time now, Microseconds span)
+void scheduleElection(QuorumState &quorum, Time now, Microseconds timeout)
 {
-    std::uniform_int_distribution<std::int64_t> extra(0, span.count());
-    quorum.electionAt = now + span + Microseconds(extra(quorum.random));
+    std::uniform_int_distribution<std::int64_t> jitter(0, timeout.count());
+    quorum.electionDeadline = now + timeout + Microseconds(jitter(quorum.random));
 }
 
 void becomeFollower(QuorumState &quorum, std::uint64_t term, const std::string &leader, Time now,
@@ -35,61 +35,61 @@
     quorum.leader = leader;
     quorum.refusedOlderLog = quorum.refusedOlderLog && leader.empty();
     quorum.votes.clear();
-    setElectionTime(quorum, now, quorum.settings.electionSpan);
+    scheduleElection(quorum, now, quorum.settings.electionTimeout);
 }
 
-// [SECTION] Asking
+// [SECTION] Candidates
 
-// Also a host that a change of members removes, as long as it does not know that the change is
-// committed, and a learner whose log is newer than that of a voter who asked: either may be the
-// only one with the newest log. Votes are counted from voters only. A host that was removed for
-// good never asks: it would lead, step down and lead again.
-static bool mayLead(const QuorumState &quorum)
+// Besides voters: a host removed by a membership change that it does not know to be committed, and
+// a learner with a newer log than a voter that requested its vote. Either may have the only copy of
+// the newest entries. Only voters' votes count. A host whose removal is committed must not stand,
+// as it would become leader and step down repeatedly.
+static bool canBeCandidate(const QuorumState &quorum)
 {
     const std::vector<std::string> &learners = quorum.members.learners;
-    const bool learns = std::find(learners.begin(), learners.end(), quorum.settings.self)
+    const bool isLearner = std::find(learners.begin(), learners.end(), quorum.settings.self)
             != learners.end();
     return quorum.joined
-            && (isVoter(quorum, quorum.settings.self) || quorum.membersIndex > quorum.commit
-                || (learns && quorum.refusedOlderLog));
+            && (isVoter(quorum, quorum.settings.self) || quorum.membersIndex > quorum.commitIndex
+                || (isLearner && quorum.refusedOlderLog));
 }
 
 namespace {
 
-// Something speaks for another try, so it need not wait for the end of the election span. After a
-// loss of power in all places the first start of a task came 0.15 s sooner.
-void askSoon(QuorumState &quorum, Time now)
+// Brings the next election forward, without waiting for the end of the election timeout. Shortens
+// recovery when all hosts restart at once.
+void retryElectionSoon(QuorumState &quorum, Time now)
 {
     if (!quorum.leader.empty() || quorum.role == Role::Leader || quorum.role == Role::Candidate)
         return;
     std::uniform_int_distribution<std::int64_t>
-            extra(0, Microseconds(quorum.settings.firstElectionSpan).count());
-    const Time soon = std::max(now + Microseconds(extra(quorum.random)), quorum.yieldUntil);
-    quorum.electionAt = std::min(quorum.electionAt, soon);
+            jitter(0, Microseconds(quorum.settings.firstElectionTimeout).count());
+    const Time soon = std::max(now + Microseconds(jitter(quorum.random)), quorum.backoffUntil);
+    quorum.electionDeadline = std::min(quorum.electionDeadline, soon);
 }
 
-void refuseOlderLog(QuorumState &quorum, Time now)
+void recordOlderLog(QuorumState &quorum, Time now)
 {
     quorum.refusedOlderLog = true;
-    askSoon(quorum, now);
+    retryElectionSoon(quorum, now);
 }
 
-void yieldTo(QuorumState &quorum, Time now)
+void delayElection(QuorumState &quorum, Time now)
 {
     if (!quorum.leader.empty())
         return;
-    quorum.yieldUntil = now + quorum.settings.yieldSpan;
-    quorum.electionAt = std::max(quorum.electionAt, quorum.yieldUntil);
+    quorum.backoffUntil = now + quorum.settings.preVoteBackoff;
+    quorum.electionDeadline = std::max(quorum.electionDeadline, quorum.backoffUntil);
 }
 
-void askForVotes(QuorumState &quorum, bool pre, QuorumActions &actions)
+void requestVotes(QuorumState &quorum, bool preVote, QuorumActions &actions)
 {
     VoteRequest request;
     request.from = quorum.settings.self;
-    request.term = pre ? quorum.term + 1 : quorum.term;
+    request.term = preVote ? quorum.term + 1 : quorum.term;
     request.lastIndex = lastIndex(quorum);
     request.lastTerm = lastTerm(quorum);
-    request.pre = pre;
+    request.preVote = preVote;
     quorum.votes = { quorum.settings.self };
     for (const std::string &voter : quorum.members.voters) {
         if (voter != quorum.settings.self)
@@ -107,44 +107,44 @@
 {
     quorum.role = Role::Candidate;
     setVote(quorum, quorum.term + 1, quorum.settings.self, actions);
-    askForVotes(quorum, false, actions);
-    setElectionTime(quorum, now, quorum.settings.electionSpan);
+    requestVotes(quorum, false, actions);
+    scheduleElection(quorum, now, quorum.settings.electionTimeout);
     if (hasWon(quorum))
         startLeading(quorum, now, actions);
 }
 
 } // namespace
 
-void voterReached(QuorumState &quorum, Time now)
+void voterConnected(QuorumState &quorum, Time now)
 {
-    askSoon(quorum, now);
+    retryElectionSoon(quorum, now);
 }
 
 void tickElection(QuorumState &quorum, Time now, QuorumActions &actions)
 {
-    if (now < quorum.electionAt || !mayLead(quorum))
+    if (now < quorum.electionDeadline || !canBeCandidate(quorum))
         return;
     quorum.role = Role::PreCandidate;
     quorum.leader.clear();
-    setElectionTime(quorum, now, quorum.settings.electionSpan);
-    askForVotes(quorum, true, actions);
+    scheduleElection(quorum, now, quorum.settings.electionTimeout);
+    requestVotes(quorum, true, actions);
     if (hasWon(quorum))
         startElection(quorum, now, actions);
 }
 
 void handleVoteReply(QuorumState &quorum, const VoteReply &reply, Time now, QuorumActions &actions)
 {
-    if (reply.term > quorum.term && !(reply.pre && reply.granted))
+    if (reply.term > quorum.term && !(reply.preVote && reply.granted))
         return becomeFollower(quorum, reply.term, {}, now, actions);
-    const bool awaited = reply.granted
-            && (reply.pre ? quorum.role == Role::PreCandidate && reply.term == quorum.term + 1
-                          : quorum.role == Role::Candidate && reply.term == quorum.term);
-    if (!awaited)
+    const bool expected = reply.granted
+            && (reply.preVote ? quorum.role == Role::PreCandidate && reply.term == quorum.term + 1
+                              : quorum.role == Role::Candidate && reply.term == quorum.term);
+    if (!expected)
         return;
     quorum.votes.insert(reply.from);
     if (!hasWon(quorum))
         return;
-    if (reply.pre)
+    if (reply.preVote)
         startElection(quorum, now, actions);
     else
         startLeading(quorum, now, actions);
@@ -154,19 +154,20 @@
 
 namespace {
 
-bool upToDate(const QuorumState &quorum, const VoteRequest &request)
+bool isUpToDate(const QuorumState &quorum, const VoteRequest &request)
 {
     if (request.lastTerm != lastTerm(quorum))
         return request.lastTerm > lastTerm(quorum);
     return request.lastIndex >= lastIndex(quorum);
 }
 
-// A host that hears its leader helps nobody to replace it.
-bool hearsLeader(const QuorumState &quorum, Time now)
+// A host in contact with its leader grants no votes for a new term.
+bool hasLeaderContact(const QuorumState &quorum, Time now)
 {
     if (quorum.role == Role::Leader)
         return true;
-    return !quorum.leader.empty() && now < quorum.leaderHeardAt + quorum.settings.electionSpan;
+    return !quorum.leader.empty()
+            && now < quorum.lastLeaderContact + quorum.settings.electionTimeout;
 }
 
 } // namespace
@@ -174,30 +175,30 @@
 void handleVoteRequest(QuorumState &quorum, const VoteRequest &request, Time now,
                        QuorumActions &actions)
 {
-    if (!quorum.joined || (hearsLeader(quorum, now) && request.term > quorum.term))
+    if (!quorum.joined || (hasLeaderContact(quorum, now) && request.term > quorum.term))
         return;
     VoteReply reply;
     reply.from = quorum.settings.self;
-    reply.pre = request.pre;
-    if (request.pre) {
+    reply.preVote = request.preVote;
+    if (request.preVote) {
         reply.term = request.term;
-        reply.granted = request.term > quorum.term && upToDate(quorum, request);
+        reply.granted = request.term > quorum.term && isUpToDate(quorum, request);
         if (!reply.granted)
             reply.term = quorum.term;
         if (reply.granted)
-            yieldTo(quorum, now);
-        else if (!upToDate(quorum, request))
-            refuseOlderLog(quorum, now);
+            delayElection(quorum, now);
+        else if (!isUpToDate(quorum, request))
+            recordOlderLog(quorum, now);
         return sendAfterSync(quorum, request.from, reply, actions);
     }
     if (request.term > quorum.term)
         becomeFollower(quorum, request.term, {}, now, actions);
-    const bool free = quorum.votedFor.empty() || quorum.votedFor == request.from;
-    reply.granted = request.term == quorum.term && free && upToDate(quorum, request)
+    const bool voteAvailable = quorum.votedFor.empty() || quorum.votedFor == request.from;
+    reply.granted = request.term == quorum.term && voteAvailable && isUpToDate(quorum, request)
             && quorum.role == Role::Follower;
     if (reply.granted) {
         setVote(quorum, quorum.term, request.from, actions);
-        setElectionTime(quorum, now, quorum.settings.electionSpan);
+        scheduleElection(quorum, now, quorum.settings.electionTimeout);
     }
     reply.term = quorum.term;
     sendAfterSync(quorum, request.from, reply, actions);
--- a/packages/settings/include/foxwing/settings/settings.h
+++ b/packages/settings/include/foxwing/settings/settings.h
@@ -66,7 +66,7 @@
     // PEM files for TLS on the outer listener
     std::string certificateFile;
     std::string keyFile;
-    std::size_t mostBodyBytes = 32U << 20U;
+    std::size_t maxBodyBytes = 32U << 20U;
 };
 
 struct ClusterSettings
@@ -126,10 +126,10 @@
     bool bootstrap = false;
 
     // How long a stopping entry still takes requests, for the balancer to notice.
-    Milliseconds drainNotice { 2000 };
+    Milliseconds drainDelay { 2000 };
 
     // How long a stopping process waits for what is in flight.
-    Milliseconds drainSpan { 30000 };
+    Milliseconds drainTimeout { 30000 };
 
     // "debug", "info", "warning" or "error"
     std::string logLevel = "info";
--- a/packages/wire/include/foxwing/wire/lanes.h
+++ b/packages/wire/include/foxwing/wire/lanes.h
@@ -6,7 +6,7 @@
     thread for one time-out, and is then left alone for a while, during which messages to it fail at
     once.
 
-        LanePool lanes(settings, [](const std::string &address, std::vector<Json::Value> &&lost) {
+        SenderPool lanes(settings, [](const std::string &address, std::vector<Json::Value> &&lost) {
    }); lanes.send("10.0.0.7:7100", encodeMessage(message));
 
     [SECTION] Settings
@@ -26,7 +26,7 @@
 
 // [SECTION] Settings
 
-struct LaneSettings
+struct SenderSettings
 {
     unsigned int threads = 4;
 
@@ -34,12 +34,12 @@
     Milliseconds timeout { 1000 };
 
     // A peer is left alone this long after a failure, doubled up to the longest.
-    Milliseconds pause { 50 };
-    Milliseconds longestPause { 1000 };
+    Milliseconds minBackoff { 50 };
+    Milliseconds maxBackoff { 1000 };
 
     // Messages in one call, and waiting for one peer.
-    std::size_t mostInCall = 512;
-    std::size_t mostWaiting = 50000;
+    std::size_t maxBatchSize = 512;
+    std::size_t maxQueued = 50000;
 
     // Goes with every envelope.
     std::string from;
@@ -47,7 +47,7 @@
     std::string secret;
 };
 
-struct LaneCounters
+struct SenderCounters
 {
     std::uint64_t calls = 0;
     std::uint64_t messages = 0;
@@ -58,15 +58,15 @@
 
 // [SECTION] Pool
 
-class LanePool
+class SenderPool
 {
 public:
     // Called on a lane's thread with messages that may not have arrived.
-    using FailureReceiver =
+    using FailureHandler =
             std::function<void(const std::string &address, std::vector<Json::Value> &&messages)>;
 
-    LanePool(const LaneSettings &settings, FailureReceiver onFailure);
-    ~LanePool();
+    SenderPool(const SenderSettings &settings, FailureHandler onFailure);
+    ~SenderPool();
 
     // Queues a message for the process that listens at "host:port". Never blocks.
     void send(const std::string &address, Json::Value &&message);
@@ -74,7 +74,7 @@
     // Waits until everything queued was sent or has failed, at most this long.
     void flush(Milliseconds longest);
 
-    LaneCounters counters() const;
+    SenderCounters counters() const;
 
 private:
     class Impl;
