--- a/packages/dispatch/include/foxwing/dispatch/dispatcher.h
+++ b/packages/dispatch/include/foxwing/dispatch/dispatcher.h
@@ -1,17 +1,18 @@
 /*
-    The owner of jobs: queues them, binds tasks to free slots, and ends each job with one answer.
+    Dispatcher: owns jobs, queues them, assigns their tasks to free slots and gives each job one
+    answer.
 
-    Make a Dispatcher, feed it jobs, messages from agents and ticks, and carry out the Actions that
-    each call returns:
+    Pass jobs, messages from agents and ticks to a Dispatcher and execute the Actions that each call
+    returns:
 
         Dispatcher dispatcher = makeDispatcher(settings);
         Actions actions = submitJob(dispatcher, spec, epoch, now);
         for (const Outgoing &send : actions.sends)
             ...
 
-    A task is sent to one worker at a time. It is sent to another only after proof that the attempt
-    before never started: the agent refused or voided it. A task whose worker is lost fails its job,
-    except for a repeatable single request, which is tried again within its deadline.
+    A task is sent to one worker at a time, and to another one only after proof that the previous
+    attempt never started: the agent refused or voided it. Losing a worker fails the jobs that had
+    tasks on it, except repeatable single requests, which are retried until their deadline.
 
     [SECTION] Settings
     [SECTION] State
@@ -42,37 +43,37 @@
     std::uint64_t incarnation = 0;
     std::string dataCentre;
 
-    // A worker that has not renewed its offer for this long gets nothing new.
+    // A worker that has not renewed its lease offer for this long gets no new tasks.
     Milliseconds leaseDuration { 1500 };
 
-    // A worker that has not been heard of for this long is lost, and so are the tasks on it.
+    // A worker that has not sent anything for this long is lost, together with its tasks.
     Milliseconds lostAfter { 4000 };
 
-    // A task about which nothing is heard for this long is asked for; the wait then doubles.
+    // Interval after which the agent is queried about a silent task; doubles with each query.
     Milliseconds verifyAfter { 1000 };
     Milliseconds longestVerify { 8000 };
 
-    // After a refusal a job waits this long, doubled with each further one.
+    // Backoff of a job after a refusal; doubles with each further one.
     Milliseconds refusalPause { 10 };
     Milliseconds longestRefusalPause { 500 };
     std::uint32_t mostRefusals = 64;
 
-    // Repeated starts of repeatable requests may be at most this share of all starts.
+    // Retry budget: tokens earned by each start, and initial tokens. A retry takes one token.
     double retryShare = 0.1;
     std::uint32_t retryReserve = 10;
 
-    // Workers and outstanding tasks are looked at this often.
+    // Interval between checks of workers and outstanding tasks.
     Milliseconds sweepInterval { 50 };
 
-    // A takeover gives up on agents that have not answered the fence by then.
+    // A takeover stops waiting for agents that have not acknowledged the fence by then.
     Milliseconds collectSpan { 2500 };
     Milliseconds fenceInterval { 200 };
 
-    // Answers are kept this long for callers who ask again, within this many bytes.
+    // Answers are kept this long for callers that resubmit or fetch, within this many bytes.
     Seconds answerRetention { 120 };
     std::size_t answerBytes = 256U << 20U;
 
-    // Tasks that may wait in one service's queue.
+    // Maximum number of waiting tasks per service.
     std::uint32_t queueBound = 100000;
 
     QueueSettings queue;
@@ -81,7 +82,7 @@
 
 // [SECTION] State
 
-// Run times of one class, as an exponentially weighted mean.
+// Exponentially weighted mean of the run times of one class.
 struct ClassEstimate
 {
     Microseconds mean { 0 };
@@ -95,7 +96,7 @@
     WorkerPool pool;
     std::unordered_map<std::string, ClassEstimate> estimates;
 
-    // Run times of all classes together, and how many tasks wait: what a newcomer has before it.
+    // Run times of all classes and the number of waiting tasks; used to predict queueing delay.
     ClassEstimate overall;
     std::uint32_t waitingTasks = 0;
     std::uint32_t runningTasks = 0;
@@ -138,28 +139,27 @@
     std::unordered_map<std::string, ServiceState> services;
     std::unordered_map<std::string, Job> jobs;
 
-    // Weights of teams as declared; a team that is not here weighs 1.
+    // Configured weights; teams that are not listed have weight 1.
     std::unordered_map<std::string, double> teamWeights;
 
-    // Tasks of each team on workers, and this entry's share of its quota.
+    // Per team: tasks on workers, waiting tasks, and this entry's share of the team's quota.
     std::unordered_map<std::string, std::uint32_t> teamRunning;
     std::unordered_map<std::string, std::uint32_t> teamWaiting;
     std::unordered_map<std::string, std::uint32_t> teamLimits;
 
-    // What may be on a worker by now.
+    // Tasks that may be on a worker.
     std::vector<agent::TaskRef> outstanding;
     std::set<DeadlineOrder> deadlines;
     std::vector<std::string> held;
     std::vector<std::string> collecting;
 
-    // When workers and outstanding tasks are looked at again.
     Time nextSweep {};
 
-    // Ended jobs, oldest first, and the bytes of their answers.
+    // Ended jobs, oldest first, and the total size of their answers.
     std::deque<std::string> ended;
     std::size_t answerBytes = 0;
 
-    // What is left of the budget for repeated starts.
+    // Remaining retry budget.
     double retryTokens = 0;
 
     DispatchCounters counters;
@@ -177,25 +177,25 @@
 {
     std::vector<Outgoing> sends;
 
-    // Keys of jobs that ended in this call; their answers stay in the table.
+    // Keys of jobs that ended in this call; their answers stay in Dispatcher::jobs.
     std::vector<std::string> ended;
 };
 
-// What is known of a job that is taken over.
+// What the claim record and the agent list say about a job that is taken over.
 struct Takeover
 {
-    // Agents that may have started tasks of it.
+    // Agents that may have started tasks of this job.
     std::vector<std::string> agents;
 
-    // There may have been others that can't be asked any more.
+    // Further agents may have started tasks, but are no longer known.
     bool hasGaps = false;
 
-    // When it was claimed, less the differences of clocks; milliseconds since 1970. An agent that
-    // started later may have lost the memory of a task.
+    // When the job was claimed, less the clock skew; milliseconds since 1970. An agent incarnation
+    // that started later may have lost its record of a task.
     std::int64_t claimedAt = 0;
 };
 
-// How busy one service is at this entry.
+// Slots and tasks of one service at this entry.
 struct ServiceLoad
 {
     std::uint32_t slots = 0;
@@ -207,21 +207,20 @@
 
 Dispatcher makeDispatcher(const DispatchSettings &settings);
 
-// Why a job can't be taken now, if so: the queue is full or the deadline can't be met. Certain to
-// be "not run", since nothing was done yet.
+// Returns why a job can't be admitted now: the queue is full or the deadline can't be met. The
+// outcome is always "not run", since nothing was started.
 std::optional<Error> refuseJob(const Dispatcher &dispatcher, const JobSpec &spec, Time now);
 
-// Queues a job whose claim this entry holds in this epoch.
+// Queues a job that this entry has claimed in this epoch.
 Actions submitJob(Dispatcher &dispatcher, const JobSpec &spec, std::uint64_t epoch, Time now);
 
-// This entry's share of a team's quota, in tasks that run at the same time. What runs beyond a
-// lowered share is left to finish.
+// Sets this entry's share of a team's quota, in concurrent tasks. Running tasks above a lowered
+// limit are not stopped.
 void setTeamLimit(Dispatcher &dispatcher, const std::string &team, std::uint32_t limit);
 
-// The team has no quota any more.
 void clearTeamLimit(Dispatcher &dispatcher, const std::string &team);
 
-// What a team has running and waiting here.
+// Running and waiting tasks of one team at this entry.
 struct TeamLoad
 {
     std::uint32_t running = 0;
@@ -229,20 +228,21 @@
 };
 TeamLoad teamLoad(const Dispatcher &dispatcher, const std::string &team);
 
-// Takes a job over from a dead owner: fences it at the agents, collects, and goes on.
+// Takes over the job of a lost owner: fences it at the agents, collects the state of its tasks,
+// and continues it.
 Actions adoptJob(Dispatcher &dispatcher, const JobSpec &spec, std::uint64_t epoch,
                  const Takeover &takeover, Time now);
 
-// Ends a job on the caller's word. No effect on one that has ended.
+// Cancels a job at its caller's request. No effect on a job that has ended.
 Actions cancelJob(Dispatcher &dispatcher, const std::string &key, Time now);
 
-// One message from an agent.
+// Handles one message from an agent.
 Actions handle(Dispatcher &dispatcher, const agent::FromAgent &message, Time now);
 
-// The shell could not deliver a message, or does not know whether it did.
+// To be called when a message could not be delivered, or may not have been.
 Actions sendFailed(Dispatcher &dispatcher, const agent::ToAgent &message, Time now);
 
-// Deadlines, silent workers, silent tasks, retention. Call it every few milliseconds.
+// Handles deadlines, lost workers, silent tasks and retention. Call it every few milliseconds.
 Actions tick(Dispatcher &dispatcher, Time now);
 
 // The job with this key, or null.
@@ -250,16 +250,16 @@
 
 ServiceLoad serviceLoad(const Dispatcher &dispatcher, const std::string &service);
 
-// Gives the lease of one worker to another entry: an idle one if there is any, else, if the other
-// entry has none at all, one of several busy ones. What runs there is finished all the same.
+// Transfers the lease of one worker to another entry: an idle worker, or the least busy one if the
+// successor is starved. Tasks that run there are still finished for this entry.
 Actions yieldWorker(Dispatcher &dispatcher, const std::string &service,
                     const std::string &successor, const std::string &successorDataCentre,
                     bool successorStarved);
 
-// Jobs that have not ended.
+// Number of jobs that have not ended.
 std::size_t activeJobs(const Dispatcher &dispatcher);
 
-// The expected run time of one task: measured for the class, else declared, else a guess.
+// Expected run time of one task: the mean of its class, else the declared time, else a default.
 Microseconds expectedTime(const ServiceState &service, const JobSpec &spec);
 
 } // namespace foxwing::dispatch
--- a/packages/dispatch/include/foxwing/dispatch/fairqueue.h
+++ b/packages/dispatch/include/foxwing/dispatch/fairqueue.h
@@ -1,10 +1,9 @@
 /*
-    The order in which waiting jobs of one service get free slots.
+    Weighted fair queue: the order in which waiting jobs of one service get free slots.
 
-    Teams come first: the team that has used least run time for its weight is next. Within a team
-   the job with the fewest tasks left is next, unless some job has been passed over for longer than
-   the bound; then the oldest is. All operations take logarithmic time in the number of teams or
-   jobs.
+    The team with the least run time used per weight is served next. Within a team the job with the
+    fewest remaining tasks is next, unless the oldest one has waited longer than the starvation
+    limit. All operations take logarithmic time in the number of teams or jobs.
 
         pushJob(queue, "team", 1.0, "team/id", 8, now);
         if (const std::string *key = nextJob(queue, now))
@@ -30,7 +29,7 @@
 enum class QueueOrder {
     // Fair between teams, fewest remaining tasks first within one.
     FairFewestRemaining,
-    // The baseline: first come, first served over all teams.
+    // First come, first served over all teams; the baseline.
     FirstCome,
 };
 
@@ -38,7 +37,7 @@
 {
     QueueOrder order = QueueOrder::FairFewestRemaining;
 
-    // A job that has waited this long goes before smaller ones of its team.
+    // A job that has waited this long goes before smaller jobs of its team.
     Milliseconds passOverBound { 2000 };
 };
 
@@ -87,7 +86,7 @@
     // Microseconds of run time charged so far, divided by the weight.
     double virtualTime = 0;
 
-    // At its quota: nothing of the team is chosen until something of it ends.
+    // The team is at its quota: none of its jobs is chosen until one of its tasks ends.
     bool blocked = false;
 
     std::set<SizeOrder> bySize;
@@ -108,31 +107,31 @@
     std::unordered_map<std::string, TeamQueue> teams;
     std::unordered_map<std::string, QueuedJob> jobs;
 
-    // Teams that have something waiting.
+    // Teams with waiting jobs that are not blocked.
     std::set<TeamOrder> active;
     std::set<AgeOrder> byAge;
     std::uint64_t nextArrival = 0;
 
-    // Where a team that was idle starts again: idling earns no credit.
+    // Virtual time at which a team that was idle rejoins, so that idle time earns no credit.
     double virtualNow = 0;
 };
 
 // [SECTION] Functions
 
-// Adds a job with so many waiting tasks; a job that is there gets the new count instead.
+// Adds a job, or updates the number of its waiting tasks if it is queued already.
 void pushJob(FairQueue &queue, const std::string &team, double weight, const std::string &key,
              std::uint32_t remaining, Time now);
 
-// Sets how many tasks of a job wait; at 0 the job leaves the queue.
+// Sets the number of waiting tasks of a job; at 0 the job leaves the queue.
 void setRemaining(FairQueue &queue, const std::string &key, std::uint32_t remaining);
 
-// The job whose task gets the next free slot, or null if none waits.
+// Returns the job whose task gets the next free slot, or null if none can be chosen.
 const std::string *nextJob(const FairQueue &queue, Time now);
 
-// Keeps a team that is at its quota from being chosen, or lets it be chosen again.
+// Excludes a team that is at its quota from being chosen, or includes it again.
 void blockTeam(FairQueue &queue, const std::string &team, bool blocked);
 
-// Charges a team for run time, or gives some back if the span is negative.
+// Charges a team for run time; a negative time is refunded.
 void chargeTeam(FairQueue &queue, const std::string &team, Microseconds runTime);
 
 } // namespace foxwing::dispatch
--- a/packages/dispatch/include/foxwing/dispatch/health.h
+++ b/packages/dispatch/include/foxwing/dispatch/health.h
@@ -1,10 +1,10 @@
 /*
-    Judging workers by what their tasks come to.
+    Outlier ejection: takes workers whose tasks fail out of use.
 
-    A worker that fails everything quickly is the most attractive one there is: it always has a free
-    slot. So each worker's failures are held against those of its peers, and one that fails clearly
-    more is ejected for a while, within a bounded share of the pool, and comes back through
-    repeatable work, one task at a time.
+    A worker that fails every task quickly always has a free slot and would attract most of the
+    tasks. So each worker's failures are compared with those of its peers. A worker that fails
+    clearly more often is ejected for a while, as long as only a limited part of the pool is out,
+    and returns through a probation with repeatable work, one task at a time.
 
     [SECTION] Settings
     [SECTION] State
@@ -22,21 +22,22 @@
 
 struct HealthSettings
 {
-    // Failures in a row before a worker can be ejected.
+    // Consecutive failures before a worker can be ejected, and least number of outcomes of its
+    // peers to compare it with.
     std::uint32_t evidence = 4;
 
-    // Peers that fail more than this share of their own tasks make a failure no evidence against
-    // the worker: then the work is bad, not the worker.
+    // No worker is ejected while its peers fail more than this part of their tasks: then the cause
+    // is the work, not the worker.
     double peerFailureShare = 0.5;
 
-    // At most this share of a service's workers is out at any time.
+    // At most this part of a service's workers is ejected or on probation at any time.
     double largestEjectedShare = 0.3;
 
-    // First time out; doubles with each ejection up to the longest.
+    // Duration of the first ejection; doubles with each further one up to the maximum.
     Milliseconds ejection { 5000 };
     Milliseconds longestEjection { 120000 };
 
-    // Successes in a row that end a trial.
+    // Consecutive successes that end a probation.
     std::uint32_t trialSuccesses = 3;
 };
 
@@ -45,7 +46,7 @@
 enum class Standing {
     Good,
     Ejected,
-    // One repeatable task at a time.
+    // Gets one repeatable task at a time.
     OnTrial,
 };
 
@@ -58,7 +59,7 @@
     Time outUntil {};
 };
 
-// Outcomes over a whole service; both shares decay so that old events lose weight.
+// Outcomes of all workers of a service; both counts decay, so that old outcomes lose weight.
 struct ServiceHealth
 {
     HealthSettings settings;
@@ -70,14 +71,14 @@
 
 // [SECTION] Functions
 
-// Counts the end of one task and ejects, tries or restores the worker. True if its standing
+// Records the outcome of one task and ejects or restores the worker. Returns true if its status
 // changed.
 bool recordOutcome(ServiceHealth &service, WorkerHealth &worker, bool succeeded, Time now);
 
-// Moves an ejected worker whose time is over to its trial. True if its standing changed.
+// Puts a worker whose ejection is over on probation. Returns true if its status changed.
 bool endEjection(WorkerHealth &worker, Time now);
 
-// Keeps the counts right when a worker leaves the service.
+// Takes a worker that leaves the service out of the counts.
 void forgetWorker(ServiceHealth &service, const WorkerHealth &worker);
 
 } // namespace foxwing::dispatch
--- a/packages/dispatch/include/foxwing/dispatch/job.h
+++ b/packages/dispatch/include/foxwing/dispatch/job.h
@@ -1,12 +1,12 @@
 /*
-    Jobs and their tasks, as their owner keeps them.
+    Jobs and their tasks, as their owner stores them.
 
-    A single request is a job of one task. A job ends in exactly one Answer: complete with every
-    result, or failed, or not run; never with a part of its results.
+    A single request is a job of one task. A job ends with exactly one Answer: complete with every
+    result, failed, or not run. There are no partial results.
 
-    [SECTION] What a caller asks for
-    [SECTION] What the owner keeps
-    [SECTION] What a caller gets
+    [SECTION] Job specification
+    [SECTION] Answer
+    [SECTION] Job state
 */
 #pragma once
 
@@ -20,59 +20,58 @@
 
 namespace foxwing::dispatch {
 
-// [SECTION] What a caller asks for
+// [SECTION] Job specification
 
 struct JobSpec
 {
-    // Identity: key is "team/submission".
+    // "team/submission"
     std::string key;
     std::string team;
     std::string service;
 
-    // The caller's name for this sort of work; estimates and histograms are kept for each.
+    // The caller's name for this kind of work; estimates and histograms are kept per class.
     std::string workClass;
 
-    // One payload for each task, passed to the endpoint as it is.
+    // One payload per task, passed to the endpoint unchanged.
     std::vector<std::string> payloads;
 
-    // How long the caller expects one task to take; zero if it did not say. Often far off, so it is
-    // used only until run times of the class have been measured.
+    // The caller's estimate of the run time of one task, or zero. Often far off, so it is used only
+    // until run times of the class have been measured.
     Microseconds declaredTime { 0 };
 
-    // The answer is of no use after this.
     Time deadline {};
 
-    // Running it twice would do no harm. Such work may try a worker that is under suspicion.
+    // The work is idempotent. Such work may go to a worker on probation.
     bool repeatable = false;
 
-    // A single request. If it is repeatable too, it may run again when its worker is lost; tasks of
-    // jobs never do.
+    // A single request. If it is repeatable, it may be retried when its worker is lost; tasks of
+    // other jobs never are.
     bool request = false;
 };
 
-// [SECTION] What a caller gets
+// [SECTION] Answer
 
 struct Answer
 {
     Outcome outcome = Outcome::Pending;
 
-    // One body for each task, in order; empty unless the outcome is Complete.
+    // One body per task, in order; empty unless the outcome is Complete.
     std::vector<std::string> results;
 
-    // Why, unless the outcome is Complete.
+    // Set unless the outcome is Complete.
     Error error;
 };
 
-// [SECTION] What the owner keeps
+// [SECTION] Job state
 
 enum class TaskState {
     // No attempt may have started.
     Waiting,
-    // An attempt was sent, and nothing is known of it.
+    // An attempt was sent; whether it started is unknown.
     Sent,
-    // The agent said that it runs.
+    // The agent reported that the task runs.
     Running,
-    // It ended well and the result is here.
+    // The result was received.
     Done,
 };
 
@@ -81,26 +80,26 @@
     TaskState state = TaskState::Waiting;
     std::uint32_t attempt = 0;
 
-    // Where the present attempt is
+    // Worker of the current attempt
     std::string agent;
     std::uint64_t agentIncarnation = 0;
     Time sentAt {};
 
-    // When to ask the agent about it, should nothing be heard; doubles each time.
+    // When to query the agent if it reports nothing; the interval doubles each time.
     Time nextVerify {};
     Milliseconds verifyWait { 0 };
 
-    // What its team was charged when it was sent; corrected once it has ended.
+    // Run time charged to the team at the start; corrected at the end.
     Microseconds charged { 0 };
 
-    // Position in the dispatcher's list of outstanding tasks while it is on a worker.
+    // Index in Dispatcher::outstanding while the task is on a worker.
     std::size_t outstandingAt = 0;
 
     std::string result;
 };
 
 enum class JobState {
-    // A new owner collects what agents know before anything is sent.
+    // A takeover waits for what the agents know; no task is sent.
     Collecting,
     Active,
     Ended,
@@ -119,13 +118,13 @@
     std::uint32_t refusals = 0;
     Time arrivedAt {};
 
-    // Not before this is another task sent, after refusals.
+    // After refusals no task is sent before this.
     Time holdUntil {};
 
-    // Some attempt may have run although no task shows it: "not run" can't be said any more.
+    // Some attempt may have run although no task shows it: "not run" is ruled out.
     bool mayHaveRun = false;
 
-    // Takeover: agents that have not answered the fence yet.
+    // Takeover: agents that have not acknowledged the fence yet.
     std::vector<std::string> unanswered;
     bool collectionHasGaps = false;
     std::int64_t claimedAt = 0;
--- a/packages/dispatch/include/foxwing/dispatch/workerpool.h
+++ b/packages/dispatch/include/foxwing/dispatch/workerpool.h
@@ -1,8 +1,8 @@
 /*
-    The workers of one service whose slots this entry holds under lease.
+    The workers of one service whose slots this entry has leased.
 
-    takeOffer() adds or renews a worker; pickWorker() finds a free slot in logarithmic time, in the
-    entry's own data centre first, on the worker with most free slots.
+    takeOffer() adds or renews a worker. pickWorker() finds a free slot in logarithmic time: in the
+    entry's own data centre first, on the worker with the fewest busy slots.
 
     [SECTION] State
     [SECTION] Functions
@@ -29,7 +29,7 @@
     std::uint64_t leaseEpoch = 0;
     std::string dataCentre;
 
-    // Slots: in all, taken by our tasks, and taken by tasks of earlier owners.
+    // Slots in total, used by tasks of this entry, and used by tasks of previous owners.
     std::uint32_t slots = 0;
     std::uint32_t ours = 0;
     std::uint32_t others = 0;
@@ -40,13 +40,13 @@
     bool leased = false;
     bool leaving = false;
 
-    // A worker that said "no free slot" is left alone until then.
+    // A worker that refused a task gets no other one before this.
     Time restUntil {};
 
     WorkerHealth health;
 };
 
-// Where a worker stands in the order of choice; the least goes first.
+// Order in which workers are chosen; the smallest goes first.
 struct FreeOrder
 {
     bool farAway = false;
@@ -68,22 +68,21 @@
     std::string dataCentre;
     std::unordered_map<std::string, Worker> workers;
 
-    // Workers in good standing with a free slot, and those on trial with nothing to do.
+    // Healthy workers with a free slot, and workers on probation that have no task of this entry.
     std::set<FreeOrder> free;
     std::set<FreeOrder> trial;
     ServiceHealth health;
 
-    // Over all leased workers
+    // Totals over all leased workers
     std::uint32_t slots = 0;
     std::uint32_t leasedWorkers = 0;
 };
 
-// What an offer changed.
 enum class OfferEffect {
     None,
-    // The agent restarted: everything sent to the earlier incarnation may have run.
+    // The agent restarted; tasks sent to its previous incarnation may have run.
     Restarted,
-    // An offer of an earlier incarnation or epoch, to be ignored.
+    // The offer is from an earlier incarnation or epoch and was ignored.
     Stale,
 };
 
@@ -91,23 +90,22 @@
 
 OfferEffect takeOffer(WorkerPool &pool, const agent::LeaseOffer &offer, Time now);
 
-// A worker with a free slot, or null. Workers on trial get repeatable work only.
+// Returns a worker with a free slot, or null. Workers on probation get repeatable work only.
 Worker *pickWorker(WorkerPool &pool, bool repeatable);
 
-// Counts a task of ours in or out of a worker's slots.
+// Adds or removes one of this entry's tasks on a worker.
 void occupySlot(WorkerPool &pool, Worker &worker);
 void releaseSlot(WorkerPool &pool, Worker &worker);
 
-// Puts a worker into the sets that it belongs to by now. Call after any change to it.
+// Inserts a worker into the sets that fit its state. Call after any change to it.
 void placeWorker(WorkerPool &pool, Worker &worker);
 
-// Takes a worker out of the sets before it is changed.
+// Removes a worker from the sets. Call before any change to it.
 void unplaceWorker(WorkerPool &pool, const Worker &worker);
 
-// The lease is over; the worker stays known while tasks of ours run there.
+// Ends the lease of a worker. The worker stays in the pool until removeWorker().
 void endLease(WorkerPool &pool, Worker &worker);
 
-// Removes a worker for good.
 void dropWorker(WorkerPool &pool, const std::string &id);
 
 } // namespace foxwing::dispatch
--- a/packages/dispatch/src/dispatcher.cpp
+++ b/packages/dispatch/src/dispatcher.cpp
@@ -1,12 +1,11 @@
 /*
-    The owner's decisions.
+    Dispatcher: assignment of tasks, messages from agents, lost workers, timers.
 
-    [SECTION] Binding
-    [SECTION] Admission
+    [SECTION] Assignment
     [SECTION] Messages from agents
-    [SECTION] Loss
-    [SECTION] Time
-    [SECTION] Entry points
+    [SECTION] Lost workers
+    [SECTION] Timers
+    [SECTION] Functions
 */
 #include <foxwing/dispatch/dispatcher.h>
 
@@ -19,15 +18,15 @@
 
 namespace {
 
-// [SECTION] Binding
+// [SECTION] Assignment
 
-// With nothing measured and nothing declared, a task is taken to be this long.
+// Run time assumed for a task whose class has no measured and no declared time.
 constexpr Microseconds UnknownTime { 200000 };
 
-// Weight of the newest run time in the mean of its class.
+// The newest run time enters the mean of its class with a weight of 1/16.
 constexpr int EstimateShare = 16;
 
-// Budget for repeated starts never grows beyond this many.
+// Upper limit of the retry budget.
 constexpr double MostRetryTokens = 1000;
 
 void sendStart(Dispatcher &dispatcher, Job &job, Task &task, Worker &worker, Time now,
@@ -61,7 +60,7 @@
     return nullptr;
 }
 
-// Gives free slots to waiting tasks until one of the two runs out.
+// Assigns waiting tasks to free slots until either runs out.
 void bindTasks(Dispatcher &dispatcher, ServiceState &service, Time now, Actions &actions)
 {
     while (const std::string *key = nextJob(service.queue, now)) {
@@ -227,7 +226,7 @@
         task->state = TaskState::Running;
 }
 
-// [SECTION] Loss
+// [SECTION] Lost workers
 
 bool mayRetry(const Dispatcher &dispatcher, const Job &job, Time now)
 {
@@ -235,7 +234,7 @@
             && dispatcher.retryTokens >= 1;
 }
 
-// A task whose worker is gone may have run, wholly or in part.
+// A task whose worker is lost may have run, fully or in part.
 void loseTask(Dispatcher &dispatcher, Job &job, Task &task, Time now, Actions &actions)
 {
     job.mayHaveRun = true;
@@ -251,7 +250,7 @@
     requeue(dispatcher, job, now);
 }
 
-// Loses all tasks on an agent whose incarnation is older than the given one.
+// Handles the loss of all tasks on incarnations of an agent that are older than the given one.
 void loseTasksOn(Dispatcher &dispatcher, const std::string &agentId, std::uint64_t before, Time now,
                  Actions &actions)
 {
@@ -284,7 +283,7 @@
     bindTasks(dispatcher, service, now, actions);
 }
 
-// An agent is alive if anything came from its present incarnation.
+// Any message from its current incarnation shows that an agent is alive.
 void hearAgent(Dispatcher &dispatcher, const std::string &agentId, std::uint64_t incarnation,
                Time now)
 {
@@ -295,7 +294,7 @@
     }
 }
 
-// [SECTION] Time
+// [SECTION] Timers
 
 void tickWorker(Dispatcher &dispatcher, ServiceState &service, Worker &worker, Time now)
 {
@@ -336,8 +335,8 @@
     task.nextVerify = now + task.verifyWait;
 }
 
-// Tasks of jobs taken over may be on workers that this entry has never met; those are lost when
-// they have not been heard of for as long as any other.
+// Tasks of a job that was taken over may be on workers that never offered this entry a lease. They
+// count as lost after the worker timeout, too.
 bool unknownWorkerIsLost(const Dispatcher &dispatcher, const Job &job, const Task &task, Time now)
 {
     const WorkerPool &pool = dispatcher.services.at(job.spec.service).pool;
@@ -393,7 +392,7 @@
 
 } // namespace
 
-// [SECTION] Entry points
+// [SECTION] Functions
 
 Dispatcher makeDispatcher(const DispatchSettings &settings)
 {
@@ -413,8 +412,8 @@
 
 namespace {
 
-// The run time that is certain enough to refuse work by. What callers declare is often far off, and
-// so is a mean of few or old samples; work that is let through then brings new ones.
+// Run time that is reliable enough to refuse work by, else zero. Declared times and means of few or
+// old samples are often far off; admitting such work brings new samples.
 Microseconds reliableTime(const ServiceState &service, const JobSpec &spec, Time now)
 {
     constexpr std::uint32_t FewestSamples = 16;
@@ -549,7 +548,7 @@
     Actions actions;
     const auto *start = std::get_if<agent::Start>(&message);
     if (!start)
-        return actions; // everything else is repeated until it is answered
+        return actions; // other messages are repeated until they are answered
     const auto found = dispatcher.jobs.find(start->ref.job);
     if (found == dispatcher.jobs.end() || found->second.state == JobState::Ended)
         return actions;
--- a/packages/dispatch/src/fairqueue.cpp
+++ b/packages/dispatch/src/fairqueue.cpp
@@ -1,5 +1,5 @@
 /*
-    The order of waiting jobs.
+    Weighted fair queue.
 
     [SECTION] Membership of the sets
     [SECTION] Functions
--- a/packages/dispatch/src/health.cpp
+++ b/packages/dispatch/src/health.cpp
@@ -1,7 +1,7 @@
 /*
-    Ejection and trial of workers.
+    Ejection and probation of workers.
 
-    [SECTION] Evidence
+    [SECTION] Ejection
     [SECTION] Functions
 */
 #include <foxwing/dispatch/health.h>
@@ -10,14 +10,14 @@
 
 namespace foxwing::dispatch {
 
-// [SECTION] Evidence
+// [SECTION] Ejection
 
 namespace {
 
-// Each outcome weighs this much less with every later one, so about the last 200 count.
+// Each outcome decays by this factor with every later one: a window of about 200 outcomes.
 constexpr double Decay = 0.995;
 
-// A worker's own failures in a row are taken out before its peers are looked at.
+// The worker's own consecutive failures are not counted as failures of its peers.
 bool peersDoBetter(const ServiceHealth &service, const WorkerHealth &worker)
 {
     const double peerFailures = std::max(0.0, service.failures - worker.failuresInRow);
--- a/packages/dispatch/src/jobtable.cpp
+++ b/packages/dispatch/src/jobtable.cpp
@@ -1,9 +1,9 @@
 /*
-    Changes to tasks and jobs.
+    State changes of tasks and jobs.
 
     [SECTION] Tasks
     [SECTION] Queueing
-    [SECTION] Ends
+    [SECTION] Completion and failure
     [SECTION] Retention
 */
 #include "jobtable.h"
@@ -62,7 +62,7 @@
     return found == pool.workers.end() ? nullptr : &found->second;
 }
 
-// The last one takes the place of the one removed, so that no list is searched.
+// Moves the last entry to the place of the removed one, which takes constant time.
 void removeOutstanding(Dispatcher &dispatcher, const Task &task)
 {
     std::vector<agent::TaskRef> &refs = dispatcher.outstanding;
@@ -148,7 +148,7 @@
         blockTeam(queue, spec.team, dispatcher.teamRunning[spec.team] >= limit->second);
 }
 
-// [SECTION] Ends
+// [SECTION] Completion and failure
 
 namespace {
 
@@ -187,7 +187,7 @@
     }
 }
 
-// Whether no attempt of any task may have started.
+// True if no attempt of any task can have started.
 bool provablyNotRun(const Job &job)
 {
     if (job.mayHaveRun || job.state == JobState::Collecting)
--- a/packages/dispatch/src/jobtable.h
+++ b/packages/dispatch/src/jobtable.h
@@ -1,5 +1,5 @@
 /*
-    Inside the dispatcher: changing tasks and jobs so that counts, queue, slots and charges agree.
+    Internal: state changes of tasks and jobs that keep counts, queue, slots and charges consistent.
 
     [SECTION] Tasks
     [SECTION] Jobs
@@ -14,40 +14,41 @@
 
 agent::TaskRef refOf(const Job &job, const Task &task);
 
-// The task that a reference names, if the attempt and, unless it is zero, the agent's incarnation
-// are the present ones; else null.
+// Returns the task of a reference if it is on this worker, with the same attempt and incarnation of
+// the agent; else null.
 Task *currentTask(Job &job, const agent::TaskRef &ref, const std::string &agentId,
                   std::uint64_t incarnation);
 
-// A waiting task is on its way to a worker.
+// Records that a waiting task is sent to a worker.
 void markSent(Dispatcher &dispatcher, Job &job, Task &task, const Worker &worker, Time now);
 
-// Lists a task that is on a worker, so that it is verified and found when the worker is lost.
+// Adds a task on a worker to the outstanding ones, which are queried and searched when a worker is
+// lost.
 void addOutstanding(Dispatcher &dispatcher, Job &job, Task &task);
 
-// A task is no longer on its worker; its slot, charge and quota are given back.
+// Releases the slot and quota of a task that is no longer on its worker, and corrects the charge to
+// its run time.
 void takeOffWorker(Dispatcher &dispatcher, Job &job, Task &task, Microseconds runTime);
 
-// A task that was proved never to have started waits again.
+// Returns a task to the waiting ones, after proof that it never started or for a retry.
 void markWaiting(Dispatcher &dispatcher, Job &job, Task &task);
 
 // [SECTION] Jobs
 
-// Makes the job with all its tasks waiting. It is not queued yet.
+// Adds the job with all tasks waiting. Does not queue it yet.
 Job &addJob(Dispatcher &dispatcher, const JobSpec &spec, std::uint64_t epoch, Time now);
 
-// Puts the job's waiting tasks into the queue, or takes them out if it may not be sent now.
+// Updates the queue: the job is in it while it has waiting tasks that may be sent now.
 void requeue(Dispatcher &dispatcher, Job &job, Time now);
 
-// Ends the job with an error; what runs is stopped, what waits is dropped. The outcome is NotRun
-// only if no attempt of any task may have started.
+// Ends the job with an error: cancels its tasks on workers and drops the waiting ones. The outcome
+// is NotRun only if no attempt of any task can have started.
 void failJob(Dispatcher &dispatcher, Job &job, ErrorKind kind, std::string message, Time now,
              Actions &actions);
 
-// Ends the job as complete.
 void completeJob(Dispatcher &dispatcher, Job &job, Time now, Actions &actions);
 
-// Forgets answers that are too old, or the oldest while there are too many bytes.
+// Evicts answers that are too old, and the oldest ones while all together are too large.
 void forgetAnswers(Dispatcher &dispatcher, Time now);
 
 } // namespace foxwing::dispatch
--- a/packages/dispatch/src/takeover.cpp
+++ b/packages/dispatch/src/takeover.cpp
@@ -1,9 +1,10 @@
 /*
-    Takeover: fence, collect, start what provably never started, else fail.
+    Takeover: fence the job at its agents, collect the state of its tasks, then start those that
+    provably never started, or fail the job if that isn't certain.
 
     [SECTION] Fences
     [SECTION] Collection
-    [SECTION] End
+    [SECTION] End of the collection
 */
 #include "takeover.h"
 
@@ -35,7 +36,7 @@
     actions.sends.push_back({ agentId, agent::Settle { { ref } } });
 }
 
-// A task that finished or runs at the agent; neither may be started again.
+// Applies the state of a task that runs or finished at the agent; it must not be started again.
 void takeStarted(Dispatcher &dispatcher, Job &job, const agent::TaskStatus &known,
                  const agent::Fenced &from, Time now, Actions &actions)
 {
@@ -85,7 +86,7 @@
                        "another entry has taken this job over; ask again with the same id", now,
                        actions);
     job.unanswered.erase(waiting);
-    // Incarnations are the dates at which agents started.
+    // The incarnation of an agent is its start time in milliseconds since 1970.
     const auto startedAt = static_cast<std::int64_t>(fenced.agentIncarnation);
     job.collectionHasGaps = job.collectionHasGaps || startedAt >= job.claimedAt;
     for (const agent::TaskStatus &known : fenced.tasks) {
@@ -101,7 +102,7 @@
         endCollection(dispatcher, job, now, actions);
 }
 
-// [SECTION] End
+// [SECTION] End of the collection
 
 void endCollection(Dispatcher &dispatcher, Job &job, Time now, Actions &actions)
 {
--- a/packages/dispatch/src/takeover.h
+++ b/packages/dispatch/src/takeover.h
@@ -1,5 +1,5 @@
 /*
-    Inside the dispatcher: taking over the jobs of a dead owner.
+    Internal: takeover of the jobs of a lost owner.
 
     [SECTION] Functions
 */
@@ -11,17 +11,17 @@
 
 // [SECTION] Functions
 
-// Sends the fence to every agent that has not answered it, when it is due.
+// Sends the fence to every agent that has not acknowledged it, at most once per fence interval.
 void sendFences(Dispatcher &dispatcher, Job &job, Time now, Actions &actions);
 
-// Takes in what one agent knows. Ends the collection when it was the last.
+// Applies what one agent knows. Ends the collection if it was the last one.
 void takeFenced(Dispatcher &dispatcher, Job &job, const agent::Fenced &fenced, Time now,
                 Actions &actions);
 
-// Repeats fences and ends collections whose time is over.
+// Repeats fences and ends collections that have timed out.
 void tickCollections(Dispatcher &dispatcher, Time now, Actions &actions);
 
-// Goes on with what is known once every agent has answered or been given up.
+// Continues or fails the job once every agent has answered or the collection has timed out.
 void endCollection(Dispatcher &dispatcher, Job &job, Time now, Actions &actions);
 
 } // namespace foxwing::dispatch
--- a/packages/dispatch/src/workerpool.cpp
+++ b/packages/dispatch/src/workerpool.cpp
@@ -1,5 +1,5 @@
 /*
-    Workers under lease and the sets that order them by free slots.
+    Leased workers and the sets that order them for assignment.
 
     [SECTION] Sets
     [SECTION] Offers
@@ -104,7 +104,7 @@
 
 Worker *pickWorker(WorkerPool &pool, bool repeatable)
 {
-    // A trial costs one repeatable task and gives the worker back, so it goes first.
+    // A probation takes one repeatable task at a time and can restore the worker, so it goes first.
     const std::set<FreeOrder> &set = repeatable && !pool.trial.empty() ? pool.trial : pool.free;
     if (set.empty())
         return nullptr;
--- a/packages/dispatch/tests/dispatcher_test.cpp
+++ b/packages/dispatch/tests/dispatcher_test.cpp
@@ -1,10 +1,9 @@
 /*
-    What an owner does when answers come, do not come, or come wrongly. Every step between the start
-   of a task and its settlement is lost or cut once, and what the caller is told is held against
-   what may have happened.
+    Tests of the dispatcher with lost, late and unexpected messages. Each step between the start of
+    a task and its settlement fails once; the outcome must match what may have happened.
 
     [SECTION] Helpers
-    [SECTION] Each step fails once
+    [SECTION] Failures of single steps
     [SECTION] Answers
     [SECTION] Limits
 */
@@ -82,7 +81,7 @@
         take(handle(dispatcher, finished, now));
     }
 
-    // Time passes; the worker renews its lease or not.
+    // Advances the clock in ticks; the worker renews its lease or not.
     void pass(Milliseconds span, bool renew)
     {
         const Time until = now + span;
@@ -97,7 +96,7 @@
     const Answer &answer(const std::string &key) const { return findJob(dispatcher, key)->answer; }
 };
 
-// [SECTION] Each step fails once
+// [SECTION] Failures of single steps
 
 struct Step
 {
--- a/packages/dispatch/tests/fairqueue_test.cpp
+++ b/packages/dispatch/tests/fairqueue_test.cpp
@@ -1,5 +1,5 @@
 /*
-    The order in which waiting jobs get slots.
+    Tests of the fair queue: order of waiting jobs.
 
     [SECTION] Tests
 */
--- a/packages/dispatch/tests/health_test.cpp
+++ b/packages/dispatch/tests/health_test.cpp
@@ -1,5 +1,5 @@
 /*
-    Which workers are ejected, and how they come back.
+    Tests of ejection and probation of workers.
 
     [SECTION] Tests
 */
--- a/tests/golden/sessions_test.cpp
+++ b/tests/golden/sessions_test.cpp
@@ -1,8 +1,8 @@
 /*
-    Golden files of whole sessions: every message between the processes and every reply, in virtual
-    time. FOXWING_UPDATE_GOLDEN=1 writes the files anew; read the difference before you commit it.
+    Golden tests: sessions whose messages and replies, in virtual time, must match recorded files.
+    FOXWING_UPDATE_GOLDEN=1 rewrites the files; review the difference before you commit it.
 
-    Traces of both deployments' mixes are replayed through the same code, against stated outcomes.
+    Traces of the workloads of both deployments are replayed and checked for their outcomes.
 
     [SECTION] Sessions
     [SECTION] Golden files
@@ -125,7 +125,7 @@
 
 // [SECTION] Traces
 
-// Rows of "milliseconds,class,tasks,task milliseconds", as the load tool reads them.
+// Rows of "milliseconds,class,tasks,task milliseconds", the format of the load tool.
 struct Trace
 {
     const char *name;
--- a/tests/schedules/promises.cpp
+++ b/tests/schedules/promises.cpp
@@ -1,9 +1,9 @@
 /*
-    The promises that the schedules are held against.
+    Invariants that are checked during and after each schedule.
 
-    [SECTION] Names
+    [SECTION] Helpers
     [SECTION] Replies
-    [SECTION] Ends
+    [SECTION] End of a schedule
 */
 #include "worldstate.h"
 
@@ -12,7 +12,7 @@
 
 namespace foxwing::schedules {
 
-// [SECTION] Names
+// [SECTION] Helpers
 
 void violate(World &world, const std::string &what)
 {
@@ -47,7 +47,7 @@
 void checkNotRun(World &world, const Work &work, const entry::Reply &reply)
 {
     const std::string key = work.request.team + "/" + reply.submission;
-    // A conflict is about the other body, and "not found" about what was looked for.
+    // A conflict refers to the other body, and "not found" to the lookup, not to the job.
     const ErrorKind kind = reply.answer.error.kind;
     if (kind == ErrorKind::Conflict || kind == ErrorKind::NotFound)
         return;
@@ -58,7 +58,7 @@
     }
 }
 
-// A line of a golden file; ids are random, so the number of the submission stands for them.
+// A line of a golden file. It has the number of the submission in place of its random id.
 std::string replyLine(const World &world, const entry::Reply &reply)
 {
     const auto found = world.waiting.find(reply.waiter);
@@ -105,9 +105,8 @@
     }
 }
 
-// [SECTION] Ends
+// [SECTION] End of a schedule
 
-// Callers of live entries are answered by their deadline and a little more.
 void checkWaiting(World &world)
 {
     constexpr Milliseconds Grace { 2500 };
@@ -120,7 +119,6 @@
     }
 }
 
-// After everything has healed, new work must complete.
 void checkRecovery(World &world, std::size_t fresh)
 {
     const std::string key = keyOf(world.works[fresh].request);
--- a/tests/schedules/schedules_test.cpp
+++ b/tests/schedules/schedules_test.cpp
@@ -1,9 +1,9 @@
 /*
-    Random schedules of faults against the promises: no task starts twice, "not run" is true,
-   answers are whole and one's own.
+    Random fault schedules. Invariants: no task starts twice, "not run" is true, and answers are
+    complete and belong to the caller's own job.
 
-    FOXWING_SCHEDULES sets how many seeds are run, FOXWING_SEED the first one. In a build with a
-   broken guard the test passes only if a violation is found.
+    FOXWING_SCHEDULES sets the number of seeds, FOXWING_SEED the first one. In a build with a broken
+    guard the test passes only if a violation is found.
 
     [SECTION] Tests
 */
@@ -26,7 +26,7 @@
     return text ? std::strtoull(text, nullptr, 10) : fallback;
 }
 
-// What many schedules came to.
+// Totals of many schedules.
 struct Summary
 {
     Report total;
--- a/tests/schedules/sessions.cpp
+++ b/tests/schedules/sessions.cpp
@@ -1,5 +1,5 @@
 /*
-    Sessions that are driven by hand.
+    Scripted sessions: the simulation without random faults.
 
     [SECTION] Sessions
 */
--- a/tests/schedules/world.cpp
+++ b/tests/schedules/world.cpp
@@ -1,5 +1,5 @@
 /*
-    The world of the schedule tests.
+    Simulation of the schedule tests.
 
     [SECTION] Network
     [SECTION] Processes
@@ -80,7 +80,7 @@
     const bool noticed = lost && chance(world, 0.5);
     if (!noticed)
         return;
-    // The sender learns that this one failed, as from a closed connection.
+    // The sender notices the loss, as by a closed connection.
     Process &sender = world.processes.at(from);
     if (const auto toAgent = node::narrow<agent::ToAgent>(message); toAgent && sender.entry)
         entry::sendFailed(*sender.entry, *toAgent, world.now);
@@ -220,7 +220,7 @@
         carryOut(world, process, entry::setView(*process.entry, update.view, world.now));
 }
 
-// FOXWING_TRACE names a piece of text: every delivered message that has it is printed.
+// Prints every delivered message that contains the text in FOXWING_TRACE.
 void trace(const World &world, const std::string &to, const Message &message)
 {
     static const char *wanted = std::getenv("FOXWING_TRACE");
@@ -232,7 +232,7 @@
                     text.c_str());
 }
 
-// Steady traffic that says nothing about a submission.
+// Periodic traffic that concerns no single submission.
 bool isUpkeep(const Message &message)
 {
     return std::holds_alternative<control::Beat>(message)
@@ -541,7 +541,7 @@
     const auto number = static_cast<std::size_t>(between(world, 0, SubmissionCount - 1));
     if (chance(world, 0.12))
         submitWork(world, number);
-    // A caller that hears nothing often asks at two places at the same moment.
+    // A caller without a reply often resubmits at two entries at once.
     if (chance(world, 0.04)) {
         submitWork(world, number);
         submitWork(world, number);
@@ -570,7 +570,7 @@
     setUp(world);
     const Time chaosFrom = world.now + Milliseconds(1500);
     const Time healAt = chaosFrom + ChaosSpan;
-    // By then clocks have passed the floor of shards that were lost with all their replicas.
+    // By then the clocks have passed the loss cutoff of shards that lost all replicas.
     const Time freshAt = healAt + Milliseconds(11000);
     const Time end = healAt + HealSpan;
     bool fresh = false;
--- a/tests/schedules/world.h
+++ b/tests/schedules/world.h
@@ -1,12 +1,14 @@
 /*
-    A small world for schedule tests: the real entry, agent and control code, with a network that
-    loses, doubles and delays, processes that crash, restart and stand still, all from one seed.
+    Deterministic simulation for schedule tests: the production code of entries, agents and control
+    with a network that loses, duplicates and delays messages, and processes that crash, restart and
+    pause. Everything follows from one seed.
 
         Report report = runSchedule(seed);
         if (!report.violations.empty())
             ...
 
-    Nothing here decides for the code under test: it only delivers, times and counts.
+    The simulation makes no decisions for the code under test; it only delivers messages, advances
+    time and counts.
 
     [SECTION] Report
     [SECTION] Function
@@ -26,10 +28,10 @@
 
 struct Report
 {
-    // Each names the promise and the work.
+    // Violated invariants, each with the submission concerned.
     std::vector<std::string> violations;
 
-    // How much happened, to see that the schedules test something.
+    // Activity counts, to show that the schedules exercise the code.
     std::uint64_t starts = 0;
     std::uint64_t complete = 0;
     std::uint64_t failed = 0;
@@ -43,24 +45,24 @@
 
 // [SECTION] Function
 
-// Runs one schedule; the same seed gives the same schedule.
+// Runs one schedule, which the seed determines.
 Report runSchedule(std::uint64_t seed);
 
 // [SECTION] Sessions
 
 struct World;
 
-// The same world without chaos, driven by hand: for golden files and traces. The transcript has one
-// line for each message that is delivered and each reply; beats, views, leases and reports of load
-// are left out.
+// The simulation without faults, driven step by step for golden files and traces. The transcript
+// has one line per delivered message and per reply; heartbeats, views, leases and load reports are
+// left out.
 class Session
 {
 public:
     Session();
     ~Session();
 
-    // Submits at an entry ("entry0") and gives the number of the submission. A number of an earlier
-    // submission submits the same again.
+    // Submits new work at an entry ("entry0") and returns the number of the submission, by which
+    // the functions below refer to it.
     std::size_t submit(const std::string &entry, std::size_t tasks,
                        std::chrono::milliseconds taskTime, std::chrono::milliseconds deadline);
     void submitAgain(const std::string &entry, std::size_t number);
--- a/tests/schedules/worldstate.h
+++ b/tests/schedules/worldstate.h
@@ -1,7 +1,7 @@
 /*
-    The state of the world of the schedule tests, for the schedules themselves and for sessions.
+    Internal state of the simulation, shared by schedules and sessions.
 
-    [SECTION] Size and faults
+    [SECTION] Parameters
     [SECTION] State
     [SECTION] Functions
 */
@@ -27,7 +27,7 @@
 
 using node::Message;
 
-// [SECTION] Size and faults
+// [SECTION] Parameters
 
 constexpr std::uint32_t EntryCount = 3;
 constexpr std::uint32_t AgentCount = 3;
@@ -56,7 +56,7 @@
     }
 };
 
-// What every process has, whatever its role.
+// A process of any role.
 struct Process
 {
     std::string id;
@@ -68,7 +68,7 @@
     control::Reporter reporter;
     Time nextBeat {};
 
-    // Exactly one of these, by role
+    // Exactly one of these is set, by role
     std::unique_ptr<entry::EntryState> entry;
     std::unique_ptr<agent::AgentState> agent;
     std::unique_ptr<control::ControlState> control;
@@ -92,7 +92,7 @@
     control::Command command;
 };
 
-// One piece of work that callers ask for, perhaps many times.
+// A submission that callers may send several times.
 struct Work
 {
     entry::SubmitRequest request;
@@ -125,13 +125,13 @@
     std::map<entry::WaiterId, Waiting> waiting;
     entry::WaiterId nextWaiter = 1;
 
-    // Starts that endpoints saw, by "job#task".
+    // Starts at endpoints, by "job#task".
     std::map<std::string, int> starts;
-    // Jobs of which somebody was told "not run".
+    // Jobs that were reported as "not run" to a caller.
     std::set<std::string> saidNotRun;
     Report report;
 
-    // Sessions only: the time of the next tasks, and whether one is to fail
+    // Sessions only: run time of the next tasks, and whether the next one to end fails
     bool session = false;
     Milliseconds taskTime { 0 };
     bool failNext = false;
@@ -140,36 +140,36 @@
 
 // [SECTION] Functions
 
-// The date by a process's own clock.
+// The wall time on the clock of a process.
 WallTime wallOf(const World &world, const Process &process);
 
-// Notes that a promise was broken.
 void violate(World &world, const std::string &what);
 
-// "team/submission", and what the endpoint answers for one task of it.
+// "team/submission", and the result that the endpoint gives for one of its tasks.
 std::string keyOf(const entry::SubmitRequest &request);
 std::string expectedResult(const std::string &job, std::size_t task);
 
-// One reply to a caller: whole, its own, once, and "not run" only if nothing ran.
+// Checks a reply: complete results of the caller's own job, only one reply, and "not run" only if
+// no task ran.
 void checkReply(World &world, const entry::Reply &reply);
 
-// Callers of live entries are answered by their deadline and a little more.
+// Checks that callers of running entries get a reply by their deadline, with some tolerance.
 void checkWaiting(World &world);
 
-// After everything has healed, new work must complete.
+// Checks that all tasks of a submission made after the end of the faults have run.
 void checkRecovery(World &world, std::size_t fresh);
 
-// Sends, starts and answers what a process decided.
+// Executes the actions that a process returned.
 void carryOut(World &world, Process &process, agent::AgentActions &&actions);
 void carryOut(World &world, Process &process, entry::EntryActions &&actions);
 
-// Ends a process; what it had in memory is gone.
+// Ends a process; its memory is lost.
 void crash(World &world, Process &process);
 
-// All processes, started, and the work that callers will ask for.
+// Starts all processes and creates the submissions.
 void setUp(World &world);
 
-// Delivers and ticks until that time.
+// Delivers messages and ticks processes until the given time.
 void advanceWorld(World &world, Time until);
 
 } // namespace foxwing::schedules
--- a/tests/support/standin_endpoint.cpp
+++ b/tests/support/standin_endpoint.cpp
@@ -1,11 +1,11 @@
 /*
-    A stand-in for an endpoint: runs pretended tasks over HTTP and keeps count of every start.
+    Fake endpoint for demos and benchmarks: accepts tasks over HTTP and counts every start.
 
         standin_endpoint PORT [slow=MS] [fail=all] [hang=all] [late=MS]
 
-    A payload may say {"sleepMs":50,"echo":"text","fail":true,"hang":true}. The result is the echo,
-   or the path of the task. GET /starts lists how often each task was started; a path that stands
-   there twice is a broken promise.
+    A payload may be {"sleepMs":50,"echo":"text","fail":true,"hang":true}. The result is the echo
+    text, else the path of the task. GET /starts lists how often each task was started; a count
+    above 1 violates the at-most-once guarantee.
 
     [SECTION] Timers
     [SECTION] Tasks
