--- a/packages/dispatch/include/foxwing/dispatch/dispatcher.h
+++ b/packages/dispatch/include/foxwing/dispatch/dispatcher.h
@@ -47,10 +47,10 @@
     Milliseconds leaseDuration { 1500 };
 
     // A worker that has not sent anything for this long is lost, together with its tasks.
-    Milliseconds lostAfter { 4000 };
+    Milliseconds workerTimeout { 4000 };
 
     // Interval after which the agent is queried about a silent task; doubles with each query.
-    Milliseconds verifyAfter { 1000 };
+    Milliseconds verifyInterval { 1000 };
     Milliseconds longestVerify { 8000 };
 
     // Backoff of a job after a refusal; doubles with each further one.
@@ -59,7 +59,7 @@
     std::uint32_t mostRefusals = 64;
 
     // Retry budget: tokens earned by each start, and initial tokens. A retry takes one token.
-    double retryShare = 0.1;
+    double retryRatio = 0.1;
     std::uint32_t retryReserve = 10;
 
     // Interval between checks of workers and outstanding tasks.
@@ -71,10 +71,10 @@
 
     // Answers are kept this long for callers that resubmit or fetch, within this many bytes.
     Seconds answerRetention { 120 };
-    std::size_t answerBytes = 256U << 20U;
+    std::size_t maxAnswerBytes = 256U << 20U;
 
     // Maximum number of waiting tasks per service.
-    std::uint32_t queueBound = 100000;
+    std::uint32_t maxQueuedTasks = 100000;
 
     QueueSettings queue;
     HealthSettings health;
@@ -107,7 +107,7 @@
     std::uint64_t jobs = 0;
     std::uint64_t starts = 0;
     std::uint64_t results = 0;
-    std::uint64_t foreignResults = 0;
+    std::uint64_t unexpectedResults = 0;
     std::uint64_t refusals = 0;
     std::uint64_t verifications = 0;
     std::uint64_t retries = 0;
@@ -188,7 +188,7 @@
     std::vector<std::string> agents;
 
     // Further agents may have started tasks, but are no longer known.
-    bool hasGaps = false;
+    bool incomplete = false;
 
     // When the job was claimed, less the clock skew; milliseconds since 1970. An agent incarnation
     // that started later may have lost its record of a task.
@@ -209,7 +209,7 @@
 
 // Returns why a job can't be admitted now: the queue is full or the deadline can't be met. The
 // outcome is always "not run", since nothing was started.
-std::optional<Error> refuseJob(const Dispatcher &dispatcher, const JobSpec &spec, Time now);
+std::optional<Error> checkAdmission(const Dispatcher &dispatcher, const JobSpec &spec, Time now);
 
 // Queues a job that this entry has claimed in this epoch.
 Actions submitJob(Dispatcher &dispatcher, const JobSpec &spec, std::uint64_t epoch, Time now);
@@ -230,8 +230,8 @@
 
 // Takes over the job of a lost owner: fences it at the agents, collects the state of its tasks,
 // and continues it.
-Actions adoptJob(Dispatcher &dispatcher, const JobSpec &spec, std::uint64_t epoch,
-                 const Takeover &takeover, Time now);
+Actions takeOverJob(Dispatcher &dispatcher, const JobSpec &spec, std::uint64_t epoch,
+                    const Takeover &takeover, Time now);
 
 // Cancels a job at its caller's request. No effect on a job that has ended.
 Actions cancelJob(Dispatcher &dispatcher, const std::string &key, Time now);
@@ -252,9 +252,9 @@
 
 // Transfers the lease of one worker to another entry: an idle worker, or the least busy one if the
 // successor is starved. Tasks that run there are still finished for this entry.
-Actions yieldWorker(Dispatcher &dispatcher, const std::string &service,
-                    const std::string &successor, const std::string &successorDataCentre,
-                    bool successorStarved);
+Actions transferWorker(Dispatcher &dispatcher, const std::string &service,
+                       const std::string &successor, const std::string &successorDataCentre,
+                       bool successorStarved);
 
 // Number of jobs that have not ended.
 std::size_t activeJobs(const Dispatcher &dispatcher);
--- a/packages/dispatch/include/foxwing/dispatch/fairqueue.h
+++ b/packages/dispatch/include/foxwing/dispatch/fairqueue.h
@@ -38,7 +38,7 @@
     QueueOrder order = QueueOrder::FairFewestRemaining;
 
     // A job that has waited this long goes before smaller jobs of its team.
-    Milliseconds passOverBound { 2000 };
+    Milliseconds starvationLimit { 2000 };
 };
 
 // [SECTION] State
--- a/packages/dispatch/src/dispatcher.cpp
+++ b/packages/dispatch/src/dispatcher.cpp
@@ -47,7 +47,7 @@
     start.payload = job.spec.payloads[start.ref.task];
     actions.sends.push_back({ worker.id, std::move(start) });
     ++dispatcher.counters.starts;
-    dispatcher.retryTokens = std::min(dispatcher.retryTokens + dispatcher.settings.retryShare,
+    dispatcher.retryTokens = std::min(dispatcher.retryTokens + dispatcher.settings.retryRatio,
                                       MostRetryTokens);
 }
 
@@ -159,7 +159,7 @@
             ? nullptr
             : currentTask(found->second, finished.ref, finished.agent, finished.agentIncarnation);
     if (!task) {
-        ++dispatcher.counters.foreignResults;
+        ++dispatcher.counters.unexpectedResults;
         return;
     }
     endTask(dispatcher, found->second, *task, finished, now, actions);
@@ -313,7 +313,7 @@
     std::vector<std::string> lost;
     for (auto &entry : service.pool.workers) {
         tickWorker(dispatcher, service, entry.second, now);
-        if (now >= entry.second.lastHeard + dispatcher.settings.lostAfter)
+        if (now >= entry.second.lastHeard + dispatcher.settings.workerTimeout)
             lost.push_back(entry.first);
     }
     for (const std::string &id : lost) {
@@ -341,7 +341,7 @@
 {
     const WorkerPool &pool = dispatcher.services.at(job.spec.service).pool;
     return pool.workers.count(task.agent) == 0
-            && now >= task.sentAt + dispatcher.settings.lostAfter;
+            && now >= task.sentAt + dispatcher.settings.workerTimeout;
 }
 
 void tickOutstanding(Dispatcher &dispatcher, Time now, Actions &actions)
@@ -426,7 +426,7 @@
 
 } // namespace
 
-std::optional<Error> refuseJob(const Dispatcher &dispatcher, const JobSpec &spec, Time now)
+std::optional<Error> checkAdmission(const Dispatcher &dispatcher, const JobSpec &spec, Time now)
 {
     if (spec.deadline <= now)
         return Error { ErrorKind::DeadlinePassed, "the deadline is over; send a later one",
@@ -437,7 +437,7 @@
     const ServiceState &service = found->second;
     const Microseconds wait = expectedWait(service);
     const auto comeBack = std::chrono::duration_cast<Milliseconds>(wait / 2);
-    if (service.waitingTasks + spec.payloads.size() > dispatcher.settings.queueBound)
+    if (service.waitingTasks + spec.payloads.size() > dispatcher.settings.maxQueuedTasks)
         return Error { ErrorKind::QueueFull,
                        "the queue of " + spec.service + " is full; come back later",
                        Outcome::NotRun, std::max(comeBack, Milliseconds { 100 }) };
@@ -484,8 +484,8 @@
     return load;
 }
 
-Actions adoptJob(Dispatcher &dispatcher, const JobSpec &spec, std::uint64_t epoch,
-                 const Takeover &takeover, Time now)
+Actions takeOverJob(Dispatcher &dispatcher, const JobSpec &spec, std::uint64_t epoch,
+                    const Takeover &takeover, Time now)
 {
     Actions actions;
     serviceOf(dispatcher, spec.service);
@@ -495,7 +495,7 @@
     job.mayHaveRun = true;
     job.collectUntil = now + dispatcher.settings.collectSpan;
     job.unanswered = takeover.agents;
-    job.collectionHasGaps = takeover.hasGaps;
+    job.collectionHasGaps = takeover.incomplete;
     job.claimedAt = takeover.claimedAt;
     if (job.unanswered.empty()) {
         endCollection(dispatcher, job, now, actions);
@@ -594,9 +594,9 @@
     return load;
 }
 
-Actions yieldWorker(Dispatcher &dispatcher, const std::string &serviceName,
-                    const std::string &successor, const std::string &successorDataCentre,
-                    bool successorStarved)
+Actions transferWorker(Dispatcher &dispatcher, const std::string &serviceName,
+                       const std::string &successor, const std::string &successorDataCentre,
+                       bool successorStarved)
 {
     Actions actions;
     WorkerPool &pool = serviceOf(dispatcher, serviceName).pool;
--- a/packages/dispatch/src/fairqueue.cpp
+++ b/packages/dispatch/src/fairqueue.cpp
@@ -100,7 +100,7 @@
         return nullptr;
     const TeamQueue &team = queue.teams.at(queue.active.begin()->team);
     const AgeOrder &oldest = *team.byAge.begin();
-    if (now >= oldest.arrivedAt + queue.settings.passOverBound)
+    if (now >= oldest.arrivedAt + queue.settings.starvationLimit)
         return &oldest.key;
     return &team.bySize.begin()->key;
 }
--- a/packages/dispatch/src/jobtable.cpp
+++ b/packages/dispatch/src/jobtable.cpp
@@ -91,7 +91,7 @@
     task.agent = worker.id;
     task.agentIncarnation = worker.incarnation;
     task.sentAt = now;
-    task.verifyWait = dispatcher.settings.verifyAfter;
+    task.verifyWait = dispatcher.settings.verifyInterval;
     task.nextVerify = now + task.verifyWait;
     task.charged = expectedTime(service, job.spec);
     chargeTeam(service.queue, job.spec.team, task.charged);
@@ -228,7 +228,7 @@
     while (!dispatcher.ended.empty()) {
         const auto job = dispatcher.jobs.find(dispatcher.ended.front());
         const bool old = now >= job->second.endedAt + settings.answerRetention;
-        if (!old && dispatcher.answerBytes <= settings.answerBytes)
+        if (!old && dispatcher.answerBytes <= settings.maxAnswerBytes)
             return;
         for (const std::string &result : job->second.answer.results)
             dispatcher.answerBytes -= result.size();
--- a/packages/dispatch/src/takeover.cpp
+++ b/packages/dispatch/src/takeover.cpp
@@ -52,7 +52,7 @@
     if (!known.finished) {
         task.state = TaskState::Running;
         task.sentAt = now;
-        task.verifyWait = dispatcher.settings.verifyAfter;
+        task.verifyWait = dispatcher.settings.verifyInterval;
         task.nextVerify = now + task.verifyWait;
         addOutstanding(dispatcher, job, task);
         return;
--- a/packages/dispatch/tests/dispatcher_test.cpp
+++ b/packages/dispatch/tests/dispatcher_test.cpp
@@ -259,7 +259,7 @@
     foreign.ref.job = "team/other";
     fixture.finish(foreign, "foreign");
     EXPECT_TRUE(fixture.ended.empty());
-    EXPECT_EQ(fixture.dispatcher.counters.foreignResults, 2U);
+    EXPECT_EQ(fixture.dispatcher.counters.unexpectedResults, 2U);
 }
 
 TEST(Dispatcher, ASilentTaskIsAskedForWithGrowingPauses)
@@ -273,7 +273,7 @@
 TEST(Dispatcher, AnswersAreForgottenByAgeAndBySize)
 {
     Fixture fixture;
-    fixture.dispatcher.settings.answerBytes = 1000;
+    fixture.dispatcher.settings.maxAnswerBytes = 1000;
     for (int i = 0; i < 10; ++i) {
         fixture.submit("team/job" + std::to_string(i), 1);
         fixture.finish(fixture.starts.back(), std::string(400, 'x'));
@@ -290,14 +290,14 @@
 TEST(Dispatcher, AFullQueueRefusesBeforeAnythingIsDone)
 {
     Fixture fixture;
-    fixture.dispatcher.settings.queueBound = 10;
+    fixture.dispatcher.settings.maxQueuedTasks = 10;
     fixture.submit("team/first", 12);
     JobSpec spec;
     spec.key = "team/second";
     spec.service = "svc";
     spec.payloads = { "payload" };
     spec.deadline = fixture.now + Seconds(1);
-    const auto refused = refuseJob(fixture.dispatcher, spec, fixture.now);
+    const auto refused = checkAdmission(fixture.dispatcher, spec, fixture.now);
     ASSERT_TRUE(refused);
     EXPECT_EQ(refused->kind, ErrorKind::QueueFull);
     EXPECT_EQ(refused->outcome, Outcome::NotRun);
@@ -338,11 +338,11 @@
     spec.service = "svc";
     spec.payloads = { "payload" };
     spec.deadline = fixture.now + Seconds(1);
-    EXPECT_TRUE(refuseJob(fixture.dispatcher, spec, fixture.now));
+    EXPECT_TRUE(checkAdmission(fixture.dispatcher, spec, fixture.now));
     spec.deadline = fixture.now + Seconds(7);
-    EXPECT_FALSE(refuseJob(fixture.dispatcher, spec, fixture.now));
+    EXPECT_FALSE(checkAdmission(fixture.dispatcher, spec, fixture.now));
     spec.deadline = fixture.now + Seconds(6) + Seconds(1);
-    EXPECT_FALSE(refuseJob(fixture.dispatcher, spec, fixture.now + Seconds(6)));
+    EXPECT_FALSE(checkAdmission(fixture.dispatcher, spec, fixture.now + Seconds(6)));
 }
 
 } // namespace
--- a/packages/dispatch/tests/fairqueue_test.cpp
+++ b/packages/dispatch/tests/fairqueue_test.cpp
@@ -36,7 +36,7 @@
 TEST(FairQueue, NoJobIsPassedOverForLongerThanItsBound)
 {
     FairQueue queue;
-    queue.settings.passOverBound = Milliseconds(500);
+    queue.settings.starvationLimit = Milliseconds(500);
     pushJob(queue, "a", 1, "large", 50, Begin);
     pushJob(queue, "a", 1, "small", 1, Begin + Milliseconds(400));
     EXPECT_EQ(next(queue, Begin + Milliseconds(499)), "small");
--- a/packages/entry/src/claiming.cpp
+++ b/packages/entry/src/claiming.cpp
@@ -45,14 +45,15 @@
     pending.state = PendingState::Running;
     dispatch::Takeover takeover;
     takeover.claimedAt = pending.claimedAt - skew;
-    takeover.hasGaps = entry.agents.completeSince >= takeover.claimedAt;
+    takeover.incomplete = entry.agents.completeSince >= takeover.claimedAt;
     for (const KnownAgent &known : entry.agents.agents) {
         if (mayHaveStarted(entry, known, pending))
             takeover.agents.push_back(known.id);
     }
     const dispatch::JobSpec spec = jobSpec(key, pending.request, pending.deadline);
-    appendActions(entry, dispatch::adoptJob(entry.dispatcher, spec, pending.epoch, takeover, now),
-                  now, actions);
+    appendActions(entry,
+                  dispatch::takeOverJob(entry.dispatcher, spec, pending.epoch, takeover, now), now,
+                  actions);
 }
 
 // [SECTION] Claim answers
--- a/packages/entry/src/entry.cpp
+++ b/packages/entry/src/entry.cpp
@@ -266,10 +266,10 @@
         handOff(entry, request, *owner, now, wallNow, actions);
         return actions;
     }
-    const std::optional<Error> refusal = dispatch::refuseJob(entry.dispatcher,
-                                                             jobSpec(key, request,
-                                                                     now + request.timeLeft),
-                                                             now);
+    const std::optional<Error> refusal = dispatch::checkAdmission(entry.dispatcher,
+                                                                  jobSpec(key, request,
+                                                                          now + request.timeLeft),
+                                                                  now);
     if (anonymous) {
         submitAnonymous(entry, request, refusal, now, actions);
         return actions;
--- a/packages/entry/src/peers.cpp
+++ b/packages/entry/src/peers.cpp
@@ -80,8 +80,9 @@
     }
     const SubmitRequest request = makeRequest(handoff);
     const Time deadline = now + request.timeLeft;
-    const std::optional<Error> refusal = dispatch::refuseJob(entry.dispatcher,
-                                                             jobSpec(key, request, deadline), now);
+    const std::optional<Error> refusal = dispatch::checkAdmission(entry.dispatcher,
+                                                                  jobSpec(key, request, deadline),
+                                                                  now);
     Pending &pending = addPending(entry, key, request, deadline);
     pending.joinedBy.push_back(handoff.from);
     if (refusal)
@@ -115,9 +116,9 @@
     }
     if (const auto transfer = chooseTransfer(entry.placement, entry.dispatcher, now))
         appendActions(entry,
-                      dispatch::yieldWorker(entry.dispatcher, transfer->service,
-                                            transfer->successor, transfer->successorDataCentre,
-                                            transfer->successorStarved),
+                      dispatch::transferWorker(entry.dispatcher, transfer->service,
+                                               transfer->successor, transfer->successorDataCentre,
+                                               transfer->successorStarved),
                       now, actions);
 }
 
--- a/packages/node/src/entryrole.cpp
+++ b/packages/node/src/entryrole.cpp
@@ -328,7 +328,8 @@
     count("foxwing_jobs_total", "Jobs owned", jobs.jobs);
     count("foxwing_starts_total", "Starts sent to agents", jobs.starts);
     count("foxwing_results_total", "Results taken", jobs.results);
-    count("foxwing_results_foreign_total", "Results that nobody waited for", jobs.foreignResults);
+    count("foxwing_results_foreign_total", "Results that nobody waited for",
+          jobs.unexpectedResults);
     count("foxwing_agent_refused_total", "Starts that agents refused", jobs.refusals);
     count("foxwing_verifications_total", "Silent tasks asked for", jobs.verifications);
     count("foxwing_retries_total", "Repeatable requests sent again", jobs.retries);
--- a/packages/settings/src/settings.cpp
+++ b/packages/settings/src/settings.cpp
@@ -146,13 +146,13 @@
     claims::ClaimSettings &claims = settings.entry.claims;
     std::string order = "fair";
     table.span("lease_span", dispatch.leaseDuration);
-    table.span("lost_after", dispatch.lostAfter);
-    table.span("verify_after", dispatch.verifyAfter);
+    table.span("lost_after", dispatch.workerTimeout);
+    table.span("verify_after", dispatch.verifyInterval);
     table.span("answer_retention", dispatch.answerRetention);
-    table.whole("answer_bytes", dispatch.answerBytes, 1024, MostBytes);
-    table.whole("queue_bound", dispatch.queueBound, 1, MostCount);
-    table.number("retry_share", dispatch.retryShare, 0, 1);
-    table.span("pass_over_bound", dispatch.queue.passOverBound);
+    table.whole("answer_bytes", dispatch.maxAnswerBytes, 1024, MostBytes);
+    table.whole("queue_bound", dispatch.maxQueuedTasks, 1, MostCount);
+    table.number("retry_share", dispatch.retryRatio, 0, 1);
+    table.span("pass_over_bound", dispatch.queue.starvationLimit);
     table.text("order", order);
     table.span("claim_retention", claims.retention);
     table.span("clock_skew", claims.clockSkew);
@@ -164,7 +164,7 @@
         dispatch.queue.order = dispatch::QueueOrder::FirstCome;
     else if (order != "fair")
         table.refuse("order", "must be \"fair\" or \"first-come\"");
-    if (dispatch.lostAfter <= dispatch.leaseDuration)
+    if (dispatch.workerTimeout <= dispatch.leaseDuration)
         table.refuse("lost_after", "must be longer than \"entry.lease_span\"");
     if (dispatch.answerRetention >= claims.retention)
         table.refuse("answer_retention", "must be shorter than \"entry.claim_retention\"");
