--- a/packages/dispatch/include/foxwing/dispatch/dispatcher.h
+++ b/packages/dispatch/include/foxwing/dispatch/dispatcher.h
@@ -51,22 +51,22 @@
 
     // Interval after which the agent is queried about a silent task; doubles with each query.
     Milliseconds verifyInterval { 1000 };
-    Milliseconds longestVerify { 8000 };
+    Milliseconds maxVerifyInterval { 8000 };
 
     // Backoff of a job after a refusal; doubles with each further one.
-    Milliseconds refusalPause { 10 };
-    Milliseconds longestRefusalPause { 500 };
-    std::uint32_t mostRefusals = 64;
+    Milliseconds refusalBackoff { 10 };
+    Milliseconds maxRefusalBackoff { 500 };
+    std::uint32_t maxRefusals = 64;
 
     // Retry budget: tokens earned by each start, and initial tokens. A retry takes one token.
     double retryRatio = 0.1;
-    std::uint32_t retryReserve = 10;
+    std::uint32_t initialRetryTokens = 10;
 
     // Interval between checks of workers and outstanding tasks.
     Milliseconds sweepInterval { 50 };
 
     // A takeover stops waiting for agents that have not acknowledged the fence by then.
-    Milliseconds collectSpan { 2500 };
+    Milliseconds collectTimeout { 2500 };
     Milliseconds fenceInterval { 200 };
 
     // Answers are kept this long for callers that resubmit or fetch, within this many bytes.
@@ -87,7 +87,7 @@
 {
     Microseconds mean { 0 };
     std::uint32_t samples = 0;
-    Time learnedAt {};
+    Time updatedAt {};
 };
 
 struct ServiceState
@@ -114,7 +114,7 @@
     std::uint64_t workersLost = 0;
     std::uint64_t ejections = 0;
     std::uint64_t takeovers = 0;
-    std::uint64_t yields = 0;
+    std::uint64_t transfers = 0;
     std::uint64_t complete = 0;
     std::uint64_t failed = 0;
     std::uint64_t notRun = 0;
@@ -150,10 +150,10 @@
     // Tasks that may be on a worker.
     std::vector<agent::TaskRef> outstanding;
     std::set<DeadlineOrder> deadlines;
-    std::vector<std::string> held;
+    std::vector<std::string> backoffJobs;
     std::vector<std::string> collecting;
 
-    Time nextSweep {};
+    Time nextSweepAt {};
 
     // Ended jobs, oldest first, and the total size of their answers.
     std::deque<std::string> ended;
@@ -260,6 +260,6 @@
 std::size_t activeJobs(const Dispatcher &dispatcher);
 
 // Expected run time of one task: the mean of its class, else the declared time, else a default.
-Microseconds expectedTime(const ServiceState &service, const JobSpec &spec);
+Microseconds expectedRunTime(const ServiceState &service, const JobSpec &spec);
 
 } // namespace foxwing::dispatch
--- a/packages/dispatch/include/foxwing/dispatch/health.h
+++ b/packages/dispatch/include/foxwing/dispatch/health.h
@@ -24,39 +24,39 @@
 {
     // Consecutive failures before a worker can be ejected, and least number of outcomes of its
     // peers to compare it with.
-    std::uint32_t evidence = 4;
+    std::uint32_t ejectionThreshold = 4;
 
     // No worker is ejected while its peers fail more than this part of their tasks: then the cause
     // is the work, not the worker.
-    double peerFailureShare = 0.5;
+    double maxPeerFailureRatio = 0.5;
 
     // At most this part of a service's workers is ejected or on probation at any time.
-    double largestEjectedShare = 0.3;
+    double maxEjectedRatio = 0.3;
 
     // Duration of the first ejection; doubles with each further one up to the maximum.
-    Milliseconds ejection { 5000 };
-    Milliseconds longestEjection { 120000 };
+    Milliseconds baseEjectionTime { 5000 };
+    Milliseconds maxEjectionTime { 120000 };
 
     // Consecutive successes that end a probation.
-    std::uint32_t trialSuccesses = 3;
+    std::uint32_t probationSuccesses = 3;
 };
 
 // [SECTION] State
 
-enum class Standing {
-    Good,
+enum class HealthStatus {
+    Healthy,
     Ejected,
     // Gets one repeatable task at a time.
-    OnTrial,
+    OnProbation,
 };
 
 struct WorkerHealth
 {
-    Standing standing = Standing::Good;
-    std::uint32_t failuresInRow = 0;
-    std::uint32_t successesInRow = 0;
+    HealthStatus status = HealthStatus::Healthy;
+    std::uint32_t consecutiveFailures = 0;
+    std::uint32_t consecutiveSuccesses = 0;
     std::uint32_t ejections = 0;
-    Time outUntil {};
+    Time ejectedUntil {};
 };
 
 // Outcomes of all workers of a service; both counts decay, so that old outcomes lose weight.
--- a/packages/dispatch/include/foxwing/dispatch/job.h
+++ b/packages/dispatch/include/foxwing/dispatch/job.h
@@ -86,14 +86,14 @@
     Time sentAt {};
 
     // When to query the agent if it reports nothing; the interval doubles each time.
-    Time nextVerify {};
-    Milliseconds verifyWait { 0 };
+    Time nextVerifyAt {};
+    Milliseconds verifyInterval { 0 };
 
     // Run time charged to the team at the start; corrected at the end.
-    Microseconds charged { 0 };
+    Microseconds chargedTime { 0 };
 
     // Index in Dispatcher::outstanding while the task is on a worker.
-    std::size_t outstandingAt = 0;
+    std::size_t outstandingIndex = 0;
 
     std::string result;
 };
@@ -119,17 +119,17 @@
     Time arrivedAt {};
 
     // After refusals no task is sent before this.
-    Time holdUntil {};
+    Time backoffUntil {};
 
     // Some attempt may have run although no task shows it: "not run" is ruled out.
     bool mayHaveRun = false;
 
     // Takeover: agents that have not acknowledged the fence yet.
-    std::vector<std::string> unanswered;
-    bool collectionHasGaps = false;
+    std::vector<std::string> unansweredFences;
+    bool collectionIncomplete = false;
     std::int64_t claimedAt = 0;
-    Time collectUntil {};
-    Time nextFence {};
+    Time collectDeadline {};
+    Time nextFenceAt {};
 
     Answer answer;
     Time endedAt {};
--- a/packages/dispatch/include/foxwing/dispatch/workerpool.h
+++ b/packages/dispatch/include/foxwing/dispatch/workerpool.h
@@ -1,7 +1,7 @@
 /*
     The workers of one service whose slots this entry has leased.
 
-    takeOffer() adds or renews a worker. pickWorker() finds a free slot in logarithmic time: in the
+    applyOffer() adds or renews a worker. pickWorker() finds a free slot in logarithmic time: in the
     entry's own data centre first, on the worker with the fewest busy slots.
 
     [SECTION] State
@@ -31,34 +31,34 @@
 
     // Slots in total, used by tasks of this entry, and used by tasks of previous owners.
     std::uint32_t slots = 0;
-    std::uint32_t ours = 0;
-    std::uint32_t others = 0;
+    std::uint32_t ownTasks = 0;
+    std::uint32_t otherTasks = 0;
 
     // Liveness
-    Time lastOffer {};
-    Time lastHeard {};
+    Time lastOfferAt {};
+    Time lastReceivedAt {};
     bool leased = false;
     bool leaving = false;
 
     // A worker that refused a task gets no other one before this.
-    Time restUntil {};
+    Time backoffUntil {};
 
     WorkerHealth health;
 };
 
 // Order in which workers are chosen; the smallest goes first.
-struct FreeOrder
+struct WorkerOrder
 {
-    bool farAway = false;
-    std::uint32_t taken = 0;
+    bool remote = false;
+    std::uint32_t busySlots = 0;
     std::string id;
 
-    bool operator<(const FreeOrder &other) const
+    bool operator<(const WorkerOrder &other) const
     {
-        if (farAway != other.farAway)
-            return !farAway;
-        if (taken != other.taken)
-            return taken < other.taken;
+        if (remote != other.remote)
+            return !remote;
+        if (busySlots != other.busySlots)
+            return busySlots < other.busySlots;
         return id < other.id;
     }
 };
@@ -69,8 +69,8 @@
     std::unordered_map<std::string, Worker> workers;
 
     // Healthy workers with a free slot, and workers on probation that have no task of this entry.
-    std::set<FreeOrder> free;
-    std::set<FreeOrder> trial;
+    std::set<WorkerOrder> available;
+    std::set<WorkerOrder> probation;
     ServiceHealth health;
 
     // Totals over all leased workers
@@ -88,7 +88,7 @@
 
 // [SECTION] Functions
 
-OfferEffect takeOffer(WorkerPool &pool, const agent::LeaseOffer &offer, Time now);
+OfferEffect applyOffer(WorkerPool &pool, const agent::LeaseOffer &offer, Time now);
 
 // Returns a worker with a free slot, or null. Workers on probation get repeatable work only.
 Worker *pickWorker(WorkerPool &pool, bool repeatable);
@@ -98,14 +98,14 @@
 void releaseSlot(WorkerPool &pool, Worker &worker);
 
 // Inserts a worker into the sets that fit its state. Call after any change to it.
-void placeWorker(WorkerPool &pool, Worker &worker);
+void indexWorker(WorkerPool &pool, Worker &worker);
 
 // Removes a worker from the sets. Call before any change to it.
-void unplaceWorker(WorkerPool &pool, const Worker &worker);
+void unindexWorker(WorkerPool &pool, const Worker &worker);
 
 // Ends the lease of a worker. The worker stays in the pool until removeWorker().
 void endLease(WorkerPool &pool, Worker &worker);
 
-void dropWorker(WorkerPool &pool, const std::string &id);
+void removeWorker(WorkerPool &pool, const std::string &id);
 
 } // namespace foxwing::dispatch
--- a/packages/dispatch/src/dispatcher.cpp
+++ b/packages/dispatch/src/dispatcher.cpp
@@ -21,13 +21,13 @@
 // [SECTION] Assignment
 
 // Run time assumed for a task whose class has no measured and no declared time.
-constexpr Microseconds UnknownTime { 200000 };
+constexpr Microseconds DefaultRunTime { 200000 };
 
-// The newest run time enters the mean of its class with a weight of 1/16.
-constexpr int EstimateShare = 16;
+// The newest run time has one part in this many of the mean of its class.
+constexpr int EstimateDivisor = 16;
 
 // Upper limit of the retry budget.
-constexpr double MostRetryTokens = 1000;
+constexpr double MaxRetryTokens = 1000;
 
 void sendStart(Dispatcher &dispatcher, Job &job, Task &task, Worker &worker, Time now,
                Actions &actions)
@@ -48,10 +48,10 @@
     actions.sends.push_back({ worker.id, std::move(start) });
     ++dispatcher.counters.starts;
     dispatcher.retryTokens = std::min(dispatcher.retryTokens + dispatcher.settings.retryRatio,
-                                      MostRetryTokens);
+                                      MaxRetryTokens);
 }
 
-Task *firstWaiting(Job &job)
+Task *firstWaitingTask(Job &job)
 {
     for (Task &task : job.tasks) {
         if (task.state == TaskState::Waiting)
@@ -61,25 +61,25 @@
 }
 
 // Assigns waiting tasks to free slots until either runs out.
-void bindTasks(Dispatcher &dispatcher, ServiceState &service, Time now, Actions &actions)
+void assignTasks(Dispatcher &dispatcher, ServiceState &service, Time now, Actions &actions)
 {
     while (const std::string *key = nextJob(service.queue, now)) {
         Job &job = dispatcher.jobs.at(*key);
         Worker *worker = pickWorker(service.pool, job.spec.repeatable);
         if (!worker)
             return;
-        sendStart(dispatcher, job, *firstWaiting(job), *worker, now, actions);
+        sendStart(dispatcher, job, *firstWaitingTask(job), *worker, now, actions);
         requeue(dispatcher, job, now);
     }
 }
 
-void bindEverywhere(Dispatcher &dispatcher, Time now, Actions &actions)
+void assignAllServices(Dispatcher &dispatcher, Time now, Actions &actions)
 {
     for (auto &service : dispatcher.services)
-        bindTasks(dispatcher, service.second, now, actions);
+        assignTasks(dispatcher, service.second, now, actions);
 }
 
-ServiceState &serviceOf(Dispatcher &dispatcher, const std::string &name)
+ServiceState &findOrAddService(Dispatcher &dispatcher, const std::string &name)
 {
     const auto inserted = dispatcher.services.try_emplace(name);
     ServiceState &service = inserted.first->second;
@@ -93,49 +93,49 @@
 
 // [SECTION] Messages from agents
 
-void learn(ClassEstimate &estimate, Microseconds runTime, Time now)
+void addSample(ClassEstimate &estimate, Microseconds runTime, Time now)
 {
-    estimate.learnedAt = now;
+    estimate.updatedAt = now;
     ++estimate.samples;
     if (estimate.samples == 1)
         estimate.mean = runTime;
     else
-        estimate.mean += (runTime - estimate.mean) / EstimateShare;
+        estimate.mean += (runTime - estimate.mean) / EstimateDivisor;
 }
 
-void learnRunTime(ServiceState &service, const JobSpec &spec, Microseconds runTime, Time now)
+void recordRunTime(ServiceState &service, const JobSpec &spec, Microseconds runTime, Time now)
 {
     ClassEstimate &estimate = service.estimates[spec.team + "/" + spec.workClass];
-    learn(estimate, runTime, now);
-    learn(service.overall, runTime, now);
+    addSample(estimate, runTime, now);
+    addSample(service.overall, runTime, now);
 }
 
-void judgeWorker(Dispatcher &dispatcher, ServiceState &service, const std::string &id,
-                 bool succeeded, Time now)
+void updateWorkerHealth(Dispatcher &dispatcher, ServiceState &service, const std::string &id,
+                        bool succeeded, Time now)
 {
     const auto found = service.pool.workers.find(id);
     if (found == service.pool.workers.end())
         return;
     Worker &worker = found->second;
-    unplaceWorker(service.pool, worker);
+    unindexWorker(service.pool, worker);
     const bool changed = recordOutcome(service.pool.health, worker.health, succeeded, now);
-    if (changed && worker.health.standing == Standing::Ejected)
+    if (changed && worker.health.status == HealthStatus::Ejected)
         ++dispatcher.counters.ejections;
-    placeWorker(service.pool, worker);
+    indexWorker(service.pool, worker);
 }
 
 void endTask(Dispatcher &dispatcher, Job &job, Task &task, const agent::Finished &finished,
              Time now, Actions &actions)
 {
-    ServiceState &service = serviceOf(dispatcher, job.spec.service);
+    ServiceState &service = findOrAddService(dispatcher, job.spec.service);
     const bool succeeded = finished.end == agent::TaskEnd::Succeeded;
-    takeOffWorker(dispatcher, job, task, finished.runTime);
+    releaseTask(dispatcher, job, task, finished.runTime);
     task.state = TaskState::Done;
     ++dispatcher.counters.results;
     if (succeeded)
-        learnRunTime(service, job.spec, finished.runTime, now);
+        recordRunTime(service, job.spec, finished.runTime, now);
     if (succeeded || finished.end == agent::TaskEnd::Failed)
-        judgeWorker(dispatcher, service, finished.agent, succeeded, now);
+        updateWorkerHealth(dispatcher, service, finished.agent, succeeded, now);
     if (finished.end == agent::TaskEnd::DeadlinePassed)
         return failJob(dispatcher, job, ErrorKind::DeadlinePassed,
                        "the deadline passed while the work ran; allow more time", now, actions);
@@ -150,8 +150,8 @@
         completeJob(dispatcher, job, now, actions);
 }
 
-void takeFinished(Dispatcher &dispatcher, const agent::Finished &finished, Time now,
-                  Actions &actions)
+void handleFinished(Dispatcher &dispatcher, const agent::Finished &finished, Time now,
+                    Actions &actions)
 {
     actions.sends.push_back({ finished.agent, agent::Settle { { finished.ref } } });
     const auto found = dispatcher.jobs.find(finished.ref.job);
@@ -163,29 +163,29 @@
         return;
     }
     endTask(dispatcher, found->second, *task, finished, now, actions);
-    bindTasks(dispatcher, serviceOf(dispatcher, found->second.spec.service), now, actions);
+    assignTasks(dispatcher, findOrAddService(dispatcher, found->second.spec.service), now, actions);
 }
 
-void restWorker(Dispatcher &dispatcher, const Job &job, const std::string &id, Time until)
+void backOffWorker(Dispatcher &dispatcher, const Job &job, const std::string &id, Time until)
 {
-    WorkerPool &pool = serviceOf(dispatcher, job.spec.service).pool;
+    WorkerPool &pool = findOrAddService(dispatcher, job.spec.service).pool;
     const auto found = pool.workers.find(id);
     if (found == pool.workers.end())
         return;
-    unplaceWorker(pool, found->second);
-    found->second.restUntil = until;
+    unindexWorker(pool, found->second);
+    found->second.backoffUntil = until;
 }
 
-Milliseconds refusalPause(const DispatchSettings &settings, std::uint32_t refusals)
+Milliseconds refusalBackoff(const DispatchSettings &settings, std::uint32_t refusals)
 {
-    Milliseconds pause = settings.refusalPause;
-    for (std::uint32_t i = 1; i < refusals && pause < settings.longestRefusalPause; ++i)
-        pause *= 2;
-    return std::min(pause, settings.longestRefusalPause);
+    Milliseconds backoff = settings.refusalBackoff;
+    for (std::uint32_t i = 1; i < refusals && backoff < settings.maxRefusalBackoff; ++i)
+        backoff *= 2;
+    return std::min(backoff, settings.maxRefusalBackoff);
 }
 
-void takeNotStarted(Dispatcher &dispatcher, const agent::NotStarted &message, Time now,
-                    Actions &actions)
+void handleNotStarted(Dispatcher &dispatcher, const agent::NotStarted &message, Time now,
+                      Actions &actions)
 {
     const auto found = dispatcher.jobs.find(message.ref.job);
     if (found == dispatcher.jobs.end())
@@ -201,22 +201,21 @@
     if (ownedElsewhere) {
         job.mayHaveRun = true;
         return failJob(dispatcher, job, ErrorKind::WorkerLost,
-                       "another entry has this work by now; ask again with the same id", now,
-                       actions);
+                       "another entry owns this job now; ask again with the same id", now, actions);
     }
-    const Milliseconds pause = refusalPause(dispatcher.settings, job.refusals);
+    const Milliseconds backoff = refusalBackoff(dispatcher.settings, job.refusals);
     markWaiting(dispatcher, job, *task);
-    restWorker(dispatcher, job, message.agent, now + pause);
-    if (job.refusals > dispatcher.settings.mostRefusals)
+    backOffWorker(dispatcher, job, message.agent, now + backoff);
+    if (job.refusals > dispatcher.settings.maxRefusals)
         return failJob(dispatcher, job, ErrorKind::Unavailable,
-                       "no worker took this work; look at the state of the service's workers", now,
-                       actions);
-    job.holdUntil = now + pause;
-    dispatcher.held.push_back(job.spec.key);
+                       "the workers refused this work; check the state of the service's workers",
+                       now, actions);
+    job.backoffUntil = now + backoff;
+    dispatcher.backoffJobs.push_back(job.spec.key);
     requeue(dispatcher, job, now);
 }
 
-void takeStarted(Dispatcher &dispatcher, const agent::Started &message)
+void handleStarted(Dispatcher &dispatcher, const agent::Started &message)
 {
     const auto found = dispatcher.jobs.find(message.ref.job);
     if (found == dispatcher.jobs.end())
@@ -235,7 +234,7 @@
 }
 
 // A task whose worker is lost may have run, fully or in part.
-void loseTask(Dispatcher &dispatcher, Job &job, Task &task, Time now, Actions &actions)
+void handleTaskLoss(Dispatcher &dispatcher, Job &job, Task &task, Time now, Actions &actions)
 {
     job.mayHaveRun = true;
     if (!mayRetry(dispatcher, job, now))
@@ -251,8 +250,8 @@
 }
 
 // Handles the loss of all tasks on incarnations of an agent that are older than the given one.
-void loseTasksOn(Dispatcher &dispatcher, const std::string &agentId, std::uint64_t before, Time now,
-                 Actions &actions)
+void handleTaskLosses(Dispatcher &dispatcher, const std::string &agentId, std::uint64_t before,
+                      Time now, Actions &actions)
 {
     const std::vector<agent::TaskRef> refs = dispatcher.outstanding;
     for (const agent::TaskRef &ref : refs) {
@@ -261,36 +260,36 @@
             continue;
         Task &task = job.tasks[ref.task];
         if (task.agent == agentId && task.agentIncarnation < before)
-            loseTask(dispatcher, job, task, now, actions);
+            handleTaskLoss(dispatcher, job, task, now, actions);
     }
 }
 
-void takeLeaseOffer(Dispatcher &dispatcher, const agent::LeaseOffer &offer, Time now,
-                    Actions &actions)
+void handleLeaseOffer(Dispatcher &dispatcher, const agent::LeaseOffer &offer, Time now,
+                      Actions &actions)
 {
-    ServiceState &service = serviceOf(dispatcher, offer.service);
-    const OfferEffect effect = takeOffer(service.pool, offer, now);
+    ServiceState &service = findOrAddService(dispatcher, offer.service);
+    const OfferEffect effect = applyOffer(service.pool, offer, now);
     if (effect == OfferEffect::Stale)
         return;
     if (effect == OfferEffect::Restarted)
-        loseTasksOn(dispatcher, offer.agent, offer.agentIncarnation, now, actions);
-    agent::LeaseAccepted taken;
-    taken.owner = dispatcher.settings.id;
-    taken.ownerIncarnation = dispatcher.settings.incarnation;
-    taken.leaseEpoch = offer.leaseEpoch;
-    taken.agentIncarnation = offer.agentIncarnation;
-    actions.sends.push_back({ offer.agent, taken });
-    bindTasks(dispatcher, service, now, actions);
+        handleTaskLosses(dispatcher, offer.agent, offer.agentIncarnation, now, actions);
+    agent::LeaseAccepted accepted;
+    accepted.owner = dispatcher.settings.id;
+    accepted.ownerIncarnation = dispatcher.settings.incarnation;
+    accepted.leaseEpoch = offer.leaseEpoch;
+    accepted.agentIncarnation = offer.agentIncarnation;
+    actions.sends.push_back({ offer.agent, accepted });
+    assignTasks(dispatcher, service, now, actions);
 }
 
 // Any message from its current incarnation shows that an agent is alive.
-void hearAgent(Dispatcher &dispatcher, const std::string &agentId, std::uint64_t incarnation,
-               Time now)
+void recordAgentActivity(Dispatcher &dispatcher, const std::string &agentId,
+                         std::uint64_t incarnation, Time now)
 {
     for (auto &service : dispatcher.services) {
         const auto found = service.second.pool.workers.find(agentId);
         if (found != service.second.pool.workers.end() && found->second.incarnation == incarnation)
-            found->second.lastHeard = now;
+            found->second.lastReceivedAt = now;
     }
 }
 
@@ -299,13 +298,13 @@
 void tickWorker(Dispatcher &dispatcher, ServiceState &service, Worker &worker, Time now)
 {
     WorkerPool &pool = service.pool;
-    unplaceWorker(pool, worker);
-    if (worker.restUntil != Time {} && now >= worker.restUntil)
-        worker.restUntil = Time {};
-    if (worker.leased && now >= worker.lastOffer + dispatcher.settings.leaseDuration)
+    unindexWorker(pool, worker);
+    if (worker.backoffUntil != Time {} && now >= worker.backoffUntil)
+        worker.backoffUntil = Time {};
+    if (worker.leased && now >= worker.lastOfferAt + dispatcher.settings.leaseDuration)
         endLease(pool, worker);
     endEjection(worker.health, now);
-    placeWorker(pool, worker);
+    indexWorker(pool, worker);
 }
 
 void tickWorkers(Dispatcher &dispatcher, ServiceState &service, Time now, Actions &actions)
@@ -313,13 +312,13 @@
     std::vector<std::string> lost;
     for (auto &entry : service.pool.workers) {
         tickWorker(dispatcher, service, entry.second, now);
-        if (now >= entry.second.lastHeard + dispatcher.settings.workerTimeout)
+        if (now >= entry.second.lastReceivedAt + dispatcher.settings.workerTimeout)
             lost.push_back(entry.first);
     }
     for (const std::string &id : lost) {
         ++dispatcher.counters.workersLost;
-        loseTasksOn(dispatcher, id, UINT64_MAX, now, actions);
-        dropWorker(service.pool, id);
+        handleTaskLosses(dispatcher, id, UINT64_MAX, now, actions);
+        removeWorker(service.pool, id);
     }
 }
 
@@ -331,13 +330,13 @@
     query.agentIncarnation = task.agentIncarnation;
     actions.sends.push_back({ task.agent, query });
     ++dispatcher.counters.verifications;
-    task.verifyWait = std::min(task.verifyWait * 2, dispatcher.settings.longestVerify);
-    task.nextVerify = now + task.verifyWait;
+    task.verifyInterval = std::min(task.verifyInterval * 2, dispatcher.settings.maxVerifyInterval);
+    task.nextVerifyAt = now + task.verifyInterval;
 }
 
 // Tasks of a job that was taken over may be on workers that never offered this entry a lease. They
 // count as lost after the worker timeout, too.
-bool unknownWorkerIsLost(const Dispatcher &dispatcher, const Job &job, const Task &task, Time now)
+bool isUnknownWorkerLost(const Dispatcher &dispatcher, const Job &job, const Task &task, Time now)
 {
     const WorkerPool &pool = dispatcher.services.at(job.spec.service).pool;
     return pool.workers.count(task.agent) == 0
@@ -352,9 +351,9 @@
         if (job.state == JobState::Ended)
             continue;
         Task &task = job.tasks[ref.task];
-        if (unknownWorkerIsLost(dispatcher, job, task, now))
-            loseTask(dispatcher, job, task, now, actions);
-        else if (now >= task.nextVerify)
+        if (isUnknownWorkerLost(dispatcher, job, task, now))
+            handleTaskLoss(dispatcher, job, task, now, actions);
+        else if (now >= task.nextVerifyAt)
             verifyTask(dispatcher, job, task, now, actions);
     }
 }
@@ -369,18 +368,18 @@
     }
 }
 
-void tickHeld(Dispatcher &dispatcher, Time now)
+void tickBackoffs(Dispatcher &dispatcher, Time now)
 {
     std::vector<std::string> keys;
-    keys.swap(dispatcher.held);
+    keys.swap(dispatcher.backoffJobs);
     for (const std::string &key : keys) {
         const auto found = dispatcher.jobs.find(key);
         if (found == dispatcher.jobs.end() || found->second.state == JobState::Ended)
             continue;
-        if (now >= found->second.holdUntil)
+        if (now >= found->second.backoffUntil)
             requeue(dispatcher, found->second, now);
         else
-            dispatcher.held.push_back(key);
+            dispatcher.backoffJobs.push_back(key);
     }
 }
 
@@ -398,29 +397,29 @@
 {
     Dispatcher dispatcher;
     dispatcher.settings = settings;
-    dispatcher.retryTokens = settings.retryReserve;
+    dispatcher.retryTokens = settings.initialRetryTokens;
     return dispatcher;
 }
 
-Microseconds expectedTime(const ServiceState &service, const JobSpec &spec)
+Microseconds expectedRunTime(const ServiceState &service, const JobSpec &spec)
 {
     const auto found = service.estimates.find(spec.team + "/" + spec.workClass);
     if (found != service.estimates.end())
         return found->second.mean;
-    return spec.declaredTime > Microseconds::zero() ? spec.declaredTime : UnknownTime;
+    return spec.declaredTime > Microseconds::zero() ? spec.declaredTime : DefaultRunTime;
 }
 
 namespace {
 
 // Run time that is reliable enough to refuse work by, else zero. Declared times and means of few or
 // old samples are often far off; admitting such work brings new samples.
-Microseconds reliableTime(const ServiceState &service, const JobSpec &spec, Time now)
+Microseconds reliableRunTime(const ServiceState &service, const JobSpec &spec, Time now)
 {
-    constexpr std::uint32_t FewestSamples = 16;
-    constexpr Seconds LongestAge { 5 };
+    constexpr std::uint32_t MinSamples = 16;
+    constexpr Seconds MaxAge { 5 };
     const auto found = service.estimates.find(spec.team + "/" + spec.workClass);
-    const bool reliable = found != service.estimates.end() && found->second.samples >= FewestSamples
-            && now < found->second.learnedAt + LongestAge;
+    const bool reliable = found != service.estimates.end() && found->second.samples >= MinSamples
+            && now < found->second.updatedAt + MaxAge;
     return reliable ? found->second.mean : Microseconds::zero();
 }
 
@@ -429,34 +428,35 @@
 std::optional<Error> checkAdmission(const Dispatcher &dispatcher, const JobSpec &spec, Time now)
 {
     if (spec.deadline <= now)
-        return Error { ErrorKind::DeadlinePassed, "the deadline is over; send a later one",
-                       Outcome::NotRun, Milliseconds { 0 } };
+        return Error { ErrorKind::DeadlinePassed,
+                       "the deadline has already passed; send a later one", Outcome::NotRun,
+                       Milliseconds { 0 } };
     const auto found = dispatcher.services.find(spec.service);
     if (found == dispatcher.services.end())
         return std::nullopt;
     const ServiceState &service = found->second;
     const Microseconds wait = expectedWait(service);
-    const auto comeBack = std::chrono::duration_cast<Milliseconds>(wait / 2);
+    const auto retryAfter = std::chrono::duration_cast<Milliseconds>(wait / 2);
     if (service.waitingTasks + spec.payloads.size() > dispatcher.settings.maxQueuedTasks)
         return Error { ErrorKind::QueueFull,
-                       "the queue of " + spec.service + " is full; come back later",
-                       Outcome::NotRun, std::max(comeBack, Milliseconds { 100 }) };
-    const Microseconds needed = wait + reliableTime(service, spec, now);
+                       "the queue of " + spec.service + " is full; retry later", Outcome::NotRun,
+                       std::max(retryAfter, Milliseconds { 100 }) };
+    const Microseconds needed = wait + reliableRunTime(service, spec, now);
     if (now + needed > spec.deadline)
         return Error { ErrorKind::DeadlineUnreachable,
-                       "the work can't be done before its deadline; come back later or allow more "
-                       "time",
-                       Outcome::NotRun, std::max(comeBack, Milliseconds { 100 }) };
+                       "the expected wait and run time exceed the deadline; retry later or allow "
+                       "more time",
+                       Outcome::NotRun, std::max(retryAfter, Milliseconds { 100 }) };
     return std::nullopt;
 }
 
 Actions submitJob(Dispatcher &dispatcher, const JobSpec &spec, std::uint64_t epoch, Time now)
 {
     Actions actions;
-    ServiceState &service = serviceOf(dispatcher, spec.service);
+    ServiceState &service = findOrAddService(dispatcher, spec.service);
     Job &job = addJob(dispatcher, spec, epoch, now);
     requeue(dispatcher, job, now);
-    bindTasks(dispatcher, service, now, actions);
+    assignTasks(dispatcher, service, now, actions);
     return actions;
 }
 
@@ -488,22 +488,22 @@
                     const Takeover &takeover, Time now)
 {
     Actions actions;
-    serviceOf(dispatcher, spec.service);
+    findOrAddService(dispatcher, spec.service);
     Job &job = addJob(dispatcher, spec, epoch, now);
     ++dispatcher.counters.takeovers;
     job.state = JobState::Collecting;
     job.mayHaveRun = true;
-    job.collectUntil = now + dispatcher.settings.collectSpan;
-    job.unanswered = takeover.agents;
-    job.collectionHasGaps = takeover.incomplete;
+    job.collectDeadline = now + dispatcher.settings.collectTimeout;
+    job.unansweredFences = takeover.agents;
+    job.collectionIncomplete = takeover.incomplete;
     job.claimedAt = takeover.claimedAt;
-    if (job.unanswered.empty()) {
+    if (job.unansweredFences.empty()) {
         endCollection(dispatcher, job, now, actions);
     } else {
         dispatcher.collecting.push_back(spec.key);
         sendFences(dispatcher, job, now, actions);
     }
-    bindEverywhere(dispatcher, now, actions);
+    assignAllServices(dispatcher, now, actions);
     return actions;
 }
 
@@ -515,30 +515,32 @@
         return actions;
     failJob(dispatcher, found->second, ErrorKind::Cancelled, "cancelled by its caller", now,
             actions);
-    bindTasks(dispatcher, serviceOf(dispatcher, found->second.spec.service), now, actions);
+    assignTasks(dispatcher, findOrAddService(dispatcher, found->second.spec.service), now, actions);
     return actions;
 }
 
 Actions handle(Dispatcher &dispatcher, const agent::FromAgent &message, Time now)
 {
     Actions actions;
-    std::visit([&](const auto &
-                           held) { hearAgent(dispatcher, held.agent, held.agentIncarnation, now); },
-               message);
+    std::visit(
+            [&](const auto &incoming) {
+                recordAgentActivity(dispatcher, incoming.agent, incoming.agentIncarnation, now);
+            },
+            message);
     if (const auto *offer = std::get_if<agent::LeaseOffer>(&message)) {
-        takeLeaseOffer(dispatcher, *offer, now, actions);
+        handleLeaseOffer(dispatcher, *offer, now, actions);
     } else if (const auto *finished = std::get_if<agent::Finished>(&message)) {
-        takeFinished(dispatcher, *finished, now, actions);
+        handleFinished(dispatcher, *finished, now, actions);
     } else if (const auto *notStarted = std::get_if<agent::NotStarted>(&message)) {
-        takeNotStarted(dispatcher, *notStarted, now, actions);
-        bindEverywhere(dispatcher, now, actions);
+        handleNotStarted(dispatcher, *notStarted, now, actions);
+        assignAllServices(dispatcher, now, actions);
     } else if (const auto *started = std::get_if<agent::Started>(&message)) {
-        takeStarted(dispatcher, *started);
+        handleStarted(dispatcher, *started);
     } else if (const auto *fenced = std::get_if<agent::Fenced>(&message)) {
         const auto found = dispatcher.jobs.find(fenced->job);
         if (found != dispatcher.jobs.end())
-            takeFenced(dispatcher, found->second, *fenced, now, actions);
-        bindEverywhere(dispatcher, now, actions);
+            handleFenced(dispatcher, found->second, *fenced, now, actions);
+        assignAllServices(dispatcher, now, actions);
     }
     return actions;
 }
@@ -563,16 +565,16 @@
 {
     Actions actions;
     tickDeadlines(dispatcher, now, actions);
-    if (now >= dispatcher.nextSweep) {
-        dispatcher.nextSweep = now + dispatcher.settings.sweepInterval;
+    if (now >= dispatcher.nextSweepAt) {
+        dispatcher.nextSweepAt = now + dispatcher.settings.sweepInterval;
         for (auto &service : dispatcher.services)
             tickWorkers(dispatcher, service.second, now, actions);
         tickOutstanding(dispatcher, now, actions);
     }
     tickCollections(dispatcher, now, actions);
-    tickHeld(dispatcher, now);
-    forgetAnswers(dispatcher, now);
-    bindEverywhere(dispatcher, now, actions);
+    tickBackoffs(dispatcher, now);
+    evictAnswers(dispatcher, now);
+    assignAllServices(dispatcher, now, actions);
     return actions;
 }
 
@@ -599,24 +601,24 @@
                        bool successorStarved)
 {
     Actions actions;
-    WorkerPool &pool = serviceOf(dispatcher, serviceName).pool;
+    WorkerPool &pool = findOrAddService(dispatcher, serviceName).pool;
     Worker *chosen = nullptr;
     for (auto &entry : pool.workers) {
         Worker &worker = entry.second;
         const bool near = worker.dataCentre == successorDataCentre
                 || worker.dataCentre != pool.dataCentre || successorStarved;
-        const bool spare = worker.ours == 0 || successorStarved;
-        const bool better = !chosen || worker.ours < chosen->ours;
+        const bool spare = worker.ownTasks == 0 || successorStarved;
+        const bool better = !chosen || worker.ownTasks < chosen->ownTasks;
         if (worker.leased && !worker.leaving && near && spare && better)
             chosen = &worker;
     }
     if (!chosen)
         return actions;
     endLease(pool, *chosen);
-    ++dispatcher.counters.yields;
-    const agent::TransferLease yield { dispatcher.settings.id, successor, chosen->leaseEpoch,
-                                       chosen->incarnation };
-    actions.sends.push_back({ chosen->id, yield });
+    ++dispatcher.counters.transfers;
+    const agent::TransferLease transfer { dispatcher.settings.id, successor, chosen->leaseEpoch,
+                                          chosen->incarnation };
+    actions.sends.push_back({ chosen->id, transfer });
     return actions;
 }
 
--- a/packages/dispatch/src/fairqueue.cpp
+++ b/packages/dispatch/src/fairqueue.cpp
@@ -14,19 +14,19 @@
 
 namespace {
 
-bool eligible(const TeamQueue &team)
+bool isEligible(const TeamQueue &team)
 {
     return !team.blocked && !team.byAge.empty();
 }
 
-void leaveActive(FairQueue &queue, const std::string &name, const TeamQueue &team)
+void removeActive(FairQueue &queue, const std::string &name, const TeamQueue &team)
 {
     queue.active.erase({ team.virtualTime, name });
 }
 
-void joinActive(FairQueue &queue, const std::string &name, const TeamQueue &team)
+void addActive(FairQueue &queue, const std::string &name, const TeamQueue &team)
 {
-    if (eligible(team))
+    if (isEligible(team))
         queue.active.insert({ team.virtualTime, name });
 }
 
@@ -37,11 +37,11 @@
         return;
     const QueuedJob &job = found->second;
     TeamQueue &team = queue.teams[job.team];
-    leaveActive(queue, job.team, team);
+    removeActive(queue, job.team, team);
     team.bySize.erase({ job.remaining, job.arrival, key });
     team.byAge.erase({ job.arrival, job.arrivedAt, key });
     queue.byAge.erase({ job.arrival, job.arrivedAt, key });
-    joinActive(queue, job.team, team);
+    addActive(queue, job.team, team);
     queue.jobs.erase(found);
 }
 
@@ -66,7 +66,7 @@
     if (remaining == 0)
         return;
     TeamQueue &team = queue.teams[teamName];
-    leaveActive(queue, teamName, team);
+    removeActive(queue, teamName, team);
     team.weight = std::max(weight, 0.001);
     if (team.byAge.empty())
         team.virtualTime = std::max(team.virtualTime, queue.virtualNow);
@@ -75,7 +75,7 @@
     team.byAge.insert({ job.arrival, now, key });
     queue.byAge.insert({ job.arrival, now, key });
     queue.jobs.emplace(key, job);
-    joinActive(queue, teamName, team);
+    addActive(queue, teamName, team);
 }
 
 void setRemaining(FairQueue &queue, const std::string &key, std::uint32_t remaining)
@@ -110,17 +110,17 @@
     const auto found = queue.teams.find(teamName);
     if (found == queue.teams.end() || found->second.blocked == blocked)
         return;
-    leaveActive(queue, teamName, found->second);
+    removeActive(queue, teamName, found->second);
     found->second.blocked = blocked;
-    joinActive(queue, teamName, found->second);
+    addActive(queue, teamName, found->second);
 }
 
 void chargeTeam(FairQueue &queue, const std::string &teamName, Microseconds runTime)
 {
     TeamQueue &team = queue.teams[teamName];
-    leaveActive(queue, teamName, team);
+    removeActive(queue, teamName, team);
     team.virtualTime += static_cast<double>(runTime.count()) / team.weight;
-    joinActive(queue, teamName, team);
+    addActive(queue, teamName, team);
     if (!queue.active.empty())
         queue.virtualNow = std::max(queue.virtualNow, queue.active.begin()->virtualTime);
 }
--- a/packages/dispatch/src/health.cpp
+++ b/packages/dispatch/src/health.cpp
@@ -18,36 +18,36 @@
 constexpr double Decay = 0.995;
 
 // The worker's own consecutive failures are not counted as failures of its peers.
-bool peersDoBetter(const ServiceHealth &service, const WorkerHealth &worker)
+bool isWorseThanPeers(const ServiceHealth &service, const WorkerHealth &worker)
 {
-    const double peerFailures = std::max(0.0, service.failures - worker.failuresInRow);
+    const double peerFailures = std::max(0.0, service.failures - worker.consecutiveFailures);
     const double peerOutcomes = service.successes + peerFailures;
-    if (peerOutcomes < service.settings.evidence)
+    if (peerOutcomes < service.settings.ejectionThreshold)
         return false;
-    return peerFailures / peerOutcomes <= service.settings.peerFailureShare;
+    return peerFailures / peerOutcomes <= service.settings.maxPeerFailureRatio;
 }
 
-bool mayEject(const ServiceHealth &service)
+bool canEject(const ServiceHealth &service)
 {
-    return service.ejected + 1 <= service.settings.largestEjectedShare * service.workers;
+    return service.ejected + 1 <= service.settings.maxEjectedRatio * service.workers;
 }
 
 void eject(ServiceHealth &service, WorkerHealth &worker, Time now)
 {
     const HealthSettings &settings = service.settings;
-    Milliseconds span = settings.ejection;
-    for (std::uint32_t i = 0; i < worker.ejections && span < settings.longestEjection; ++i)
-        span *= 2;
-    worker.outUntil = now + std::min(span, settings.longestEjection);
-    if (worker.standing == Standing::Good)
+    Milliseconds duration = settings.baseEjectionTime;
+    for (std::uint32_t i = 0; i < worker.ejections && duration < settings.maxEjectionTime; ++i)
+        duration *= 2;
+    worker.ejectedUntil = now + std::min(duration, settings.maxEjectionTime);
+    if (worker.status == HealthStatus::Healthy)
         ++service.ejected;
-    worker.standing = Standing::Ejected;
+    worker.status = HealthStatus::Ejected;
     ++worker.ejections;
 }
 
 void restore(ServiceHealth &service, WorkerHealth &worker)
 {
-    worker.standing = Standing::Good;
+    worker.status = HealthStatus::Healthy;
     worker.ejections = 0;
     --service.ejected;
 }
@@ -55,10 +55,10 @@
 bool recordSuccess(ServiceHealth &service, WorkerHealth &worker)
 {
     service.successes += 1;
-    worker.failuresInRow = 0;
-    ++worker.successesInRow;
-    const bool passed = worker.standing == Standing::OnTrial
-            && worker.successesInRow >= service.settings.trialSuccesses;
+    worker.consecutiveFailures = 0;
+    ++worker.consecutiveSuccesses;
+    const bool passed = worker.status == HealthStatus::OnProbation
+            && worker.consecutiveSuccesses >= service.settings.probationSuccesses;
     if (passed)
         restore(service, worker);
     return passed;
@@ -67,15 +67,15 @@
 bool recordFailure(ServiceHealth &service, WorkerHealth &worker, Time now)
 {
     service.failures += 1;
-    worker.successesInRow = 0;
-    ++worker.failuresInRow;
-    const bool failedTrial = worker.standing == Standing::OnTrial;
-    const bool guilty = worker.standing == Standing::Good
-            && worker.failuresInRow >= service.settings.evidence && peersDoBetter(service, worker)
-            && mayEject(service);
-    if (failedTrial || guilty)
+    worker.consecutiveSuccesses = 0;
+    ++worker.consecutiveFailures;
+    const bool failedProbation = worker.status == HealthStatus::OnProbation;
+    const bool isOutlier = worker.status == HealthStatus::Healthy
+            && worker.consecutiveFailures >= service.settings.ejectionThreshold
+            && isWorseThanPeers(service, worker) && canEject(service);
+    if (failedProbation || isOutlier)
         eject(service, worker, now);
-    return failedTrial || guilty;
+    return failedProbation || isOutlier;
 }
 
 } // namespace
@@ -91,18 +91,18 @@
 
 bool endEjection(WorkerHealth &worker, Time now)
 {
-    if (worker.standing != Standing::Ejected || now < worker.outUntil)
+    if (worker.status != HealthStatus::Ejected || now < worker.ejectedUntil)
         return false;
-    worker.standing = Standing::OnTrial;
-    worker.successesInRow = 0;
-    worker.failuresInRow = 0;
+    worker.status = HealthStatus::OnProbation;
+    worker.consecutiveSuccesses = 0;
+    worker.consecutiveFailures = 0;
     return true;
 }
 
 void forgetWorker(ServiceHealth &service, const WorkerHealth &worker)
 {
     --service.workers;
-    if (worker.standing != Standing::Good)
+    if (worker.status != HealthStatus::Healthy)
         --service.ejected;
 }
 
--- a/packages/dispatch/src/jobtable.cpp
+++ b/packages/dispatch/src/jobtable.cpp
@@ -66,10 +66,10 @@
 void removeOutstanding(Dispatcher &dispatcher, const Task &task)
 {
     std::vector<agent::TaskRef> &refs = dispatcher.outstanding;
-    const std::size_t place = task.outstandingAt;
-    if (place + 1 != refs.size()) {
-        refs[place] = std::move(refs.back());
-        dispatcher.jobs.at(refs[place].job).tasks[refs[place].task].outstandingAt = place;
+    const std::size_t index = task.outstandingIndex;
+    if (index + 1 != refs.size()) {
+        refs[index] = std::move(refs.back());
+        dispatcher.jobs.at(refs[index].job).tasks[refs[index].task].outstandingIndex = index;
     }
     refs.pop_back();
 }
@@ -79,7 +79,7 @@
 void addOutstanding(Dispatcher &dispatcher, Job &job, Task &task)
 {
     countRunning(dispatcher, job, 1);
-    task.outstandingAt = dispatcher.outstanding.size();
+    task.outstandingIndex = dispatcher.outstanding.size();
     dispatcher.outstanding.push_back(refOf(job, task));
 }
 
@@ -91,28 +91,28 @@
     task.agent = worker.id;
     task.agentIncarnation = worker.incarnation;
     task.sentAt = now;
-    task.verifyWait = dispatcher.settings.verifyInterval;
-    task.nextVerify = now + task.verifyWait;
-    task.charged = expectedTime(service, job.spec);
-    chargeTeam(service.queue, job.spec.team, task.charged);
+    task.verifyInterval = dispatcher.settings.verifyInterval;
+    task.nextVerifyAt = now + task.verifyInterval;
+    task.chargedTime = expectedRunTime(service, job.spec);
+    chargeTeam(service.queue, job.spec.team, task.chargedTime);
     addOutstanding(dispatcher, job, task);
 }
 
-void takeOffWorker(Dispatcher &dispatcher, Job &job, Task &task, Microseconds runTime)
+void releaseTask(Dispatcher &dispatcher, Job &job, Task &task, Microseconds runTime)
 {
     ServiceState &service = dispatcher.services[job.spec.service];
     Worker *worker = findWorker(dispatcher, job, task.agent);
     if (worker && worker->incarnation == task.agentIncarnation)
         releaseSlot(service.pool, *worker);
-    chargeTeam(service.queue, job.spec.team, runTime - task.charged);
-    task.charged = Microseconds::zero();
+    chargeTeam(service.queue, job.spec.team, runTime - task.chargedTime);
+    task.chargedTime = Microseconds::zero();
     countRunning(dispatcher, job, -1);
     removeOutstanding(dispatcher, task);
 }
 
 void markWaiting(Dispatcher &dispatcher, Job &job, Task &task)
 {
-    takeOffWorker(dispatcher, job, task, Microseconds::zero());
+    releaseTask(dispatcher, job, task, Microseconds::zero());
     task.state = TaskState::Waiting;
     ++task.attempt;
     countWaiting(dispatcher, job, 1);
@@ -137,8 +137,8 @@
 {
     const JobSpec &spec = job.spec;
     FairQueue &queue = dispatcher.services[spec.service].queue;
-    const bool sendable = job.state == JobState::Active && now >= job.holdUntil;
-    if (!sendable || job.waiting == 0)
+    const bool canSend = job.state == JobState::Active && now >= job.backoffUntil;
+    if (!canSend || job.waiting == 0)
         return setRemaining(queue, spec.key, 0);
     const auto weight = dispatcher.teamWeights.find(spec.team);
     pushJob(queue, spec.team, weight == dispatcher.teamWeights.end() ? 1.0 : weight->second,
@@ -172,7 +172,7 @@
     actions.ended.push_back(job.spec.key);
 }
 
-void stopTasks(Dispatcher &dispatcher, Job &job, Actions &actions)
+void cancelTasks(Dispatcher &dispatcher, Job &job, Actions &actions)
 {
     for (Task &task : job.tasks) {
         if (!onWorker(task))
@@ -182,13 +182,13 @@
         cancel.refs.push_back(refOf(job, task));
         cancel.agentIncarnation = task.agentIncarnation;
         actions.sends.push_back({ task.agent, cancel });
-        takeOffWorker(dispatcher, job, task, task.charged);
+        releaseTask(dispatcher, job, task, task.chargedTime);
         task.state = TaskState::Waiting;
     }
 }
 
 // True if no attempt of any task can have started.
-bool provablyNotRun(const Job &job)
+bool certainlyNotRun(const Job &job)
 {
     if (job.mayHaveRun || job.state == JobState::Collecting)
         return false;
@@ -203,8 +203,8 @@
 {
     if (job.state == JobState::Ended)
         return;
-    const Outcome outcome = provablyNotRun(job) ? Outcome::NotRun : Outcome::Failed;
-    stopTasks(dispatcher, job, actions);
+    const Outcome outcome = certainlyNotRun(job) ? Outcome::NotRun : Outcome::Failed;
+    cancelTasks(dispatcher, job, actions);
     job.answer.outcome = outcome;
     job.answer.error = Error { kind, std::move(message), outcome, Milliseconds { 0 } };
     ++(outcome == Outcome::NotRun ? dispatcher.counters.notRun : dispatcher.counters.failed);
@@ -222,13 +222,13 @@
 
 // [SECTION] Retention
 
-void forgetAnswers(Dispatcher &dispatcher, Time now)
+void evictAnswers(Dispatcher &dispatcher, Time now)
 {
     const DispatchSettings &settings = dispatcher.settings;
     while (!dispatcher.ended.empty()) {
         const auto job = dispatcher.jobs.find(dispatcher.ended.front());
-        const bool old = now >= job->second.endedAt + settings.answerRetention;
-        if (!old && dispatcher.answerBytes <= settings.maxAnswerBytes)
+        const bool expired = now >= job->second.endedAt + settings.answerRetention;
+        if (!expired && dispatcher.answerBytes <= settings.maxAnswerBytes)
             return;
         for (const std::string &result : job->second.answer.results)
             dispatcher.answerBytes -= result.size();
--- a/packages/dispatch/src/jobtable.h
+++ b/packages/dispatch/src/jobtable.h
@@ -28,7 +28,7 @@
 
 // Releases the slot and quota of a task that is no longer on its worker, and corrects the charge to
 // its run time.
-void takeOffWorker(Dispatcher &dispatcher, Job &job, Task &task, Microseconds runTime);
+void releaseTask(Dispatcher &dispatcher, Job &job, Task &task, Microseconds runTime);
 
 // Returns a task to the waiting ones, after proof that it never started or for a retry.
 void markWaiting(Dispatcher &dispatcher, Job &job, Task &task);
@@ -49,6 +49,6 @@
 void completeJob(Dispatcher &dispatcher, Job &job, Time now, Actions &actions);
 
 // Evicts answers that are too old, and the oldest ones while all together are too large.
-void forgetAnswers(Dispatcher &dispatcher, Time now);
+void evictAnswers(Dispatcher &dispatcher, Time now);
 
 } // namespace foxwing::dispatch
--- a/packages/dispatch/src/takeover.cpp
+++ b/packages/dispatch/src/takeover.cpp
@@ -18,13 +18,13 @@
 
 void sendFences(Dispatcher &dispatcher, Job &job, Time now, Actions &actions)
 {
-    if (now < job.nextFence)
+    if (now < job.nextFenceAt)
         return;
-    for (const std::string &agentId : job.unanswered) {
+    for (const std::string &agentId : job.unansweredFences) {
         const agent::Fence fence { job.spec.key, job.epoch, dispatcher.settings.id };
         actions.sends.push_back({ agentId, fence });
     }
-    job.nextFence = now + dispatcher.settings.fenceInterval;
+    job.nextFenceAt = now + dispatcher.settings.fenceInterval;
 }
 
 // [SECTION] Collection
@@ -37,7 +37,7 @@
 }
 
 // Applies the state of a task that runs or finished at the agent; it must not be started again.
-void takeStarted(Dispatcher &dispatcher, Job &job, const agent::TaskStatus &known,
+void applyStatus(Dispatcher &dispatcher, Job &job, const agent::TaskStatus &known,
                  const agent::Fenced &from, Time now, Actions &actions)
 {
     Task &task = job.tasks[known.ref.task];
@@ -52,8 +52,8 @@
     if (!known.finished) {
         task.state = TaskState::Running;
         task.sentAt = now;
-        task.verifyWait = dispatcher.settings.verifyInterval;
-        task.nextVerify = now + task.verifyWait;
+        task.verifyInterval = dispatcher.settings.verifyInterval;
+        task.nextVerifyAt = now + task.verifyInterval;
         addOutstanding(dispatcher, job, task);
         return;
     }
@@ -63,8 +63,8 @@
     settle(known.ref, from.agent, actions);
     if (known.end == agent::TaskEnd::Succeeded && !known.bodyKept)
         failJob(dispatcher, job, ErrorKind::WorkerLost,
-                "a result was handed to an entry that is lost by now; check the effects before you "
-                "submit the work anew",
+                "a result was delivered to an entry that was lost; check the effects before you "
+                "submit the work again",
                 now, actions);
     else if (known.end != agent::TaskEnd::Succeeded)
         failJob(dispatcher, job, ErrorKind::TaskFailed,
@@ -75,30 +75,31 @@
 
 } // namespace
 
-void takeFenced(Dispatcher &dispatcher, Job &job, const agent::Fenced &fenced, Time now,
-                Actions &actions)
+void handleFenced(Dispatcher &dispatcher, Job &job, const agent::Fenced &fenced, Time now,
+                  Actions &actions)
 {
-    const auto waiting = std::find(job.unanswered.begin(), job.unanswered.end(), fenced.agent);
-    if (job.state != JobState::Collecting || waiting == job.unanswered.end())
+    const auto waiting = std::find(job.unansweredFences.begin(), job.unansweredFences.end(),
+                                   fenced.agent);
+    if (job.state != JobState::Collecting || waiting == job.unansweredFences.end())
         return;
     if (fenced.jobEpoch > job.epoch)
         return failJob(dispatcher, job, ErrorKind::WorkerLost,
-                       "another entry has taken this job over; ask again with the same id", now,
+                       "another entry has taken over this job; ask again with the same id", now,
                        actions);
-    job.unanswered.erase(waiting);
+    job.unansweredFences.erase(waiting);
     // The incarnation of an agent is its start time in milliseconds since 1970.
     const auto startedAt = static_cast<std::int64_t>(fenced.agentIncarnation);
-    job.collectionHasGaps = job.collectionHasGaps || startedAt >= job.claimedAt;
+    job.collectionIncomplete = job.collectionIncomplete || startedAt >= job.claimedAt;
     for (const agent::TaskStatus &known : fenced.tasks) {
         if (job.state == JobState::Ended || known.ref.task >= job.tasks.size())
             return;
         Task &task = job.tasks[known.ref.task];
         if (!known.voided)
-            takeStarted(dispatcher, job, known, fenced, now, actions);
+            applyStatus(dispatcher, job, known, fenced, now, actions);
         else if (task.state == TaskState::Waiting)
             task.attempt = std::max(task.attempt, known.ref.attempt + 1);
     }
-    if (job.state == JobState::Collecting && job.unanswered.empty())
+    if (job.state == JobState::Collecting && job.unansweredFences.empty())
         endCollection(dispatcher, job, now, actions);
 }
 
@@ -106,14 +107,15 @@
 
 void endCollection(Dispatcher &dispatcher, Job &job, Time now, Actions &actions)
 {
-    const bool gaps = job.collectionHasGaps || !job.unanswered.empty();
-    if (gaps && job.waiting > 0)
-        return failJob(dispatcher, job, ErrorKind::WorkerLost,
-                       "the entry that had this job is lost, and so is a worker that may have run "
-                       "a part of it; check its effects before you submit the work anew",
-                       now, actions);
+    const bool incomplete = job.collectionIncomplete || !job.unansweredFences.empty();
+    if (incomplete && job.waiting > 0)
+        return failJob(
+                dispatcher, job, ErrorKind::WorkerLost,
+                "the entry that owned this job is lost, and so is a worker that may have run "
+                "part of it; check its effects before you submit the work again",
+                now, actions);
     job.state = JobState::Active;
-    job.unanswered.clear();
+    job.unansweredFences.clear();
     if (job.done == job.tasks.size())
         return completeJob(dispatcher, job, now, actions);
     requeue(dispatcher, job, now);
@@ -128,7 +130,7 @@
         if (found == dispatcher.jobs.end() || found->second.state != JobState::Collecting)
             continue;
         Job &job = found->second;
-        if (now >= job.collectUntil) {
+        if (now >= job.collectDeadline) {
             endCollection(dispatcher, job, now, actions);
             continue;
         }
--- a/packages/dispatch/src/takeover.h
+++ b/packages/dispatch/src/takeover.h
@@ -15,8 +15,8 @@
 void sendFences(Dispatcher &dispatcher, Job &job, Time now, Actions &actions);
 
 // Applies what one agent knows. Ends the collection if it was the last one.
-void takeFenced(Dispatcher &dispatcher, Job &job, const agent::Fenced &fenced, Time now,
-                Actions &actions);
+void handleFenced(Dispatcher &dispatcher, Job &job, const agent::Fenced &fenced, Time now,
+                  Actions &actions);
 
 // Repeats fences and ends collections that have timed out.
 void tickCollections(Dispatcher &dispatcher, Time now, Actions &actions);
--- a/packages/dispatch/src/workerpool.cpp
+++ b/packages/dispatch/src/workerpool.cpp
@@ -15,38 +15,38 @@
 
 namespace {
 
-FreeOrder freeOrder(const WorkerPool &pool, const Worker &worker)
+WorkerOrder orderOf(const WorkerPool &pool, const Worker &worker)
 {
-    return { worker.dataCentre != pool.dataCentre, worker.ours + worker.others, worker.id };
+    return { worker.dataCentre != pool.dataCentre, worker.ownTasks + worker.otherTasks, worker.id };
 }
 
-bool usable(const Worker &worker)
+bool isAvailable(const Worker &worker)
 {
-    return worker.leased && !worker.leaving && worker.restUntil == Time {}
-    && worker.ours + worker.others < worker.slots;
+    return worker.leased && !worker.leaving && worker.backoffUntil == Time {}
+    && worker.ownTasks + worker.otherTasks < worker.slots;
 }
 
 } // namespace
 
-void placeWorker(WorkerPool &pool, Worker &worker)
+void indexWorker(WorkerPool &pool, Worker &worker)
 {
-    if (!usable(worker))
+    if (!isAvailable(worker))
         return;
-    if (worker.health.standing == Standing::Good)
-        pool.free.insert(freeOrder(pool, worker));
-    else if (worker.health.standing == Standing::OnTrial && worker.ours == 0)
-        pool.trial.insert(freeOrder(pool, worker));
+    if (worker.health.status == HealthStatus::Healthy)
+        pool.available.insert(orderOf(pool, worker));
+    else if (worker.health.status == HealthStatus::OnProbation && worker.ownTasks == 0)
+        pool.probation.insert(orderOf(pool, worker));
 }
 
-void unplaceWorker(WorkerPool &pool, const Worker &worker)
+void unindexWorker(WorkerPool &pool, const Worker &worker)
 {
-    pool.free.erase(freeOrder(pool, worker));
-    pool.trial.erase(freeOrder(pool, worker));
+    pool.available.erase(orderOf(pool, worker));
+    pool.probation.erase(orderOf(pool, worker));
 }
 
 // [SECTION] Offers
 
-OfferEffect takeOffer(WorkerPool &pool, const agent::LeaseOffer &offer, Time now)
+OfferEffect applyOffer(WorkerPool &pool, const agent::LeaseOffer &offer, Time now)
 {
     const auto inserted = pool.workers.try_emplace(offer.agent);
     Worker &worker = inserted.first->second;
@@ -55,34 +55,34 @@
         worker.id = offer.agent;
         ++pool.health.workers;
     }
-    const bool stale = offer.agentIncarnation < worker.incarnation
+    const bool isStale = offer.agentIncarnation < worker.incarnation
             || (offer.agentIncarnation == worker.incarnation
                 && offer.leaseEpoch < worker.leaseEpoch);
-    if (stale)
+    if (isStale)
         return OfferEffect::Stale;
-    unplaceWorker(pool, worker);
+    unindexWorker(pool, worker);
     const bool restarted = !isNew && offer.agentIncarnation > worker.incarnation;
     if (restarted)
-        worker.ours = 0;
+        worker.ownTasks = 0;
     endLease(pool, worker);
     worker.incarnation = offer.agentIncarnation;
     worker.leaseEpoch = offer.leaseEpoch;
     worker.dataCentre = offer.dataCentre;
     worker.slots = offer.slots;
-    worker.others = offer.busy > worker.ours ? offer.busy - worker.ours : 0;
+    worker.otherTasks = offer.busy > worker.ownTasks ? offer.busy - worker.ownTasks : 0;
     worker.leaving = offer.leaving;
     worker.leased = true;
-    worker.lastOffer = now;
-    worker.lastHeard = now;
+    worker.lastOfferAt = now;
+    worker.lastReceivedAt = now;
     pool.slots += worker.slots;
     ++pool.leasedWorkers;
-    placeWorker(pool, worker);
+    indexWorker(pool, worker);
     return restarted ? OfferEffect::Restarted : OfferEffect::None;
 }
 
 void endLease(WorkerPool &pool, Worker &worker)
 {
-    unplaceWorker(pool, worker);
+    unindexWorker(pool, worker);
     if (!worker.leased)
         return;
     worker.leased = false;
@@ -90,7 +90,7 @@
     --pool.leasedWorkers;
 }
 
-void dropWorker(WorkerPool &pool, const std::string &id)
+void removeWorker(WorkerPool &pool, const std::string &id)
 {
     const auto found = pool.workers.find(id);
     if (found == pool.workers.end())
@@ -105,7 +105,8 @@
 Worker *pickWorker(WorkerPool &pool, bool repeatable)
 {
     // A probation takes one repeatable task at a time and can restore the worker, so it goes first.
-    const std::set<FreeOrder> &set = repeatable && !pool.trial.empty() ? pool.trial : pool.free;
+    const std::set<WorkerOrder> &set = repeatable && !pool.probation.empty() ? pool.probation
+                                                                             : pool.available;
     if (set.empty())
         return nullptr;
     return &pool.workers.at(set.begin()->id);
@@ -113,17 +114,17 @@
 
 void occupySlot(WorkerPool &pool, Worker &worker)
 {
-    unplaceWorker(pool, worker);
-    ++worker.ours;
-    placeWorker(pool, worker);
+    unindexWorker(pool, worker);
+    ++worker.ownTasks;
+    indexWorker(pool, worker);
 }
 
 void releaseSlot(WorkerPool &pool, Worker &worker)
 {
-    unplaceWorker(pool, worker);
-    if (worker.ours > 0)
-        --worker.ours;
-    placeWorker(pool, worker);
+    unindexWorker(pool, worker);
+    if (worker.ownTasks > 0)
+        --worker.ownTasks;
+    indexWorker(pool, worker);
 }
 
 } // namespace foxwing::dispatch
--- a/packages/dispatch/tests/dispatcher_test.cpp
+++ b/packages/dispatch/tests/dispatcher_test.cpp
@@ -16,14 +16,14 @@
 
 // [SECTION] Helpers
 
-constexpr Time Begin { Milliseconds(1000) };
+constexpr Time StartTime { Milliseconds(1000) };
 
 struct Fixture
 {
     Dispatcher dispatcher;
     std::vector<agent::Start> starts;
     std::vector<std::string> ended;
-    Time now = Begin;
+    Time now = StartTime;
     std::uint32_t slots = 2;
 
     Fixture()
@@ -35,7 +35,7 @@
         offer("worker-1", 1);
     }
 
-    void take(Actions &&actions)
+    void record(Actions &&actions)
     {
         for (Outgoing &send : actions.sends) {
             if (const auto *start = std::get_if<agent::Start>(&send.message))
@@ -52,7 +52,7 @@
         offer.leaseEpoch = 1;
         offer.service = "svc";
         offer.slots = slots;
-        take(handle(dispatcher, offer, now));
+        record(handle(dispatcher, offer, now));
     }
 
     void submit(const std::string &key, std::size_t tasks, bool request = false,
@@ -66,7 +66,7 @@
         spec.deadline = now + Seconds(10);
         spec.request = request;
         spec.repeatable = repeatable;
-        take(submitJob(dispatcher, spec, 1, now));
+        record(submitJob(dispatcher, spec, 1, now));
     }
 
     void finish(const agent::Start &start, const std::string &body,
@@ -78,18 +78,18 @@
         finished.agentIncarnation = start.agentIncarnation;
         finished.body = body;
         finished.end = end;
-        take(handle(dispatcher, finished, now));
+        record(handle(dispatcher, finished, now));
     }
 
     // Advances the clock in ticks; the worker renews its lease or not.
-    void pass(Milliseconds span, bool renew)
+    void advance(Milliseconds duration, bool renew)
     {
-        const Time until = now + span;
+        const Time until = now + duration;
         while (now < until) {
             now += Milliseconds(50);
             if (renew)
                 offer("worker-1", 1);
-            take(tick(dispatcher, now));
+            record(tick(dispatcher, now));
         }
     }
 
@@ -101,18 +101,18 @@
 struct Step
 {
     const char *name;
-    void (*play)(Fixture &);
+    void (*run)(Fixture &);
     Outcome expected;
     std::size_t starts;
 };
 
-class StepFails : public testing::TestWithParam<Step>
+class SingleFailure : public testing::TestWithParam<Step>
 { };
 
-TEST_P(StepFails, AndTheOutcomeIsTrue)
+TEST_P(SingleFailure, HasTheRightOutcome)
 {
     Fixture fixture;
-    GetParam().play(fixture);
+    GetParam().run(fixture);
     EXPECT_EQ(fixture.answer("team/job").outcome, GetParam().expected);
     EXPECT_EQ(fixture.starts.size(), GetParam().starts);
 }
@@ -123,26 +123,26 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-        Table, StepFails,
+        Table, SingleFailure,
         testing::Values(
                 Step { "NoWorkerUntilTheDeadline",
                        [](Fixture &fixture) {
-                           fixture.pass(Milliseconds(2000), false);
+                           fixture.advance(Milliseconds(2000), false);
                            fixture.submit("team/job", 1);
-                           fixture.pass(Milliseconds(10050), false);
+                           fixture.advance(Milliseconds(10050), false);
                        },
                        Outcome::NotRun, 0 },
                 Step { "CancelledBeforeAnyStart",
                        [](Fixture &fixture) {
-                           fixture.pass(Milliseconds(2000), false);
+                           fixture.advance(Milliseconds(2000), false);
                            fixture.submit("team/job", 1);
-                           fixture.take(cancelJob(fixture.dispatcher, "team/job", fixture.now));
+                           fixture.record(cancelJob(fixture.dispatcher, "team/job", fixture.now));
                        },
                        Outcome::NotRun, 0 },
                 Step { "StartLostWithItsWorker",
                        [](Fixture &fixture) {
                            fixture.submit("team/job", 1);
-                           fixture.pass(Milliseconds(5000), false);
+                           fixture.advance(Milliseconds(5000), false);
                        },
                        Outcome::Failed, 1 },
                 Step { "WorkerRestarted",
@@ -151,47 +151,47 @@
                            fixture.offer("worker-1", 2);
                        },
                        Outcome::Failed, 1 },
-                Step { "RefusalOfAnotherLifeIsNoProof",
+                Step { "RefusalOfAnotherIncarnationIsNoProof",
                        [](Fixture &fixture) {
                            fixture.submit("team/job", 1);
                            agent::NotStarted late = refusal(fixture.starts[0],
                                                             agent::RefusalCause::WrongIncarnation);
                            late.agentIncarnation = 2;
-                           fixture.take(handle(fixture.dispatcher, late, fixture.now));
-                           fixture.take(cancelJob(fixture.dispatcher, "team/job", fixture.now));
+                           fixture.record(handle(fixture.dispatcher, late, fixture.now));
+                           fixture.record(cancelJob(fixture.dispatcher, "team/job", fixture.now));
                        },
                        Outcome::Failed, 1 },
                 Step { "RefusedThenCancelled",
                        [](Fixture &fixture) {
                            fixture.submit("team/job", 1);
-                           fixture.take(handle(fixture.dispatcher,
-                                               refusal(fixture.starts[0],
-                                                       agent::RefusalCause::NoFreeSlot),
-                                               fixture.now));
-                           fixture.take(cancelJob(fixture.dispatcher, "team/job", fixture.now));
+                           fixture.record(handle(fixture.dispatcher,
+                                                 refusal(fixture.starts[0],
+                                                         agent::RefusalCause::NoFreeSlot),
+                                                 fixture.now));
+                           fixture.record(cancelJob(fixture.dispatcher, "team/job", fixture.now));
                        },
                        Outcome::NotRun, 1 },
                 Step { "RefusedThenStartedElsewhere",
                        [](Fixture &fixture) {
                            fixture.submit("team/job", 1);
-                           fixture.take(handle(fixture.dispatcher,
-                                               refusal(fixture.starts[0],
-                                                       agent::RefusalCause::WrongLease),
-                                               fixture.now));
-                           fixture.pass(Milliseconds(100), true);
+                           fixture.record(handle(fixture.dispatcher,
+                                                 refusal(fixture.starts[0],
+                                                         agent::RefusalCause::WrongLease),
+                                                 fixture.now));
+                           fixture.advance(Milliseconds(100), true);
                            fixture.finish(fixture.starts.back(), "result");
                        },
                        Outcome::Complete, 2 },
                 Step { "FencedByAnotherOwner",
                        [](Fixture &fixture) {
                            fixture.submit("team/job", 1);
-                           fixture.take(
+                           fixture.record(
                                    handle(fixture.dispatcher,
                                           refusal(fixture.starts[0], agent::RefusalCause::Fenced),
                                           fixture.now));
                        },
                        Outcome::Failed, 1 },
-                Step { "AnswerOfTheEndpointIsFailure",
+                Step { "EndpointReportsFailure",
                        [](Fixture &fixture) {
                            fixture.submit("team/job", 2);
                            fixture.finish(fixture.starts[0], "no", agent::TaskEnd::Failed);
@@ -200,7 +200,7 @@
                 Step { "DeadlineWhileItRuns",
                        [](Fixture &fixture) {
                            fixture.submit("team/job", 1);
-                           fixture.pass(Milliseconds(10050), true);
+                           fixture.advance(Milliseconds(10050), true);
                        },
                        Outcome::Failed, 1 },
                 Step { "ResultArrivesTwice",
@@ -211,20 +211,20 @@
                            fixture.finish(fixture.starts[1], "result");
                        },
                        Outcome::Complete, 2 },
-                Step { "RepeatableRequestIsSentAgain",
+                Step { "RepeatableRequestIsRetried",
                        [](Fixture &fixture) {
                            fixture.submit("team/job", 1, true, true);
                            fixture.offer("worker-1", 2);
                            fixture.finish(fixture.starts.back(), "result");
                        },
                        Outcome::Complete, 2 },
-                Step { "RequestThatIsNotRepeatableIsNot",
+                Step { "UnrepeatableRequestIsNotRetried",
                        [](Fixture &fixture) {
                            fixture.submit("team/job", 1, true, false);
                            fixture.offer("worker-1", 2);
                        },
                        Outcome::Failed, 1 },
-                Step { "RepeatableJobIsNotEither",
+                Step { "RepeatableJobIsNotRetried",
                        [](Fixture &fixture) {
                            fixture.submit("team/job", 1, false, true);
                            fixture.offer("worker-1", 2);
@@ -234,7 +234,7 @@
 
 // [SECTION] Answers
 
-TEST(Dispatcher, AnswersAreWholeAndInOrder)
+TEST(Dispatcher, AnswersAreCompleteAndInOrder)
 {
     Fixture fixture;
     fixture.slots = 3;
@@ -248,29 +248,29 @@
     EXPECT_EQ(fixture.answer("team/job").results, (std::vector<std::string> { "0", "1", "2" }));
 }
 
-TEST(Dispatcher, ForeignResultsReachNobody)
+TEST(Dispatcher, UnexpectedResultsAreDropped)
 {
     Fixture fixture;
     fixture.submit("team/job", 1);
-    agent::Start foreign = fixture.starts[0];
-    foreign.ref.attempt = 1;
-    fixture.finish(foreign, "foreign");
-    foreign = fixture.starts[0];
-    foreign.ref.job = "team/other";
-    fixture.finish(foreign, "foreign");
+    agent::Start unexpected = fixture.starts[0];
+    unexpected.ref.attempt = 1;
+    fixture.finish(unexpected, "unexpected");
+    unexpected = fixture.starts[0];
+    unexpected.ref.job = "team/other";
+    fixture.finish(unexpected, "unexpected");
     EXPECT_TRUE(fixture.ended.empty());
     EXPECT_EQ(fixture.dispatcher.counters.unexpectedResults, 2U);
 }
 
-TEST(Dispatcher, ASilentTaskIsAskedForWithGrowingPauses)
+TEST(Dispatcher, ASilentTaskIsQueriedAtGrowingIntervals)
 {
     Fixture fixture;
     fixture.submit("team/job", 1);
-    fixture.pass(Milliseconds(9000), true);
+    fixture.advance(Milliseconds(9000), true);
     EXPECT_EQ(fixture.dispatcher.counters.verifications, 3U); // after 1, 3 and 7 seconds
 }
 
-TEST(Dispatcher, AnswersAreForgottenByAgeAndBySize)
+TEST(Dispatcher, AnswersAreEvictedByAgeAndBySize)
 {
     Fixture fixture;
     fixture.dispatcher.settings.maxAnswerBytes = 1000;
@@ -278,16 +278,16 @@
         fixture.submit("team/job" + std::to_string(i), 1);
         fixture.finish(fixture.starts.back(), std::string(400, 'x'));
     }
-    fixture.pass(Milliseconds(100), true);
+    fixture.advance(Milliseconds(100), true);
     EXPECT_LE(fixture.dispatcher.answerBytes, 1000U);
     EXPECT_NE(findJob(fixture.dispatcher, "team/job9"), nullptr);
-    fixture.pass(Milliseconds(121000), true);
+    fixture.advance(Milliseconds(121000), true);
     EXPECT_TRUE(fixture.dispatcher.jobs.empty());
 }
 
 // [SECTION] Limits
 
-TEST(Dispatcher, AFullQueueRefusesBeforeAnythingIsDone)
+TEST(Dispatcher, AFullQueueRefusesWithOutcomeNotRun)
 {
     Fixture fixture;
     fixture.dispatcher.settings.maxQueuedTasks = 10;
@@ -315,11 +315,11 @@
     fixture.finish(fixture.starts[0], "result");
     EXPECT_EQ(fixture.starts.size(), 4U);
     setTeamLimit(fixture.dispatcher, "team", 5);
-    fixture.pass(Milliseconds(100), true);
+    fixture.advance(Milliseconds(100), true);
     EXPECT_EQ(fixture.starts.size(), 6U);
 }
 
-TEST(Dispatcher, AnOldRunTimeIsNoReasonToRefuse)
+TEST(Dispatcher, AnOldRunTimeDoesNotRefuseWork)
 {
     Fixture fixture;
     for (int i = 0; i < 20; ++i) {
@@ -330,7 +330,7 @@
         finished.agentIncarnation = 1;
         finished.end = agent::TaskEnd::Succeeded;
         finished.runTime = Seconds(5);
-        fixture.take(handle(fixture.dispatcher, finished, fixture.now));
+        fixture.record(handle(fixture.dispatcher, finished, fixture.now));
     }
     JobSpec spec;
     spec.key = "team/next";
--- a/packages/dispatch/tests/health_test.cpp
+++ b/packages/dispatch/tests/health_test.cpp
@@ -10,7 +10,7 @@
 namespace foxwing::dispatch {
 namespace {
 
-constexpr Time Begin { Milliseconds(1000) };
+constexpr Time StartTime { Milliseconds(1000) };
 
 ServiceHealth healthyService(std::uint32_t workers)
 {
@@ -22,60 +22,60 @@
 
 int failUntilEjected(ServiceHealth &service, WorkerHealth &worker)
 {
-    int harmed = 0;
-    while (worker.standing == Standing::Good && harmed < 1000) {
-        recordOutcome(service, worker, false, Begin);
-        ++harmed;
+    int failures = 0;
+    while (worker.status == HealthStatus::Healthy && failures < 1000) {
+        recordOutcome(service, worker, false, StartTime);
+        ++failures;
     }
-    return harmed;
+    return failures;
 }
 
 // [SECTION] Tests
 
-TEST(Health, AWorkerThatFailsEverythingHarmsFewTasks)
+TEST(Health, AWorkerThatFailsAllTasksIsEjectedSoon)
 {
     ServiceHealth service = healthyService(11);
     WorkerHealth worker;
     EXPECT_LE(failUntilEjected(service, worker), 20);
 }
 
-TEST(Health, BadWorkIsNoEvidenceAgainstWorkers)
+TEST(Health, FailuresOnAllWorkersEjectNone)
 {
     ServiceHealth service = healthyService(11);
     service.successes = 0;
     std::vector<WorkerHealth> workers(11);
     for (int i = 0; i < 1100; ++i)
-        recordOutcome(service, workers[static_cast<std::size_t>(i % 11)], false, Begin);
+        recordOutcome(service, workers[static_cast<std::size_t>(i % 11)], false, StartTime);
     EXPECT_EQ(service.ejected, 0U);
 }
 
-TEST(Health, OnlyABoundedShareIsEjected)
+TEST(Health, TheNumberOfEjectedWorkersIsLimited)
 {
     ServiceHealth service = healthyService(10);
     std::vector<WorkerHealth> workers(10);
     for (WorkerHealth &worker : workers) {
         service.successes = 1000;
         for (int i = 0; i < 10; ++i)
-            recordOutcome(service, worker, false, Begin);
+            recordOutcome(service, worker, false, StartTime);
     }
     EXPECT_EQ(service.ejected, 3U);
 }
 
-TEST(Health, ATrialEndsInGoodStandingOrALongerEjection)
+TEST(Health, AProbationEndsInHealthOrALongerEjection)
 {
     ServiceHealth service = healthyService(11);
     WorkerHealth worker;
     failUntilEjected(service, worker);
-    EXPECT_FALSE(endEjection(worker, Begin + Milliseconds(4999)));
-    EXPECT_TRUE(endEjection(worker, Begin + Milliseconds(5000)));
-    EXPECT_EQ(worker.standing, Standing::OnTrial);
-    recordOutcome(service, worker, false, Begin + Milliseconds(5000));
-    EXPECT_EQ(worker.standing, Standing::Ejected);
-    EXPECT_EQ(worker.outUntil, Begin + Milliseconds(15000));
-    EXPECT_TRUE(endEjection(worker, worker.outUntil));
+    EXPECT_FALSE(endEjection(worker, StartTime + Milliseconds(4999)));
+    EXPECT_TRUE(endEjection(worker, StartTime + Milliseconds(5000)));
+    EXPECT_EQ(worker.status, HealthStatus::OnProbation);
+    recordOutcome(service, worker, false, StartTime + Milliseconds(5000));
+    EXPECT_EQ(worker.status, HealthStatus::Ejected);
+    EXPECT_EQ(worker.ejectedUntil, StartTime + Milliseconds(15000));
+    EXPECT_TRUE(endEjection(worker, worker.ejectedUntil));
     for (int i = 0; i < 3; ++i)
-        recordOutcome(service, worker, true, Begin);
-    EXPECT_EQ(worker.standing, Standing::Good);
+        recordOutcome(service, worker, true, StartTime);
+    EXPECT_EQ(worker.status, HealthStatus::Healthy);
     EXPECT_EQ(service.ejected, 0U);
 }
 
