--- a/packages/fleet/include/foxwing/fleet/dialect.h
+++ b/packages/fleet/include/foxwing/fleet/dialect.h
@@ -1,8 +1,8 @@
 /*
-    What a fleet needs to be told and to tell at its edges, apart from how it is said.
+    The interface between a fleet and its HTTP protocol.
 
-    A dialect is a set of functions that turn HTTP messages into these types and back. The fleet
-    decides; a dialect only translates, and keeps no state.
+    A dialect is a set of functions that translate HTTP messages into these types and back. It is
+    stateless; all decisions are made in the fleet.
 
     [SECTION] Callers
     [SECTION] Endpoints
@@ -31,30 +31,29 @@
     Cancel,
     AskWaiting,
 
-    // Nothing that the interface has
+    // Not a request of the interface
     Other,
 };
 
-// A caller's request, read as far as is needed to find its queue.
+// A caller's request, parsed as far as needed to find its queue.
 struct CallerCall
 {
     CallerWish wish = CallerWish::Other;
     std::string host;
     std::string path;
 
-    // How long the caller waits; left out, as long as the queue allows.
+    // How long the caller waits; unset: as long as the queue allows.
     std::optional<Milliseconds> patience;
 };
 
-// Why a call gets no job.
+// Why a request creates no job.
 enum class CallerRefusal {
     NoSuchQueue,
 
-    // This entry can't tell yet which queues there are.
+    // This entry has not received the catalog yet.
     NotConfigured,
     BadRequest,
 
-    // No such job is known.
     Gone,
     NotServed,
 };
@@ -67,13 +66,15 @@
     Other,
 };
 
-// What an endpoint tells its agent.
+// A request of an endpoint to its agent.
 struct EndpointCall
 {
     EndpointWish wish = EndpointWish::Other;
 
-    // Leave: which life of it has ended; Beat: what it says of itself
+    // Deregister: the incarnation that ended
     runner::IncarnationId endpointIncarnation;
+
+    // Heartbeat
     runner::EndpointReport report;
 };
 
@@ -89,14 +90,14 @@
     // Callers
     CallerCall (*readCall)(const fabric::Request &request) = nullptr;
 
-    // A submitted job; rest is the path behind the queue's prefix.
+    // A submitted job; rest is the path after the queue's prefix.
     std::optional<jobs::JobSpec> (*readJob)(const fabric::Request &request, const std::string &rest,
                                             Error *reason) = nullptr;
     fabric::Response (*writeJobAnswer)(const scheduler::JobAnswer &answer) = nullptr;
     fabric::Response (*writeWaiting)(std::size_t jobs) = nullptr;
     fabric::Response (*writeRefusal)(CallerRefusal refusal, const std::string &reason) = nullptr;
 
-    // The platform's question whether new connections should come here
+    // The platform's readiness check, before it sends new connections here
     bool (*asksReadiness)(const fabric::Request &request) = nullptr;
     fabric::Response (*writeReadiness)(bool ready) = nullptr;
 
--- a/packages/fleet/include/foxwing/fleet/node.h
+++ b/packages/fleet/include/foxwing/fleet/node.h
@@ -1,11 +1,11 @@
 /*
-    One process of a fleet: an entry, an agent or a control host on one thread.
+    One process of a fleet: an entry, an agent or a control host, with a single-threaded event loop.
 
         Node node(settings, "/etc/foxwing/node.toml", dialect);
         Error reason;
         if (!node.start(&reason))
             ...
-        node.run();   // until a stop signal has been dealt with
+        node.run();   // returns after a stop signal, once the shutdown is complete
 
     [SECTION] Node
 */
@@ -23,7 +23,7 @@
 class Node
 {
 public:
-    // The file is read again when it changes; without a path it is not.
+    // The settings file is reloaded when it changes; with an empty path it is not.
     Node(FleetSettings settings, std::string settingsPath, const Dialect &dialect);
     ~Node();
 
--- a/packages/fleet/include/foxwing/fleet/settings.h
+++ b/packages/fleet/include/foxwing/fleet/settings.h
@@ -1,12 +1,11 @@
 /*
     Settings of one process of a fleet that a platform runs.
 
-    The file is written by the platform from a template and may change at any time; a process reads
-    it again on SIGHUP and when its text has changed.
+    The platform writes the file from a template and may change it at any time; a process reloads it
+    on SIGHUP and when its contents change.
 
         Error reason;
-        std::optional<FleetSettings> settings = readFleetSettings("/etc/foxwing/node.toml",
-   &reason);
+        const auto settings = readFleetSettings("/etc/foxwing/node.toml", &reason);
 
     [SECTION] Settings
     [SECTION] Functions
@@ -37,52 +36,51 @@
     directory::Role role = directory::Role::Entry;
     std::string dataCentre;
 
-    // Of this host, as others reach it
+    // Address of this host as seen by others
     std::string ip;
 
-    // Control only
+    // Control hosts only
     std::string dataFolder;
 
     // [cluster]
-    // Where processes of the fleet reach each other, the same on every host
+    // Port for connections between processes of the fleet, the same on every host
     int innerPort = 0;
 
-    // Addresses of a few control hosts; only their hosts are used, with the inner port.
+    // Addresses of some control hosts; their ports are ignored, the inner port is used.
     std::vector<std::string> seeds;
 
-    // The whole fleet starts for the first time: the seeds found the agreement group.
+    // The fleet starts for the first time: the seeds form the initial consensus group.
     bool firstStart = false;
 
-    // All data centres of the deployment, for control to know an operator's word as a name; empty:
-    // any name is taken.
+    // All data centres of the deployment, to validate names in operators' requests; empty: any name
+    // is accepted.
     std::vector<std::string> dataCentres;
 
-    // Control hosts that may be lost at once; the agreement group keeps enough voters for that.
+    // Number of control hosts that may fail at once; the consensus group keeps enough voters.
     std::uint32_t toleratedLosses = 2;
 
-    // [listen], as far as the role needs it
+    // [listen], depending on the role
     std::string callers;
     std::string readiness;
     std::string control;
     std::string metrics;
 
-    // Where this process listens for the others of the fleet, if that is not the address that they
-    // dial, since something stands between.
+    // Where this process listens for connections from the fleet, if not at the address that others
+    // connect to, for example behind a proxy
     std::string inner;
 
     // [endpoint], agents only
     std::string endpointAddress;
 
     // [timing]
-    // From a stop signal to the end of the process at the latest
+    // Longest time from a stop signal to the end of the process
     Milliseconds stopGrace { 6000 };
 
-    // A caller that lost its entry sends its job again after this long.
+    // A caller that lost the connection to its entry resends its job after this delay.
     Milliseconds resendAfter { 1300 };
 
-    // [policy], entries only: which job goes next, which is refused, how many agents an entry works
-    // with, and how far behind with its own work it stands back. The rest is not read from
-    // the file; here so that tests and experiments can set it.
+    // [policy]: queue order, admission, subset size, withdrawal of lagging entries, and probation of
+    // endpoints. The other members can't be set in the file, only by tests and experiments.
     scheduler::SchedulerSettings scheduler;
     runner::RunnerSettings runner;
     subset::SubsetSettings subset;
--- a/packages/fleet/src/agentlinks.cpp
+++ b/packages/fleet/src/agentlinks.cpp
@@ -1,7 +1,7 @@
 /*
     Connections to agents.
 
-    [SECTION] News
+    [SECTION] Updates
     [SECTION] Connections
     [SECTION] Subset
 */
@@ -16,7 +16,7 @@
                                   core.settings.dataCentre))
 { }
 
-// [SECTION] News
+// [SECTION] Updates
 
 void AgentLinks::applyUpdate(const std::string &from, const directory::DirectoryUpdate &update)
 {
@@ -56,7 +56,7 @@
     m_events.connected(address);
 }
 
-// An agent that was dropped, or dialled anew, has another link by now.
+// Ignores links that were replaced: the agent may have been dropped or redialled meanwhile.
 void AgentLinks::closed(const std::string &address, const fabric::Link *link)
 {
     const auto peer = m_peers.find(address);
--- a/packages/fleet/src/agentlinks.h
+++ b/packages/fleet/src/agentlinks.h
@@ -1,11 +1,11 @@
 /*
     An entry's connections to the agents of its subset.
 
-    Which agents those are is decided in the subset package; here they are dialled and closed.
+    The subset package chooses the agents; this class opens and closes the connections.
 
         AgentLinks agents(core, events);
         agents.applyUpdate(controlHost, update);
-        agents.keep(false, now);
+        agents.updateConnections(false, now);
         agents.send("10.1.0.7:7720", frame);
 
     [SECTION] Events
@@ -23,12 +23,12 @@
 
 struct AgentEvents
 {
-    // The connection stands; nothing was sent on it yet.
+    // Connected; nothing has been sent yet.
     std::function<void(const std::string &agent)> connected;
     std::function<void(const std::string &agent, std::string_view bytes)> received;
     std::function<void(const std::string &agent)> lost;
 
-    // The subset needs the agent no more; false if a run still needs its session.
+    // The agent is no longer in the subset; returns false while a run still needs its session.
     std::function<bool(const std::string &agent)> release;
 };
 
@@ -39,20 +39,20 @@
 public:
     AgentLinks(Core &core, AgentEvents events);
 
-    // News from control
+    // Updates from control
     void applyUpdate(const std::string &from, const directory::DirectoryUpdate &update);
     void removeControlHost(const std::string &host);
     void applyCordons(const catalog::Cordons &cordons);
 
-    // Opens and gives up connections, so that they follow the subset. needsCapacity: work has found
-    // no room of late.
+    // Opens and closes connections to follow the subset. needsCapacity: tasks recently found no free
+    // capacity.
     void keep(bool needsCapacity, Time now);
 
-    // Whether each step of the job finds an endpoint in the fleet, in the subset or not; where it
-    // is not in the subset, connections to some are opened at the next keep().
+    // Whether each step of the job has a suitable endpoint in the fleet. Where the subset has none,
+    // the next updateConnections() connects to some.
     bool requireAgents(const jobs::JobSpec &spec, const std::string &service, Time now);
 
-    // Does nothing where there is no connection.
+    // Does nothing if there is no connection.
     void send(const std::string &agent, const Frame &frame);
     void close(const std::string &agent);
     void closeAll();
@@ -60,7 +60,7 @@
     const subset::SubsetState &subset() const { return m_subset; }
 
 private:
-    // Dialled for as long as it is kept
+    // The dialer reconnects while the peer exists.
     struct Peer
     {
         std::unique_ptr<fabric::Dialer> dialer;
--- a/packages/fleet/src/core.cpp
+++ b/packages/fleet/src/core.cpp
@@ -1,5 +1,5 @@
 /*
-    Listeners, and connections to control.
+    Frames, listeners, and connections to control hosts.
 
     [SECTION] Frames
     [SECTION] Listening
@@ -57,8 +57,7 @@
 
 namespace {
 
-// A node tells control that it is there twice a second; four of these lost, and the connection is
-// dialled anew.
+// Heartbeats go both ways; after four missed ones the connection is closed and redialled.
 constexpr Milliseconds ControlBeat { 500 };
 constexpr Milliseconds ControlSilence { 2000 };
 
--- a/packages/fleet/src/core.h
+++ b/packages/fleet/src/core.h
@@ -1,6 +1,5 @@
 /*
-    What every role of a fleet's process stands on: the loop, the log, the metrics, and the
-    connections to control.
+    What the roles share: the event loop, the log, the metrics, and the connections to control.
 
     [SECTION] Core
     [SECTION] Role
@@ -36,7 +35,7 @@
         , log(settings.name, settings.log)
     { }
 
-    // One thread runs it; a second one, of the journal, only posts to it.
+    // Run by one thread; the journal's thread only posts to it.
     fabric::asio::io_context io { 1 };
     FleetSettings settings;
     eventlog::EventLog log;
@@ -46,32 +45,32 @@
 
 // [SECTION] Role
 
-// What a role adds to the process.
+// One role of the process: entry, agent or control.
 class RoleShell
 {
 public:
     virtual ~RoleShell() = default;
     virtual bool start(Error *reason) = 0;
 
-    // Every TickInterval
+    // Called every TickInterval
     virtual void tick(Time now) = 0;
 
-    // The settings were read anew; core.settings holds them.
+    // Called after core.settings was reloaded
     virtual void reloaded() = 0;
 
-    // A planned stop begins; done once stopped() holds.
+    // Begins a graceful shutdown; it is complete once stopped() returns true.
     virtual void beginShutdown(Time now) = 0;
     virtual bool stopped(Time now) = 0;
     virtual std::vector<metrics::Sample> samples() const = 0;
 };
 
-// Fine enough for the shortest span that decisions wait for, 40 ms, and coarse enough to cost an
-// idle process next to nothing.
+// At most half of the shortest timeout in use (40 ms), at negligible cost for an idle process.
 constexpr Milliseconds TickInterval { 20 };
 
 // [SECTION] Listening
 
-// Links of other processes of the fleet; nothing, with the reason, if the address can't be had.
+// Accepts links from other processes of the fleet. Returns null, with the reason, if it can't
+// listen at the address.
 std::unique_ptr<fabric::Listener> listenInside(Core &core, fabric::Listener::Accepted onAccepted,
                                                Error *reason);
 
@@ -85,12 +84,11 @@
     std::function<void(const std::string &from, const directory::DirectoryUpdate &)> directory;
     std::function<void(const AgreedPush &)> agreed;
 
-    // No longer a peer; what it has told counts no more.
+    // No longer a peer; its directory updates are void.
     std::function<void(const std::string &host)> forgotten;
 };
 
-// An entry's or agent's connections to every control host it knows of: the seeds, and those that
-// the directory tells of.
+// An entry's or agent's connections to control hosts: the seeds, and those listed in the directory.
 class ControlLinks
 {
 public:
@@ -100,7 +98,7 @@
     void tick(Time now);
     void reloadSeeds();
 
-    // What this node says of itself has changed.
+    // Sends core.self to all control hosts, after a change.
     void announce();
     std::size_t connected() const;
 
@@ -112,8 +110,8 @@
     void connected(Peer &peer, const std::shared_ptr<fabric::Link> &link);
     void received(Peer &peer, std::string_view bytes);
 
-    // The last frame of what is agreed that was read. All control hosts send the same, and reading
-    // it takes an entry that has just begun longer than anything else.
+    // The last AgreedPush frame that was decoded. All control hosts send the same bytes, and
+    // decoding it is the most expensive step of an entry's start.
     std::string m_lastAgreed;
 
     Core &m_core;
@@ -124,10 +122,10 @@
 
 // [SECTION] Frames
 
-// The cordoned data centres in one text, for log lines
+// The cordoned data centres, separated by spaces, for log events
 std::string joinedNames(const catalog::Cordons &cordons);
 
-// Logs and answers nothing if the bytes are no frame.
+// Logs and returns nothing if the bytes can't be decoded.
 std::optional<Frame> readFrame(Core &core, const std::string &from, std::string_view bytes);
 
 std::unique_ptr<RoleShell> makeEntryShell(Core &core, const Dialect &dialect);
--- a/packages/fleet/src/heldcalls.cpp
+++ b/packages/fleet/src/heldcalls.cpp
@@ -1,5 +1,5 @@
 /*
-    Calls held until the queues are known.
+    Calls held until the catalog arrives.
 
     [SECTION] Functions
 */
--- a/packages/fleet/src/heldcalls.h
+++ b/packages/fleet/src/heldcalls.h
@@ -1,19 +1,17 @@
 /*
-    Calls that come to an entry in the first moments after its start, before it has been told the
-    queues.
+    Calls that arrive just after an entry's start, before it has received the catalog.
 
-    After a loss of all power entries are there 0.1 to 0.3 s before a quorum of control is. Refusing
-    what comes in that time turns away work although all endpoints are empty. So a call is held for
-    a short while; then either the queues are known and it is treated as if it had been taken up
-    when it came, or it is refused. An entry that knows no queues long after its start refuses at
-    once: control may be down for long.
+    After a power failure entries are up 0.1 to 0.3 s before control has a quorum. Refusing calls in
+    that time would reject work while all endpoints are free. So a call is held until the catalog
+    arrives, and then processed as of its time of arrival, or refused after holdTimeout. Calls that
+    arrive after startupGrace are refused at once, since control may be down for long.
 
         HeldCalls held;
         held.startedAt = now;
         if (!hold(held, exchange, now))
             ... refuse ...
-        for (HeldCall &call : expired(held, now)) ... refuse ...
-        for (HeldCall &call : release(held)) ... go on as of call.receivedAt ...
+        for (HeldCall &call : takeExpired(held, now)) ... refuse ...
+        for (HeldCall &call : takeAll(held)) ... process as of call.receivedAt ...
 
     [SECTION] State
     [SECTION] Functions
@@ -31,15 +29,16 @@
 
 struct HoldSettings
 {
-    // The shortest jobs have 0.15 s until they are late, those of 0.2 s work 0.38 s; beyond this
-    // time few can still be served in time.
+    // Few jobs can still be completed in time after a longer wait: the shortest are late after
+    // 0.15 s, those with 0.2 s of work after 0.38 s.
     Milliseconds mostHold { 250 };
 
-    // From an entry's start; three of five control hosts that lost power together were back 0.3 s
-    // after the first entry.
+    // From the entry's start. After a power failure control has a quorum 0.3 s after the first
+    // entry is up.
     Milliseconds startupGrace { 1000 };
 
-    // More than come to one entry of the largest fleet within mostHold; each takes some kilobytes.
+    // More than one entry of the largest fleet receives within holdTimeout; each takes a few
+    // kilobytes.
     std::size_t mostCalls = 1000;
 };
 
@@ -60,13 +59,13 @@
 
 // [SECTION] Functions
 
-// False if the call is to be refused at once.
+// Returns false if the call is to be refused at once.
 bool hold(HeldCalls &held, const fabric::ExchangePtr &exchange, Time now);
 
-// Calls that have waited for too long; they are held no more.
+// Removes and returns calls that have reached holdTimeout.
 std::vector<HeldCall> expired(HeldCalls &held, Time now);
 
-// All calls, once the queues are known.
+// Removes and returns all calls; use once the catalog has arrived.
 std::vector<HeldCall> release(HeldCalls &held);
 
 } // namespace foxwing::fleet
--- a/packages/fleet/src/identity.cpp
+++ b/packages/fleet/src/identity.cpp
@@ -18,10 +18,10 @@
 
 namespace {
 
-// The disk of a founding member.
+// DISK part of the id of an initial voter
 constexpr const char *FirstDisk = "first";
 
-// Ends the text, so that a file which was not written whole can be told.
+// Marks the end of the text, to detect a partly written file.
 constexpr char End = '.';
 
 bool syncFolder(const std::string &folder)
@@ -45,7 +45,7 @@
     return (::close(descriptor) == 0) && synced;
 }
 
-// Nothing if there is none, or it was not written whole: then nothing was agreed here yet.
+// Returns nothing if the file is missing or partly written; this host then has not voted yet.
 std::optional<std::string> readDisk(const std::string &path)
 {
     std::ifstream file(path);
--- a/packages/fleet/src/identity.h
+++ b/packages/fleet/src/identity.h
@@ -1,9 +1,9 @@
 /*
-    Who a control host is in its agreement group.
+    The identity of a control host in its consensus group.
 
-    Ids are "ADDRESS/DISK". The disk's part is written to it at the first start: a host that comes
-    back with an empty disk is another member, and can't vote as its old self, whose votes it has
-    forgotten. Seeds of a fleet that starts for the first time know each other's ids beforehand.
+    Ids are "ADDRESS/DISK". The DISK part is stored on the disk at the first start: a host that comes
+    back with an empty disk is a new member, since it has lost the record of its votes. The seeds of
+    a fleet that starts for the first time have a fixed DISK part and so know each other's ids.
 
     [SECTION] Functions
 */
@@ -15,10 +15,10 @@
 
 // [SECTION] Functions
 
-// Reads the id from the data folder, or makes one and syncs it there.
+// Reads the id from the data folder, or creates one and syncs it to disk.
 std::optional<std::string> readIdentity(const FleetSettings &settings, Error *reason);
 
-// The voters that found the group, if the host with this id is one of them.
+// The initial voters of the group if the host with this id is one of them, otherwise empty.
 std::vector<std::string> firstVotersFor(const FleetSettings &settings, const std::string &id);
 
 } // namespace foxwing::fleet
--- a/packages/fleet/src/messages.h
+++ b/packages/fleet/src/messages.h
@@ -1,5 +1,5 @@
 /*
-    Every frame that processes of a fleet send each other.
+    The frames that processes of a fleet send each other.
 
     [SECTION] Control
     [SECTION] Agreement
@@ -17,8 +17,8 @@
 
 // [SECTION] Control
 
-// What a quorum holds, to everybody who is connected. Agents need no queues: they are told of the
-// cordons alone, with an empty catalog, so that a change of queues is no message to each of them.
+// The committed catalog and cordons, sent to all connected entries and agents. Agents get an empty
+// catalog, so that a change of queues needs no message to them.
 struct AgreedPush
 {
     catalog::Catalog catalog;
@@ -31,12 +31,12 @@
     fields("cordons", push.cordons);
 }
 
-// A control host that does not lead hands an operator's call on to the one that does.
+// A follower forwards an operator's call to the leader.
 struct ForwardCall
 {
     std::uint64_t call = 0;
 
-    // A frame of operators::OperatorRequest
+    // An encoded operators::OperatorRequest
     std::string request;
 };
 template<class Fields>
@@ -52,7 +52,7 @@
     OperatorOutcome outcome = OperatorOutcome::Unsure;
     std::string reason;
 
-    // One, if a read was accepted
+    // One element if a read was accepted, otherwise empty
     std::vector<catalog::DeclaredCatalog> declared;
 };
 template<class Fields>
@@ -66,13 +66,13 @@
 
 // [SECTION] Agreement
 
-// A message of the agreement group, for exactly this member: a host with a new disk at an old
-// address must not take what was for the old one.
+// A message of the consensus group to the member with this id. A host with a new disk at the same
+// address is another member and must ignore it.
 struct GroupFrame
 {
     std::string to;
 
-    // A frame of quorum::QuorumMessage
+    // An encoded quorum::QuorumMessage
     std::string bytes;
 };
 template<class Fields>
@@ -84,13 +84,13 @@
 
 // [SECTION] Frames
 
-// An entry opens a session with an agent.
+// Sent by an entry to open a session with an agent.
 struct OpenSession
 {
     std::string entry;
 
-    // One, if the entry knows the cordons: an agent that starts while control is away learns them
-    // from those who send it work.
+    // One element if the entry knows the cordons, otherwise empty: an agent that starts while control
+    // is down learns them from its entries.
     std::vector<catalog::Cordons> cordons;
 };
 template<class Fields>
@@ -100,7 +100,7 @@
     fields("cordons", open.cordons);
 }
 
-// The order is the format: new ones go to the end.
+// The order defines the encoding: append new types at the end.
 using Frame = std::variant<directory::Announce, directory::NodeHeartbeat,
                            directory::DirectoryUpdate, AgreedPush, ForwardCall, ForwardAnswer,
                            GroupFrame, OpenSession, jobs::SessionAccepted, jobs::AgentUpdate,
--- a/packages/fleet/src/node.cpp
+++ b/packages/fleet/src/node.cpp
@@ -1,5 +1,5 @@
 /*
-    One process: its signals, its settings file, its metrics, and the role that it plays.
+    One process: its signals, settings file, metrics and role.
 
     [SECTION] State
     [SECTION] Metrics
@@ -23,7 +23,7 @@
 
 namespace {
 
-// The settings file may change without a signal.
+// How often the settings file is checked for changes
 constexpr Milliseconds SettingsInterval { 500 };
 
 std::string readText(const std::string &path)
@@ -77,7 +77,7 @@
                 std::vector<metrics::Sample> samples = role->samples();
                 samples.push_back({ "foxwing_log_lines_total", "Log lines written",
                                     static_cast<double>(core.log.written) });
-                samples.push_back({ "foxwing_log_lines_left_out_total", "Log lines left out",
+                samples.push_back({ "foxwing_log_lines_left_out_total", "Log lines suppressed by the rate limit",
                                     static_cast<double>(core.log.leftOutTotal) });
                 exchange->answer(
                         fabric::makeResponse(200, "text/plain; version=0.0.4",
@@ -115,7 +115,7 @@
         return;
     nextSettings = now + SettingsInterval;
     if (readText(settingsPath) != settingsText)
-        reload("the file has changed");
+        reload("settings file changed");
 }
 
 // [SECTION] Signals and time
@@ -137,7 +137,7 @@
         if (number == SIGHUP && !settingsPath.empty())
             reload("SIGHUP");
         else if (number != SIGHUP)
-            beginShutdown("a stop signal");
+            beginShutdown("stop signal");
         watchSignals();
     });
 }
@@ -173,7 +173,7 @@
 {
     State &state = *m_state;
     const FleetSettings &settings = state.core.settings;
-    // First of all: a stop signal that comes while a journal is read must not just end the process.
+    // Before all else: a stop signal during the replay of a journal must not kill the process.
     state.signals.add(SIGTERM);
     state.signals.add(SIGINT);
     state.signals.add(SIGHUP);
--- a/packages/fleet/src/nodelinks.cpp
+++ b/packages/fleet/src/nodelinks.cpp
@@ -2,7 +2,7 @@
     A control host's connections from the nodes of the fleet.
 
     [SECTION] Connections
-    [SECTION] Telling
+    [SECTION] Updates
 */
 #include "nodelinks.h"
 
@@ -66,12 +66,12 @@
                            .with("heard_ms_ago", steadyNow() - gone.lastReceivedAt));
 }
 
-// [SECTION] Telling
+// [SECTION] Updates
 
 void NodeLinks::tellDirectory(Time now)
 {
     directory::tick(m_directory, now);
-    // Most are told the same, having been told last at the same time.
+    // Most nodes need the same update; it is encoded once for each role and last sent revision.
     std::map<std::pair<directory::Role, std::uint64_t>, std::string> frames;
     for (auto &[connection, node] : m_nodes) {
         const directory::Role role = node.info.role;
--- a/packages/fleet/src/nodelinks.h
+++ b/packages/fleet/src/nodelinks.h
@@ -1,11 +1,11 @@
 /*
-    A control host's connections from the nodes of the fleet: who is there, and what each was told
-    of the directory and of what is agreed.
+    A control host's connections from the nodes of the fleet, with the version of the directory and
+    of the committed state that was sent to each.
 
         NodeLinks nodes(core, { onAnnounced, onReceived });
         nodes.connected(link);
-        nodes.tellDirectory(now);
-        nodes.tellAgreed(agreed);
+        nodes.pushDirectory(now);
+        nodes.pushAgreed(agreed);
 
     [SECTION] Events
     [SECTION] Links
@@ -28,7 +28,7 @@
 
 struct NodeEvents
 {
-    // A node has said who it is; it is in the directory by now.
+    // A node has announced itself and was added to the directory.
     std::function<void(const directory::NodeInfo &node)> announced;
 
     // Any other frame
@@ -44,17 +44,17 @@
 
     void connected(const std::shared_ptr<fabric::Link> &link);
 
-    // Tells each node what is new to it in the directory.
+    // Sends each node the changes of the directory since its last update.
     void tellDirectory(Time now);
 
-    // Tells entries and agents what they need of the state and were not told yet. Also when nothing
-    // was declared yet: agents start nothing before they know the cordons.
+    // Sends entries and agents the committed state if they don't have it yet. Also sent while it is
+    // still empty: agents start nothing before they know the cordons.
     void tellAgreed(const catalog::AgreedState &agreed);
 
-    // Sends a beat to each node that was heard of late, and closes the connections of the others.
+    // Sends a heartbeat to all nodes, and closes connections that have reached NodeTimeout.
     void heartbeat(const std::string &frame, Time now);
 
-    // Does nothing where the connection is gone.
+    // Does nothing if the connection is closed.
     void send(std::uint64_t connection, const Frame &frame);
 
     std::size_t count() const { return m_nodes.size(); }
@@ -69,8 +69,7 @@
         Time lastReceivedAt {};
         std::uint64_t toldRevision = 0;
 
-        // What is agreed as it was sent there: whether at all, version of the catalog, revision of
-        // the cordons
+        // Whether the committed state was sent, and which version
         bool toldAgreed = false;
         std::uint64_t toldCatalog = 0;
         std::uint64_t toldCordons = 0;
@@ -85,12 +84,12 @@
     NodeEvents m_events;
     directory::DirectoryState m_directory;
 
-    // By connection; numbers are never used twice.
+    // By connection number; numbers are never reused.
     std::map<std::uint64_t, Node> m_nodes;
     std::uint64_t m_lastConnection = 0;
 };
 
-// A node or control host that was not heard for this long is taken for lost.
+// Without a message for this long the connection is closed.
 constexpr Milliseconds NodeSilence { 2500 };
 
 } // namespace foxwing::fleet
--- a/packages/fleet/src/operatorshell.cpp
+++ b/packages/fleet/src/operatorshell.cpp
@@ -1,5 +1,5 @@
 /*
-    Operators' exchanges around the decisions of foxwing/operators.
+    The operators' interface of a control host.
 
     [SECTION] Calls
     [SECTION] Actions
@@ -25,7 +25,7 @@
 
 void OperatorShell::handle(const ExchangePtr &exchange)
 {
-    // What a closed connection still brings was sent before the operator went to another host.
+    // The operator may have sent the request to another host after closing this connection.
     if (!exchange->callerIsThere())
         return;
     Error reason;
@@ -156,7 +156,7 @@
     const auto command = operators::commandOf(call->second.request);
     if (!command)
         return;
-    // With a single voter this comes back only after the entry was committed.
+    // With a single voter the entry is committed before this returns.
     const auto entry = m_links.propose(writeJson(encodeMessage(*command)));
     if (entry)
         carryOut(operators::proposed(m_operators, number, entry->index, entry->term,
--- a/packages/fleet/src/operatorshell.h
+++ b/packages/fleet/src/operatorshell.h
@@ -1,9 +1,9 @@
 /*
-    The operators' interface of a control host: their exchanges, and the calls that other control
-    hosts hand over, around the decisions of foxwing/operators.
+    The operators' interface of a control host. Connects operators' HTTP exchanges, and calls that
+    other control hosts forward, to the decisions of foxwing/operators.
 
     [SECTION] Links
-    [SECTION] Shell
+    [SECTION] Interface
 */
 #pragma once
 
@@ -16,27 +16,29 @@
 
 // [SECTION] Links
 
-// What the control host does for its operators' calls.
+// What the interface needs from its control host.
 struct OperatorLinks
 {
     std::function<operators::GroupView()> group;
 
-    // The entry under which it will be committed; nothing if this host can't lead.
+    // Returns the log entry that was appended; nothing if this host is not the leader.
     std::function<std::optional<quorum::LogEntry>(const std::string &text)> propose;
     std::function<void(std::uint64_t call)> requestRead;
     std::function<void(const Frame &frame)> sendToLeader;
     std::function<void(std::uint64_t connection, const Frame &frame)> sendToNode;
 };
 
-// [SECTION] Shell
+// [SECTION] Interface
 
 class OperatorShell
 {
 public:
     OperatorShell(Core &core, const Dialect &dialect, OperatorLinks links);
 
-    // A call from an operator, or handed over on a connection by another control host.
+    // A call from an operator
     void handle(const fabric::ExchangePtr &exchange);
+
+    // A call that another control host forwarded, and the leader's answer to one of this host
     void handedOver(std::uint64_t connection, const ForwardCall &forward);
     void peerAnswered(const ForwardAnswer &answer);
 
@@ -47,7 +49,8 @@
     std::vector<metrics::Sample> samples() const;
 
 private:
-    // Where a call's answer goes: an operator's exchange, or a host with its own number for it.
+    // Where the answer to a call goes: an operator's exchange, or another control host, which has
+    // its own number for the call.
     struct Origin
     {
         fabric::ExchangePtr exchange;
--- a/packages/fleet/src/peerbook.cpp
+++ b/packages/fleet/src/peerbook.cpp
@@ -1,5 +1,5 @@
 /*
-    The places for control hosts.
+    The table of control hosts to connect to.
 
     [SECTION] Functions
 */
@@ -34,7 +34,7 @@
         lists.erase(address);
     std::vector<std::string> added;
     for (const directory::NodeInfo &node : update.nodes) {
-        // An address may come back in another role.
+        // An address may be reused by a node of another role.
         if (node.role != directory::Role::Control) {
             lists.erase(node.address);
             continue;
--- a/packages/fleet/src/peerbook.h
+++ b/packages/fleet/src/peerbook.h
@@ -1,12 +1,12 @@
 /*
-    Which control hosts an entry or agent keeps connections to: the seeds, and those that control
+    The control hosts that an entry or agent keeps connections to: the seeds, and those that control
     hosts list.
 
-    There is room for a few only. A host that is listed while the places are taken gets the next one
-    that comes free: lists are told as differences, so nobody names it again.
+    The number is limited. A host that was listed while the table was full is added when a place
+    becomes free: directory updates are incremental, so it would not be listed again.
 
         PeerBook book;
-        if (keep(book, address, now))
+        if (addPeer(book, address, now))
             ... dial it ...
         const PeerChanges changes = tick(book, seeds, now);
 
@@ -26,11 +26,11 @@
 
 struct PeerBookSettings
 {
-    // Of up to 23 control hosts, twelve always hold one of any majority.
+    // Of up to 23 control hosts, any twelve include a member of each majority.
     std::size_t mostPeers = 12;
 
-    // A host that is neither a seed nor listed any more, and was out of reach for this long, is
-    // gone for good; over a long day hosts that were replaced would take all the places.
+    // A host that is neither a seed nor listed, and was unreachable for this long, is removed.
+    // Otherwise replaced hosts would fill the table over time.
     Milliseconds forgetAfter { 30000 };
 };
 
@@ -39,10 +39,10 @@
     bool connected = false;
     Time lastReceivedAt {};
 
-    // When it was last named to this process
+    // When it was last listed, or configured as a seed
     Time listedAt {};
 
-    // The control hosts that it lists
+    // Control hosts that it lists
     std::set<std::string> lists;
 };
 
@@ -56,19 +56,19 @@
 
 struct PeerChanges
 {
-    // No longer to be dialled
+    // Peers to disconnect
     std::vector<std::string> dropped;
 
-    // To be dialled from now on
+    // Peers to dial
     std::vector<std::string> added;
 };
 
 // [SECTION] Functions
 
-// A host was named; true if it is new and has got a place.
+// Adds a host that was listed or configured; returns true if it is new and the table had a place.
 bool keep(PeerBook &book, const std::string &address, Time now);
 
-// A peer has told what changed in its list; the hosts that are to be dialled for it.
+// Applies a peer's directory update; returns the hosts to dial.
 std::vector<std::string> applyUpdate(PeerBook &book, const std::string &from,
                                      const directory::DirectoryUpdate &update, Time now);
 
@@ -76,7 +76,7 @@
 void heard(PeerBook &book, const std::string &address, Time now);
 void connectionLost(PeerBook &book, const std::string &address);
 
-// Forgets who is gone for good, and gives the places to others that are listed.
+// Removes peers past their retention, and adds listed hosts in their places.
 PeerChanges tick(PeerBook &book, const std::vector<std::string> &seeds, Time now);
 
 } // namespace foxwing::fleet
--- a/packages/fleet/src/settings.cpp
+++ b/packages/fleet/src/settings.cpp
@@ -1,5 +1,5 @@
 /*
-    Reading and checking the settings file of a fleet's process.
+    Parsing and validation of the settings file of a fleet's process.
 
     [SECTION] Tables
     [SECTION] Functions
@@ -19,14 +19,14 @@
 
 constexpr int HighestPort = 65535;
 
-// Groups beyond this many voters agree too slowly; the library's own bound is far above it.
+// Larger consensus groups commit too slowly; packages/quorum itself allows more voters.
 constexpr std::int64_t MostToleratedLosses = 7;
 
-// An agent's silence bound and its endpoint's lease must end a run before its caller sends the job
-// again.
+// An agent's session timeout and its endpoint's lease must end a run this long before its caller
+// resends the job.
 constexpr Milliseconds ResendMargin { 100 };
 
-// No turn counts as later than LagSettings::maxDelay; a bound near it would hardly be reached.
+// LagSettings::maxDelay caps the measured delay; a limit close to it would rarely be exceeded.
 constexpr Milliseconds MostStandBackAbove { 400 };
 
 void readNode(TomlReader table, FleetSettings &settings)
@@ -44,9 +44,9 @@
     else if (role != "entry")
         table.refuse("role", "must be \"entry\", \"agent\" or \"control\"");
     if (settings.name.empty())
-        table.refuse("name", "must name this process");
+        table.refuse("name", "must not be empty; set the name of this process");
     if (settings.role == directory::Role::Control && settings.dataFolder.empty())
-        table.refuse("data_folder", "must name the folder for a control host's journal");
+        table.refuse("data_folder", "must be the folder for a control host's journal");
     table.finish();
 }
 
@@ -58,9 +58,9 @@
     table.flag("first_start", settings.firstStart);
     table.whole("tolerated_losses", settings.toleratedLosses, 0, MostToleratedLosses);
     if (settings.innerPort == 0)
-        table.refuse("inner_port", "must be the port for the fleet's own messages");
+        table.refuse("inner_port", "must be the port for connections within the fleet");
     if (settings.seeds.empty())
-        table.refuse("seeds", "must name the address of at least one control host");
+        table.refuse("seeds", "must list the address of at least one control host");
     table.finish();
 }
 
@@ -86,7 +86,7 @@
     table.finish();
 }
 
-// The platform gives some spans as numbers without a unit: the key names it.
+// The platform writes some durations as plain numbers, with the unit in the key.
 void readTiming(TomlReader table, FleetSettings &settings)
 {
     constexpr double MostSeconds = 600;
@@ -151,7 +151,7 @@
     table.finish();
 }
 
-// Where callers send again sooner than the usual bounds allow, the bounds shrink with it.
+// Scales the timeouts down where callers resend sooner than the defaults allow.
 void fitToResend(FleetSettings &settings)
 {
     scheduler::SchedulerSettings &entry = settings.scheduler;
