--- a/packages/fleet/include/foxwing/fleet/dialect.h
+++ b/packages/fleet/include/foxwing/fleet/dialect.h
@@ -25,25 +25,25 @@
 
 // [SECTION] Callers
 
-enum class CallerWish {
+enum class CallerAction {
     Submit,
-    AskState,
+    GetState,
     Cancel,
-    AskWaiting,
+    CountWaiting,
 
     // Not a request of the interface
     Other,
 };
 
 // A caller's request, parsed as far as needed to find its queue.
-struct CallerCall
+struct CallerRequest
 {
-    CallerWish wish = CallerWish::Other;
+    CallerAction action = CallerAction::Other;
     std::string host;
     std::string path;
 
     // How long the caller waits; unset: as long as the queue allows.
-    std::optional<Milliseconds> patience;
+    std::optional<Milliseconds> timeout;
 };
 
 // Why a request creates no job.
@@ -54,22 +54,22 @@
     NotConfigured,
     BadRequest,
 
-    Gone,
-    NotServed,
+    NoSuchJob,
+    Unavailable,
 };
 
 // [SECTION] Endpoints
 
-enum class EndpointWish {
-    Beat,
-    Leave,
+enum class EndpointAction {
+    Heartbeat,
+    Deregister,
     Other,
 };
 
 // A request of an endpoint to its agent.
-struct EndpointCall
+struct EndpointRequest
 {
-    EndpointWish wish = EndpointWish::Other;
+    EndpointAction action = EndpointAction::Other;
 
     // Deregister: the incarnation that ended
     runner::IncarnationId endpointIncarnation;
@@ -88,34 +88,34 @@
 struct Dialect
 {
     // Callers
-    CallerCall (*readCall)(const fabric::Request &request) = nullptr;
+    CallerRequest (*readCallerRequest)(const fabric::Request &request) = nullptr;
 
     // A submitted job; rest is the path after the queue's prefix.
     std::optional<jobs::JobSpec> (*readJob)(const fabric::Request &request, const std::string &rest,
                                             Error *reason) = nullptr;
     fabric::Response (*writeJobAnswer)(const scheduler::JobAnswer &answer) = nullptr;
-    fabric::Response (*writeWaiting)(std::size_t jobs) = nullptr;
+    fabric::Response (*writeWaitingCount)(std::size_t jobs) = nullptr;
     fabric::Response (*writeRefusal)(CallerRefusal refusal, const std::string &reason) = nullptr;
 
     // The platform's readiness check, before it sends new connections here
-    bool (*asksReadiness)(const fabric::Request &request) = nullptr;
+    bool (*isReadinessRequest)(const fabric::Request &request) = nullptr;
     fabric::Response (*writeReadiness)(bool ready) = nullptr;
 
     // Endpoints
-    std::optional<EndpointCall> (*readEndpointCall)(const fabric::Request &request,
-                                                    Error *reason) = nullptr;
-    fabric::Response (*writeEndpointAnswer)(bool understood, const std::string &reason) = nullptr;
+    std::optional<EndpointRequest> (*readEndpointRequest)(const fabric::Request &request,
+                                                          Error *reason) = nullptr;
+    fabric::Response (*writeEndpointResponse)(bool accepted, const std::string &reason) = nullptr;
     fabric::Request (*writeStart)(const runner::StartCommand &order) = nullptr;
     fabric::Request (*writeStop)(const runner::StopCommand &order) = nullptr;
     fabric::Request (*writePoll)(const runner::PollCommand &order) = nullptr;
-    runner::CommandResult (*readAnswer)(const fabric::Response &response) = nullptr;
-    runner::PollResult (*readPoll)(const fabric::Response &response) = nullptr;
+    runner::CommandResult (*readCommandResult)(const fabric::Response &response) = nullptr;
+    runner::PollResult (*readPollResult)(const fabric::Response &response) = nullptr;
 
     // Operators
-    std::optional<OperatorRequest> (*readOperatorCall)(const fabric::Request &request,
-                                                       Error *reason) = nullptr;
-    fabric::Response (*writeOperatorAnswer)(OperatorOutcome outcome,
-                                            const std::string &reason) = nullptr;
+    std::optional<OperatorRequest> (*readOperatorRequest)(const fabric::Request &request,
+                                                          Error *reason) = nullptr;
+    fabric::Response (*writeOperatorResponse)(OperatorOutcome outcome,
+                                              const std::string &reason) = nullptr;
     fabric::Response (*writeCatalog)(const catalog::DeclaredCatalog &declared) = nullptr;
 };
 
--- a/packages/fleet/include/foxwing/fleet/settings.h
+++ b/packages/fleet/include/foxwing/fleet/settings.h
@@ -79,8 +79,8 @@
     // A caller that lost the connection to its entry resends its job after this delay.
     Milliseconds resendAfter { 1300 };
 
-    // [policy]: queue order, admission, subset size, withdrawal of lagging entries, and probation of
-    // endpoints. The other members can't be set in the file, only by tests and experiments.
+    // [policy]: queue order, admission, subset size, withdrawal of lagging entries, and probation
+    // of endpoints. The other members can't be set in the file, only by tests and experiments.
     scheduler::SchedulerSettings scheduler;
     runner::RunnerSettings runner;
     subset::SubsetSettings subset;
--- a/packages/fleet/src/agentlinks.h
+++ b/packages/fleet/src/agentlinks.h
@@ -44,8 +44,8 @@
     void removeControlHost(const std::string &host);
     void applyCordons(const catalog::Cordons &cordons);
 
-    // Opens and closes connections to follow the subset. needsCapacity: tasks recently found no free
-    // capacity.
+    // Opens and closes connections to follow the subset. needsCapacity: tasks recently found no
+    // free capacity.
     void keep(bool needsCapacity, Time now);
 
     // Whether each step of the job has a suitable endpoint in the fleet. Where the subset has none,
--- a/packages/fleet/src/agentshell.cpp
+++ b/packages/fleet/src/agentshell.cpp
@@ -228,18 +228,18 @@
 void AgentShell::handleEndpoint(const ExchangePtr &exchange)
 {
     Error reason;
-    const auto call = m_dialect.readEndpointCall(exchange->request(), &reason);
+    const auto call = m_dialect.readEndpointRequest(exchange->request(), &reason);
     const Time now = steadyNow();
     if (!call) {
         noteUnreadable(reason.message, now);
-        return exchange->answer(m_dialect.writeEndpointAnswer(false, reason.message));
+        return exchange->answer(m_dialect.writeEndpointResponse(false, reason.message));
     }
-    if (call->wish == EndpointWish::Leave)
+    if (call->action == EndpointAction::Deregister)
         carryOut(runner::handleDeregistration(m_runner, call->endpointIncarnation, now));
     else
         carryOut(runner::handleHeartbeat(m_runner, call->report, now));
     announceEndpoint();
-    exchange->answer(m_dialect.writeEndpointAnswer(true, ""));
+    exchange->answer(m_dialect.writeEndpointResponse(true, ""));
 }
 
 runner::CommandResult AgentShell::resultOf(const fabric::CallResult &result) const
@@ -248,7 +248,7 @@
         return { runner::CommandStatus::ConnectionRefused, std::nullopt };
     if (result.failure == fabric::CallFailure::NoAnswer)
         return { runner::CommandStatus::None, std::nullopt };
-    return m_dialect.readAnswer(*result.response);
+    return m_dialect.readCommandResult(*result.response);
 }
 
 void AgentShell::orderStart(const runner::StartCommand &order)
@@ -275,7 +275,7 @@
                     [this, number = order.number](const fabric::CallResult &result) {
                         runner::PollResult poll;
                         if (result.response)
-                            poll = m_dialect.readPoll(*result.response);
+                            poll = m_dialect.readPollResult(*result.response);
                         else
                             poll.result = resultOf(result);
                         carryOut(runner::handlePollResult(m_runner, number, poll, steadyNow()));
--- a/packages/fleet/src/controlshell.cpp
+++ b/packages/fleet/src/controlshell.cpp
@@ -187,7 +187,7 @@
         const auto message = decodeFrame<quorum::QuorumMessage>(group->bytes, &reason);
         if (message && group->to == m_core.self.groupId)
             m_replica->receive(*message);
-    } else if (const auto *forward = std::get_if<ForwardCall>(&frame)) {
+    } else if (const auto *forward = std::get_if<ForwardedCall>(&frame)) {
         m_operators.handedOver(connection, *forward);
     }
 }
@@ -323,7 +323,7 @@
             if (node.role == directory::Role::Control)
                 keepControl(node.address);
         }
-    } else if (const auto *answer = std::get_if<ForwardAnswer>(&*frame)) {
+    } else if (const auto *answer = std::get_if<ForwardedAnswer>(&*frame)) {
         m_operators.peerAnswered(*answer);
     }
 }
--- a/packages/fleet/src/entryshell.cpp
+++ b/packages/fleet/src/entryshell.cpp
@@ -78,7 +78,7 @@
     void refuseHeld(Time now);
     void serveHeld();
     void handleReadiness(const ExchangePtr &exchange);
-    void submit(const ExchangePtr &exchange, const CallerCall &call,
+    void submit(const ExchangePtr &exchange, const CallerRequest &call,
                 const catalog::QueueDeclaration &queue, std::optional<Time> heldSince);
     void refuse(const ExchangePtr &exchange, CallerRefusal refusal, const std::string &reason);
     void callerGone(std::uint64_t number, const ExchangePtr &exchange);
@@ -177,7 +177,7 @@
 
 void EntryShell::handleReadiness(const ExchangePtr &exchange)
 {
-    if (m_dialect.asksReadiness(exchange->request()))
+    if (m_dialect.isReadinessRequest(exchange->request()))
         exchange->answer(m_dialect.writeReadiness(ready()));
     else
         exchange->answer(fabric::makeResponse(404, "text/plain", ""));
@@ -227,22 +227,22 @@
 
 void EntryShell::serveCaller(const ExchangePtr &exchange, std::optional<Time> heldSince)
 {
-    const CallerCall call = m_dialect.readCall(exchange->request());
+    const CallerRequest call = m_dialect.readCallerRequest(exchange->request());
     const catalog::QueueDeclaration *queue = catalog::findQueue(m_catalog, call.host, call.path);
     if (!queue) {
         ++m_notFound;
         return refuse(exchange, CallerRefusal::NoSuchQueue, "no queue has this host and path");
     }
-    switch (call.wish) {
-    case CallerWish::Submit:
+    switch (call.action) {
+    case CallerAction::Submit:
         return submit(exchange, call, *queue, heldSince);
-    case CallerWish::AskWaiting:
+    case CallerAction::CountWaiting:
         // Jobs that are answered when they end are in nobody's count.
-        return exchange->answer(m_dialect.writeWaiting(0));
-    case CallerWish::AskState:
-    case CallerWish::Cancel:
-        return refuse(exchange, CallerRefusal::Gone, "no job is kept under this id");
-    case CallerWish::Other:
+        return exchange->answer(m_dialect.writeWaitingCount(0));
+    case CallerAction::GetState:
+    case CallerAction::Cancel:
+        return refuse(exchange, CallerRefusal::NoSuchJob, "no job is kept under this id");
+    case CallerAction::Other:
         break;
     }
     refuse(exchange, CallerRefusal::BadRequest, "this is no call of the interface");
@@ -264,7 +264,7 @@
 
 } // namespace
 
-void EntryShell::submit(const ExchangePtr &exchange, const CallerCall &call,
+void EntryShell::submit(const ExchangePtr &exchange, const CallerRequest &call,
                         const catalog::QueueDeclaration &queue, std::optional<Time> heldSince)
 {
     Error reason;
@@ -284,8 +284,8 @@
     if (came < now)
         options.receivedAt = came;
     options.startDeadline = came + queue.timeout;
-    if (call.patience)
-        options.callerDeadline = came + *call.patience;
+    if (call.timeout)
+        options.callerDeadline = came + *call.timeout;
     options.suitableUnconnected = m_agents.requireAgents(*spec, queue.service, now);
     keepAgents(now);
     std::uint64_t number = 0;
--- a/packages/fleet/src/identity.h
+++ b/packages/fleet/src/identity.h
@@ -1,9 +1,9 @@
 /*
     The identity of a control host in its consensus group.
 
-    Ids are "ADDRESS/DISK". The DISK part is stored on the disk at the first start: a host that comes
-    back with an empty disk is a new member, since it has lost the record of its votes. The seeds of
-    a fleet that starts for the first time have a fixed DISK part and so know each other's ids.
+    Ids are "ADDRESS/DISK". The DISK part is stored on the disk at the first start: a host with an
+    empty disk is a new member, since it has lost the record of its votes. The seeds of a fleet that
+    starts for the first time have a fixed DISK part, so that they know each other's ids.
 
     [SECTION] Functions
 */
--- a/packages/fleet/src/messages.h
+++ b/packages/fleet/src/messages.h
@@ -32,7 +32,7 @@
 }
 
 // A follower forwards an operator's call to the leader.
-struct ForwardCall
+struct ForwardedCall
 {
     std::uint64_t call = 0;
 
@@ -40,13 +40,13 @@
     std::string request;
 };
 template<class Fields>
-void describe(Fields &fields, ForwardCall &forward)
+void describe(Fields &fields, ForwardedCall &forward)
 {
     fields("call", forward.call);
     fields("request", forward.request);
 }
 
-struct ForwardAnswer
+struct ForwardedAnswer
 {
     std::uint64_t call = 0;
     OperatorOutcome outcome = OperatorOutcome::Unsure;
@@ -56,7 +56,7 @@
     std::vector<catalog::DeclaredCatalog> declared;
 };
 template<class Fields>
-void describe(Fields &fields, ForwardAnswer &answer)
+void describe(Fields &fields, ForwardedAnswer &answer)
 {
     fields("call", answer.call);
     fields("outcome", answer.outcome);
@@ -89,8 +89,8 @@
 {
     std::string entry;
 
-    // One element if the entry knows the cordons, otherwise empty: an agent that starts while control
-    // is down learns them from its entries.
+    // One element if the entry knows the cordons, otherwise empty: an agent that starts while
+    // control is down learns them from its entries.
     std::vector<catalog::Cordons> cordons;
 };
 template<class Fields>
@@ -102,7 +102,7 @@
 
 // The order defines the encoding: append new types at the end.
 using Frame = std::variant<directory::Announce, directory::NodeHeartbeat,
-                           directory::DirectoryUpdate, AgreedPush, ForwardCall, ForwardAnswer,
+                           directory::DirectoryUpdate, AgreedPush, ForwardedCall, ForwardedAnswer,
                            GroupFrame, OpenSession, jobs::SessionAccepted, jobs::AgentUpdate,
                            jobs::StartTasks, jobs::StopRuns, jobs::SessionHeartbeat>;
 
--- a/packages/fleet/src/node.cpp
+++ b/packages/fleet/src/node.cpp
@@ -77,7 +77,8 @@
                 std::vector<metrics::Sample> samples = role->samples();
                 samples.push_back({ "foxwing_log_lines_total", "Log lines written",
                                     static_cast<double>(core.log.written) });
-                samples.push_back({ "foxwing_log_lines_left_out_total", "Log lines suppressed by the rate limit",
+                samples.push_back({ "foxwing_log_lines_left_out_total",
+                                    "Log lines suppressed by the rate limit",
                                     static_cast<double>(core.log.leftOutTotal) });
                 exchange->answer(
                         fabric::makeResponse(200, "text/plain; version=0.0.4",
--- a/packages/fleet/src/operatorshell.cpp
+++ b/packages/fleet/src/operatorshell.cpp
@@ -37,9 +37,9 @@
                            .with("target", std::string(exchange->request().target()))
                            .with("reason", reason.message));
         const bool unknown = reason.kind == ErrorKind::NotFound;
-        return exchange->answer(m_dialect.writeOperatorAnswer(unknown ? OperatorOutcome::NotFound
-                                                                      : OperatorOutcome::Invalid,
-                                                              reason.message));
+        return exchange->answer(m_dialect.writeOperatorResponse(unknown ? OperatorOutcome::NotFound
+                                                                        : OperatorOutcome::Invalid,
+                                                                reason.message));
     }
     OperatorCall call;
     call.request = std::move(*request);
@@ -50,7 +50,7 @@
 std::optional<OperatorRequest> OperatorShell::checkedRequest(const fabric::Request &request,
                                                              Error *reason)
 {
-    auto read = m_dialect.readOperatorCall(request, reason);
+    auto read = m_dialect.readOperatorRequest(request, reason);
     if (!read)
         return std::nullopt;
     const auto *declared = std::get_if<catalog::DeclaredCatalog>(&*read);
@@ -65,7 +65,7 @@
     return read;
 }
 
-void OperatorShell::handedOver(std::uint64_t connection, const ForwardCall &forward)
+void OperatorShell::handedOver(std::uint64_t connection, const ForwardedCall &forward)
 {
     Error reason;
     auto request = decodeFrame<OperatorRequest>(forward.request, &reason);
@@ -101,7 +101,7 @@
     m_origins.erase(number);
 }
 
-void OperatorShell::peerAnswered(const ForwardAnswer &answer)
+void OperatorShell::peerAnswered(const ForwardedAnswer &answer)
 {
     operators::OperatorAnswer given;
     given.number = answer.call;
@@ -168,7 +168,7 @@
     const auto call = m_operators.calls.find(number);
     if (call == m_operators.calls.end())
         return;
-    m_links.sendToLeader(Frame(ForwardCall { number, encodeFrame(call->second.request) }));
+    m_links.sendToLeader(Frame(ForwardedCall { number, encodeFrame(call->second.request) }));
 }
 
 void OperatorShell::answer(const operators::OperatorAnswer &answer)
@@ -181,8 +181,8 @@
     if (origin.exchange)
         return origin.exchange->answer(
                 answer.declared ? m_dialect.writeCatalog(*answer.declared)
-                                : m_dialect.writeOperatorAnswer(answer.outcome, answer.reason));
-    ForwardAnswer forward { origin.peerCall, answer.outcome, answer.reason, {} };
+                                : m_dialect.writeOperatorResponse(answer.outcome, answer.reason));
+    ForwardedAnswer forward { origin.peerCall, answer.outcome, answer.reason, {} };
     if (answer.declared)
         forward.declared.push_back(*answer.declared);
     m_links.sendToNode(origin.connection, Frame(std::move(forward)));
--- a/packages/fleet/src/operatorshell.h
+++ b/packages/fleet/src/operatorshell.h
@@ -39,8 +39,8 @@
     void handle(const fabric::ExchangePtr &exchange);
 
     // A call that another control host forwarded, and the leader's answer to one of this host
-    void handedOver(std::uint64_t connection, const ForwardCall &forward);
-    void peerAnswered(const ForwardAnswer &answer);
+    void handedOver(std::uint64_t connection, const ForwardedCall &forward);
+    void peerAnswered(const ForwardedAnswer &answer);
 
     void committed(std::uint64_t index, std::uint64_t term, catalog::Applied applied);
     void readDone(std::uint64_t call, bool confirmed);
--- a/packages/fleet/tests/entryshell_test.cpp
+++ b/packages/fleet/tests/entryshell_test.cpp
@@ -23,8 +23,8 @@
 Dialect makeDialect()
 {
     Dialect dialect;
-    dialect.readCall = [](const fabric::Request &) {
-        return CallerCall { CallerWish::Submit, "host", "/queue/job", {} };
+    dialect.readCallerRequest = [](const fabric::Request &) {
+        return CallerRequest { CallerAction::Submit, "host", "/queue/job", {} };
     };
     dialect.readJob = [](const fabric::Request &, const std::string &rest, Error *) {
         jobs::JobSpec spec;
--- a/tests/fleet/replay_test.cpp
+++ b/tests/fleet/replay_test.cpp
@@ -127,8 +127,8 @@
     void heartbeat(const fabric::Request &request)
     {
         Error reason;
-        const auto heard = platform::dialect().readEndpointCall(request, &reason);
-        write(platform::dialect().writeEndpointAnswer(heard.has_value(), reason.message));
+        const auto heard = platform::dialect().readEndpointRequest(request, &reason);
+        write(platform::dialect().writeEndpointResponse(heard.has_value(), reason.message));
         if (heard)
             carryOut(runner::handleHeartbeat(m_agent, heard->report, m_now));
     }
@@ -136,7 +136,7 @@
     void call(const fabric::Request &request)
     {
         const fleet::Dialect &dialect = platform::dialect();
-        const fleet::CallerCall call = dialect.readCall(request);
+        const fleet::CallerRequest call = dialect.readCallerRequest(request);
         const auto *queue = catalog::findQueue(m_catalog, call.host, call.path);
         if (!queue)
             return write(dialect.writeRefusal(fleet::CallerRefusal::NoSuchQueue, "no queue"));
@@ -160,8 +160,9 @@
         const PendingOrder order = m_orders.front();
         m_orders.pop_front();
         const auto response = readResponse(words);
-        const runner::CommandResult result = response ? platform::dialect().readAnswer(*response)
-                                                      : runner::CommandResult();
+        const runner::CommandResult result = response
+                ? platform::dialect().readCommandResult(*response)
+                : runner::CommandResult();
         carryOut(order.isStart ? runner::handleStartResult(m_agent, order.id, result, m_now)
                                : runner::handleStopResult(m_agent, order.id, result, m_now));
     }
@@ -169,7 +170,7 @@
     void answerLook(std::istringstream &words)
     {
         const auto response = readResponse(words);
-        const runner::PollResult poll = response ? platform::dialect().readPoll(*response)
+        const runner::PollResult poll = response ? platform::dialect().readPollResult(*response)
                                                  : runner::PollResult();
         carryOut(runner::handlePollResult(m_agent, m_agent.pollNumber, poll, m_now));
     }
