--- a/packages/fleet/src/controlshell.cpp
+++ b/packages/fleet/src/controlrole.cpp
@@ -17,7 +17,7 @@
 #include "core.h"
 #include "identity.h"
 #include "nodelinks.h"
-#include "operatorshell.h"
+#include "operatorapi.h"
 
 namespace foxwing::fleet {
 
--- a/packages/fleet/src/core.h
+++ b/packages/fleet/src/core.h
@@ -22,7 +22,7 @@
 #include <foxwing/metrics/metrics.h>
 
 #include "messages.h"
-#include "peerbook.h"
+#include "peertable.h"
 
 namespace foxwing::fleet {
 
--- a/packages/fleet/src/operatorshell.cpp
+++ b/packages/fleet/src/operatorapi.cpp
@@ -5,7 +5,7 @@
     [SECTION] Actions
     [SECTION] Metrics
 */
-#include "operatorshell.h"
+#include "operatorapi.h"
 
 #include <algorithm>
 
--- a/packages/fleet/src/peerbook.cpp
+++ b/packages/fleet/src/peertable.cpp
@@ -3,7 +3,7 @@
 
     [SECTION] Functions
 */
-#include "peerbook.h"
+#include "peertable.h"
 
 #include <algorithm>
 
--- a/packages/fleet/tests/peerbook_test.cpp
+++ b/packages/fleet/tests/peertable_test.cpp
@@ -6,7 +6,7 @@
 */
 #include <gtest/gtest.h>
 
-#include "../src/peerbook.h"
+#include "../src/peertable.h"
 
 namespace foxwing::fleet {
 namespace {
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -12,7 +12,7 @@
 #include <cstdlib>
 #include <gtest/gtest.h>
 
-#include "world.h"
+#include "simulation.h"
 
 namespace foxwing::test {
 namespace {
--- a/tests/fleet/world.cpp
+++ b/tests/fleet/simulation.cpp
@@ -9,7 +9,7 @@
 */
 #include <algorithm>
 
-#include "worldparts.h"
+#include "simulationparts.h"
 
 namespace foxwing::test {
 
--- a/tests/fleet/worldfaults.cpp
+++ b/tests/fleet/simulationfaults.cpp
@@ -7,7 +7,7 @@
     [SECTION] Resets
     [SECTION] Promises
 */
-#include "worldparts.h"
+#include "simulationparts.h"
 
 namespace foxwing::test {
 
--- a/tests/fleet/worldparts.h
+++ b/tests/fleet/simulationparts.h
@@ -6,7 +6,7 @@
 */
 #pragma once
 
-#include "world.h"
+#include "simulation.h"
 
 namespace foxwing::test {
 
