--- a/packages/edge/include/foxwing/edge/httpclient.h
+++ b/packages/edge/include/foxwing/edge/httpclient.h
@@ -1,5 +1,5 @@
 /*
-    An HTTP client over cpprestsdk, for agents towards their endpoint and for the command line.
+    HTTP client on cpprestsdk, for agents that call their endpoint and for the command line.
 
         HttpClient client("http://10.0.0.9:9000", settings);
         client.call("POST", "/tasks/1", body, headers, [](HttpReply &&reply) { ... });
@@ -23,24 +23,24 @@
 
 struct HttpReply
 {
-    // HTTP status, or 0 if no answer came.
+    // HTTP status, or 0 without a response.
     int status = 0;
     std::string body;
 
-    // Without an answer: whether the request can not have reached the server.
+    // Without a response: whether the request can't have reached the server.
     bool neverSent = false;
     std::string reason;
 };
 
 struct HttpClientSettings
 {
-    // A call without an answer by then has failed.
+    // Limit for one call.
     Milliseconds timeout { 60000 };
 
-    // Accept any certificate. For trials on one machine only.
+    // Accepts any certificate; only for trials on one machine.
     bool insecure = false;
 
-    // Answers longer than this are errors.
+    // Longer responses are errors.
     std::size_t mostBodyBytes = 16U << 20U;
 };
 
@@ -54,11 +54,11 @@
     HttpClient(const std::string &url, const HttpClientSettings &settings);
     ~HttpClient();
 
-    // Calls without blocking; the receiver runs on one of cpprestsdk's threads.
+    // Returns at once; the receiver is called on one of cpprestsdk's threads.
     void call(const std::string &method, const std::string &path, const std::string &body,
               const std::map<std::string, std::string> &headers, Receiver receiver);
 
-    // Calls and waits.
+    // Blocks until there is a response or an error.
     HttpReply callAndWait(const std::string &method, const std::string &path,
                           const std::string &body,
                           const std::map<std::string, std::string> &headers);
--- a/packages/edge/include/foxwing/edge/httpserver.h
+++ b/packages/edge/include/foxwing/edge/httpserver.h
@@ -1,14 +1,15 @@
 /*
-    The HTTP listener towards callers, operators and the platform, over cpprestsdk.
+    HTTP server on cpprestsdk, for callers, operators and the platform.
 
-    cpprestsdk's headers stay out of this one: they take seconds to compile.
+    This header does not include cpprestsdk's headers, which take seconds to compile.
 
         HttpServer server(settings, [](const HttpRequest &request, const Responder &responder) {
             responder.reply(200, "application/json", "{}");
         });
 
     The handler runs on cpprestsdk's threads and must not block; it may keep the responder and reply
-    later from any thread. Bodies without a length, or longer than the limit, never reach it.
+    later from any thread. Requests whose body has no Content-Length or exceeds the limit are
+   refused before they reach it.
 
     [SECTION] Request
     [SECTION] Responder
@@ -47,7 +48,7 @@
 
 // [SECTION] Responder
 
-// Answers one request. Copies answer the same request; only the first reply counts.
+// Replies to one request. Copies reply to the same request; only the first reply is sent.
 class Responder
 {
 public:
@@ -71,16 +72,16 @@
     std::string host = "127.0.0.1";
     int port = 0;
 
-    // PEM files; without them the listener speaks plain HTTP.
+    // PEM files for TLS; plain HTTP without them.
     std::string certificateFile;
     std::string keyFile;
 
     std::size_t mostBodyBytes = 32U << 20U;
 
-    // Requests whose bodies are still arriving; more are turned away.
+    // Limit on requests whose bodies are incomplete; further ones are refused.
     std::size_t mostArriving = 2000;
 
-    // A body that has not arrived by then is given up.
+    // Time within which a body must arrive.
     Milliseconds bodySpan { 10000 };
 };
 
@@ -95,13 +96,14 @@
     bool start(Error *reason);
     void stop();
 
-    // Gives up requests whose bodies take too long: they count no more, and are refused if the rest
-    // of the body comes after all. To be called now and then.
-    // FIXME: cpprestsdk can neither answer before a body is there nor close the connection, so the
-    // connection of a caller that falls silent stays; only the limit on descriptors bounds those.
+    // Refuses requests whose bodies take too long. They no longer count as pending; the caller gets
+    // the reply once the rest of the body arrives. Call it regularly.
+    // FIXME: cpprestsdk can neither reply before a body is complete nor close the connection, so
+    // the connection of a caller that stops sending stays open, bounded only by the descriptor
+    // limit.
     void dropOverdue();
 
-    // Requests whose bodies are still coming
+    // Number of requests whose bodies are incomplete
     std::size_t arriving() const;
 
 private:
@@ -109,8 +111,8 @@
     std::unique_ptr<Impl> m_impl;
 };
 
-// Sets how many threads cpprestsdk has in this process. Call it before anything else of the
-// package; later calls have no effect.
+// Sets the size of cpprestsdk's thread pool. Call it before anything else of the package; later
+// calls have no effect.
 void setHttpThreads(unsigned int threads);
 
 } // namespace foxwing::edge
--- a/packages/edge/src/httpclient.cpp
+++ b/packages/edge/src/httpclient.cpp
@@ -1,5 +1,5 @@
 /*
-    The client.
+    The HTTP client's calls to cpprestsdk.
 
     [SECTION] Client
 */
@@ -14,7 +14,7 @@
 
 namespace {
 
-// cpprestsdk says only in words that no connection could be made.
+// cpprestsdk reports a failed connection only in its message text.
 bool failedToConnect(const std::string &reason)
 {
     return reason.find("Failed to connect") != std::string::npos
@@ -53,7 +53,7 @@
         m_client.request(request)
                 .then([limit](http::http_response response) {
                     if (response.headers().content_length() > limit)
-                        throw std::length_error("the answer is too long");
+                        throw std::length_error("the response is too long");
                     return response.extract_vector().then(
                             [status = response.status_code()](
                                     const std::vector<unsigned char> &content) {
--- a/packages/edge/src/httpserver.cpp
+++ b/packages/edge/src/httpserver.cpp
@@ -1,5 +1,5 @@
 /*
-    The listener.
+    The HTTP server's listener and its requests.
 
     [SECTION] Responder
     [SECTION] Server
@@ -39,7 +39,7 @@
         if (retryAfter.count() > 0)
             response.headers().add("Retry-After",
                                    std::to_string((retryAfter.count() + 999) / 1000));
-        // A caller that has gone is no error of ours.
+        // A caller that has disconnected is not an error.
         m_request.reply(response).then([](const pplx::task<void> &done) {
             try {
                 done.get();
@@ -132,7 +132,7 @@
         } catch (const std::exception &exception) {
             fail(reason, ErrorKind::Unavailable,
                  "can't listen on " + url + " (" + exception.what()
-                         + "); give an IPv4 number of this host and a port that nobody uses");
+                         + "); use an IPv4 address of this host and a free port");
             return false;
         }
     }
@@ -145,7 +145,7 @@
         try {
             m_listener.close().wait();
         } catch (const std::exception &) {
-            return; // the process ends anyway
+            return; // the process is about to exit
         }
     }
 
@@ -155,7 +155,7 @@
         return m_arriving.size();
     }
 
-    // Numbers grow with time, so the first that is not overdue ends the search.
+    // Ids increase with time, so the search ends at the first request that is not overdue.
     void dropOverdue()
     {
         std::vector<Responder> overdue;
@@ -169,7 +169,7 @@
         }
         for (const Responder &responder : overdue)
             refuse(responder, ErrorKind::BadRequest,
-                   "the body did not arrive in time; send it without pauses");
+                   "the request body did not arrive in time; send it without pauses");
     }
 
 private:
@@ -182,18 +182,19 @@
             return m_handler(request, responder);
         if (!message.headers().has("Content-Length"))
             return refuse(responder, ErrorKind::BadRequest,
-                          "send the body with a Content-Length header, not in chunks");
+                          "send the body with a Content-Length header instead of in chunks");
         if (message.headers().content_length() > m_settings.mostBodyBytes)
             return refuse(responder, ErrorKind::TooLarge,
-                          "a body may have at most " + std::to_string(m_settings.mostBodyBytes)
+                          "a request body may have at most "
+                                  + std::to_string(m_settings.mostBodyBytes)
                                   + " bytes; split the job");
         if (arriving() >= m_settings.mostArriving)
             return refuse(responder, ErrorKind::Unavailable,
-                          "too many requests arrive at this entry; come back in a second");
+                          "too many incomplete requests at this node; retry in a second");
         readBody(message, std::move(request), responder);
     }
 
-    // A request whose body is still coming.
+    // A request whose body is incomplete.
     struct Arriving
     {
         Responder responder;
@@ -204,7 +205,7 @@
                   const Responder &responder)
     {
         const std::uint64_t number = addArriving(responder);
-        // Copies of a request share its state.
+        // Copies of an http_request share its state.
         http::http_request(message).extract_vector().then(
                 [this, number, request = std::move(request),
                  responder](const pplx::task<std::vector<unsigned char>> &arrived) mutable {
@@ -213,7 +214,7 @@
                         const std::vector<unsigned char> body = arrived.get();
                         request.body.assign(body.begin(), body.end());
                     } catch (const std::exception &) {
-                        return; // the caller went away before its request was whole
+                        return; // the caller disconnected before the body was complete
                     }
                     if (inTime)
                         m_handler(request, responder);
@@ -228,7 +229,7 @@
         return m_lastArriving;
     }
 
-    // False if it was given up already.
+    // False if it was refused already.
     bool removeArriving(std::uint64_t number)
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
@@ -278,7 +279,7 @@
     try {
         crossplat::threadpool::initialize_with_threads(threads);
     } catch (const std::exception &) {
-        return; // already running with another number
+        return; // the pool already runs
     }
 }
 
--- a/packages/edge/tests/edge_test.cpp
+++ b/packages/edge/tests/edge_test.cpp
@@ -1,5 +1,5 @@
 /*
-    What the HTTP listener lets through, and what it turns away.
+    Which requests the HTTP server passes to the handler, and which it refuses.
 
     [SECTION] Helpers
     [SECTION] Tests
@@ -20,7 +20,7 @@
 
 // [SECTION] Helpers
 
-// A port that nobody uses at present.
+// A port that is free at the moment.
 int freePort()
 {
     const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
@@ -60,7 +60,8 @@
 
     std::string url() const { return "http://127.0.0.1:" + std::to_string(m_settings.port); }
 
-    // Sends bytes as they are, and reads until the listener has answered or closed.
+    // Sends raw bytes and returns the first part of the response; empty if the server closed the
+    // connection.
     std::string raw(const std::string &bytes) const
     {
         const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
@@ -85,7 +86,7 @@
 
 // [SECTION] Tests
 
-TEST_F(EdgeTest, ARequestArrivesWholeAndIsAnsweredOnce)
+TEST_F(EdgeTest, RequestIsDecodedAndAnsweredOnce)
 {
     HttpClient client(url(), {});
     const HttpReply reply = client.callAndWait("POST", "/v1/jobs/a%20b?wait=5&x=%2F", "body",
@@ -100,7 +101,7 @@
     EXPECT_EQ(m_requests[0].body, "body");
 }
 
-TEST_F(EdgeTest, ALongBodyIsTurnedAwayUnread)
+TEST_F(EdgeTest, TooLongBodyIsRefusedUnread)
 {
     HttpClient client(url(), {});
     const HttpReply reply = client.callAndWait("POST", "/", std::string(1001, 'x'), {});
@@ -109,7 +110,7 @@
     EXPECT_TRUE(m_requests.empty());
 }
 
-TEST_F(EdgeTest, ABodyWithoutALengthIsTurnedAway)
+TEST_F(EdgeTest, BodyWithoutLengthIsRefused)
 {
     const std::string reply = raw("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"
                                   "5\r\nhello\r\n0\r\n\r\n");
@@ -117,7 +118,7 @@
     EXPECT_TRUE(m_requests.empty());
 }
 
-TEST_F(EdgeTest, HalfARequestReachesNobodyAndHoldsUpNobody)
+TEST_F(EdgeTest, IncompleteRequestDoesNotBlockOthers)
 {
     const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in address {};
@@ -134,7 +135,7 @@
     EXPECT_EQ(m_requests.size(), 2U);
 }
 
-TEST_F(EdgeTest, ABodyThatComesTooLateIsRefused)
+TEST_F(EdgeTest, LateBodyIsRefused)
 {
     m_server->stop();
     m_settings.port = freePort();
@@ -162,13 +163,13 @@
     EXPECT_TRUE(m_requests.empty());
 }
 
-TEST_F(EdgeTest, NoiseIsNoRequest)
+TEST_F(EdgeTest, NonHttpInputIsIgnored)
 {
     raw("\x16\x03\x01\x02 this is no HTTP\r\n\r\n");
     EXPECT_TRUE(m_requests.empty());
 }
 
-TEST(Edge, NobodyListensMeansNeverSent)
+TEST(Edge, ConnectionRefusedMeansNeverSent)
 {
     HttpClient client("http://127.0.0.1:" + std::to_string(freePort()), {});
     const HttpReply reply = client.callAndWait("POST", "/", "body", {});
--- a/packages/node/include/foxwing/node/log.h
+++ b/packages/node/include/foxwing/node/log.h
@@ -1,5 +1,5 @@
 /*
-    Log lines over Boost.Log: one line for each change of state, as key=value pairs.
+    Structured log on Boost.Log: one line of key=value pairs for each change of state.
 
         logChange(LogLevel::Info, "view", { { "number", "7" }, { "entries", "3" } });
 
@@ -27,7 +27,7 @@
     std::string value;
 };
 
-// Lines go to standard error; level is one of the names that settings know.
+// Log lines go to standard error. The level is "debug", "info", "warning" or "error".
 void startLog(const std::string &level, const std::string &node);
 
 void logChange(LogLevel level, const char *event, std::initializer_list<LogField> fields);
--- a/packages/node/include/foxwing/node/loop.h
+++ b/packages/node/include/foxwing/node/loop.h
@@ -1,9 +1,9 @@
 /*
-    The one thread on which a process decides.
+    The event loop of a process.
 
-    Everything that changes state is posted here; nothing on it blocks.
+    All changes of state run on its one thread, as callbacks that must not block.
 
-        Loop loop([] { ... every few milliseconds ... }, Milliseconds(10));
+        Loop loop([] { ... called every 10 ms ... }, Milliseconds(10));
         loop.post([] { ... });
         loop.run();
 
@@ -29,10 +29,10 @@
 
     Loop(Job onTick, Milliseconds tickInterval);
 
-    // From any thread.
+    // May be called from any thread.
     void post(Job job);
 
-    // Runs jobs and ticks until stop() was called.
+    // Runs posted callbacks and ticks until stop() is called.
     void run();
     void stop();
 
--- a/packages/node/include/foxwing/node/message.h
+++ b/packages/node/include/foxwing/node/message.h
@@ -1,5 +1,5 @@
 /*
-    Every message that one process can send to another.
+    The variant of all messages between processes.
 
     [SECTION] Variant
 */
@@ -27,14 +27,14 @@
         quorum::VoteRequest, quorum::VoteReply, quorum::Append, quorum::AppendReply,
         quorum::InstallSnapshot>;
 
-// Whether a message of this type can be held by a narrower variant.
+// Whether a narrower variant can hold a message of this type.
 template<class Narrow, class Held>
 constexpr bool isOneOf()
 {
     return std::is_constructible_v<Narrow, Held>;
 }
 
-// The message as one of a narrower variant, if it is one.
+// Converts to a narrower variant; nothing if that can't hold the message.
 template<class Narrow>
 std::optional<Narrow> narrow(const Message &message)
 {
@@ -48,7 +48,7 @@
             message);
 }
 
-// A message of a narrower variant as one of all.
+// Converts a message of a narrower variant.
 template<class Narrow>
 Message widen(Narrow message)
 {
--- a/packages/node/include/foxwing/node/node.h
+++ b/packages/node/include/foxwing/node/node.h
@@ -1,5 +1,5 @@
 /*
-    A process of foxwing: settings in, sockets and threads around the decisions.
+    A process of foxwing: runs its roles with sockets, threads and the event loop.
 
         Node node(settings);
         Error reason;
@@ -29,10 +29,11 @@
     // Opens files and sockets.
     bool start(Error *reason);
 
-    // Works until a planned stop has finished, or its time is over.
+    // Runs until a requested stop has finished or timed out.
     void run();
 
-    // A planned stop: finishes what is in flight. From any thread, not from a signal handler.
+    // Graceful stop: finishes work in flight. May be called from any thread, but not from a signal
+    // handler.
     void requestStop();
 
 private:
--- a/packages/node/src/agentrole.cpp
+++ b/packages/node/src/agentrole.cpp
@@ -1,5 +1,5 @@
 /*
-    The shell around the agent's decisions.
+    Executes the agent's actions and exports its counters.
 
     [SECTION] Role
 */
@@ -92,17 +92,18 @@
     };
     count("foxwing_agent_starts_total", "Tasks started at the endpoint", counters.starts);
     count("foxwing_agent_refusals_total", "Starts refused", counters.refusals);
-    count("foxwing_agent_duplicates_total", "Starts that were seen before", counters.duplicates);
+    count("foxwing_agent_duplicates_total", "Duplicate starts", counters.duplicates);
     count("foxwing_agent_voids_total", "Attempts voided before they started", counters.voids);
-    count("foxwing_agent_stops_total", "Tasks told to stop", counters.cancels);
-    count("foxwing_agent_resends_total", "Results sent again", counters.resends);
+    count("foxwing_agent_stops_total", "Tasks requested to stop", counters.cancels);
+    count("foxwing_agent_resends_total", "Results resent", counters.resends);
     count("foxwing_agent_owner_changes_total", "Changes of the lease's owner",
           counters.ownerChanges);
-    samples.push_back({ "foxwing_agent_running", "Tasks that run",
+    samples.push_back({ "foxwing_agent_running", "Running tasks",
                         static_cast<double>(m_state.running.size()), true });
-    samples.push_back({ "foxwing_agent_unsettled_bytes", "Results not taken by their owners yet",
+    samples.push_back({ "foxwing_agent_unsettled_bytes",
+                        "Bytes of results not yet acknowledged by their owners",
                         static_cast<double>(m_state.unsettledBytes), true });
-    samples.push_back({ "foxwing_agent_jobs_remembered", "Jobs that are remembered",
+    samples.push_back({ "foxwing_agent_jobs_remembered", "Retained jobs",
                         static_cast<double>(m_state.jobs.size()), true });
     const auto ofTeams = [&](const char *name, const char *help, auto value) {
         for (const auto &usage : m_state.usage)
--- a/packages/node/src/agentrole.h
+++ b/packages/node/src/agentrole.h
@@ -1,5 +1,5 @@
 /*
-    The role agent of a node: the shell around agent::AgentState.
+    The agent role of a node: connects agent::AgentState to messages and to the endpoint.
 
     [SECTION] Role
 */
--- a/packages/node/src/callerapi.cpp
+++ b/packages/node/src/callerapi.cpp
@@ -1,5 +1,5 @@
 /*
-    Bodies of callers' requests and replies.
+    Parses and writes the bodies of callers' requests and replies.
 
     [SECTION] Requests
     [SECTION] Replies
@@ -21,7 +21,7 @@
 
 // [SECTION] Requests
 
-// Takes known members out of a body; what is left is not known.
+// Removes members from a body as they are read; those left at the end are unknown.
 class BodyReader
 {
 public:
@@ -47,7 +47,7 @@
             return fallback;
         if (!value.isInt64() || value.asInt64() < least || value.asInt64() > LongestDeadlineMs)
             refuse(name,
-                   "must be whole milliseconds from " + std::to_string(least) + " to "
+                   "must be a whole number of milliseconds from " + std::to_string(least) + " to "
                            + std::to_string(LongestDeadlineMs));
         return m_ok ? value.asInt64() : fallback;
     }
@@ -73,7 +73,7 @@
     bool finish()
     {
         if (m_ok && !m_json.empty())
-            refuse(m_json.getMemberNames().front(), "is not known; remove it or mend its name");
+            refuse(m_json.getMemberNames().front(), "is not known; remove it or correct its name");
         return m_ok;
     }
 
@@ -82,7 +82,7 @@
     {
         Json::Value value;
         if (m_ok && !m_json.removeMember(name, &value) && needed)
-            refuse(name, "must be there");
+            refuse(name, "is required");
         return value;
     }
 
@@ -91,7 +91,7 @@
     bool m_ok = true;
 };
 
-// Strings go to the endpoint as they are, everything else as JSON text.
+// A string is passed to the endpoint unquoted, any other value as JSON text.
 std::string payloadText(const Json::Value &value)
 {
     return value.isString() ? value.asString() : writeJson(value);
@@ -102,7 +102,7 @@
     text += std::to_string(part.size()) + ":" + part;
 }
 
-// Two submissions are the same if they ask for the same work in the same way.
+// Submissions with the same digest ask for the same work; deadline and estimate don't count.
 std::string digestOf(const entry::SubmitRequest &request)
 {
     std::string text;
@@ -161,7 +161,7 @@
     const bool digits = text.find_first_not_of("0123456789") == std::string::npos;
     if (!digits || text.size() > 8)
         return fail(reason, ErrorKind::BadRequest,
-                    "\"wait\" must be whole milliseconds, at most 99999999");
+                    "\"wait\" must be a whole number of milliseconds, at most 99999999");
     return Milliseconds(std::stoll(text));
 }
 
--- a/packages/node/src/controlrole.cpp
+++ b/packages/node/src/controlrole.cpp
@@ -1,5 +1,5 @@
 /*
-    The shell around control's decisions.
+    Executes control's actions, follows the leadership and exports the counters.
 
     [SECTION] Commands
     [SECTION] Nodes
@@ -55,7 +55,7 @@
     const WaitingChange waiting = found->second;
     m_waiting.erase(found);
     if (waiting.term != term)
-        return refuseAsFollower(waiting.responder); // another leader's entry took its place
+        return refuseAsFollower(waiting.responder); // replaced by another leader's log entry
     Json::Value json = toJson(result);
     json["kind"] = toString(result.kind);
     const int status = result.kind == ErrorKind::None ? 200 : httpStatus(result.kind);
@@ -106,7 +106,7 @@
     dropOperators();
 }
 
-// Whoever waits here must ask the next leader.
+// Pending requests have to be sent again to the new leader.
 void ControlRole::dropOperators()
 {
     for (const auto &waiting : m_waiting)
@@ -120,7 +120,7 @@
     m_watchers.clear();
 }
 
-// What is volatile begins anew with each leadership: nodes tell it again.
+// A new leader starts without volatile state; nodes report it again.
 void ControlRole::followLeadership()
 {
     const bool leading = m_log.leadsNow();
@@ -170,13 +170,12 @@
         samples.push_back({ name, help, value, gauge });
     };
     const control::ControlCounters &counters = m_state.counters;
-    add("foxwing_control_beats_total", "Beats received", static_cast<double>(counters.beats),
+    add("foxwing_control_beats_total", "Heartbeats received", static_cast<double>(counters.beats),
         false);
-    add("foxwing_control_views_total", "Views and updates of views made",
+    add("foxwing_control_views_total", "Views and view updates created",
         static_cast<double>(counters.views), false);
-    add("foxwing_control_deaths_total", "Nodes found dead", static_cast<double>(counters.deaths),
-        false);
-    add("foxwing_control_restarts_total", "Nodes found restarted",
+    add("foxwing_control_deaths_total", "Nodes lost", static_cast<double>(counters.deaths), false);
+    add("foxwing_control_restarts_total", "Restarts of nodes",
         static_cast<double>(counters.restarts), false);
     add("foxwing_control_changes_sent_total", "Resources sent to nodes",
         static_cast<double>(counters.changesSent), false);
@@ -188,7 +187,8 @@
     add("foxwing_control_nodes", "Live nodes", force.nodes, true);
     add("foxwing_control_lagging", "Live nodes that lack the newest revision",
         static_cast<double>(force.lagging.size()), true);
-    add("foxwing_control_leads", "1 if this host leads the group", m_leading ? 1 : 0, true);
+    add("foxwing_control_leads", "1 if this host is the leader of the group", m_leading ? 1 : 0,
+        true);
     add("foxwing_control_term", "Term of the group", static_cast<double>(m_log.state().term), true);
     add("foxwing_control_committed", "Index of the last committed entry",
         static_cast<double>(m_log.state().commit), true);
--- a/packages/node/src/controlrole.h
+++ b/packages/node/src/controlrole.h
@@ -1,7 +1,8 @@
 /*
-    The role control of a node: the shell around control::ControlState, and operators' requests.
+    The control role of a node: connects control::ControlState to messages, the replicated log and
+    operators' requests.
 
-    Only the leader of the group answers nodes and operators; every host keeps the state.
+    Only the leader of the consensus group answers nodes and operators; every host has the state.
 
     [SECTION] Role
 */
@@ -29,10 +30,10 @@
 public:
     ControlRole(const settings::Settings &settings, Loop &loop, PostOffice &post);
 
-    // Opens the journal.
+    // Opens the journal and restores the state from it.
     bool start(Error *reason);
 
-    // An operator's request, on the loop's thread. False if its path is none of control's.
+    // Serves an operator's request, on the loop's thread. False if control does not serve its path.
     bool serve(const edge::HttpRequest &request, const edge::Responder &responder);
 
     void receive(const control::Beat &beat);
@@ -41,14 +42,14 @@
     void addSamples(std::vector<metrics::Sample> &samples) const;
 
 private:
-    // An operator who waits for a change to be committed.
+    // A change that is not committed yet.
     struct WaitingChange
     {
         std::uint64_t term = 0;
         edge::Responder responder;
     };
 
-    // An operator who waits for changes after a revision.
+    // A watch that waits for changes after a revision.
     struct Watcher
     {
         edge::Responder responder;
@@ -73,7 +74,7 @@
     void serveWatch(const edge::HttpRequest &request, const edge::Responder &responder);
     void serveNodes(const edge::Responder &responder) const;
 
-    // Calls this once a quorum has confirmed that this host still leads.
+    // Calls read() once a quorum has confirmed that this host is still the leader.
     void afterConfirmation(const edge::Responder &responder, std::function<void()> read);
     void answerWatchers(Time now);
     bool answerWatcher(const Watcher &watcher, bool overdue) const;
--- a/packages/node/src/endpoint.cpp
+++ b/packages/node/src/endpoint.cpp
@@ -1,5 +1,5 @@
 /*
-    Calls to the endpoint.
+    HTTP calls to the endpoint, and how they end.
 
     [SECTION] Calls
     [SECTION] Ends
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Longest call; deadlines of tasks are kept by the agent, which stops the task in time.
+// Only an upper bound: the agent stops a task at its deadline.
 constexpr Milliseconds LongestCall { 24 * 3600 * 1000 };
 
 std::string pathOf(const agent::TaskRef &ref)
@@ -71,7 +71,7 @@
             overdue.push_back(open.first);
     }
     for (const std::string &path : overdue)
-        end(path, agent::TaskEnd::Cancelled, "the endpoint did not stop it in time");
+        end(path, agent::TaskEnd::Cancelled, "the endpoint did not stop the task in time");
 }
 
 // [SECTION] Ends
@@ -80,7 +80,7 @@
 {
     const auto found = m_open.find(path);
     if (found == m_open.end())
-        return; // cut before
+        return; // abandoned before
     const OpenCall open = found->second;
     m_open.erase(found);
     if (open.stopped)
@@ -100,7 +100,7 @@
     if (reply.neverSent)
         return end(path, agent::TaskEnd::Unreachable, reply.reason);
     if (reply.status == 0)
-        return end(path, agent::TaskEnd::Failed, "no answer from the endpoint: " + reply.reason);
+        return end(path, agent::TaskEnd::Failed, "no response from the endpoint: " + reply.reason);
     end(path, agent::TaskEnd::Failed, "status " + std::to_string(reply.status) + " " + reply.body);
 }
 
--- a/packages/node/src/endpoint.h
+++ b/packages/node/src/endpoint.h
@@ -1,9 +1,9 @@
 /*
-    Inside a node with the role agent: calls to the endpoint over HTTP.
+    Calls from an agent to its endpoint over HTTP.
 
-    A task is POSTed to /tasks/TEAM/SUBMISSION/TASK/ATTEMPT with its payload as the body; any status
-    of 200 to 299 means success, and the body is the result. DELETE on the same path asks the
-   endpoint to stop it.
+    A task is POSTed to /tasks/TEAM/SUBMISSION/TASK/ATTEMPT with its payload as the body. Any status
+    from 200 to 299 means success, and the response body is the result. DELETE on the same path asks
+    the endpoint to stop the task.
 
     [SECTION] Endpoint
 */
@@ -30,11 +30,11 @@
 
     Endpoint(const settings::EndpointSettings &settings, Loop &loop, Done onDone);
 
-    // All on the loop's thread.
+    // All may be called only on the loop's thread.
     void call(const agent::EndpointCall &call);
     void stop(const agent::EndpointStop &stop, Time now);
 
-    // Cuts calls that were told to stop and did not end in time.
+    // Abandons calls that did not end within the grace period after a request to stop.
     void tick(Time now);
 
 private:
--- a/packages/node/src/entryrole.cpp
+++ b/packages/node/src/entryrole.cpp
@@ -1,5 +1,5 @@
 /*
-    The shell around the entry's decisions.
+    Executes the entry's actions, serves callers and exports the counters.
 
     [SECTION] Actions
     [SECTION] Callers
@@ -23,7 +23,7 @@
 constexpr Milliseconds LongestWait { 24 * 3600 * 1000 };
 constexpr Milliseconds DefaultFetchWait { 0 };
 
-// Teams in one beat, so that beats stay small; the others wait for the next ones.
+// Limits the size of a heartbeat; further teams are reported in later ones.
 constexpr std::size_t MostShareReports = 40;
 
 entry::EntrySettings withIncarnation(entry::EntrySettings settings, std::uint64_t incarnation)
@@ -111,8 +111,7 @@
     const auto waitSpan = readWait(waitText, DefaultFetchWait, &reason);
     if (!waitSpan)
         return replyError(responder, reason);
-    // A look at a submission that another entry runs takes a round trip even if the caller waits
-    // for nothing else.
+    // Looking up a submission of another entry takes a round trip even if the caller does not wait.
     const Milliseconds span = std::max(*waitSpan, Milliseconds { 500 });
     const Time now = steadyNow();
     const std::string &id = request.path[2];
@@ -130,12 +129,12 @@
             && (path[1] == "jobs" || path[1] == "requests");
     if (!ours)
         return false;
-    // Without a configuration nobody's token is known, and nothing can be said of earlier work.
+    // Without a fresh configuration, tokens can't be checked and earlier submissions are unknown.
     if (!entry::hasFreshConfiguration(m_state, steadyNow())) {
         replyError(responder,
                    Error { ErrorKind::NotReady,
                            "this entry could not confirm its configuration; send the "
-                           "same to another one",
+                           "request to another one",
                            Outcome::Unknown, Milliseconds { 1000 } });
         return true;
     }
@@ -149,7 +148,7 @@
     } else if (m_callers.size() >= m_state.settings.maxWaiters) {
         replyError(responder,
                    Error { ErrorKind::Unavailable,
-                           "too many callers wait at this entry; ask another one",
+                           "too many callers are waiting at this entry; use another one",
                            path.size() == 2 ? Outcome::NotRun : Outcome::Unknown,
                            Milliseconds { 500 } });
     } else if (posts) {
@@ -191,7 +190,7 @@
 void EntryRole::tick()
 {
     const Time now = steadyNow();
-    // Shares that control does not confirm are over.
+    // Quota shares expire unless control confirms them.
     if (!entry::hasFreshConfiguration(m_state, now)) {
         for (auto &limit : m_state.dispatcher.teamLimits)
             dispatch::setTeamLimit(m_state.dispatcher, limit.first, 0);
@@ -222,7 +221,7 @@
             registry.teams[resource.name] = { resource.name, spec->salt, spec->tokenHash,
                                               spec->weight, spec->concurrency };
             m_state.dispatcher.teamWeights[resource.name] = spec->weight;
-            // Until control has given this entry a share it has none.
+            // The entry has no share until control grants one.
             if (spec->concurrency == 0)
                 dispatch::clearTeamLimit(m_state.dispatcher, resource.name);
             else if (m_state.dispatcher.teamLimits.count(resource.name) == 0)
@@ -327,23 +326,23 @@
     count("foxwing_replies_unknown_total", "Replies: unknown", entryCounters.repliesUnknown);
     count("foxwing_jobs_total", "Jobs owned", jobs.jobs);
     count("foxwing_starts_total", "Starts sent to agents", jobs.starts);
-    count("foxwing_results_total", "Results taken", jobs.results);
-    count("foxwing_results_foreign_total", "Results that nobody waited for", jobs.foreignResults);
-    count("foxwing_agent_refused_total", "Starts that agents refused", jobs.refusals);
-    count("foxwing_verifications_total", "Silent tasks asked for", jobs.verifications);
-    count("foxwing_retries_total", "Repeatable requests sent again", jobs.retries);
+    count("foxwing_results_total", "Results accepted", jobs.results);
+    count("foxwing_results_foreign_total", "Results that no task waited for", jobs.foreignResults);
+    count("foxwing_agent_refused_total", "Starts refused by agents", jobs.refusals);
+    count("foxwing_verifications_total", "Status queries for tasks without reports",
+          jobs.verifications);
+    count("foxwing_retries_total", "Retries of repeatable requests", jobs.retries);
     count("foxwing_workers_lost_total", "Workers lost", jobs.workersLost);
     count("foxwing_workers_ejected_total", "Workers ejected for failing", jobs.ejections);
     count("foxwing_takeovers_total", "Jobs taken over from lost entries", jobs.takeovers);
     count("foxwing_claims_granted_total", "Claims granted here", claimCounters.granted);
-    count("foxwing_claims_joined_total", "Claims that somebody had", claimCounters.joined);
-    count("foxwing_claims_retried_total", "Claims asked while out of service",
+    count("foxwing_claims_joined_total", "Claims that were granted already", claimCounters.joined);
+    count("foxwing_claims_retried_total", "Claim requests answered with retry",
           claimCounters.retries);
     gauge("foxwing_claims_held", "Claims in memory", claims::recordCount(m_state.claims));
-    gauge("foxwing_callers", "Callers that wait", m_callers.size());
-    gauge("foxwing_jobs_active", "Jobs that have not ended",
-          dispatch::activeJobs(m_state.dispatcher));
-    gauge("foxwing_answer_bytes", "Answers kept", m_state.dispatcher.answerBytes);
+    gauge("foxwing_callers", "Waiting callers", m_callers.size());
+    gauge("foxwing_jobs_active", "Unfinished jobs", dispatch::activeJobs(m_state.dispatcher));
+    gauge("foxwing_answer_bytes", "Bytes of retained answers", m_state.dispatcher.answerBytes);
     const auto ofServices = [&](const char *name, const char *help, auto value) {
         for (const auto &service : m_state.dispatcher.services)
             samples.push_back({ std::string(name) + "{service=\"" + service.first + "\"}", help,
@@ -351,9 +350,9 @@
     };
     ofServices("foxwing_slots", "Slots under lease",
                [](const dispatch::ServiceState &service) { return service.pool.slots; });
-    ofServices("foxwing_queue_tasks", "Tasks that wait",
+    ofServices("foxwing_queue_tasks", "Waiting tasks",
                [](const dispatch::ServiceState &service) { return service.waitingTasks; });
-    ofServices("foxwing_workers_out", "Workers ejected or on trial",
+    ofServices("foxwing_workers_out", "Workers ejected or on probation",
                [](const dispatch::ServiceState &service) { return service.pool.health.ejected; });
 }
 
--- a/packages/node/src/entryrole.h
+++ b/packages/node/src/entryrole.h
@@ -1,5 +1,5 @@
 /*
-    The role entry of a node: the shell around entry::EntryState, and the callers who wait.
+    The entry role of a node: connects entry::EntryState to messages and to waiting callers.
 
     [SECTION] Role
 */
@@ -26,7 +26,7 @@
 public:
     EntryRole(const settings::Settings &settings, std::uint64_t incarnation, PostOffice &post);
 
-    // A caller's request, on the loop's thread. False if its path is none of the entry's.
+    // Serves a caller's request, on the loop's thread. False if the entry does not serve its path.
     bool serve(const edge::HttpRequest &request, const edge::Responder &responder);
 
     void receive(const agent::FromAgent &message);
@@ -39,12 +39,13 @@
 
     void beginLeaving() { m_state.leaving = true; }
     bool ready() const;
-    // Whether control should be asked at once. Asking resets it.
+
+    // Whether a heartbeat should be sent at once. Reading it resets it.
     bool takeHeartbeatRequest() { return std::exchange(m_state.heartbeatRequested, false); }
     bool allClaimsInService() const { return claims::allShardsActive(m_state.claims); }
     bool drained() const;
 
-    // Whether no shard's claims depend on this process any more.
+    // Whether this process is no longer a replica of any shard.
     bool handedOver() const;
     void addSamples(std::vector<metrics::Sample> &samples) const;
     const metrics::Metrics &histograms() const { return m_metrics; }
@@ -74,7 +75,7 @@
     std::unordered_map<entry::WaiterId, Caller> m_callers;
     entry::WaiterId m_nextWaiter = 1;
 
-    // Shares of quotas as control was told last
+    // Quota shares by team as last reported to control
     std::unordered_map<std::string, std::uint32_t> m_toldShares;
     metrics::Metrics m_metrics;
 };
--- a/packages/node/src/grouplog.cpp
+++ b/packages/node/src/grouplog.cpp
@@ -1,5 +1,5 @@
 /*
-    Typed commands over one host of the agreement group.
+    Encodes control commands and cluster states for the replica.
 
     [SECTION] Settings
     [SECTION] Commands
@@ -16,7 +16,8 @@
 
 // [SECTION] Settings
 
-// A single control host needs no word of the operator to begin: nobody else could know more.
+// A single control host bootstraps without the operator's setting: no other host can have newer
+// state.
 std::vector<std::string> firstVoters(const settings::Settings &settings)
 {
     std::vector<std::string> voters;
@@ -106,7 +107,7 @@
     if (m_bootstrap && !m_replica.wasBlank())
         logChange(LogLevel::Warning, "bootstrap-left",
                   { { "remedy",
-                      "remove control.bootstrap from the settings: the group has begun" } });
+                      "remove control.bootstrap from the settings: the group already exists" } });
     return readCluster(*state, reason);
 }
 
--- a/packages/node/src/grouplog.h
+++ b/packages/node/src/grouplog.h
@@ -1,6 +1,6 @@
 /*
-    Inside a node with the role control: the agreement group's committed commands, typed, over the
-    messages between nodes.
+    The replicated log of control commands: a typed layer over replica::Replica, with messages of
+    this node as its transport.
 
     [SECTION] Events
     [SECTION] Group log
@@ -20,20 +20,20 @@
 
 // [SECTION] Events
 
-// All are called on the loop's thread.
+// Callbacks, all called on the loop's thread.
 struct GroupEvents
 {
-    // A command is committed; index and term tell whose it was.
+    // A command is committed; index and term identify the proposal.
     std::function<void(const control::Command &, std::uint64_t index, std::uint64_t term)>
             committed;
 
-    // The state was replaced by a leader's snapshot.
+    // A leader's snapshot has replaced the state.
     std::function<void(control::ClusterState &&)> installed;
 
-    // A read may be answered, or can't be, since this host leads no more.
+    // A read may be answered, or must be refused since this host is no longer the leader.
     std::function<void(std::uint64_t id, bool confirmed)> read;
 
-    // The disk failed: this host takes no more part.
+    // The disk failed; this host no longer takes part in the group.
     std::function<void(const Error &)> failed;
 };
 
@@ -44,14 +44,14 @@
 public:
     GroupLog(Loop &loop, PostOffice &post, const settings::Settings &settings, GroupEvents events);
 
-    // Opens the journal; the state as of its snapshot.
+    // Opens the journal and returns the state of its snapshot.
     std::optional<control::ClusterState> open(Error *reason);
 
-    // All on the loop's thread.
+    // All may be called only on the loop's thread.
     void receive(const quorum::QuorumMessage &message) { m_replica.receive(message); }
     void tick() { m_replica.tick(); }
 
-    // The index and term under which a command will be committed; nothing if this host can't lead.
+    // The index and term at which the command will be committed; nothing if this host can't lead.
     std::optional<quorum::LogEntry> propose(const control::Command &command);
     bool proposeMembers(const quorum::Members &members, Error *reason)
     {
@@ -59,7 +59,7 @@
     }
     void requestRead(std::uint64_t id) { m_replica.requestRead(id); }
 
-    // Takes the place of all applied commands on disk once there are enough.
+    // Writes a snapshot in place of the applied commands once there are enough of them.
     void offerSnapshot(const control::ClusterState &cluster);
 
     bool leadsNow() const { return m_replica.leadsNow(); }
--- a/packages/node/src/log.cpp
+++ b/packages/node/src/log.cpp
@@ -1,5 +1,5 @@
 /*
-    Structured lines over Boost.Log.
+    Structured log lines on Boost.Log.
 
     [SECTION] Functions
 */
@@ -41,7 +41,7 @@
     return name;
 }
 
-// Values with blanks or quotes are quoted, so that lines can be taken apart again.
+// Quotes values with blanks, quotes, equals signs or line breaks, so that lines can be parsed.
 std::string quoted(const std::string &value)
 {
     if (value.find_first_of(" \"=\n") == std::string::npos && !value.empty())
--- a/packages/node/src/loop.cpp
+++ b/packages/node/src/loop.cpp
@@ -1,5 +1,5 @@
 /*
-    The loop and the clocks.
+    The event loop's queue and ticks.
 
     [SECTION] Loop
 */
--- a/packages/node/src/node.cpp
+++ b/packages/node/src/node.cpp
@@ -1,5 +1,5 @@
 /*
-    One process: roles, sockets, the loop.
+    Connects the roles of a process with sockets and the event loop.
 
     [SECTION] Construction
     [SECTION] Messages
@@ -29,7 +29,7 @@
 namespace {
 
 constexpr Milliseconds TickInterval { 10 };
-// While claims are being moved, control is asked more often.
+// Used while claims are being transferred.
 constexpr Milliseconds HurriedBeatInterval { 50 };
 
 constexpr unsigned int EntryHttpThreads = 8;
@@ -85,11 +85,11 @@
 private:
     enum class Stopping {
         No,
-        // The balancer is being told; requests are still taken.
+        // Reports not ready, so that the load balancer withdraws it; still accepts requests.
         Noticing,
-        // Nothing new; what is in flight is finished.
+        // Accepts no requests; finishes work in flight.
         Draining,
-        // Claims go to other entries.
+        // Transfers claims to other entries.
         HandingOver,
     };
 
@@ -236,7 +236,7 @@
         m_entry->fillBeat(beat);
     const bool hurried = m_entry && !beat.leaving && !m_entry->allClaimsInService();
     m_nextBeat = now + (hurried ? HurriedBeatInterval : m_settings.cluster.heartbeatInterval);
-    // The host that answered last is asked alone, as long as it answers.
+    // Sends only to the leader as long as it answers, otherwise to all control hosts.
     const Milliseconds patience = 2 * m_settings.cluster.heartbeatInterval;
     const bool answered = m_reporter.confirmed && now < m_reporter.confirmedAt + patience;
     for (const settings::Peer &peer : m_settings.cluster.control) {
@@ -278,7 +278,7 @@
         m_entry->addSamples(samples);
     if (m_agent)
         m_agent->addSamples(samples);
-    samples.push_back({ "foxwing_bodies_arriving", "Requests whose bodies are still coming",
+    samples.push_back({ "foxwing_bodies_arriving", "Requests whose bodies are incomplete",
                         static_cast<double>(m_http.arriving()), true });
     const PostCounters &post = m_post.counters();
     const wire::LaneCounters lanes = m_post.laneCounters();
@@ -325,7 +325,7 @@
     if (served)
         return;
     const Error error { ErrorKind::NotFound,
-                        "this node does not serve that path; see docs/API.md, and ask a node with "
+                        "this node does not serve that path; see docs/API.md, and use a node with "
                         "the role that does",
                         Outcome::NotRun, Milliseconds { 0 } };
     responder.reply(httpStatus(error.kind), "application/json", errorBody(error));
@@ -363,7 +363,7 @@
         sendBeat(now);
         return;
     }
-    // A process with control can't hand over to itself; the others wait until control has said so.
+    // A process with control can't hand over to itself; others wait for control's confirmation.
     const bool over = m_stopping == Stopping::HandingOver
             && (!m_entry || m_control || m_entry->handedOver());
     if (!over)
--- a/packages/node/src/operatorapi.cpp
+++ b/packages/node/src/operatorapi.cpp
@@ -1,5 +1,5 @@
 /*
-    Operators' requests: resources, watches and nodes.
+    Serves operators' requests: resources, watches, nodes and members.
 
     [SECTION] Authority
     [SECTION] Changes
@@ -57,7 +57,7 @@
                 && text.find_first_not_of("0123456789") == std::string::npos;
         if (!digits)
             return fail(reason, ErrorKind::BadRequest,
-                        "\"version\" must be the version that you saw, or 0 to create");
+                        "\"version\" must be the last version that you read, or 0 to create");
         change.expectedVersion = std::stoll(text);
     }
     const auto id = request.query.find("requestId");
@@ -93,7 +93,7 @@
     const bool changes = request.method == "PUT" || request.method == "DELETE";
     if (!isOperator(request.token))
         replyError(responder, ErrorKind::Unauthenticated,
-                   "only operators may do this; send the operators' token");
+                   "only operators are allowed to do this; send the operators' token");
     else if (!m_leading)
         refuseAsFollower(responder);
     else if (path[1] == "watch")
@@ -118,12 +118,13 @@
     Error error { ErrorKind::Unavailable, {}, Outcome::Unknown, Milliseconds { 300 } };
     if (m_failed)
         error.message =
-                "this control host can't write its journal; mend its disk and start it anew, "
-                "and ask another control host with the same request id";
+                "this control host can't write its journal; repair its disk and restart it, "
+                "and repeat the request at another control host with the same request id";
     else if (leader.empty() || leader == m_settings.node.id)
-        error.message = "no control host leads at present; ask again soon with the same request id";
+        error.message = "no control host is the leader at present; retry with the same request id";
     else
-        error.message = "the control host " + leader + " leads; ask there with the same request id";
+        error.message = "the control host " + leader
+                + " is the leader; retry there with the same request id";
     replyError(responder, error);
 }
 
@@ -156,7 +157,7 @@
     if (!change || !control::validateChange(*change, &reason))
         return replyError(responder, reason);
     if (request.query.count("dryRun") != 0) {
-        // Only what the change would do now; nothing is kept.
+        // Applied to a copy of the store only.
         control::Store trial = m_state.cluster.store;
         control::ChangeResult result = control::applyChange(trial, *change);
         Json::Value json = toJson(result);
@@ -193,7 +194,7 @@
     const auto found = store.resources.find(key);
     if (found == store.resources.end())
         return replyError(responder, ErrorKind::NotFound,
-                          "there is no " + key + "; list what there is with: foxwing show all");
+                          "there is no " + key + "; list all resources with: foxwing show all");
     json = resourceJson(found->second);
     const control::InForce force = control::inForce(m_state, found->second.revision);
     Json::Value &status = json["status"] = Json::Value(Json::objectValue);
@@ -241,14 +242,14 @@
             && from->second.find_first_not_of("0123456789") == std::string::npos;
     if (!digits)
         return replyError(responder, ErrorKind::BadRequest,
-                          "\"from\" must be the last revision that you have seen");
+                          "\"from\" must be the last revision that you read");
     const std::string waitText = wait == request.query.end() ? std::string() : wait->second;
     const auto span = readWait(waitText, DefaultWatchWait, &reason);
     if (!span)
         return replyError(responder, reason);
     if (m_watchers.size() >= MostWatchers)
         return replyError(responder, ErrorKind::Unavailable,
-                          "too many watches are open; close some, or watch less often");
+                          "too many open watches; close some, or watch less often");
     const Watcher watcher { responder, std::stoull(from->second), steadyNow() + *span };
     if (!answerWatcher(watcher, false))
         m_watchers.push_back(watcher);
--- a/packages/node/src/postoffice.cpp
+++ b/packages/node/src/postoffice.cpp
@@ -1,5 +1,5 @@
 /*
-    Names, addresses and lanes.
+    Encoding, sending and receiving of messages between nodes.
 
     [SECTION] Sending
     [SECTION] Receiving
--- a/packages/node/src/postoffice.h
+++ b/packages/node/src/postoffice.h
@@ -1,8 +1,8 @@
 /*
-    Inside a node: getting messages to whom they are for, by name.
+    Routes messages to nodes by name.
 
-    Names become addresses from the settings, from views and lists of control, and from envelopes
-   that came in. A message to this node itself goes straight back to the loop.
+    Addresses are learned from the settings, from views and node lists of control, and from received
+    envelopes. A message to this node itself is posted to the loop without a call.
 
     [SECTION] Post office
 */
@@ -39,7 +39,7 @@
     PostOffice(const wire::LaneSettings &settings, Loop &loop, Receiver onMessage,
                FailureReceiver onFailure);
 
-    // The following on the loop's thread only.
+    // The following may be called only on the loop's thread.
     void send(const std::string &to, Message message);
     void learnAddress(const std::string &id, const std::string &address);
     void flush(Milliseconds longest) { m_lanes.flush(longest); }
@@ -47,7 +47,7 @@
     const PostCounters &counters() const { return m_counters; }
     wire::LaneCounters laneCounters() const { return m_lanes.counters(); }
 
-    // From any thread: what another process delivered.
+    // Accepts what another process delivered; may be called from any thread.
     void receive(wire::Envelope &&envelope);
 
 private:
--- a/packages/node/tests/callerapi_test.cpp
+++ b/packages/node/tests/callerapi_test.cpp
@@ -1,10 +1,9 @@
 /*
-    Bad input from callers: each case gets a typed error that names field and remedy. Then every
-   parser boundary is given mutated input from a seed: nothing may crash, and nothing may pass
-   unread.
+    Invalid request bodies are refused with a typed error that names field and remedy. Parsers that
+    get randomly mutated input, from a fixed seed, neither crash nor lose an error.
 
-    [SECTION] Table
-    [SECTION] Good input
+    [SECTION] Invalid bodies
+    [SECTION] Digests and answers
     [SECTION] Mutations
 */
 #include "../src/callerapi.h"
@@ -20,7 +19,7 @@
 namespace foxwing::node {
 namespace {
 
-// [SECTION] Table
+// [SECTION] Invalid bodies
 
 struct BadBody
 {
@@ -33,7 +32,7 @@
 class RefusedBody : public testing::TestWithParam<BadBody>
 { };
 
-TEST_P(RefusedBody, NamesFieldAndRemedy)
+TEST_P(RefusedBody, ErrorNamesFieldAndRemedy)
 {
     Error reason;
     EXPECT_FALSE(readSubmission(GetParam().body, GetParam().request, &reason));
@@ -58,9 +57,9 @@
                 BadBody { "Deep", std::string(5000, '['), false, "can't be read" },
                 BadBody { "NotAnObject", "[1]", false, "must be a JSON object" },
                 BadBody { "NoSubmission", R"({"service":"svc","tasks":["a"]})", false,
-                          "\"submission\" must be there" },
+                          "\"submission\" is required" },
                 BadBody { "NoService", R"({"submission":"x","tasks":["a"]})", false,
-                          "\"service\" must be there" },
+                          "\"service\" is required" },
                 BadBody { "ServiceIsNumber", R"({"submission":"x","service":7,"tasks":["a"]})",
                           false, "\"service\" must be a string" },
                 BadBody { "NoTasks", R"({"submission":"x","service":"svc"})", false, "\"tasks\"" },
@@ -83,12 +82,12 @@
                 BadBody { "RequestWithTasks", R"({"service":"svc","tasks":["a"],"payload":"a"})",
                           true, "\"tasks\" is not known" },
                 BadBody { "RequestWithoutPayload", R"({"service":"svc"})", true,
-                          "\"payload\" must be there" }),
+                          "\"payload\" is required" }),
         [](const testing::TestParamInfo<BadBody> &given) { return given.param.name; });
 
-// [SECTION] Good input
+// [SECTION] Digests and answers
 
-TEST(CallerApi, TheDigestTellsOtherWorkApart)
+TEST(CallerApi, DigestDistinguishesWork)
 {
     Error reason;
     const auto digest = [&](const std::string &body) {
@@ -99,20 +98,21 @@
     EXPECT_EQ(base, digest(R"({"tasks":["a","b"],"service":"svc","submission":"x"})"));
     EXPECT_EQ(base,
               digest(R"({"submission":"x","service":"svc","tasks":["a","b"],"deadlineMs":7})"))
-            << "another deadline is the same work";
+            << "the deadline is not part of the work";
     EXPECT_NE(base, digest(R"({"submission":"x","service":"svc","tasks":["ab"]})"));
     EXPECT_NE(base, digest(R"({"submission":"x","service":"svc","tasks":["b","a"]})"));
     EXPECT_NE(base, digest(R"({"submission":"x","service":"svd","tasks":["a","b"]})"));
 }
 
-TEST(CallerApi, AnswersSayNoMoreThanTheyMay)
+TEST(CallerApi, FailedAnswerHasNoPartialResults)
 {
     dispatch::Answer answer;
     answer.outcome = Outcome::Failed;
     answer.results = { "a part" };
     answer.error = { ErrorKind::TaskFailed, "task 1 failed", Outcome::Failed, Milliseconds(0) };
     const std::string body = answerBody("id", answer);
-    EXPECT_EQ(body.find("a part"), std::string::npos) << "never a part of the results";
+    EXPECT_EQ(body.find("a part"), std::string::npos)
+            << "a failed answer must not contain partial results";
     EXPECT_EQ(answerStatus(answer), 502);
 }
 
@@ -136,7 +136,7 @@
     return text;
 }
 
-TEST(Mutations, NoParserCrashesOrLosesAnError)
+TEST(Mutations, ParsersNeitherCrashNorLoseErrors)
 {
     std::mt19937_64 random(4);
     const std::string job = with(
--- a/packages/settings/include/foxwing/settings/settings.h
+++ b/packages/settings/include/foxwing/settings/settings.h
@@ -6,8 +6,8 @@
         if (!settings)
             std::cerr << reason.message;
 
-    Every key is checked before anything starts. A key that is not known, a value without its unit
-    and roles that clash are errors that name file, line and remedy.
+    Every key is checked before the daemon starts. Unknown keys, durations without a unit and
+    contradictory roles are errors that name file, line and remedy.
 
     [SECTION] Settings
     [SECTION] Functions
@@ -46,21 +46,21 @@
     std::string id;
     std::string dataCentre;
 
-    // Roles of this process
+    // Roles of the process
     bool control = false;
     bool entry = false;
     bool agent = false;
 
-    // Control only: everything that lasts is under this folder.
+    // Control only: folder of all persistent state.
     std::string dataFolder;
 };
 
 struct ListenSettings
 {
-    // For the other processes of foxwing
+    // Listener for other processes of the cluster
     Address inner;
 
-    // For callers, operators and the platform
+    // Listener for callers, operators and the platform
     Address outer;
 
     // PEM files for TLS on the outer listener
@@ -71,13 +71,13 @@
 
 struct ClusterSettings
 {
-    // Shared by all processes of one cluster
+    // Shared by all processes of a cluster
     std::string secret;
 
     // The control hosts
     std::vector<Peer> control;
 
-    // How often a node beats to control.
+    // Between two heartbeats of a node to control.
     Milliseconds heartbeatInterval { 1000 };
 };
 
@@ -86,10 +86,10 @@
     // "http://host:port"
     std::string url;
 
-    // Open connections to it at the most
+    // Limit on open connections to the endpoint
     std::uint32_t connections = 64;
 
-    // How long a task that was told to stop may still run before its call is cut.
+    // How long a task may run on after a request to stop before its call is abandoned.
     Milliseconds stopGrace { 1000 };
 };
 
@@ -102,10 +102,10 @@
 
 struct JournalSettings
 {
-    // Added to each synced write, so that measurements can stand for slow disks.
+    // Added to each synced write, to simulate slow disks in measurements.
     Milliseconds addedDelay { 0 };
 
-    // A snapshot is taken and the journal cut after this many commands.
+    // A snapshot is taken and the journal truncated after this many commands.
     std::uint32_t snapshotEvery = 5000;
 };
 
@@ -121,14 +121,15 @@
     entry::EntrySettings entry;
     control::ControlSettings control;
 
-    // Control only: the hosts of cluster.control begin a new group together. Only for the very
-    // first start of three or five hosts; to be removed from the settings afterwards.
+    // Control only: the hosts of cluster.control form a new consensus group. For the first start of
+    // three or five hosts; remove it from the settings afterwards.
     bool bootstrap = false;
 
-    // How long a stopping entry still takes requests, for the balancer to notice.
+    // How long a stopping entry, which reports not ready, still accepts requests until the load
+    // balancer has withdrawn it.
     Milliseconds drainNotice { 2000 };
 
-    // How long a stopping process waits for what is in flight.
+    // How long a stopping process waits for work in flight.
     Milliseconds drainSpan { 30000 };
 
     // "debug", "info", "warning" or "error"
@@ -137,10 +138,10 @@
 
 // [SECTION] Functions
 
-// Reads and checks a file; nothing, with the reason, if anything in it is wrong.
+// Reads and checks a file. Returns nothing and sets the reason if anything in it is invalid.
 std::optional<Settings> readSettings(const std::string &path, Error *reason);
 
-// The same for text; path is only for messages.
+// The same for text; the path is only used in error messages.
 std::optional<Settings> parseSettings(const std::string &text, const std::string &path,
                                       Error *reason);
 
--- a/packages/settings/include/foxwing/settings/toml.h
+++ b/packages/settings/include/foxwing/settings/toml.h
@@ -1,8 +1,8 @@
 /*
-    Parsing TOML text without ever ending the process.
+    Parses TOML text without aborting the process on malformed input.
 
-    Some malformed texts run into assertions inside toml++ 3.3 (found by mutated input); here they
-   throw and become errors like all others. Include this header, never toml++ itself.
+    Some malformed texts violate assertions inside toml++ 3.3. Here these throw and become errors
+    like all others. Include this header instead of toml++ itself.
 
         std::optional<toml::table> document = parseToml(text, "node.toml", &reason);
 
@@ -22,7 +22,7 @@
 #define TOML_ASSERT(condition)                                                                     \
     ((condition) ? static_cast<void>(0) : throw std::logic_error("malformed text"))
 #if defined(__GNUC__) && !defined(__clang__)
-// Some assertions stand in functions that can't throw; those still end the process, as before.
+// A violated assertion in a noexcept function still terminates the process.
 #pragma GCC diagnostic push
 #pragma GCC diagnostic ignored "-Wterminate"
 #endif
@@ -35,11 +35,11 @@
 
 // [SECTION] Function
 
-// The document, or nothing with a reason that names path and line.
+// The document, or nothing and a reason that names path and line.
 std::optional<toml::table> parseToml(const std::string &text, const std::string &path,
                                      Error *reason);
 
-// The text of a settings file, or nothing with a reason that names it.
+// The text of a settings file, or nothing and a reason that names the file.
 std::optional<std::string> readSettingsText(const std::string &path, Error *reason);
 
 } // namespace foxwing::settings
--- a/packages/settings/include/foxwing/settings/tomlreader.h
+++ b/packages/settings/include/foxwing/settings/tomlreader.h
@@ -1,5 +1,10 @@
 /*
-    Reads tables of a TOML document and remembers what nobody asked for.
+    Typed access to the tables of a TOML document. Keys that were never read are reported as errors.
+
+        TomlReader root(std::move(document), path, &reason);
+        root.text("name", name);
+        if (!root.finish())
+            ...
 
     [SECTION] Reader
 */
@@ -17,7 +22,8 @@
 
 // [SECTION] Reader
 
-// One table. The first thing that is wrong is stored in reason and ends all further reading.
+// Reads one table. The first error is stored in the reason; nothing is read after it. Values of
+// absent keys stay as they are.
 class TomlReader
 {
 public:
@@ -27,7 +33,7 @@
     void flag(const char *key, bool &value);
     void number(const char *key, double &value, double least, double most);
 
-    // Spans are strings with a unit: "250ms", "3s", "5min".
+    // Durations are strings with a unit: "250ms", "3s", "5min".
     void span(const char *key, Milliseconds &value);
     void span(const char *key, Seconds &value);
     void list(const char *key, std::vector<std::string> &values);
@@ -40,14 +46,14 @@
         value = static_cast<Number>(read);
     }
 
-    // A table inside this one; empty if it is not there.
+    // A table inside this one; empty if absent.
     TomlReader table(const char *key);
     std::vector<TomlReader> tables(const char *key);
 
-    // The present key's value is wrong.
+    // Reports an error at the key, or at the table if the key is absent.
     void refuse(const char *key, const std::string &what);
 
-    // Fails if something of the table was not asked for. True if all is well.
+    // Refuses keys of the table that were never read. True without any error so far.
     bool finish();
 
     bool ok() const;
@@ -61,7 +67,7 @@
     TomlReader(std::shared_ptr<const toml::table> document, const toml::table *table,
                std::string path, std::string prefix, Error *reason);
 
-    // The whole document is kept: copies of its parts would not know their lines any more.
+    // Keeps the document alive; copies of its tables would lose their line numbers.
     std::shared_ptr<const toml::table> m_document;
     const toml::table *m_table;
     std::string m_path;
--- a/packages/settings/src/settings.cpp
+++ b/packages/settings/src/settings.cpp
@@ -1,5 +1,5 @@
 /*
-    The tables of the settings file, and how they must fit together.
+    Reads the tables of the settings file and checks them, each and against each other.
 
     [SECTION] Tables
     [SECTION] Checks across tables
@@ -20,12 +20,12 @@
 
 constexpr int HighestPort = 65535;
 
-// Three or five, and one more while it replaces another.
+// One, three or five, and one more during a replacement.
 constexpr std::size_t MostControlHosts = 6;
 constexpr std::int64_t MostBytes = std::int64_t { 1 } << 40;
 constexpr std::int64_t MostCount = 100000000;
 
-// "10.0.0.1:7100"; the host must be an IPv4 number.
+// Parses "10.0.0.1:7100"; the host must be an IPv4 address.
 std::optional<Address> parseAddress(const std::string &text)
 {
     const std::size_t colon = text.rfind(':');
@@ -51,7 +51,7 @@
     if (read)
         address = *read;
     else
-        table.refuse(key, "must be an IPv4 number and a port, such as \"10.0.0.1:7100\"");
+        table.refuse(key, "must be an IPv4 address and a port, such as \"10.0.0.1:7100\"");
 }
 
 void readNode(TomlReader table, NodeSettings &node)
@@ -69,10 +69,10 @@
         else if (role == "agent")
             node.agent = true;
         else
-            table.refuse("roles", "knows control, entry and agent, not \"" + role + "\"");
+            table.refuse("roles", "accepts control, entry and agent, not \"" + role + "\"");
     }
     if (node.id.empty() || node.id.find_first_of("/@ \t") != std::string::npos)
-        table.refuse("id", "must be set, unique in the cluster, and without blanks and slashes");
+        table.refuse("id", "must be set, unique in the cluster, and without blanks, slashes and @");
     if (roles.empty())
         table.refuse("roles", "must name at least one of control, entry and agent");
     table.finish();
@@ -99,12 +99,12 @@
         peer.text("id", host.id);
         peer.text("address", host.address);
         if (!parseAddress(host.address))
-            peer.refuse("address", "must be an IPv4 number and a port, such as \"10.0.0.1:7100\"");
+            peer.refuse("address", "must be an IPv4 address and a port, such as \"10.0.0.1:7100\"");
         peer.finish();
         cluster.control.push_back(host);
     }
     if (cluster.secret.size() < 16)
-        table.refuse("secret", "must have at least 16 characters; make one with: foxwing token");
+        table.refuse("secret", "must have at least 16 characters; create one with: foxwing token");
     if (cluster.control.empty())
         table.refuse("control",
                      "must name the control hosts, each as [[cluster.control]] with id "
@@ -226,11 +226,11 @@
         root.refuse("cluster", "names more than six control hosts; use one, three or five");
     if (settings.bootstrap && hosts % 2 == 0)
         root.refuse("cluster",
-                    "names an even number of control hosts; begin with one, three or "
-                    "five: an even number tolerates no more failures than one fewer");
+                    "names an even number of control hosts; use one, three or "
+                    "five: an even number tolerates no more failures than one host less");
 }
 
-// What several slices must agree on is set in one place.
+// Copies values that several parts of the settings must agree on.
 void shareIdentity(Settings &settings)
 {
     const NodeSettings &node = settings.node;
--- a/packages/settings/src/toml.cpp
+++ b/packages/settings/src/toml.cpp
@@ -1,5 +1,5 @@
 /*
-    Parsing TOML.
+    Turns toml++'s exceptions into errors.
 
     [SECTION] Function
 */
@@ -20,10 +20,10 @@
     } catch (const toml::parse_error &error) {
         return fail(reason, ErrorKind::BadRequest,
                     path + ":" + std::to_string(error.source().begin.line) + ": "
-                            + std::string(error.description()) + "; mend the TOML text");
+                            + std::string(error.description()) + "; correct the TOML text");
     } catch (const std::exception &error) {
         return fail(reason, ErrorKind::BadRequest,
-                    path + ": " + error.what() + "; mend the TOML text");
+                    path + ": " + error.what() + "; correct the TOML text");
     }
 }
 
--- a/packages/settings/src/tomlreader.cpp
+++ b/packages/settings/src/tomlreader.cpp
@@ -1,5 +1,5 @@
 /*
-    The reader of TOML tables.
+    Typed reading of TOML tables, with line numbers in errors.
 
     [SECTION] Values
     [SECTION] Tables
@@ -113,7 +113,7 @@
         { "h", 3600000 },
 } };
 
-// Longer spans than this are slips.
+// Longer numbers are taken for mistakes.
 constexpr std::size_t MostSpanDigits = 9;
 
 std::optional<Milliseconds> parseSpan(const std::string &text)
@@ -141,7 +141,7 @@
         value = *read;
     else
         refuse(key,
-               "must be a span with its unit in quotes, such as \"250ms\", \"3s\" or \"5min\"");
+               "must be a duration with its unit in quotes, such as \"250ms\", \"3s\" or \"5min\"");
 }
 
 void TomlReader::span(const char *key, Seconds &value)
@@ -149,7 +149,7 @@
     Milliseconds read = std::chrono::duration_cast<Milliseconds>(value);
     span(key, read);
     if (read.count() % 1000 != 0)
-        refuse(key, "must be whole seconds");
+        refuse(key, "must be a whole number of seconds");
     value = std::chrono::duration_cast<Seconds>(read);
 }
 
@@ -202,7 +202,7 @@
         const std::string key(item.first.str());
         if (std::find(m_asked.begin(), m_asked.end(), key) != m_asked.end())
             continue;
-        refuseAt(item.first.source(), key, "is not known; remove it or mend its name");
+        refuseAt(item.first.source(), key, "is not known; remove it or correct its name");
     }
     return ok();
 }
--- a/packages/settings/tests/settings_test.cpp
+++ b/packages/settings/tests/settings_test.cpp
@@ -1,5 +1,5 @@
 /*
-    Good settings are read, bad ones are refused with file, line and remedy.
+    Valid settings are read; invalid ones are refused with file, line and remedy.
 
     [SECTION] Helpers
     [SECTION] Tests
@@ -43,7 +43,7 @@
 
 // [SECTION] Tests
 
-TEST(Settings, GoodOnesAreRead)
+TEST(Settings, ReadsValidSettings)
 {
     Error reason;
     const auto settings = parseSettings(Good, "node.toml", &reason);
@@ -65,7 +65,7 @@
 class Refused : public testing::TestWithParam<BadSetting>
 { };
 
-TEST_P(Refused, NamesPlaceAndRemedy)
+TEST_P(Refused, ErrorNamesPlaceAndRemedy)
 {
     Error reason;
     EXPECT_FALSE(parseSettings(GetParam().text, "node.toml", &reason));
@@ -83,41 +83,43 @@
                 BadSetting { "NoUnit", replaced("\"2s\"", "2"), "node.toml:17", "with its unit" },
                 BadSetting { "WrongUnit", replaced("\"2s\"", "\"2sec\""), "node.toml:17",
                              "with its unit" },
-                BadSetting { "HugeSpan", replaced("\"2s\"", "\"99999999999999s\""), "node.toml:17",
-                             "with its unit" },
+                BadSetting { "HugeDuration", replaced("\"2s\"", "\"99999999999999s\""),
+                             "node.toml:17", "with its unit" },
                 BadSetting { "UnknownRole", replaced("\"agent\"]", "\"agnet\"]"), "node.toml:5",
-                             "knows control, entry and agent" },
+                             "accepts control, entry and agent" },
                 BadSetting { "HostName", replaced("127.0.0.1:7000", "localhost:7000"),
-                             "node.toml:8", "IPv4 number" },
+                             "node.toml:8", "IPv4 address" },
                 BadSetting { "PortOutOfRange", replaced("127.0.0.1:7000", "127.0.0.1:70000"),
-                             "node.toml:8", "IPv4 number and a port" },
+                             "node.toml:8", "IPv4 address and a port" },
                 BadSetting { "SamePorts", replaced("127.0.0.1:7000", "127.0.0.1:7100"), "listen",
                              "different ports" },
                 BadSetting { "ShortSecret", replaced("sixteen characters", "short"),
                              "cluster.secret", "foxwing token" },
-                BadSetting { "ControlWithoutFolder", replaced("data_folder = \"data\"\n", ""),
+                BadSetting { "ControlWithoutDataFolder", replaced("data_folder = \"data\"\n", ""),
                              "node", "data_folder" },
-                BadSetting { "ControlNotNamed",
+                BadSetting { "ControlNotInCluster",
                              replaced("id = \"a\"\naddress", "id = \"b\"\naddress"), "cluster",
                              "must name this node" },
                 BadSetting { "AgentWithoutService", replaced("service = \"svc\"\n", ""),
                              "agent.service", "must name the service" },
-                BadSetting { "OfferTooSlow", replaced("lease_span = \"2s\"", "lease_span = \"1s\""),
+                BadSetting { "OfferIntervalTooLong",
+                             replaced("lease_span = \"2s\"", "lease_span = \"1s\""),
                              "agent.offer_interval", "a third" },
                 BadSetting {
-                        "OperatorTokenInTheClear",
+                        "PlainTextOperatorToken",
                         replaced("0000000000000000000000000000000000000000000000000000000000000000",
                                  "secret"),
                         "control.operator_token_hash", "foxwing token" },
-                BadSetting { "HalfOfTls", replaced("[cluster]", "key_file = \"k\"\n[cluster]"),
+                BadSetting { "KeyWithoutCertificate",
+                             replaced("[cluster]", "key_file = \"k\"\n[cluster]"),
                              "listen.certificate_file", "go together" },
-                BadSetting { "EvenGroup",
+                BadSetting { "EvenNumberOfControlHosts",
                              replaced("[agent]",
                                       "[[cluster.control]]\nid = \"b\"\naddress = "
                                       "\"127.0.0.1:7200\"\n[agent]")
                                      + "bootstrap = true\n",
                              "cluster", "even number" },
-                BadSetting { "DeadBeforeLease", Good + "dead_after = \"1s\"\n",
+                BadSetting { "DeadAfterShorterThanLease", Good + "dead_after = \"1s\"\n",
                              "control.dead_after", "master_lease" }),
         [](const testing::TestParamInfo<BadSetting> &given) { return given.param.name; });
 
--- a/packages/wire/include/foxwing/wire/envelope.h
+++ b/packages/wire/include/foxwing/wire/envelope.h
@@ -1,5 +1,5 @@
 /*
-    What one process delivers to another in one call: a batch of messages with the sender's name.
+    A batch of messages that one process delivers to another in one call.
 
     [SECTION] Types
 */
@@ -15,11 +15,11 @@
 
 struct Envelope
 {
-    // Who sent it, and where that process listens for answers.
+    // Name of the sender, and the address on which it receives messages.
     std::string from;
     std::string address;
 
-    // Shared by the processes of one cluster; others are turned away.
+    // Shared by all processes of a cluster; a call with another secret is refused.
     std::string secret;
 
     // Encoded by encodeMessage().
--- a/packages/wire/include/foxwing/wire/lanes.h
+++ b/packages/wire/include/foxwing/wire/lanes.h
@@ -1,13 +1,12 @@
 /*
     Sends batches of messages to other processes.
 
-    Messages to one peer keep their order. A few threads serve all peers; each takes a peer that has
-    something waiting, and sends all of it in one call. A peer that does not answer holds up one
-    thread for one time-out, and is then left alone for a while, during which messages to it fail at
-    once.
+    Messages to one peer keep their order. A few threads serve all peers: each takes a peer with
+    queued messages and sends them in one call. A peer that does not answer blocks one thread for
+    one timeout. During the backoff that follows, messages to it fail at once.
 
-        LanePool lanes(settings, [](const std::string &address, std::vector<Json::Value> &&lost) {
-   }); lanes.send("10.0.0.7:7100", encodeMessage(message));
+        LanePool lanes(settings, onFailure);
+        lanes.send("10.0.0.7:7100", encodeMessage(message));
 
     [SECTION] Settings
     [SECTION] Pool
@@ -30,18 +29,18 @@
 {
     unsigned int threads = 4;
 
-    // A call that is not answered by then has failed; whether it was taken is unknown.
+    // Limit for one call. A call that timed out may have been delivered.
     Milliseconds timeout { 1000 };
 
-    // A peer is left alone this long after a failure, doubled up to the longest.
+    // Exponential backoff: a peer is not called for this long after a failure.
     Milliseconds pause { 50 };
     Milliseconds longestPause { 1000 };
 
-    // Messages in one call, and waiting for one peer.
+    // Limits on the messages in one call, and on those queued for one peer.
     std::size_t mostInCall = 512;
     std::size_t mostWaiting = 50000;
 
-    // Goes with every envelope.
+    // Copied into every envelope.
     std::string from;
     std::string address;
     std::string secret;
@@ -61,7 +60,8 @@
 class LanePool
 {
 public:
-    // Called on a lane's thread with messages that may not have arrived.
+    // Called with messages that may not have been delivered: on a thread of the pool, or within
+    // send() if the message was not queued.
     using FailureReceiver =
             std::function<void(const std::string &address, std::vector<Json::Value> &&messages)>;
 
@@ -71,7 +71,7 @@
     // Queues a message for the process that listens at "host:port". Never blocks.
     void send(const std::string &address, Json::Value &&message);
 
-    // Waits until everything queued was sent or has failed, at most this long.
+    // Waits until all queued messages were sent or have failed.
     void flush(Milliseconds longest);
 
     LaneCounters counters() const;
--- a/packages/wire/include/foxwing/wire/rpcserver.h
+++ b/packages/wire/include/foxwing/wire/rpcserver.h
@@ -1,15 +1,15 @@
 /*
-    Receives batches of messages from other processes: a libjsonrpccpp server on a connector of our
-    own over libmicrohttpd with epoll, since the library's own connector uses select() and can not
-    have a thousand connections.
+    Receives batches of messages from other processes: a libjsonrpccpp server with a custom
+    connector, which uses libmicrohttpd with epoll. The library's own connector uses select(), which
+    can't handle more than 1,024 descriptors.
 
         RpcServer server(settings, [](Envelope &&envelope) { ... });
         Error reason;
         if (!server.start(&reason))
             ...
 
-    The receiver is called on the server's threads and must return at once: the caller on the other
-    side waits only for "taken".
+    The receiver is called on the server's threads and must not block: the sender's call returns
+   only after it.
 
     [SECTION] Settings
     [SECTION] Server
@@ -29,14 +29,14 @@
 
 struct RpcServerSettings
 {
-    // IP number and port; port 0 takes any free one.
+    // IPv4 address and port; port 0 selects a free one.
     std::string host = "127.0.0.1";
     int port = 0;
 
     unsigned int threads = 2;
     unsigned int connectionLimit = 8000;
 
-    // A connection on which nothing comes for this long is closed.
+    // Idle connections are closed after this time.
     unsigned int idleSeconds = 60;
 
     std::size_t mostBodyBytes = 64U << 20U;
@@ -56,7 +56,7 @@
     bool start(Error *reason);
     void stop();
 
-    // The port that start() took.
+    // The port that start() bound.
     int port() const;
 
 private:
--- a/packages/wire/src/lanes.cpp
+++ b/packages/wire/src/lanes.cpp
@@ -1,5 +1,5 @@
 /*
-    The threads that send.
+    The sending threads and the queue of peers that they serve.
 
     [SECTION] Peers
     [SECTION] Pool
@@ -31,10 +31,10 @@
     std::vector<Json::Value> waiting;
     std::unique_ptr<RpcClient> client;
 
-    // In the queue of peers, or with a thread.
+    // In the ready queue, or being served by a thread.
     bool scheduled = false;
 
-    // Left alone until then.
+    // Not called before then.
     Time quietUntil {};
     Milliseconds pause { 0 };
 };
@@ -150,7 +150,7 @@
         peer.client.reset();
     }
 
-    // Sends one batch to the peer that has waited longest.
+    // Sends one batch to the peer at the head of the ready queue.
     void serveOne(std::unique_lock<std::mutex> &lock)
     {
         Peer &peer = *m_ready.front();
--- a/packages/wire/src/rpcclient.h
+++ b/packages/wire/src/rpcclient.h
@@ -1,5 +1,5 @@
 /*
-    libjsonrpccpp's client behind a plain header, because its own headers need C++14.
+    Hides libjsonrpccpp's client headers, which need C++14, from the rest of the package.
 
     [SECTION] Client
 */
@@ -20,7 +20,8 @@
     RpcClient(const std::string &address, long timeoutMilliseconds);
     ~RpcClient();
 
-    // Calls "deliver". False if it failed; whether it was taken is unknown then.
+    // Calls "deliver". False if the peer refused it or the call failed; after a failed call it may
+    // have been delivered.
     bool deliver(const Json::Value &envelope);
 
 private:
--- a/packages/wire/src/rpcserver.cpp
+++ b/packages/wire/src/rpcserver.cpp
@@ -1,5 +1,5 @@
 /*
-    The epoll connector and the one procedure behind it.
+    The epoll connector and the "deliver" procedure.
 
     [SECTION] Connector
     [SECTION] Procedures
@@ -18,7 +18,7 @@
 
 // [SECTION] Connector
 
-// What has arrived of one call's body.
+// The part of a request body that has been received.
 struct Body
 {
     std::string text;
@@ -57,7 +57,7 @@
         return true;
     }
 
-    // The answer is queued by onRequest() itself, so nothing comes through here.
+    // Not used: onRequest() queues the response itself.
     bool SendResponse(const std::string &, void *) override { return false; }
 
     int port() const
@@ -203,8 +203,7 @@
     if (m_impl->server.StartListening())
         return true;
     fail(reason, ErrorKind::Unavailable,
-         "can't listen on " + m_impl->where
-                 + "; give an IPv4 number of this host and a port that nobody uses");
+         "can't listen on " + m_impl->where + "; use an IPv4 address of this host and a free port");
     return false;
 }
 
--- a/packages/wire/tests/wire_test.cpp
+++ b/packages/wire/tests/wire_test.cpp
@@ -1,6 +1,6 @@
 /*
-    Batches arrive in order, strangers are turned away, a dead peer holds up nobody else, and
-   thousands of connections can be held.
+    Order of messages, refusal of a wrong secret, isolation of an unreachable peer, and more
+    connections than select() supports.
 
     [SECTION] Helpers
     [SECTION] Tests
@@ -23,7 +23,8 @@
 
 // [SECTION] Helpers
 
-// Collects what arrives and lets a test wait for it; a time-out only ends a test that failed.
+// Collects received messages and lets a test wait for them; only a failing test runs into the
+// timeout.
 class Collector
 {
 public:
@@ -87,7 +88,7 @@
         EXPECT_EQ(numbers[static_cast<std::size_t>(i)], i);
 }
 
-TEST(Wire, StrangersAreTurnedAwayAndTheSenderIsTold)
+TEST(Wire, WrongSecretIsRefusedAndReportedToTheSender)
 {
     std::atomic<int> arrived { 0 };
     RpcServer server(serverSettings(), [&](Envelope &&) { ++arrived; });
@@ -104,7 +105,7 @@
     EXPECT_EQ(lost, 1);
 }
 
-TEST(Wire, ADeadPeerHoldsUpNobodyElse)
+TEST(Wire, UnreachablePeerDoesNotDelayOthers)
 {
     Collector collector;
     RpcServer server(serverSettings(),
@@ -118,7 +119,7 @@
         lost += static_cast<int>(messages.size());
     });
     for (int i = 0; i < 100; ++i) {
-        lanes.send("127.0.0.1:1", Json::Value(i)); // nobody listens there
+        lanes.send("127.0.0.1:1", Json::Value(i)); // nothing listens there
         lanes.send(addressOf(server), Json::Value(i));
     }
     EXPECT_EQ(collector.waitFor(100).size(), 100U);
@@ -126,13 +127,13 @@
     EXPECT_EQ(lost, 100);
 }
 
-TEST(Wire, ThousandsOfConnectionsAreHeld)
+TEST(Wire, HandlesMoreConnectionsThanSelect)
 {
     rlimit limit {};
     ASSERT_EQ(getrlimit(RLIMIT_NOFILE, &limit), 0);
     limit.rlim_cur = limit.rlim_max;
     setrlimit(RLIMIT_NOFILE, &limit);
-    constexpr std::size_t Wanted = 1500; // select() ends at 1,024 descriptors
+    constexpr std::size_t Wanted = 1500; // select() supports 1,024 descriptors
     if (limit.rlim_cur < 2 * Wanted + 100)
         GTEST_SKIP() << "this host allows only " << limit.rlim_cur << " descriptors";
     Collector collector;
