--- a/apps/foxwingd/main.cpp
+++ b/apps/foxwingd/main.cpp
@@ -143,7 +143,7 @@
     sigaddset(&signals, SIGINT);
     pthread_sigmask(SIG_BLOCK, &signals, nullptr);
     std::signal(SIGPIPE, SIG_IGN);
-    foxwing::node::startLog(settings->logLevel, settings->node.id);
+    foxwing::node::initLog(settings->logLevel, settings->node.id);
     foxwing::node::Node node(*settings);
     if (!node.start(&reason)) {
         std::fprintf(stderr, "foxwingd: %s\n", reason.message.c_str());
--- a/bench/beats.cpp
+++ b/bench/beats.cpp
@@ -21,8 +21,8 @@
 #include <foxwing/base/codec.h>
 #include <foxwing/control/messages.h>
 #include <foxwing/control/reporter.h>
-#include <foxwing/wire/lanes.h>
 #include <foxwing/wire/rpcserver.h>
+#include <foxwing/wire/senderpool.h>
 
 using namespace foxwing;
 
@@ -111,18 +111,18 @@
         return 1;
     }
     // Each agent would have a connection of its own; a pool for each keeps them from sharing calls.
-    std::vector<std::unique_ptr<wire::LanePool>> pools;
+    std::vector<std::unique_ptr<wire::SenderPool>> pools;
     constexpr std::size_t Pools = 40;
     for (std::size_t i = 0; i < std::min(Pools, count); ++i) {
-        wire::LaneSettings lanes;
-        lanes.threads = 1;
-        lanes.from = "stand-in-" + std::to_string(i);
-        lanes.address = address;
-        lanes.secret = argv[2];
-        lanes.mostInCall = 1;
-        pools.push_back(std::make_unique<wire::LanePool>(lanes,
-                                                         [](const std::string &,
-                                                            std::vector<Json::Value> &&) {}));
+        wire::SenderSettings senderSettings;
+        senderSettings.threads = 1;
+        senderSettings.from = "stand-in-" + std::to_string(i);
+        senderSettings.address = address;
+        senderSettings.secret = argv[2];
+        senderSettings.maxBatchSize = 1;
+        pools.push_back(std::make_unique<wire::SenderPool>(senderSettings,
+                                                           [](const std::string &,
+                                                              std::vector<Json::Value> &&) {}));
     }
     std::uint64_t beats = 0;
     std::uint64_t beatBytes = 0;
--- a/packages/edge/include/foxwing/edge/httpclient.h
+++ b/packages/edge/include/foxwing/edge/httpclient.h
@@ -41,7 +41,7 @@
     bool insecure = false;
 
     // Longer responses are errors.
-    std::size_t mostBodyBytes = 16U << 20U;
+    std::size_t maxBodyBytes = 16U << 20U;
 };
 
 // [SECTION] Client
--- a/packages/edge/include/foxwing/edge/httpserver.h
+++ b/packages/edge/include/foxwing/edge/httpserver.h
@@ -76,13 +76,13 @@
     std::string certificateFile;
     std::string keyFile;
 
-    std::size_t mostBodyBytes = 32U << 20U;
+    std::size_t maxBodyBytes = 32U << 20U;
 
     // Limit on requests whose bodies are incomplete; further ones are refused.
-    std::size_t mostArriving = 2000;
+    std::size_t maxPendingBodies = 2000;
 
     // Time within which a body must arrive.
-    Milliseconds bodySpan { 10000 };
+    Milliseconds bodyTimeout { 10000 };
 };
 
 class HttpServer
@@ -101,10 +101,10 @@
     // FIXME: cpprestsdk can neither reply before a body is complete nor close the connection, so
     // the connection of a caller that stops sending stays open, bounded only by the descriptor
     // limit.
-    void dropOverdue();
+    void expirePendingBodies();
 
     // Number of requests whose bodies are incomplete
-    std::size_t arriving() const;
+    std::size_t pendingBodies() const;
 
 private:
     class Impl;
--- a/packages/edge/src/httpclient.cpp
+++ b/packages/edge/src/httpclient.cpp
@@ -49,7 +49,7 @@
             request.headers().add(header.first, header.second);
         if (!body.empty())
             request.set_body(body, "application/json");
-        const std::size_t limit = m_settings.mostBodyBytes;
+        const std::size_t limit = m_settings.maxBodyBytes;
         m_client.request(request)
                 .then([limit](http::http_response response) {
                     if (response.headers().content_length() > limit)
--- a/packages/edge/src/httpserver.cpp
+++ b/packages/edge/src/httpserver.cpp
@@ -114,7 +114,7 @@
         const std::string url = (secure ? "https://" : "http://") + m_settings.host + ":"
                 + std::to_string(m_settings.port);
         http::experimental::listener::http_listener_config config;
-        config.set_timeout(std::chrono::duration_cast<utility::seconds>(m_settings.bodySpan));
+        config.set_timeout(std::chrono::duration_cast<utility::seconds>(m_settings.bodyTimeout));
         if (secure)
             config.set_ssl_context_callback([this](boost::asio::ssl::context &context) {
                 context.set_options(boost::asio::ssl::context::default_workarounds
@@ -149,14 +149,14 @@
         }
     }
 
-    std::size_t arriving() const
+    std::size_t pendingBodies() const
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
         return m_arriving.size();
     }
 
     // Ids increase with time, so the search ends at the first request that is not overdue.
-    void dropOverdue()
+    void expirePendingBodies()
     {
         std::vector<Responder> overdue;
         {
@@ -183,12 +183,12 @@
         if (!message.headers().has("Content-Length"))
             return refuse(responder, ErrorKind::BadRequest,
                           "send the body with a Content-Length header instead of in chunks");
-        if (message.headers().content_length() > m_settings.mostBodyBytes)
+        if (message.headers().content_length() > m_settings.maxBodyBytes)
             return refuse(responder, ErrorKind::TooLarge,
                           "a request body may have at most "
-                                  + std::to_string(m_settings.mostBodyBytes)
+                                  + std::to_string(m_settings.maxBodyBytes)
                                   + " bytes; split the job");
-        if (arriving() >= m_settings.mostArriving)
+        if (pendingBodies() >= m_settings.maxPendingBodies)
             return refuse(responder, ErrorKind::Unavailable,
                           "too many incomplete requests at this node; retry in a second");
         readBody(message, std::move(request), responder);
@@ -225,7 +225,7 @@
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
         m_arriving.emplace(++m_lastArriving,
-                           Arriving { responder, steadyNow() + m_settings.bodySpan });
+                           Arriving { responder, steadyNow() + m_settings.bodyTimeout });
         return m_lastArriving;
     }
 
@@ -259,14 +259,14 @@
     return m_impl->start(reason);
 }
 
-std::size_t HttpServer::arriving() const
+std::size_t HttpServer::pendingBodies() const
 {
-    return m_impl->arriving();
+    return m_impl->pendingBodies();
 }
 
-void HttpServer::dropOverdue()
+void HttpServer::expirePendingBodies()
 {
-    m_impl->dropOverdue();
+    m_impl->expirePendingBodies();
 }
 
 void HttpServer::stop()
--- a/packages/edge/tests/edge_test.cpp
+++ b/packages/edge/tests/edge_test.cpp
@@ -40,7 +40,7 @@
     void SetUp() override
     {
         m_settings.port = freePort();
-        m_settings.mostBodyBytes = 1000;
+        m_settings.maxBodyBytes = 1000;
         listenWith(m_settings);
     }
 
@@ -139,7 +139,7 @@
 {
     m_server->stop();
     m_settings.port = freePort();
-    m_settings.bodySpan = Milliseconds(0);
+    m_settings.bodyTimeout = Milliseconds(0);
     listenWith(m_settings);
     const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in address {};
@@ -149,10 +149,10 @@
     ASSERT_EQ(::connect(socket, reinterpret_cast<const sockaddr *>(&address), sizeof address), 0);
     const std::string half = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 100\r\n\r\nhalf";
     ::send(socket, half.data(), half.size(), MSG_NOSIGNAL);
-    while (m_server->arriving() == 0)
+    while (m_server->pendingBodies() == 0)
         std::this_thread::yield();
-    m_server->dropOverdue();
-    EXPECT_EQ(m_server->arriving(), 0U);
+    m_server->expirePendingBodies();
+    EXPECT_EQ(m_server->pendingBodies(), 0U);
     const std::string rest(96, 'x');
     ::send(socket, rest.data(), rest.size(), MSG_NOSIGNAL);
     char buffer[1000];
--- a/packages/fabric/include/foxwing/fabric/httpclient.h
+++ b/packages/fabric/include/foxwing/fabric/httpclient.h
@@ -30,7 +30,7 @@
     // Calls beyond this many wait for a connection.
     std::size_t mostConnections = 8;
 
-    std::uint64_t mostBodyBytes = 4U << 20U;
+    std::uint64_t maxBodyBytes = 4U << 20U;
 };
 
 // [SECTION] Client
--- a/packages/fabric/src/httpclient.cpp
+++ b/packages/fabric/src/httpclient.cpp
@@ -62,10 +62,10 @@
     using State = std::shared_ptr<void>;
     using Released = std::function<void(const std::shared_ptr<ClientConnection> &, bool reusable)>;
 
-    ClientConnection(asio::io_context &io, std::uint64_t mostBodyBytes, Released released)
+    ClientConnection(asio::io_context &io, std::uint64_t maxBodyBytes, Released released)
         : m_socket(io)
         , m_timer(io)
-        , m_mostBodyBytes(mostBodyBytes)
+        , m_mostBodyBytes(maxBodyBytes)
         , m_released(std::move(released))
     { }
 
@@ -198,7 +198,7 @@
         return call.done(std::move(result));
     }
     const auto connection = std::make_shared<ClientConnection>(
-            io, settings.mostBodyBytes,
+            io, settings.maxBodyBytes,
             [weak = weak_from_this()](const std::shared_ptr<ClientConnection> &released,
                                       bool reusable) {
                 const auto self = weak.lock();
--- a/packages/fleet/src/settings.cpp
+++ b/packages/fleet/src/settings.cpp
@@ -52,11 +52,11 @@
 
 void readCluster(TomlReader table, FleetSettings &settings)
 {
-    table.whole("inner_port", settings.innerPort, 1, HighestPort);
+    table.integer("inner_port", settings.innerPort, 1, HighestPort);
     table.list("seeds", settings.seeds);
     table.list("data_centres", settings.dataCentres);
-    table.flag("first_start", settings.firstStart);
-    table.whole("tolerated_losses", settings.toleratedLosses, 0, MostToleratedLosses);
+    table.boolean("first_start", settings.firstStart);
+    table.integer("tolerated_losses", settings.toleratedLosses, 0, MostToleratedLosses);
     if (settings.innerPort == 0)
         table.refuse("inner_port", "must be the port for the fleet's own messages");
     if (settings.seeds.empty())
@@ -93,7 +93,7 @@
     double grace = std::chrono::duration<double>(settings.stopGrace).count();
     std::int64_t resend = settings.resendAfter.count();
     table.number("stop_grace_seconds", grace, 0.5, MostSeconds);
-    table.whole("resend_after_milliseconds", resend, 1, 600000);
+    table.integer("resend_after_milliseconds", resend, 1, 600000);
     settings.stopGrace = Milliseconds(static_cast<std::int64_t>(grace * 1000));
     settings.resendAfter = Milliseconds(resend);
     table.finish();
@@ -102,7 +102,7 @@
 void readLag(TomlReader &policy, FleetSettings &settings)
 {
     std::int64_t above = settings.lag.withdrawAbove.count();
-    policy.whole("stand_back_above_milliseconds", above, 0, MostStandBackAbove.count());
+    policy.integer("stand_back_above_milliseconds", above, 0, MostStandBackAbove.count());
     settings.lag.withdrawAbove = Milliseconds(above);
 }
 
@@ -132,22 +132,22 @@
         policy.waitingQueues = *knownWaiting;
     else
         table.refuse("waiting_queues", "must be \"most-urgent\" or \"all-but-least\"");
-    table.whole("margin_percent", policy.marginPercent, 0, 1000);
+    table.integer("margin_percent", policy.marginPercent, 0, 1000);
     table.number("refuse_above", policy.maxWaitFactor, 0.01, 100);
     table.number("far_factor", policy.offRackFactor, 1, 100);
-    table.whole("away_percent", policy.remotePercent, 0, 1000);
-    table.flag("refuse_late", policy.refuseLate);
-    table.flag("serve_late", policy.serveLate);
-    table.flag("forecast", policy.forecast);
-    table.whole("refuse_at_arrival_percent", policy.maxWaitPercent, 0, 1000);
-    table.whole("wait_percent", policy.maxShortfallPercent, 0, 100);
-    table.whole("floor_percent", policy.shares.guaranteedPercent, 0, 100);
-    table.flag("learn_run_times", policy.learnRunTimes);
-    table.flag("move_runs", policy.moveRuns);
-    table.whole("subset_size", settings.subset.minSize, 1, 100000);
-    table.whole("entries_per_agent", settings.subset.entriesPerAgent, 1, 1000);
+    table.integer("away_percent", policy.remotePercent, 0, 1000);
+    table.boolean("refuse_late", policy.refuseLate);
+    table.boolean("serve_late", policy.serveLate);
+    table.boolean("forecast", policy.forecast);
+    table.integer("refuse_at_arrival_percent", policy.maxWaitPercent, 0, 1000);
+    table.integer("wait_percent", policy.maxShortfallPercent, 0, 100);
+    table.integer("floor_percent", policy.shares.guaranteedPercent, 0, 100);
+    table.boolean("learn_run_times", policy.learnRunTimes);
+    table.boolean("move_runs", policy.moveRuns);
+    table.integer("subset_size", settings.subset.minSize, 1, 100000);
+    table.integer("entries_per_agent", settings.subset.entriesPerAgent, 1, 1000);
     readLag(table, settings);
-    table.flag("judge_endpoint", settings.runner.probationEnabled);
+    table.boolean("judge_endpoint", settings.runner.probationEnabled);
     table.finish();
 }
 
--- a/packages/load/src/experiment.cpp
+++ b/packages/load/src/experiment.cpp
@@ -42,15 +42,15 @@
     table.text("service", mix.service);
     table.text("token", mix.token);
     table.number("rate", mix.rate, 0.001, MostRate);
-    table.whole("fewest_tasks", mix.fewestTasks, 1, 10000);
+    table.integer("fewest_tasks", mix.fewestTasks, 1, 10000);
     mix.mostTasks = mix.fewestTasks;
-    table.whole("most_tasks", mix.mostTasks, mix.fewestTasks, 10000);
-    table.span("mean", mix.mean);
+    table.integer("most_tasks", mix.mostTasks, mix.fewestTasks, 10000);
+    table.duration("mean", mix.mean);
     readSpread(table, mix.spread);
     table.number("declared_wrong", mix.declaredWrong, 0, 100);
-    table.span("deadline", mix.deadline);
-    table.flag("request", mix.request);
-    table.flag("repeatable", mix.repeatable);
+    table.duration("deadline", mix.deadline);
+    table.boolean("request", mix.request);
+    table.boolean("repeatable", mix.repeatable);
     if (mix.service.empty() || mix.token.empty())
         table.refuse("service", "and \"token\" must be set for each mix");
     if (mix.request && mix.mostTasks > 1)
@@ -77,18 +77,18 @@
     Experiment experiment;
     settings::TomlReader root(std::move(*document), path, reason);
     root.list("urls", experiment.urls);
-    root.flag("follow_ready", experiment.followReady);
+    root.boolean("follow_ready", experiment.followReady);
     root.list("metrics_urls", experiment.metricsUrls);
     root.text("baseline_url", experiment.baselineUrl);
-    root.whole("seed", experiment.seed, 0, INT64_MAX);
-    root.span("duration", experiment.duration);
-    root.span("warm_up", experiment.warmUp);
-    root.span("burst_every", experiment.burstEvery);
-    root.span("burst_length", experiment.burstLength);
+    root.integer("seed", experiment.seed, 0, INT64_MAX);
+    root.duration("duration", experiment.duration);
+    root.duration("warm_up", experiment.warmUp);
+    root.duration("burst_every", experiment.burstEvery);
+    root.duration("burst_length", experiment.burstLength);
     root.number("burst_factor", experiment.burstFactor, 0, 1000);
     root.number("resubmit_share", experiment.resubmitShare, 0, 1);
     root.number("cancel_share", experiment.cancelShare, 0, 1);
-    root.span("drain", experiment.drain);
+    root.duration("drain", experiment.drain);
     root.text("trace", experiment.traceFile);
     for (settings::TomlReader &table : root.tables("mix"))
         experiment.mixes.push_back(readMix(table));
--- a/packages/node/include/foxwing/node/log.h
+++ b/packages/node/include/foxwing/node/log.h
@@ -1,7 +1,7 @@
 /*
     Structured log on Boost.Log: one line of key=value pairs for each change of state.
 
-        logChange(LogLevel::Info, "view", { { "number", "7" }, { "entries", "3" } });
+        logEvent(LogLevel::Info, "view", { { "number", "7" }, { "entries", "3" } });
 
     [SECTION] Functions
 */
@@ -28,8 +28,8 @@
 };
 
 // Log lines go to standard error. The level is "debug", "info", "warning" or "error".
-void startLog(const std::string &level, const std::string &node);
+void initLog(const std::string &level, const std::string &node);
 
-void logChange(LogLevel level, const char *event, std::initializer_list<LogField> fields);
+void logEvent(LogLevel level, const char *event, std::initializer_list<LogField> fields);
 
 } // namespace foxwing::node
--- a/packages/node/src/agentrole.cpp
+++ b/packages/node/src/agentrole.cpp
@@ -61,21 +61,21 @@
     const Time now = steadyNow();
     const std::string owner = m_state.lease.owner;
     if (m_state.configurationStale != configurationStale)
-        logChange(LogLevel::Warning, "configuration",
-                  { { "state", configurationStale ? "stale" : "confirmed" } });
+        logEvent(LogLevel::Warning, "configuration",
+                 { { "state", configurationStale ? "stale" : "confirmed" } });
     m_state.configurationStale = configurationStale;
     carryOut(agent::tick(m_state, now));
     m_endpoint.tick(now);
     if (m_state.lease.owner != owner)
-        logChange(LogLevel::Info, "owner",
-                  { { "from", owner },
-                    { "to", m_state.lease.owner },
-                    { "epoch", std::to_string(m_state.lease.epoch) } });
+        logEvent(LogLevel::Info, "owner",
+                 { { "from", owner },
+                   { "to", m_state.lease.owner },
+                   { "epoch", std::to_string(m_state.lease.epoch) } });
 }
 
 void AgentRole::leave()
 {
-    logChange(LogLevel::Info, "leaving", { { "role", "agent" } });
+    logEvent(LogLevel::Info, "leaving", { { "role", "agent" } });
     carryOut(agent::leave(m_state, steadyNow()));
 }
 
--- a/packages/node/src/controlrole.cpp
+++ b/packages/node/src/controlrole.cpp
@@ -30,9 +30,9 @@
     auto cluster = m_log.open(reason);
     if (!cluster)
         return false;
-    logChange(LogLevel::Info, "journal-open",
-              { { "revision", std::to_string(cluster->store.revision) },
-                { "log", std::to_string(quorum::lastIndex(m_log.state())) } });
+    logEvent(LogLevel::Info, "journal-open",
+             { { "revision", std::to_string(cluster->store.revision) },
+               { "log", std::to_string(quorum::lastIndex(m_log.state())) } });
     m_state.settings = m_settings.control;
     m_state.cluster = std::move(*cluster);
     return true;
@@ -69,9 +69,9 @@
     m_log.offerSnapshot(m_state.cluster);
     if (const auto *view = std::get_if<control::ViewCommand>(&command)) {
         if (view->view.update == 0)
-            logChange(LogLevel::Info, "view",
-                      { { "number", std::to_string(view->view.number) },
-                        { "entries", std::to_string(view->view.members.size()) } });
+            logEvent(LogLevel::Info, "view",
+                     { { "number", std::to_string(view->view.number) },
+                       { "entries", std::to_string(view->view.members.size()) } });
         return;
     }
     answerChange(index, term, result);
@@ -81,8 +81,8 @@
 void ControlRole::onInstalled(control::ClusterState &&cluster)
 {
     m_state.cluster = std::move(cluster);
-    logChange(LogLevel::Info, "snapshot-installed",
-              { { "revision", std::to_string(m_state.cluster.store.revision) } });
+    logEvent(LogLevel::Info, "snapshot-installed",
+             { { "revision", std::to_string(m_state.cluster.store.revision) } });
 }
 
 void ControlRole::onRead(std::uint64_t id, bool confirmed)
@@ -101,7 +101,7 @@
 void ControlRole::onFailed(const Error &error)
 {
     if (!m_failed)
-        logChange(LogLevel::Error, "journal-failed", { { "reason", error.message } });
+        logEvent(LogLevel::Error, "journal-failed", { { "reason", error.message } });
     m_failed = true;
     dropOperators();
 }
@@ -127,9 +127,9 @@
     if (leading == m_leading)
         return;
     m_leading = leading;
-    logChange(LogLevel::Info, leading ? "leading" : "following",
-              { { "term", std::to_string(m_log.state().term) },
-                { "leader", m_log.state().leader } });
+    logEvent(LogLevel::Info, leading ? "leading" : "following",
+             { { "term", std::to_string(m_log.state().term) },
+               { "leader", m_log.state().leader } });
     if (leading)
         m_state = control::makeControl(m_settings.control, std::move(m_state.cluster), steadyNow(),
                                        wallClockNow());
@@ -157,8 +157,8 @@
     const std::uint64_t deaths = m_state.counters.deaths;
     carryOut(control::tick(m_state, now, wallClockNow()));
     if (m_state.counters.deaths != deaths)
-        logChange(LogLevel::Warning, "nodes-dead",
-                  { { "count", std::to_string(m_state.counters.deaths - deaths) } });
+        logEvent(LogLevel::Warning, "nodes-dead",
+                 { { "count", std::to_string(m_state.counters.deaths - deaths) } });
     answerWatchers(now);
 }
 
--- a/packages/node/src/entryrole.cpp
+++ b/packages/node/src/entryrole.cpp
@@ -259,9 +259,9 @@
     const std::uint64_t before = m_state.claims.view.number;
     carryOut(entry::setView(m_state, update.view, steadyNow()));
     if (m_state.claims.view.number != before)
-        logChange(LogLevel::Info, "view",
-                  { { "number", std::to_string(update.view.number) },
-                    { "entries", std::to_string(update.view.members.size()) } });
+        logEvent(LogLevel::Info, "view",
+                 { { "number", std::to_string(update.view.number) },
+                   { "entries", std::to_string(update.view.members.size()) } });
 }
 
 void EntryRole::fillBeat(control::Beat &beat)
--- a/packages/node/src/grouplog.cpp
+++ b/packages/node/src/grouplog.cpp
@@ -105,9 +105,9 @@
     if (!state)
         return std::nullopt;
     if (m_bootstrap && !m_replica.wasBlank())
-        logChange(LogLevel::Warning, "bootstrap-left",
-                  { { "remedy",
-                      "remove control.bootstrap from the settings: the group already exists" } });
+        logEvent(LogLevel::Warning, "bootstrap-left",
+                 { { "remedy",
+                     "remove control.bootstrap from the settings: the group already exists" } });
     return readCluster(*state, reason);
 }
 
--- a/packages/node/src/log.cpp
+++ b/packages/node/src/log.cpp
@@ -57,7 +57,7 @@
 
 } // namespace
 
-void startLog(const std::string &level, const std::string &node)
+void initLog(const std::string &level, const std::string &node)
 {
     nodeName() = node;
     trivial::severity_level lowest = trivial::info;
@@ -69,7 +69,7 @@
     boost::log::core::get()->set_filter(trivial::severity >= lowest);
 }
 
-void logChange(LogLevel level, const char *event, std::initializer_list<LogField> fields)
+void logEvent(LogLevel level, const char *event, std::initializer_list<LogField> fields)
 {
     std::string line = "node=" + quoted(nodeName()) + " event=" + event;
     for (const LogField &field : fields)
--- a/packages/node/src/node.cpp
+++ b/packages/node/src/node.cpp
@@ -40,14 +40,14 @@
     return settings.listen.inner.host + ":" + std::to_string(settings.listen.inner.port);
 }
 
-wire::LaneSettings laneSettings(const settings::Settings &settings)
+wire::SenderSettings laneSettings(const settings::Settings &settings)
 {
-    wire::LaneSettings lanes;
-    lanes.from = settings.node.id;
-    lanes.address = innerAddress(settings);
-    lanes.secret = settings.cluster.secret;
-    lanes.threads = settings.node.entry || settings.node.control ? 8 : 3;
-    return lanes;
+    wire::SenderSettings sender;
+    sender.from = settings.node.id;
+    sender.address = innerAddress(settings);
+    sender.secret = settings.cluster.secret;
+    sender.threads = settings.node.entry || settings.node.control ? 8 : 3;
+    return sender;
 }
 
 wire::RpcServerSettings rpcSettings(const settings::Settings &settings)
@@ -67,7 +67,7 @@
     http.port = settings.listen.outer.port;
     http.certificateFile = settings.listen.certificateFile;
     http.keyFile = settings.listen.keyFile;
-    http.mostBodyBytes = settings.listen.mostBodyBytes;
+    http.maxBodyBytes = settings.listen.maxBodyBytes;
     return http;
 }
 
@@ -171,9 +171,9 @@
         m_agent = std::make_unique<AgentRole>(m_settings, m_incarnation, m_loop, m_post);
     if (!m_rpc.start(reason) || !m_http.start(reason))
         return false;
-    logChange(LogLevel::Info, "started",
-              { { "inner", innerAddress(m_settings) },
-                { "incarnation", std::to_string(m_incarnation) } });
+    logEvent(LogLevel::Info, "started",
+             { { "inner", innerAddress(m_settings) },
+               { "incarnation", std::to_string(m_incarnation) } });
     return true;
 }
 
@@ -262,7 +262,7 @@
     const bool wanted = m_entry && m_entry->takeHeartbeatRequest();
     if (now >= m_nextBeat || wanted)
         sendBeat(now);
-    m_http.dropOverdue();
+    m_http.expirePendingBodies();
     if (m_stopping != Stopping::No)
         tickStopping(now);
 }
@@ -279,9 +279,9 @@
     if (m_agent)
         m_agent->addSamples(samples);
     samples.push_back({ "foxwing_bodies_arriving", "Requests whose bodies are incomplete",
-                        static_cast<double>(m_http.arriving()), true });
+                        static_cast<double>(m_http.pendingBodies()), true });
     const PostCounters &post = m_post.counters();
-    const wire::LaneCounters lanes = m_post.laneCounters();
+    const wire::SenderCounters sender = m_post.laneCounters();
     const auto count = [&](const char *name, const char *help, std::uint64_t value) {
         samples.push_back({ name, help, static_cast<double>(value), false });
     };
@@ -290,8 +290,8 @@
     count("foxwing_messages_received_total", "Messages from other processes", post.received);
     count("foxwing_messages_unreadable_total", "Messages that could not be read", post.unreadable);
     count("foxwing_messages_no_address_total", "Messages to unknown nodes", post.noAddress);
-    count("foxwing_calls_total", "Calls to other processes", lanes.calls);
-    count("foxwing_calls_failed_total", "Calls that failed", lanes.failedCalls);
+    count("foxwing_calls_total", "Calls to other processes", sender.calls);
+    count("foxwing_calls_failed_total", "Calls that failed", sender.failedCalls);
     static const metrics::Metrics none;
     return metrics::writeExposition(m_entry ? m_entry->histograms() : none, samples);
 }
@@ -340,7 +340,7 @@
             return;
         m_stopping = m_entry ? Stopping::Noticing : Stopping::Draining;
         m_stoppingSince = steadyNow();
-        logChange(LogLevel::Info, "stopping", {});
+        logEvent(LogLevel::Info, "stopping", {});
         if (m_agent)
             m_agent->leave();
     });
@@ -348,11 +348,11 @@
 
 void Node::Impl::tickStopping(Time now)
 {
-    if (now >= m_stoppingSince + m_settings.drainSpan) {
-        logChange(LogLevel::Warning, "stopped", { { "drained", "false" } });
+    if (now >= m_stoppingSince + m_settings.drainTimeout) {
+        logEvent(LogLevel::Warning, "stopped", { { "drained", "false" } });
         return m_loop.stop();
     }
-    if (m_stopping == Stopping::Noticing && now >= m_stoppingSince + m_settings.drainNotice) {
+    if (m_stopping == Stopping::Noticing && now >= m_stoppingSince + m_settings.drainDelay) {
         m_stopping = Stopping::Draining;
         m_entry->beginLeaving();
     }
@@ -369,7 +369,7 @@
     if (!over)
         return;
     m_post.flush(Milliseconds { 500 });
-    logChange(LogLevel::Info, "stopped", { { "drained", "true" } });
+    logEvent(LogLevel::Info, "stopped", { { "drained", "true" } });
     m_loop.stop();
 }
 
--- a/packages/node/src/postoffice.cpp
+++ b/packages/node/src/postoffice.cpp
@@ -12,8 +12,8 @@
 
 // [SECTION] Sending
 
-PostOffice::PostOffice(const wire::LaneSettings &settings, Loop &loop, Receiver onMessage,
-                       FailureReceiver onFailure)
+PostOffice::PostOffice(const wire::SenderSettings &settings, Loop &loop, Receiver onMessage,
+                       FailureHandler onFailure)
     : m_self(settings.from)
     , m_loop(loop)
     , m_onMessage(std::move(onMessage))
--- a/packages/node/src/postoffice.h
+++ b/packages/node/src/postoffice.h
@@ -14,7 +14,7 @@
 
 #include <foxwing/node/loop.h>
 #include <foxwing/node/message.h>
-#include <foxwing/wire/lanes.h>
+#include <foxwing/wire/senderpool.h>
 
 namespace foxwing::node {
 
@@ -34,10 +34,10 @@
 public:
     // Both are called on the loop's thread.
     using Receiver = std::function<void(Message &&)>;
-    using FailureReceiver = std::function<void(Message &&)>;
+    using FailureHandler = std::function<void(Message &&)>;
 
-    PostOffice(const wire::LaneSettings &settings, Loop &loop, Receiver onMessage,
-               FailureReceiver onFailure);
+    PostOffice(const wire::SenderSettings &settings, Loop &loop, Receiver onMessage,
+               FailureHandler onFailure);
 
     // The following may be called only on the loop's thread.
     void send(const std::string &to, Message message);
@@ -45,7 +45,7 @@
     void flush(Milliseconds longest) { m_lanes.flush(longest); }
 
     const PostCounters &counters() const { return m_counters; }
-    wire::LaneCounters laneCounters() const { return m_lanes.counters(); }
+    wire::SenderCounters laneCounters() const { return m_lanes.counters(); }
 
     // Accepts what another process delivered; may be called from any thread.
     void receive(wire::Envelope &&envelope);
@@ -56,10 +56,10 @@
     std::string m_self;
     Loop &m_loop;
     Receiver m_onMessage;
-    FailureReceiver m_onFailure;
+    FailureHandler m_onFailure;
     std::unordered_map<std::string, std::string> m_addresses;
     PostCounters m_counters;
-    wire::LanePool m_lanes;
+    wire::SenderPool m_lanes;
 };
 
 } // namespace foxwing::node
--- a/packages/settings/include/foxwing/settings/settings.h
+++ b/packages/settings/include/foxwing/settings/settings.h
@@ -66,7 +66,7 @@
     // PEM files for TLS on the outer listener
     std::string certificateFile;
     std::string keyFile;
-    std::size_t mostBodyBytes = 32U << 20U;
+    std::size_t maxBodyBytes = 32U << 20U;
 };
 
 struct ClusterSettings
@@ -127,10 +127,10 @@
 
     // How long a stopping entry, which reports not ready, still accepts requests until the load
     // balancer has withdrawn it.
-    Milliseconds drainNotice { 2000 };
+    Milliseconds drainDelay { 2000 };
 
     // How long a stopping process waits for work in flight.
-    Milliseconds drainSpan { 30000 };
+    Milliseconds drainTimeout { 30000 };
 
     // "debug", "info", "warning" or "error"
     std::string logLevel = "info";
--- a/packages/settings/include/foxwing/settings/tomlreader.h
+++ b/packages/settings/include/foxwing/settings/tomlreader.h
@@ -30,16 +30,16 @@
     TomlReader(toml::table document, std::string path, Error *reason);
 
     void text(const char *key, std::string &value);
-    void flag(const char *key, bool &value);
+    void boolean(const char *key, bool &value);
     void number(const char *key, double &value, double least, double most);
 
     // Durations are strings with a unit: "250ms", "3s", "5min".
-    void span(const char *key, Milliseconds &value);
-    void span(const char *key, Seconds &value);
+    void duration(const char *key, Milliseconds &value);
+    void duration(const char *key, Seconds &value);
     void list(const char *key, std::vector<std::string> &values);
 
     template<class Number>
-    void whole(const char *key, Number &value, std::int64_t least, std::int64_t most)
+    void integer(const char *key, Number &value, std::int64_t least, std::int64_t most)
     {
         std::int64_t read = static_cast<std::int64_t>(value);
         readWhole(key, read, least, most);
--- a/packages/settings/src/settings.cpp
+++ b/packages/settings/src/settings.cpp
@@ -84,7 +84,7 @@
     readAddress(table, "outer", listen.outer);
     table.text("certificate_file", listen.certificateFile);
     table.text("key_file", listen.keyFile);
-    table.whole("most_body_bytes", listen.mostBodyBytes, 1024, MostBytes);
+    table.integer("most_body_bytes", listen.maxBodyBytes, 1024, MostBytes);
     if (listen.certificateFile.empty() != listen.keyFile.empty())
         table.refuse("certificate_file", "and \"listen.key_file\" go together; set both or none");
     table.finish();
@@ -93,7 +93,7 @@
 void readCluster(TomlReader table, ClusterSettings &cluster)
 {
     table.text("secret", cluster.secret);
-    table.span("beat_interval", cluster.heartbeatInterval);
+    table.duration("beat_interval", cluster.heartbeatInterval);
     for (TomlReader &peer : table.tables("control")) {
         Peer host;
         peer.text("id", host.id);
@@ -117,15 +117,15 @@
     agent::AgentSettings &agent = settings.agent;
     table.text("endpoint", settings.endpoint.url);
     table.text("service", agent.service);
-    table.whole("slots", agent.slots, 1, 10000);
-    table.whole("connections", settings.endpoint.connections, 1, 10000);
-    table.span("stop_grace", settings.endpoint.stopGrace);
-    table.span("lease_span", agent.leaseDuration);
-    table.span("offer_interval", agent.offerInterval);
-    table.span("retention", agent.retention);
-    table.span("settled_span", agent.settledRetention);
-    table.whole("unsettled_bytes", agent.unsettledBytes, 1024, MostBytes);
-    table.whole("settled_bytes", agent.settledBytes, 0, MostBytes);
+    table.integer("slots", agent.slots, 1, 10000);
+    table.integer("connections", settings.endpoint.connections, 1, 10000);
+    table.duration("stop_grace", settings.endpoint.stopGrace);
+    table.duration("lease_span", agent.leaseDuration);
+    table.duration("offer_interval", agent.offerInterval);
+    table.duration("retention", agent.retention);
+    table.duration("settled_span", agent.settledRetention);
+    table.integer("unsettled_bytes", agent.unsettledBytes, 1024, MostBytes);
+    table.integer("settled_bytes", agent.settledBytes, 0, MostBytes);
     if (settings.node.agent && agent.service.empty())
         table.refuse("service", "must name the service of the endpoint");
     if (settings.node.agent && settings.endpoint.url.compare(0, 4, "http") != 0)
@@ -145,21 +145,21 @@
     dispatch::DispatchSettings &dispatch = settings.entry.dispatch;
     claims::ClaimSettings &claims = settings.entry.claims;
     std::string order = "fair";
-    table.span("lease_span", dispatch.leaseDuration);
-    table.span("lost_after", dispatch.lostAfter);
-    table.span("verify_after", dispatch.verifyAfter);
-    table.span("answer_retention", dispatch.answerRetention);
-    table.whole("answer_bytes", dispatch.answerBytes, 1024, MostBytes);
-    table.whole("queue_bound", dispatch.queueBound, 1, MostCount);
+    table.duration("lease_span", dispatch.leaseDuration);
+    table.duration("lost_after", dispatch.lostAfter);
+    table.duration("verify_after", dispatch.verifyAfter);
+    table.duration("answer_retention", dispatch.answerRetention);
+    table.integer("answer_bytes", dispatch.answerBytes, 1024, MostBytes);
+    table.integer("queue_bound", dispatch.queueBound, 1, MostCount);
     table.number("retry_share", dispatch.retryShare, 0, 1);
-    table.span("pass_over_bound", dispatch.queue.passOverBound);
+    table.duration("pass_over_bound", dispatch.queue.passOverBound);
     table.text("order", order);
-    table.span("claim_retention", claims.retention);
-    table.span("clock_skew", claims.clockSkew);
-    table.span("master_lease", claims.controlLease);
-    table.span("configuration_lease", settings.entry.configurationLease);
-    table.whole("most_waiters", settings.entry.maxWaiters, 1, MostCount);
-    table.span("drain_notice", settings.drainNotice);
+    table.duration("claim_retention", claims.retention);
+    table.duration("clock_skew", claims.clockSkew);
+    table.duration("master_lease", claims.controlLease);
+    table.duration("configuration_lease", settings.entry.configurationLease);
+    table.integer("most_waiters", settings.entry.maxWaiters, 1, MostCount);
+    table.duration("drain_notice", settings.drainDelay);
     if (order == "first-come")
         dispatch.queue.order = dispatch::QueueOrder::FirstCome;
     else if (order != "fair")
@@ -173,11 +173,11 @@
 
 void readControl(TomlReader table, Settings &settings)
 {
-    table.span("dead_after", settings.control.deadAfter);
-    table.whole("claim_replicas", settings.control.replicaCount, 1, 5);
-    table.span("journal_added_delay", settings.journal.addedDelay);
-    table.whole("snapshot_every", settings.journal.snapshotEvery, 10, MostCount);
-    table.flag("bootstrap", settings.bootstrap);
+    table.duration("dead_after", settings.control.deadAfter);
+    table.integer("claim_replicas", settings.control.replicaCount, 1, 5);
+    table.duration("journal_added_delay", settings.journal.addedDelay);
+    table.integer("snapshot_every", settings.journal.snapshotEvery, 10, MostCount);
+    table.boolean("bootstrap", settings.bootstrap);
     table.text("operator_salt", settings.operators.salt);
     table.text("operator_token_hash", settings.operators.tokenHash);
     if (settings.node.control && settings.operators.tokenHash.size() != 64)
@@ -267,7 +267,7 @@
     readEntry(root.table("entry"), settings);
     readControl(root.table("control"), settings);
     readLog(root.table("log"), settings);
-    root.span("drain_span", settings.drainSpan);
+    root.duration("drain_span", settings.drainTimeout);
     checkRoles(root, settings);
     if (!root.finish())
         return std::nullopt;
--- a/packages/settings/src/tomlreader.cpp
+++ b/packages/settings/src/tomlreader.cpp
@@ -60,7 +60,7 @@
         value = node->as_string()->get();
 }
 
-void TomlReader::flag(const char *key, bool &value)
+void TomlReader::boolean(const char *key, bool &value)
 {
     const toml::node *node = take(key);
     if (node && !node->is_boolean())
@@ -131,7 +131,7 @@
 
 } // namespace
 
-void TomlReader::span(const char *key, Milliseconds &value)
+void TomlReader::duration(const char *key, Milliseconds &value)
 {
     const toml::node *node = take(key);
     if (!node)
@@ -144,10 +144,10 @@
                "must be a duration with its unit in quotes, such as \"250ms\", \"3s\" or \"5min\"");
 }
 
-void TomlReader::span(const char *key, Seconds &value)
+void TomlReader::duration(const char *key, Seconds &value)
 {
     Milliseconds read = std::chrono::duration_cast<Milliseconds>(value);
-    span(key, read);
+    duration(key, read);
     if (read.count() % 1000 != 0)
         refuse(key, "must be a whole number of seconds");
     value = std::chrono::duration_cast<Seconds>(read);
--- a/packages/wire/include/foxwing/wire/rpcserver.h
+++ b/packages/wire/include/foxwing/wire/rpcserver.h
@@ -34,12 +34,12 @@
     int port = 0;
 
     unsigned int threads = 2;
-    unsigned int connectionLimit = 8000;
+    unsigned int maxConnections = 8000;
 
     // Idle connections are closed after this time.
-    unsigned int idleSeconds = 60;
+    unsigned int idleTimeoutSeconds = 60;
 
-    std::size_t mostBodyBytes = 64U << 20U;
+    std::size_t maxBodyBytes = 64U << 20U;
     std::string secret;
 };
 
--- a/packages/wire/include/foxwing/wire/lanes.h
+++ b/packages/wire/include/foxwing/wire/senderpool.h
@@ -5,8 +5,8 @@
     queued messages and sends them in one call. A peer that does not answer blocks one thread for
     one timeout. During the backoff that follows, messages to it fail at once.
 
-        LanePool lanes(settings, onFailure);
-        lanes.send("10.0.0.7:7100", encodeMessage(message));
+        SenderPool sender(settings, onFailure);
+        sender.send("10.0.0.7:7100", encodeMessage(message));
 
     [SECTION] Settings
     [SECTION] Pool
@@ -25,7 +25,7 @@
 
 // [SECTION] Settings
 
-struct LaneSettings
+struct SenderSettings
 {
     unsigned int threads = 4;
 
@@ -33,12 +33,12 @@
     Milliseconds timeout { 1000 };
 
     // Exponential backoff: a peer is not called for this long after a failure.
-    Milliseconds pause { 50 };
-    Milliseconds longestPause { 1000 };
+    Milliseconds minBackoff { 50 };
+    Milliseconds maxBackoff { 1000 };
 
     // Limits on the messages in one call, and on those queued for one peer.
-    std::size_t mostInCall = 512;
-    std::size_t mostWaiting = 50000;
+    std::size_t maxBatchSize = 512;
+    std::size_t maxQueued = 50000;
 
     // Copied into every envelope.
     std::string from;
@@ -46,7 +46,7 @@
     std::string secret;
 };
 
-struct LaneCounters
+struct SenderCounters
 {
     std::uint64_t calls = 0;
     std::uint64_t messages = 0;
@@ -57,16 +57,16 @@
 
 // [SECTION] Pool
 
-class LanePool
+class SenderPool
 {
 public:
     // Called with messages that may not have been delivered: on a thread of the pool, or within
     // send() if the message was not queued.
-    using FailureReceiver =
+    using FailureHandler =
             std::function<void(const std::string &address, std::vector<Json::Value> &&messages)>;
 
-    LanePool(const LaneSettings &settings, FailureReceiver onFailure);
-    ~LanePool();
+    SenderPool(const SenderSettings &settings, FailureHandler onFailure);
+    ~SenderPool();
 
     // Queues a message for the process that listens at "host:port". Never blocks.
     void send(const std::string &address, Json::Value &&message);
@@ -74,7 +74,7 @@
     // Waits until all queued messages were sent or have failed.
     void flush(Milliseconds longest);
 
-    LaneCounters counters() const;
+    SenderCounters counters() const;
 
 private:
     class Impl;
--- a/packages/wire/src/rpcserver.cpp
+++ b/packages/wire/src/rpcserver.cpp
@@ -44,8 +44,8 @@
         m_daemon = MHD_start_daemon(flags, 0, nullptr, nullptr, &EpollConnector::onRequest, this,
                                     MHD_OPTION_SOCK_ADDR, &address, MHD_OPTION_THREAD_POOL_SIZE,
                                     m_settings.threads, MHD_OPTION_CONNECTION_LIMIT,
-                                    m_settings.connectionLimit, MHD_OPTION_CONNECTION_TIMEOUT,
-                                    m_settings.idleSeconds, MHD_OPTION_NOTIFY_COMPLETED,
+                                    m_settings.maxConnections, MHD_OPTION_CONNECTION_TIMEOUT,
+                                    m_settings.idleTimeoutSeconds, MHD_OPTION_NOTIFY_COMPLETED,
                                     &EpollConnector::onCompleted, nullptr,
                                     MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U, MHD_OPTION_END);
         return m_daemon != nullptr;
@@ -90,7 +90,7 @@
                        std::size_t *size) const
     {
         if (*size > 0) {
-            body.tooLarge = body.tooLarge || body.text.size() + *size > m_settings.mostBodyBytes;
+            body.tooLarge = body.tooLarge || body.text.size() + *size > m_settings.maxBodyBytes;
             if (!body.tooLarge)
                 body.text.append(data, *size);
             *size = 0;
--- a/packages/wire/src/lanes.cpp
+++ b/packages/wire/src/senderpool.cpp
@@ -4,7 +4,7 @@
     [SECTION] Peers
     [SECTION] Pool
 */
-#include <foxwing/wire/lanes.h>
+#include <foxwing/wire/senderpool.h>
 
 #include <algorithm>
 #include <condition_variable>
@@ -36,17 +36,17 @@
 
     // Not called before then.
     Time quietUntil {};
-    Milliseconds pause { 0 };
+    Milliseconds backoff { 0 };
 };
 
 } // namespace
 
 // [SECTION] Pool
 
-class LanePool::Impl
+class SenderPool::Impl
 {
 public:
-    Impl(const LaneSettings &settings, FailureReceiver onFailure)
+    Impl(const SenderSettings &settings, FailureHandler onFailure)
         : m_settings(settings)
         , m_onFailure(std::move(onFailure))
     {
@@ -74,7 +74,7 @@
             Peer &peer = m_peers[address];
             peer.address = address;
             const bool quiet = steadyNow() < peer.quietUntil;
-            if (quiet || peer.waiting.size() >= m_settings.mostWaiting) {
+            if (quiet || peer.waiting.size() >= m_settings.maxQueued) {
                 ++m_counters.failedMessages;
                 lost.push_back(std::move(message));
             } else {
@@ -92,7 +92,7 @@
         m_idle.wait_for(lock, longest, [this] { return m_ready.empty() && m_busy == 0; });
     }
 
-    LaneCounters counters() const
+    SenderCounters counters() const
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
         return m_counters;
@@ -111,11 +111,12 @@
     std::vector<Json::Value> takeBatch(Peer &peer)
     {
         std::vector<Json::Value> batch;
-        if (peer.waiting.size() <= m_settings.mostInCall) {
+        if (peer.waiting.size() <= m_settings.maxBatchSize) {
             batch.swap(peer.waiting);
             return batch;
         }
-        const auto end = peer.waiting.begin() + static_cast<std::ptrdiff_t>(m_settings.mostInCall);
+        const auto end = peer.waiting.begin()
+                + static_cast<std::ptrdiff_t>(m_settings.maxBatchSize);
         batch.assign(std::make_move_iterator(peer.waiting.begin()), std::make_move_iterator(end));
         peer.waiting.erase(peer.waiting.begin(), end);
         return batch;
@@ -140,13 +141,13 @@
         ++m_counters.calls;
         m_counters.messages += messages;
         if (taken) {
-            peer.pause = Milliseconds::zero();
+            peer.backoff = Milliseconds::zero();
             return;
         }
         ++m_counters.failedCalls;
         m_counters.failedMessages += messages;
-        peer.pause = std::clamp(peer.pause * 2, m_settings.pause, m_settings.longestPause);
-        peer.quietUntil = steadyNow() + peer.pause;
+        peer.backoff = std::clamp(peer.backoff * 2, m_settings.minBackoff, m_settings.maxBackoff);
+        peer.quietUntil = steadyNow() + peer.backoff;
         peer.client.reset();
     }
 
@@ -187,8 +188,8 @@
         }
     }
 
-    LaneSettings m_settings;
-    FailureReceiver m_onFailure;
+    SenderSettings m_settings;
+    FailureHandler m_onFailure;
     mutable std::mutex m_mutex;
     std::condition_variable m_wakeUp;
     std::condition_variable m_idle;
@@ -196,27 +197,27 @@
     std::deque<Peer *> m_ready;
     std::size_t m_busy = 0;
     bool m_stopping = false;
-    LaneCounters m_counters;
+    SenderCounters m_counters;
     std::vector<std::thread> m_threads;
 };
 
-LanePool::LanePool(const LaneSettings &settings, FailureReceiver onFailure)
+SenderPool::SenderPool(const SenderSettings &settings, FailureHandler onFailure)
     : m_impl(std::make_unique<Impl>(settings, std::move(onFailure)))
 { }
 
-LanePool::~LanePool() = default;
+SenderPool::~SenderPool() = default;
 
-void LanePool::send(const std::string &address, Json::Value &&message)
+void SenderPool::send(const std::string &address, Json::Value &&message)
 {
     m_impl->send(address, std::move(message));
 }
 
-void LanePool::flush(Milliseconds longest)
+void SenderPool::flush(Milliseconds longest)
 {
     m_impl->flush(longest);
 }
 
-LaneCounters LanePool::counters() const
+SenderCounters SenderPool::counters() const
 {
     return m_impl->counters();
 }
--- a/packages/wire/tests/wire_test.cpp
+++ b/packages/wire/tests/wire_test.cpp
@@ -5,8 +5,8 @@
     [SECTION] Helpers
     [SECTION] Tests
 */
-#include <foxwing/wire/lanes.h>
 #include <foxwing/wire/rpcserver.h>
+#include <foxwing/wire/senderpool.h>
 
 #include <arpa/inet.h>
 #include <atomic>
@@ -57,9 +57,9 @@
     return settings;
 }
 
-LaneSettings laneSettings(const std::string &secret)
+SenderSettings laneSettings(const std::string &secret)
 {
-    LaneSettings settings;
+    SenderSettings settings;
     settings.from = "test";
     settings.secret = secret;
     return settings;
@@ -79,9 +79,10 @@
                      [&](Envelope &&envelope) { collector.add(std::move(envelope)); });
     Error reason;
     ASSERT_TRUE(server.start(&reason)) << reason.message;
-    LanePool lanes(laneSettings("secret"), [](const std::string &, std::vector<Json::Value> &&) {});
+    SenderPool sender(laneSettings("secret"),
+                      [](const std::string &, std::vector<Json::Value> &&) {});
     for (int i = 0; i < 2000; ++i)
-        lanes.send(addressOf(server), Json::Value(i));
+        sender.send(addressOf(server), Json::Value(i));
     const std::vector<int> numbers = collector.waitFor(2000);
     ASSERT_EQ(numbers.size(), 2000U);
     for (int i = 0; i < 2000; ++i)
@@ -95,12 +96,12 @@
     Error reason;
     ASSERT_TRUE(server.start(&reason));
     std::atomic<int> lost { 0 };
-    LanePool lanes(laneSettings("wrong"),
-                   [&](const std::string &, std::vector<Json::Value> &&messages) {
-                       lost += static_cast<int>(messages.size());
-                   });
-    lanes.send(addressOf(server), Json::Value(1));
-    lanes.flush(Milliseconds(30000));
+    SenderPool sender(laneSettings("wrong"),
+                      [&](const std::string &, std::vector<Json::Value> &&messages) {
+                          lost += static_cast<int>(messages.size());
+                      });
+    sender.send(addressOf(server), Json::Value(1));
+    sender.flush(Milliseconds(30000));
     EXPECT_EQ(arrived, 0);
     EXPECT_EQ(lost, 1);
 }
@@ -113,17 +114,17 @@
     Error reason;
     ASSERT_TRUE(server.start(&reason));
     std::atomic<int> lost { 0 };
-    LaneSettings settings = laneSettings("secret");
+    SenderSettings settings = laneSettings("secret");
     settings.threads = 1;
-    LanePool lanes(settings, [&](const std::string &, std::vector<Json::Value> &&messages) {
+    SenderPool sender(settings, [&](const std::string &, std::vector<Json::Value> &&messages) {
         lost += static_cast<int>(messages.size());
     });
     for (int i = 0; i < 100; ++i) {
-        lanes.send("127.0.0.1:1", Json::Value(i)); // nothing listens there
-        lanes.send(addressOf(server), Json::Value(i));
+        sender.send("127.0.0.1:1", Json::Value(i)); // nothing listens there
+        sender.send(addressOf(server), Json::Value(i));
     }
     EXPECT_EQ(collector.waitFor(100).size(), 100U);
-    lanes.flush(Milliseconds(30000));
+    sender.flush(Milliseconds(30000));
     EXPECT_EQ(lost, 100);
 }
 
@@ -153,8 +154,9 @@
         ASSERT_EQ(::connect(socket, reinterpret_cast<const sockaddr *>(&address), sizeof address),
                   0);
     }
-    LanePool lanes(laneSettings("secret"), [](const std::string &, std::vector<Json::Value> &&) {});
-    lanes.send(addressOf(server), Json::Value(7));
+    SenderPool sender(laneSettings("secret"),
+                      [](const std::string &, std::vector<Json::Value> &&) {});
+    sender.send(addressOf(server), Json::Value(7));
     EXPECT_EQ(collector.waitFor(1).size(), 1U);
     for (const int socket : sockets)
         ::close(socket);
