--- a/bench/beats.cpp
+++ b/bench/beats.cpp
@@ -21,8 +21,8 @@
 #include <foxwing/base/codec.h>
 #include <foxwing/control/messages.h>
 #include <foxwing/control/reporter.h>
-#include <foxwing/wire/lanes.h>
 #include <foxwing/wire/rpcserver.h>
+#include <foxwing/wire/senderpool.h>
 
 using namespace foxwing;
 
--- a/packages/wire/src/lanes.cpp
+++ b/packages/wire/src/senderpool.cpp
@@ -1,10 +1,10 @@
 /*
-    The threads that send.
+    The sending threads and the queue of peers that they serve.
 
     [SECTION] Peers
     [SECTION] Pool
 */
-#include <foxwing/wire/lanes.h>
+#include <foxwing/wire/senderpool.h>
 
 #include <algorithm>
 #include <condition_variable>
@@ -31,12 +31,12 @@
     std::vector<Json::Value> waiting;
     std::unique_ptr<RpcClient> client;
 
-    // In the queue of peers, or with a thread.
+    // In the ready queue, or being served by a thread.
     bool scheduled = false;
 
-    // Left alone until then.
+    // Not called before then.
     Time quietUntil {};
-    Milliseconds minBackoff { 0 };
+    Milliseconds backoff { 0 };
 };
 
 } // namespace
@@ -141,18 +141,17 @@
         ++m_counters.calls;
         m_counters.messages += messages;
         if (taken) {
-            peer.minBackoff = Milliseconds::zero();
+            peer.backoff = Milliseconds::zero();
             return;
         }
         ++m_counters.failedCalls;
         m_counters.failedMessages += messages;
-        peer.minBackoff = std::clamp(peer.minBackoff * 2, m_settings.minBackoff,
-                                     m_settings.maxBackoff);
-        peer.quietUntil = steadyNow() + peer.minBackoff;
+        peer.backoff = std::clamp(peer.backoff * 2, m_settings.minBackoff, m_settings.maxBackoff);
+        peer.quietUntil = steadyNow() + peer.backoff;
         peer.client.reset();
     }
 
-    // Sends one batch to the peer that has waited longest.
+    // Sends one batch to the peer at the head of the ready queue.
     void serveOne(std::unique_lock<std::mutex> &lock)
     {
         Peer &peer = *m_ready.front();
