--- a/packages/catalog/include/foxwing/catalog/agreed.h
+++ b/packages/catalog/include/foxwing/catalog/agreed.h
@@ -1,18 +1,17 @@
 /*
-    Everything that operators declare and the agreement group keeps: the catalog, and the data
-    centres that are cordoned. One state, changed by the commands of one log, so that whoever joins
-    late or restarts gets all of it at once.
+    The state that operators declare and the consensus group replicates: the catalog and the
+    cordoned data centres. It is one state, changed by the commands of one log, so that a host that
+    joins late or restarts gets all of it in one snapshot.
 
-    The endpoints of a cordoned data centre get nothing new; what runs there ends by itself.
+    The endpoints of a cordoned data centre get no new tasks; what runs there is not stopped.
 
-    A catalog has a version, so that one which arrives late is known as old. An order to cordon or
-    uncordon has none. Each one therefore says which revision of the cordons it was given upon, and
-    changes nothing if they have changed since: an order that was held up on its way can't undo what
-    an operator has ordered after it.
+    A late catalog is recognized by its version. A cordon command has no version; it names the
+    revision of the cordons that it is based on, and changes nothing if they have changed since. So
+    a delayed command can't undo a later one.
 
         AgreedState state;
         if (apply(state, command) == Applied::Outdated)
-            ... ask again whether the order still stands, and give it anew ...
+            ... if the operator still wants it, reissue the command on the newest revision ...
 
     [SECTION] Cordons
     [SECTION] State
@@ -30,10 +29,10 @@
 
 struct Cordons
 {
-    // Rises with each order that was given upon the newest; the highest is the newest.
+    // Incremented by each cordon command that is based on the current revision
     std::uint64_t revision = 0;
 
-    // In the order of their names
+    // Sorted by name
     std::vector<std::string> dataCentres;
 };
 template<class Fields>
@@ -43,14 +42,14 @@
     fields("dataCentres", cordons.dataCentres);
 }
 
-// An order to cordon a data centre or to take the cordon away.
+// Cordons or uncordons a data centre.
 struct CordonOrder
 {
     static constexpr const char *Type = "cordon-order";
     std::string dataCentre;
     bool cordoned = true;
 
-    // Revision of the cordons that were in force when the order was given
+    // Revision of the cordons when the command was issued
     std::uint64_t basedOn = 0;
 };
 template<class Fields>
@@ -75,16 +74,16 @@
     fields("cordons", state.cordons);
 }
 
-// What the group's log holds.
+// A command of the group's log.
 using Command = std::variant<DeclaredCatalog, CordonOrder>;
 
 enum class Applied {
     Changed,
 
-    // What was asked for is so already, by a newer order or another catalog.
+    // The state was already as requested, by a newer cordon command, or has a newer catalog.
     Unchanged,
 
-    // The order was given upon cordons that are not in force any more: nothing was changed.
+    // The cordon command was based on an older revision: nothing was changed.
     Outdated,
 };
 
--- a/packages/catalog/include/foxwing/catalog/catalog.h
+++ b/packages/catalog/include/foxwing/catalog/catalog.h
@@ -1,15 +1,15 @@
 /*
     The declared configuration as a whole: queues, services and limits under one version.
 
-    Operators replace it in one piece. The highest version holds; a lower or equal one changes
-    nothing. Control keeps the text as it was sent beside the decoded form, so that a reader gets
-    back exactly what was accepted.
+    Operators replace it as a whole. The highest version is in effect; a lower or equal one changes
+    nothing. Control stores the text as it was sent along with the decoded form, so that a reader
+    gets back exactly what was accepted.
 
         Error reason;
         if (!validate(catalog, &reason))
-            ... refuse with reason ...
-        if (supersedes(held, declared))
-            held = declared;
+            ... reject with reason ...
+        if (supersedes(current, received))
+            current = received;
 
     [SECTION] Declarations
     [SECTION] Functions
@@ -27,29 +27,29 @@
 
 // [SECTION] Declarations
 
-// Where a team's jobs come in, and what was promised for them.
+// A queue that accepts a team's jobs, with its service level.
 struct QueueDeclaration
 {
     std::string name;
 
-    // Callers name the queue by the host they address and the beginning of the path.
+    // A request goes to the queue that has its host and the longest matching prefix of its path.
     std::string host;
     std::string prefix;
 
-    // The service whose endpoints run its tasks
+    // The service whose endpoints run the tasks
     std::string service;
 
-    // 0 goes first.
+    // Lower values rank first.
     std::uint32_t priority = 0;
 
-    // A task that failed this often fails its job.
+    // A task that fails this many times fails its job.
     std::uint32_t attempts = 1;
 
-    // A job is on time within stretch times its longest chain of work, plus the target latency.
+    // A job is on time if it completes within stretch times its critical path plus targetLatency.
     double stretch = 1.0;
     Milliseconds targetLatency { 0 };
 
-    // A job that has not begun after this long is given up.
+    // A job that has not started within this time is abandoned.
     Milliseconds timeout { 0 };
 };
 template<class Fields>
@@ -71,10 +71,10 @@
 {
     std::string name;
 
-    // Connections that one endpoint takes from all callers together
+    // Connections that one endpoint accepts in total, over all its callers
     std::uint32_t mostConnections = 0;
 
-    // Endpoints refuse a start that does not fit; where false, only foxwing keeps their room.
+    // Whether endpoints reject a start that exceeds their capacity; if not, only foxwing tracks it.
     bool refusesExcess = false;
 };
 template<class Fields>
@@ -85,7 +85,7 @@
     fields("refusesExcess", service.refusesExcess);
 }
 
-// What a caller's request may measure.
+// Limits of callers' requests and connections.
 struct CallerLimits
 {
     std::uint32_t headerBytes = 16384;
@@ -104,7 +104,7 @@
 
 struct Catalog
 {
-    // 0: nothing was declared yet.
+    // 0: nothing is declared yet.
     std::uint64_t version = 0;
     std::vector<QueueDeclaration> queues;
     std::vector<ServiceDeclaration> services;
@@ -119,7 +119,7 @@
     fields("limits", catalog.limits);
 }
 
-// A catalog with the operator's own text.
+// A catalog with the text that the operator sent.
 struct DeclaredCatalog
 {
     static constexpr const char *Type = "declared-catalog";
@@ -135,18 +135,18 @@
 
 // [SECTION] Functions
 
-// False with the reason if the catalog contradicts itself: a queue whose service is not declared,
-// two queues at one place, a timeout of zero, a name twice.
+// False with the reason if the catalog is inconsistent: no version, a queue with an undeclared
+// service, an invalid prefix or no timeout, two queues with one host and prefix, a duplicate name.
 bool validate(const Catalog &catalog, Error *reason);
 
-// Whether one that was sent takes the place of the one that holds.
+// Whether the received catalog replaces the current one.
 bool supersedes(const Catalog &held, const Catalog &sent);
 
-// The queue with that host and the longest prefix that the path begins with; null if none has.
+// The queue with this host and the longest prefix of the path; null if there is none.
 const QueueDeclaration *findQueue(const Catalog &catalog, const std::string &host,
                                   const std::string &path);
 
-// Whether a queue sends its tasks to endpoints of this service.
+// Whether any queue sends its tasks to endpoints of this service.
 bool isUsed(const Catalog &catalog, const std::string &service);
 
 } // namespace foxwing::catalog
--- a/packages/catalog/src/agreed.cpp
+++ b/packages/catalog/src/agreed.cpp
@@ -1,5 +1,5 @@
 /*
-    Commands of the agreement group, applied in the order of its log.
+    Commands of the consensus group, applied in the order of its log.
 
     [SECTION] Functions
 */
@@ -26,8 +26,8 @@
     const bool same = isCordoned(cordons, order.dataCentre) == order.cordoned;
     if (order.basedOn != cordons.revision)
         return same ? Applied::Unchanged : Applied::Outdated;
-    // Also if nothing else changes: an opposite order that was given before, and is still on its
-    // way, must not undo this one.
+    // Also if the cordon itself does not change: an earlier opposite command that is still in
+    // flight must not undo this one.
     ++cordons.revision;
     if (same)
         return Applied::Changed;
--- a/packages/catalog/src/catalog.cpp
+++ b/packages/catalog/src/catalog.cpp
@@ -1,8 +1,8 @@
 /*
-    Checks and look-ups.
+    Validation and lookup.
 
-    [SECTION] Checks
-    [SECTION] Look-ups
+    [SECTION] Validation
+    [SECTION] Lookup
 */
 #include <foxwing/catalog/catalog.h>
 
@@ -11,7 +11,7 @@
 
 namespace foxwing::catalog {
 
-// [SECTION] Checks
+// [SECTION] Validation
 
 namespace {
 
@@ -78,7 +78,7 @@
     return sent.version > held.version;
 }
 
-// [SECTION] Look-ups
+// [SECTION] Lookup
 
 const QueueDeclaration *findQueue(const Catalog &catalog, const std::string &host,
                                   const std::string &path)
--- a/packages/catalog/tests/agreed_test.cpp
+++ b/packages/catalog/tests/agreed_test.cpp
@@ -1,8 +1,8 @@
 /*
-    What commands of the agreement group change.
+    Commands of the consensus group: changes of cordons and catalog, and snapshots of the state.
 
     [SECTION] Helpers
-    [SECTION] Orders
+    [SECTION] Commands
     [SECTION] Snapshots
 */
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
     return state;
 }
 
-// [SECTION] Orders
+// [SECTION] Commands
 
 struct OrderCase
 {
@@ -50,15 +50,15 @@
         testing::Values(
                 OrderCase { "First", {}, { "b", true, 5 }, Applied::Changed, { "b" } },
                 OrderCase { "Second", { "b" }, { "a", true, 5 }, Applied::Changed, { "a", "b" } },
-                // Withdrawals that were ordered before and are still on their way end with it.
+                // Outdates earlier commands to uncordon that are still in flight.
                 OrderCase { "AsItIs", { "b" }, { "b", true, 5 }, Applied::Changed, { "b" } },
-                // The answer was lost: asking again for what is so never fails.
+                // The answer was lost: a retry for the current state never fails.
                 OrderCase { "AgainLate", { "b" }, { "b", true, 4 }, Applied::Unchanged, { "b" } },
                 OrderCase {
                         "Withdrawn", { "a", "b" }, { "a", false, 5 }, Applied::Changed, { "b" } },
                 OrderCase {
                         "WithdrawnAgain", { "b" }, { "a", false, 3 }, Applied::Unchanged, { "b" } },
-                // Held up on its way, while the opposite was ordered and acknowledged.
+                // Delayed until after the opposite was acknowledged.
                 OrderCase { "LateAfterItsWithdrawal", {}, { "b", true, 4 }, Applied::Outdated, {} },
                 OrderCase {
                         "LateWithdrawal", { "b" }, { "b", false, 4 }, Applied::Outdated, { "b" } }),
--- a/packages/catalog/tests/catalog_test.cpp
+++ b/packages/catalog/tests/catalog_test.cpp
@@ -1,9 +1,9 @@
 /*
-    Which catalogs are refused, which one holds, and which queue a request finds.
+    Which catalogs are rejected, which one is in effect, and which queue a request goes to.
 
     [SECTION] Validation
     [SECTION] Versions
-    [SECTION] Look-ups
+    [SECTION] Lookup
 */
 #include <functional>
 #include <gtest/gtest.h>
@@ -107,7 +107,7 @@
     EXPECT_EQ(read.text, declared.text);
 }
 
-// [SECTION] Look-ups
+// [SECTION] Lookup
 
 struct LookupCase
 {
@@ -135,8 +135,8 @@
                                          LookupCase { "NoPath", "a.example", "/z/1", "" }),
                          [](const auto &tested) { return tested.param.name; });
 
-// An endpoint of a service that no queue names waits for a catalog that names it, and is put aside
-// when the next one does not.
+// An endpoint whose service no queue names gets no work until a catalog names it, and is set aside
+// again when a later catalog does not.
 TEST(CatalogServices, AreUsedWhileAQueueNamesThem)
 {
     Catalog catalog;
--- a/packages/control/include/foxwing/control/cluster.h
+++ b/packages/control/include/foxwing/control/cluster.h
@@ -1,8 +1,8 @@
 /*
     The replicated state of control: declared resources and the view of the entries.
 
-    Everything that must survive is in here and changes only by commands, in the order in which the
-    journal holds them.
+    All state that must survive a restart or a change of leader is in ClusterState. It changes only
+    by commands, applied in the order of the journal.
 
     [SECTION] Commands
     [SECTION] State
@@ -30,7 +30,7 @@
     fields("change", command.change);
 }
 
-// A newer view, worked out by the leader.
+// A newer view, computed by the leader.
 struct ViewCommand
 {
     static constexpr const char *Type = "view";
@@ -54,19 +54,20 @@
 
 // [SECTION] Functions
 
-// Applies the next command of the journal. Deterministic; the result is empty but for declarations.
+// Applies the next command of the journal. Deterministic. The result is empty except for
+// DeclareCommand.
 ChangeResult applyCommand(ClusterState &cluster, const Command &command);
 
-// A snapshot and back.
+// Snapshot as JSON.
 Json::Value saveCluster(const ClusterState &cluster);
 bool loadCluster(const Json::Value &json, ClusterState *cluster, Error *reason);
 
-// The view that follows with these members: the bases move on, and a shard that lost all replicas
-// of its base starts empty with a floor.
+// The next view, with these members. Shard bases carry over; a shard that lost all replicas of its
+// base starts empty, with a loss cutoff.
 claims::View nextView(const claims::View &view, std::vector<claims::Member> members,
                       std::uint32_t replicaCount, std::int64_t lossCutoff);
 
-// The same view with more shards in service. Shards that are so already are left alone.
+// The same view with these shards marked active as well. No change for shards already active.
 claims::View activateShards(const claims::View &view, const std::vector<std::uint32_t> &shards);
 
 } // namespace foxwing::control
--- a/packages/control/include/foxwing/control/control.h
+++ b/packages/control/include/foxwing/control/control.h
@@ -1,12 +1,12 @@
 /*
-    Control: who is alive, what is declared, and what is in force where.
+    Control: which nodes are live, what is declared, and which nodes apply it.
 
-    The leader feeds beats, operators' changes and ticks in, and gets updates for nodes and commands
-    to be written to the journal. A command takes effect when committed() is called with it, which
-    the shell does once it lasts.
+    The leader feeds in heartbeats, operators' changes and ticks, and gets updates for nodes and
+    commands for the journal. A command takes effect when committed() is called with it, after the
+    journal has committed it.
 
-        ControlState control = makeControl(settings);
-        ControlActions actions = handleBeat(control, beat, now, wallNow);
+        ControlState control = makeControl(settings, cluster, now, wallNow);
+        ControlActions actions = handleBeat(control, heartbeat, now, wallNow);
         for (const Command &command : actions.proposals)
             ...
 
@@ -32,24 +32,25 @@
 
 struct ControlSettings
 {
-    // This host
+    // Id of this host
     std::string self;
-    // A node that has not beaten for this long is dead. Longer than the entries' master lease.
+    // A node without a heartbeat for this long is lost. Must exceed the entries' control lease.
     Milliseconds deadAfter { 2500 };
 
-    // Entries that come and go within this time make one new view.
+    // At least this long between changes of membership, so that entries which join or leave within
+    // it share one new view.
     Milliseconds viewPause { 300 };
 
-    // Entries that keep each claim.
+    // Entries that hold each claim
     std::uint32_t replicaCount = 2;
 
-    // Added to the date of a loss, for clocks that differ.
+    // Upper bound of the difference between hosts' clocks; added to the time of a loss.
     Milliseconds clockSkew { 2000 };
 
-    // A node that is cut off from control takes no new work after this long; until then it may.
+    // A node that is cut off from control accepts new work for this long.
     Milliseconds configurationLease { 10000 };
 
-    // A dead agent is remembered this long: as long as what it may have started.
+    // How long a lost agent stays listed: as long as agents retain what they started.
     Seconds agentMemory { 900 };
 };
 
@@ -61,7 +62,7 @@
     Time lastReceivedAt {};
     bool live = true;
 
-    // When a life of this node ended last; milliseconds since 1970.
+    // When an incarnation of this node ended last; milliseconds since 1970
     std::int64_t lostAt = 0;
     Time diedAt {};
 };
@@ -80,33 +81,33 @@
     ControlSettings settings;
     ClusterState cluster;
 
-    // Volatile: every node tells it anew after a change of leader.
+    // Not replicated: nodes report it again after a change of leader.
     std::map<std::string, NodeRecord> nodes;
     std::uint64_t agentsVersion = 1;
 
-    // Agents that were lost before this date may be missing from the list; milliseconds since 1970.
+    // Agents lost before this time may be missing from the list; milliseconds since 1970.
     std::int64_t agentsSince = 0;
 
-    // A view that was proposed and is not committed yet.
+    // Whether a proposed view is not committed yet
     bool viewProposed = false;
     Time nextViewAt {};
     std::set<std::uint32_t> readyShards;
 
-    // Shares of teams' quotas, and the quotas as declared at this revision
+    // Shares of teams' quotas, and the quotas as declared at quotasRevision
     ShareBook shares;
     std::vector<TeamQuota> quotas;
     std::uint64_t quotasRevision = 0;
 
-    // To tell our own pause from everybody else's silence.
+    // Tells a pause of this process from silence of all nodes.
     Time lastTick {};
     bool ticked = false;
 
-    // Views wait until nodes had the time to beat to a new leader.
+    // No new view is proposed before this time, so that nodes can send heartbeats to a new leader.
     Time settledAt {};
     ControlCounters counters;
 };
 
-// Who lags behind a revision.
+// How many live nodes there are, and which of them have not applied a revision.
 struct InForce
 {
     std::uint64_t revision = 0;
@@ -135,12 +136,12 @@
 
 ControlActions handleBeat(ControlState &control, const Beat &beat, Time now, WallTime wallNow);
 
-// A command of this host's journal lasts: apply it.
+// Applies a command that this host's journal has committed.
 ChangeResult committed(ControlState &control, const Command &command);
 
 ControlActions tick(ControlState &control, Time now, WallTime wallNow);
 
-// How far a revision is in force, as far as nodes have reported.
+// How far a revision has been applied, by the nodes' last reports.
 InForce inForce(const ControlState &control, std::uint64_t revision);
 
 } // namespace foxwing::control
--- a/packages/control/include/foxwing/control/messages.h
+++ b/packages/control/include/foxwing/control/messages.h
@@ -1,8 +1,8 @@
 /*
-    What nodes and control tell each other.
+    Messages between nodes and control.
 
-    Every node sends a Beat about once a second; control answers each with an Update that carries
-    whatever the node lacks: changed resources, the newest view, the newest list of agents.
+    Every node sends a heartbeat about once a second. Control answers each with an Update that has
+    what the node lacks: changed resources, the newest view, the newest list of agents.
 
     [SECTION] Beat
     [SECTION] Update
@@ -39,22 +39,22 @@
     std::string service;
     std::uint32_t slots = 0;
 
-    // Grows with each beat of this life; comes back in the Update.
+    // Increases with each heartbeat of this incarnation; returned in the Update.
     std::uint64_t number = 0;
 
-    // What the node has and applies
+    // What the node has applied
     std::uint64_t revision = 0;
     std::uint64_t view = 0;
     std::uint64_t viewUpdate = 0;
     std::uint64_t agentsVersion = 0;
 
-    // Entries only: shards that can go into service in that view.
+    // Entries only: shards that can become active in that view
     std::vector<std::uint32_t> readyShards;
 
-    // Entries only: teams with a quota of which something changed or waits
+    // Entries only: teams with a quota for which something changed or tasks wait
     std::vector<ShareReport> shares;
 
-    // The node stops for good: it has finished, and is not to be waited for.
+    // The node shuts down with nothing left to do: there is nothing to wait for.
     bool leaving = false;
 };
 template<class Fields>
@@ -80,14 +80,14 @@
 
 // [SECTION] Update
 
-// An agent that runs, or that was lost not long ago.
+// A live agent, or one that was lost recently.
 struct AgentHint
 {
     std::string id;
     std::string address;
     std::string service;
 
-    // When a life of it ended last; milliseconds since 1970, 0 for never.
+    // When an incarnation of it ended last; milliseconds since 1970, 0 for never
     std::int64_t lostAt = 0;
     bool live = false;
 };
@@ -105,31 +105,31 @@
 {
     static constexpr const char *Type = "update";
 
-    // The control host that sent it
+    // Id of the control host that sent it
     std::string from;
 
-    // Of the beat that this answers.
+    // Of the heartbeat that this answers
     std::uint64_t number = 0;
     std::uint64_t incarnation = 0;
 
-    // Resources up to this revision. With reset they are all there are; else those that changed
-    // since the revision the node had.
+    // Resources up to this revision: all of them if reset is set, otherwise those that changed
+    // since the node's revision.
     std::uint64_t revision = 0;
     bool reset = false;
     std::vector<Resource> changes;
 
-    // Not older than the node's, or absent (number 0).
+    // Absent (number 0) unless newer than the node's
     claims::View view;
 
-    // Entries only: all agents, if the node's list is older than this version.
+    // Entries only: all agents, if the node's list has another version
     std::uint64_t agentsVersion = 0;
     bool hasAgents = false;
     std::vector<AgentHint> agents;
 
-    // Agents that were lost before this date may be missing; milliseconds since 1970.
+    // Agents lost before this time may be missing; milliseconds since 1970.
     std::int64_t agentsSince = 0;
 
-    // Entries only: shares of quotas that differ from what the entry reported or was sent
+    // Entries only: shares of quotas that differ from those the entry reported
     std::vector<ShareGrant> shares;
 };
 template<class Fields>
--- a/packages/control/include/foxwing/control/quota.h
+++ b/packages/control/include/foxwing/control/quota.h
@@ -1,11 +1,11 @@
 /*
-    Quotas of teams as shares that entries hold under lease.
+    Quotas of teams, divided into shares that entries hold under lease.
 
-    A team may run only so many tasks at the same time over all entries. Control gives each entry a
-    share; the sum of all shares that entries may still believe in never passes the quota. A share
-   is lowered first and given to another entry only after its holder has reported the lower one, or
-   has been silent for longer than shares live. With no demand shares are equal, so that a team's
-   first task need not wait; with demand they follow it.
+    A quota limits the tasks that a team runs at the same time over all entries. Control grants each
+    entry a share; the sum of the shares that entries may still apply never exceeds the quota. To
+    move a share, control lowers it first, and grants it to another entry only after the holder has
+    reported the lower value or has been silent for the lease duration. Without demand all shares
+    are equal, so that a team's first task starts at once; otherwise they follow demand.
 
         takeShareReports(book, "entry-a", reports, now);
         std::vector<ShareGrant> grants = grantShares(book, "entry-a", entries, quotas, now);
@@ -28,12 +28,12 @@
 
 // [SECTION] Messages
 
-// What an entry says about a team that has a quota.
+// An entry's report about a team that has a quota.
 struct ShareReport
 {
     std::string team;
 
-    // The share that the entry applies, and the tasks it has under it
+    // The share that the entry applies, and its running and waiting tasks
     std::uint32_t share = 0;
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
@@ -61,25 +61,25 @@
 
 // [SECTION] State
 
-// What one entry may believe about one team.
+// State of one entry's share of one team's quota.
 struct HeldShare
 {
     ShareReport reported;
 
-    // The last share that was sent; the entry may or may not have it.
+    // The last share that was sent; the entry may not have received it.
     std::uint32_t sent = 0;
     Time lastReceivedAt {};
 };
 
 struct ShareBook
 {
-    // How long an entry keeps a share that control does not confirm.
+    // How long an entry applies a share that control does not confirm.
     Milliseconds shareLife { 12500 };
 
     // By team, then by entry
     std::map<std::string, std::map<std::string, HeldShare>> teams;
 
-    // Nothing is granted before all entries had the time to report to a new leader.
+    // Shares are not raised before this time, so that all entries can report to a new leader.
     Time grantsFrom {};
 };
 
@@ -94,12 +94,12 @@
 void takeShareReports(ShareBook &book, const std::string &entry,
                       const std::vector<ShareReport> &reports, Time now);
 
-// The shares that an entry is to apply now, for every team with a quota.
+// The shares that an entry should apply now, for every team with a quota.
 std::vector<ShareGrant> grantShares(ShareBook &book, const std::string &entry,
                                     const std::vector<std::string> &entries,
                                     const std::vector<TeamQuota> &quotas, Time now);
 
-// The most that all entries together may run of a team by what they may believe.
+// Upper bound of the tasks of a team that all entries together may run.
 std::uint32_t believedSum(const ShareBook &book, const std::string &team, Time now);
 
 } // namespace foxwing::control
--- a/packages/control/include/foxwing/control/reporter.h
+++ b/packages/control/include/foxwing/control/reporter.h
@@ -1,11 +1,11 @@
 /*
-    A node's side of the talk with control: beats out, updates in.
+    A node's side of the exchange with control: sends heartbeats, accepts updates.
 
-    Tells late updates from current ones, so that a configuration never goes back, and knows since
-    when control has confirmed what the node applies.
+    Rejects late updates, so that the configuration never goes back to an older one, and records
+    when control last confirmed the configuration that the node applies.
 
         Reporter reporter = makeReporter(identity);
-        Beat beat = nextBeat(reporter, now);
+        Beat heartbeat = nextBeat(reporter, now);
         if (std::optional<Time> sentAt = acceptUpdate(reporter, update))
             ...
 
@@ -31,20 +31,20 @@
 
 struct Reporter
 {
-    // What every beat says; number, revision and view are filled in.
+    // Template of every heartbeat; nextBeat() fills in the number and the versions below.
     Beat identity;
 
-    // Beats that are under way.
+    // Heartbeats that are not answered yet, oldest first
     std::deque<SentBeat> sent;
     std::uint64_t number = 0;
 
-    // What the node has
+    // What the node has applied
     std::uint64_t revision = 0;
     std::uint64_t view = 0;
     std::uint64_t viewUpdate = 0;
     std::uint64_t agentsVersion = 0;
 
-    // When the beat was sent that control answered last.
+    // When the heartbeat was sent that control answered last.
     Time confirmedAt {};
     bool confirmed = false;
 };
@@ -55,11 +55,11 @@
 
 Beat nextBeat(Reporter &reporter, Time now);
 
-// Whether an update is current and not older than what the node has; if so, when the beat was sent
-// that it answers, and the caller must apply it.
+// The time at which the heartbeat was sent that this update answers, if the update is current and
+// not older than what the node has; the caller must then apply it. Otherwise nothing.
 std::optional<Time> acceptUpdate(Reporter &reporter, const Update &update);
 
-// Whether control has not confirmed the configuration for this long.
+// Whether control has not confirmed the configuration within the lease.
 bool isStale(const Reporter &reporter, Milliseconds lease, Time now);
 
 } // namespace foxwing::control
--- a/packages/control/include/foxwing/control/resources.h
+++ b/packages/control/include/foxwing/control/resources.h
@@ -5,7 +5,7 @@
     store on every control host. Each accepted change gets the next revision of the whole store.
 
         ChangeResult result = applyChange(store, change);
-        std::optional<std::vector<Change>> missed = changesSince(store, revision, &reason);
+        std::optional<std::vector<Resource>> missed = changesSince(store, revision, &reason);
 
     [SECTION] Types
     [SECTION] Store
@@ -27,19 +27,19 @@
 
 // [SECTION] Types
 
-// "kind/name" names a resource; the kinds are listed in validation.h.
+// Identified by "kind/name"; the kinds are listed in validation.h.
 struct Resource
 {
     std::string kind;
     std::string name;
 
-    // Counts the changes of this resource, from 1.
+    // Number of changes of this resource, from 1
     std::uint64_t version = 0;
 
-    // The store's revision at its last change.
+    // The store's revision at the last change of this resource
     std::uint64_t revision = 0;
 
-    // What the operator declared, as JSON text.
+    // What the operator declared, as JSON text
     std::string spec;
     bool deleted = false;
 };
@@ -54,17 +54,17 @@
     fields("deleted", resource.deleted);
 }
 
-// An operator's change. Accepted only if the resource has the version that the operator saw.
+// An operator's change. Accepted only if the resource still has the expected version.
 struct ChangeRequest
 {
-    // The operator's own id of this change: the same id again gets the first answer again.
+    // Chosen by the operator; a change with an id that was seen before gets the first answer.
     std::string requestId;
     std::string kind;
     std::string name;
     std::string spec;
     bool remove = false;
 
-    // 0 to create; without the check if it is negative.
+    // 0 to create the resource; negative for no check of the version.
     std::int64_t expectedVersion = -1;
 };
 template<class Fields>
@@ -96,11 +96,11 @@
 
 // [SECTION] Store
 
-// Changes kept for watchers; one that missed more must list anew.
+// Changes retained for watches; a watcher that missed more must list the resources again.
 constexpr std::size_t KeptChanges = 4096;
 
-// Request ids kept; a change resent after this many others is made a second time, unless its
-// version says that it was made.
+// Request ids retained for deduplication. A change that is resent after this many others is applied
+// a second time, unless its expected version prevents that.
 constexpr std::size_t KeptRequests = 8192;
 
 struct AnsweredRequest
@@ -119,13 +119,13 @@
 {
     std::uint64_t revision = 0;
 
-    // Present resources by "kind/name".
+    // Existing resources by "kind/name"
     std::map<std::string, Resource> resources;
 
-    // The newest changes, oldest first, deletions included.
+    // The last changes, oldest first, including deletions
     std::deque<Resource> changes;
 
-    // Answered request ids, oldest first, and where to find them.
+    // Answered request ids, oldest first, and an index of them
     std::deque<AnsweredRequest> answered;
     std::unordered_map<std::string, ChangeResult> answeredById;
 };
@@ -134,14 +134,14 @@
 
 std::string resourceKey(const std::string &kind, const std::string &name);
 
-// Applies a change that was validated. Deterministic.
+// Applies a validated change. Deterministic.
 ChangeResult applyChange(Store &store, const ChangeRequest &change);
 
-// All changes after a revision in order, or nothing with the reason if they are no longer kept.
+// All changes after a revision in order, or nothing with the reason if they are no longer retained.
 std::optional<std::vector<Resource>> changesSince(const Store &store, std::uint64_t revision,
                                                   Error *reason);
 
-// The whole store as JSON, and back.
+// The whole store as JSON.
 Json::Value saveStore(const Store &store);
 bool loadStore(const Json::Value &json, Store *store, Error *reason);
 
--- a/packages/control/include/foxwing/control/validation.h
+++ b/packages/control/include/foxwing/control/validation.h
@@ -1,5 +1,5 @@
 /*
-    What operators may declare: the kinds of resources and the fields of each.
+    Kinds of declared resources, their fields and their validation.
 
     [SECTION] Specs
     [SECTION] Functions
@@ -35,12 +35,11 @@
 
 // [SECTION] Functions
 
-// Reads a spec; fields that are not there keep their defaults, unknown ones are errors.
+// Parse a spec. Absent fields keep their defaults; unknown ones are errors.
 std::optional<TeamSpec> readTeamSpec(const std::string &spec, Error *reason);
 std::optional<ServiceSpec> readServiceSpec(const std::string &spec, Error *reason);
 
-// Whether a change can be accepted as far as its own content goes; the reason names the field and
-// the remedy.
+// Checks the content of a change, without the store. The reason names the field and the remedy.
 bool validateChange(const ChangeRequest &change, Error *reason);
 
 } // namespace foxwing::control
--- a/packages/control/src/cluster.cpp
+++ b/packages/control/src/cluster.cpp
@@ -1,5 +1,5 @@
 /*
-    Commands on the replicated state, and views that follow one another.
+    Commands on the replicated state, and the sequence of views.
 
     [SECTION] Commands
     [SECTION] Snapshots
--- a/packages/control/src/control.cpp
+++ b/packages/control/src/control.cpp
@@ -1,5 +1,5 @@
 /*
-    Control's decisions.
+    Control: nodes' state, updates for them and new views.
 
     [SECTION] Nodes
     [SECTION] Updates
@@ -15,10 +15,10 @@
 
 namespace {
 
-// A tick that comes later than this shows that control itself stood still.
+// A longer gap between ticks means that this process was paused.
 constexpr Milliseconds LongestTickGap { 500 };
 
-// Resources in one update; the rest follows with the next beats.
+// Changes in one update; the rest follows in the answers to the next heartbeats.
 constexpr std::size_t ChangesInUpdate = 200;
 
 // [SECTION] Nodes
@@ -31,7 +31,7 @@
     ++control.agentsVersion;
 }
 
-// The death of a process that came back before its silence was noticed.
+// The process was restarted before the loss of its previous incarnation was detected.
 void noteRestart(ControlState &control, NodeRecord &node, WallTime wallNow)
 {
     ++control.counters.restarts;
@@ -50,7 +50,7 @@
     NodeRecord &node = inserted.first->second;
     const bool known = !inserted.second;
     if (known && beat.incarnation < node.last.incarnation)
-        return nullptr; // a late word of an earlier life
+        return nullptr; // a late heartbeat of an earlier incarnation
     if (known && beat.incarnation > node.last.incarnation)
         noteRestart(control, node, wallNow);
     if (!known || !node.live || beat.address != node.last.address)
@@ -81,7 +81,8 @@
     }
 }
 
-// If this process stood still, nobody else was silent.
+// While this process was paused it could not receive heartbeats: the pause does not count as
+// silence of the nodes.
 void forgivePause(ControlState &control, Time now)
 {
     const Microseconds gap = control.ticked ? now - control.lastTick : Microseconds::zero();
@@ -135,7 +136,7 @@
     if (!claims::isNewer(view, held))
         return;
     update.view = view;
-    // Only entries keep claims.
+    // Only entries hold claims.
     if (!beat.isEntry)
         update.view.bases.clear();
 }
@@ -173,7 +174,7 @@
     }
 }
 
-// Takes the entry's reports in, and adds the shares that are news to it.
+// Applies the entry's reports, and adds the shares that differ from what it reported.
 void addShares(ControlState &control, const Beat &beat, Time now, Update &update)
 {
     if (!beat.isEntry)
@@ -276,7 +277,7 @@
     ControlState control;
     control.settings = settings;
     control.cluster = std::move(cluster);
-    // Versions of earlier leaders must not be taken for this one's.
+    // Must differ from versions that previous leaders have sent.
     control.agentsVersion = static_cast<std::uint64_t>(wallNow.time_since_epoch().count());
     const WallTime since = wallNow + settings.configurationLease;
     if (!control.cluster.view.members.empty())
@@ -284,7 +285,7 @@
     control.shares.shareLife = settings.configurationLease + settings.deadAfter;
     if (!control.cluster.view.members.empty())
         control.shares.grantsFrom = now + control.shares.shareLife;
-    // After a restart the members of the last view need the time to beat once.
+    // After a restart the members of the last view need time for one heartbeat.
     if (!control.cluster.view.members.empty())
         control.settledAt = now + settings.deadAfter;
     return control;
@@ -311,7 +312,7 @@
     ChangeResult result = applyCommand(control.cluster, command);
     if (std::holds_alternative<ViewCommand>(command))
         control.viewProposed = false;
-    // What was ready in the view before says nothing about this one.
+    // Readiness of shards in the previous view does not apply to this one.
     if (control.cluster.view.number != number)
         control.readyShards.clear();
     return result;
--- a/packages/control/src/quota.cpp
+++ b/packages/control/src/quota.cpp
@@ -1,7 +1,7 @@
 /*
     Shares of quotas.
 
-    [SECTION] Beliefs
+    [SECTION] Bounds
     [SECTION] Targets
     [SECTION] Functions
 */
@@ -11,11 +11,11 @@
 
 namespace foxwing::control {
 
-// [SECTION] Beliefs
+// [SECTION] Bounds
 
 namespace {
 
-// What an entry may run at the most until it is heard from again.
+// Upper bound of the tasks that an entry may run until its next report.
 std::uint32_t believed(const ShareBook &book, const HeldShare &held, Time now)
 {
     if (now >= held.lastReceivedAt + book.shareLife)
@@ -30,7 +30,7 @@
     return held.reported.running + held.reported.waiting;
 }
 
-// Everybody gets an equal part; what some do not need goes to those who need more.
+// Equal parts without demand; otherwise in proportion to demand.
 std::uint32_t targetFor(const std::map<std::string, HeldShare> &shares, const std::string &entry,
                         const std::vector<std::string> &entries, std::uint32_t quota)
 {
@@ -49,7 +49,7 @@
     }
     if (wanted == 0)
         return equal;
-    // A little stays everywhere, for first tasks; the rest is divided by demand.
+    // Each entry keeps a reserve for a first task; the rest is divided by demand.
     const std::uint32_t reserve = quota >= 4 * count ? 1 : 0;
     const std::uint64_t divided = quota - static_cast<std::uint64_t>(reserve) * count;
     return reserve + static_cast<std::uint32_t>(divided * own / wanted);
@@ -98,7 +98,7 @@
                                                quota.concurrency);
         const std::uint32_t others = believedSum(book, quota.team, now) - believed(book, own, now);
         const std::uint32_t left = quota.concurrency > others ? quota.concurrency - others : 0;
-        // A new leader confirms what entries have, and nothing more, until all have reported.
+        // Until all entries have reported, a new leader only confirms the shares they have.
         const std::uint32_t most = now < book.grantsFrom ? own.reported.share : left;
         own.sent = std::min(target, most);
         grants.push_back({ quota.team, own.sent });
--- a/packages/control/src/reporter.cpp
+++ b/packages/control/src/reporter.cpp
@@ -1,5 +1,5 @@
 /*
-    Beats and updates at a node.
+    Heartbeats and updates at a node.
 
     [SECTION] Functions
 */
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Beats that were never answered are forgotten beyond this many.
+// Bound of the heartbeats that are remembered without an answer.
 constexpr std::size_t MostSent = 1000;
 
 } // namespace
@@ -43,12 +43,12 @@
         return std::nullopt;
     while (!reporter.sent.empty() && reporter.sent.front().number < update.number)
         reporter.sent.pop_front();
-    // An update for an earlier beat than the one that was answered last is late.
+    // Late: a later heartbeat was answered already.
     if (reporter.sent.empty() || reporter.sent.front().number != update.number)
         return std::nullopt;
     const Time sentAt = reporter.sent.front().at;
     reporter.sent.pop_front();
-    // Control that knows less than this node can't be the one that accepted what it has.
+    // Sent by a control host that is behind this node's revision.
     if (update.revision < reporter.revision)
         return std::nullopt;
     reporter.confirmed = true;
--- a/packages/control/src/resources.cpp
+++ b/packages/control/src/resources.cpp
@@ -21,7 +21,7 @@
     return { kind, std::move(message), version, 0 };
 }
 
-// The result of a change that the store has not seen before.
+// Applies a change whose request id was not seen before.
 ChangeResult decide(Store &store, const ChangeRequest &change)
 {
     const std::string key = resourceKey(change.kind, change.name);
--- a/packages/control/src/validation.cpp
+++ b/packages/control/src/validation.cpp
@@ -1,5 +1,5 @@
 /*
-    Validation of what operators declare.
+    Validation of declared resources.
 
     [SECTION] Fields
     [SECTION] Functions
@@ -16,7 +16,7 @@
 
 constexpr std::size_t LongestName = 63;
 
-// Reads the members of a spec that are there, and finds those that should not be.
+// Reads the present members of a spec and reports unknown ones.
 class SpecReader
 {
 public:
--- a/packages/operators/include/foxwing/operators/operators.h
+++ b/packages/operators/include/foxwing/operators/operators.h
@@ -1,22 +1,22 @@
 /*
-    What a control host does with an operator's call: a catalog to be declared, an order to cordon
-    or uncordon a data centre, or a read of the newest catalog.
+    Operators' calls at a control host: declare a catalog, cordon or uncordon a data centre, or read
+    the newest catalog.
 
-    Any control host takes any call. The one that leads proposes commands to the agreement group and
-    has reads confirmed by a quorum; the others hand calls over to it. A call is answered as
-    accepted only when that is certain, and as unsure once it has waited too long: operators then
-    ask another host, and sending the same again is always safe.
+    Any control host accepts any call. The leader proposes commands to the consensus group and has
+    reads confirmed by a quorum; the other hosts forward calls to it. A call is answered as accepted
+    only once it is certain, and as unconfirmed after a timeout: the operator then asks another
+    host. Sending the same call again is always safe.
 
-    A catalog that comes late is known by its version. An order about a cordon has none, so it
-   stands only while its operator waits for the answer: the host that took the call gives the order
-   upon the cordons as they are, and if these have changed before it was agreed on, gives it anew.
-   What is left of an order whose operator has gone was given upon older cordons and changes
-   nothing.
+    A late catalog is recognized by its version. A cordon command has no version, so it is valid
+    only while its operator waits for the answer: the host that received the call bases the command
+    on its current revision of the cordons, and reissues it if they change before it is committed.
+    What remains of a command whose operator has gone is based on an older revision and changes
+    nothing.
 
         OperatorState operators;
         OperatorActions actions = addCall(operators, call, group, now, &number);
-        ... propose, read, hand over as actions say; tell proposed(), readDone(), ... ...
-        actions = committed(operators, index, term, now);
+        ... execute actions: propose, read, forward; then call proposed(), readDone(), ... ...
+        actions = committed(operators, index, term, applied, group, now);
 
     [SECTION] Calls
     [SECTION] State
@@ -48,16 +48,16 @@
 
 using OperatorRequest = std::variant<ReadCatalog, catalog::DeclaredCatalog, catalog::CordonOrder>;
 
-// For log lines
+// For log events
 const char *toString(const OperatorRequest &request);
 
 enum class OperatorOutcome {
     Accepted,
 
-    // The request is at fault and was not taken.
+    // The request is invalid and was rejected.
     Invalid,
 
-    // Not known, or not known to be the newest; another control host may know.
+    // Not decided here, or not confirmed to be the newest; another control host may succeed.
     Unsure,
     NotFound,
 };
@@ -70,33 +70,33 @@
 {
     OperatorRequest request;
 
-    // Another control host has handed it over: it is not handed on once more.
+    // Forwarded by another control host; not forwarded again.
     bool fromPeer = false;
 
     Time receivedAt {};
     Time nextTry {};
 
-    // Under way: at this host's log under an index and a term, as a read of this host, or at the
-    // host that leads
+    // In progress: proposed to this host's log at an index and term, as a read at this host, or
+    // forwarded to the leader
     std::uint64_t index = 0;
     std::uint64_t term = 0;
     bool reading = false;
     bool handedOver = false;
 };
 
-// The agreement group as this host sees it now.
+// The consensus group as this host sees it.
 struct GroupView
 {
-    // This host leads, and its catalog is the newest.
+    // This host is the leader and has applied all committed entries.
     bool leads = false;
 
-    // This host has heard that it leads, if it can't act yet.
+    // This host is elected, but may not be able to act as leader yet.
     bool isNamedLeader = false;
 
-    // The host that leads is known and connected.
+    // The leader is known and connected.
     bool reachesLeader = false;
 
-    // What is agreed on as far as this host knows
+    // The agreed state as far as this host has applied it
     const catalog::AgreedState *held = nullptr;
 };
 
@@ -104,16 +104,16 @@
 
 struct OperatorSettings
 {
-    // A call that can't be decided within this long is answered as unsure: callers go to another
-    // host after a second.
+    // A call that is not decided within this time is answered as unconfirmed. Below the second
+    // after which operators try another host.
     Milliseconds patience { 900 };
 
-    // Between tries of a call that found no leader.
+    // Between attempts at a call that found no leader.
     Milliseconds retry { 60 };
 
-    // A host that stood still for longer finds calls whose operators have gone elsewhere a second
-    // after they sent them. It takes no order about cordons until it has gone through what came
-    // meanwhile. Well above a sync of a slow disk's thread, which holds up nothing here.
+    // A gap between ticks of this length means that the process was paused. Calls that arrived
+    // meanwhile may be from operators that have tried another host since, so cordon commands are
+    // rejected for catchUpDuration, until those calls have been read.
     Milliseconds stoodStill { 400 };
     Milliseconds catchingUp { 100 };
 };
@@ -124,16 +124,16 @@
     std::uint64_t lastNumber = 0;
     std::map<std::uint64_t, OperatorCall> calls;
 
-    // The last tick, and until when what arrives may have been sent long ago
+    // The last tick, and until when arriving calls may have been sent before a pause
     Time tickedAt {};
     Time catchesUpUntil {};
 
-    // The last entry of the log that was committed, and what became of it
+    // The last committed entry of the log, and the result of applying it
     std::uint64_t committedIndex = 0;
     std::uint64_t committedTerm = 0;
     catalog::Applied committedAs = catalog::Applied::Unchanged;
 
-    // Counters for the metrics
+    // Counters for metrics
     std::uint64_t accepted = 0;
     std::uint64_t unsure = 0;
     std::uint64_t outdated = 0;
@@ -147,19 +147,19 @@
     OperatorOutcome outcome = OperatorOutcome::Unsure;
     std::string reason;
 
-    // Of a read that is accepted
+    // Only for an accepted read
     std::optional<catalog::DeclaredCatalog> declared;
 };
 
 struct OperatorActions
 {
-    // To be proposed; then proposed() is due for those that the log took.
+    // To be proposed to the log; call proposed() for those that it took.
     std::vector<std::uint64_t> proposals;
 
-    // To be confirmed by a quorum; then readDone() is due.
+    // To be confirmed by a quorum; then call readDone().
     std::vector<std::uint64_t> reads;
 
-    // For the host that leads; then peerAnswered() is due.
+    // To be forwarded to the leader; call peerAnswered() with its answer.
     std::vector<std::uint64_t> handOvers;
     std::vector<OperatorAnswer> answers;
     std::vector<eventlog::Event> events;
@@ -170,30 +170,30 @@
 OperatorActions addCall(OperatorState &operators, OperatorCall call, const GroupView &group,
                         Time now, std::uint64_t *number);
 
-// Nobody waits for the call's answer any more; what was proposed for it may still be agreed on.
+// The operator no longer waits for an answer. What was proposed for the call may still commit.
 void dropCall(OperatorState &operators, std::uint64_t number);
 
-// The command to be proposed for a call; a read has none.
+// The command to propose for a call; none for a read.
 std::optional<catalog::Command> commandOf(const OperatorRequest &request);
 
-// The log has taken the call's command; it counts once an entry with this index and term is
-// committed. That may have happened already.
+// The log has taken the call's command. It is decided once an entry with this index and term is
+// committed, which may have happened already.
 OperatorActions proposed(OperatorState &operators, std::uint64_t number, std::uint64_t index,
                          std::uint64_t term, const GroupView &group, Time now);
 
-// An entry is committed: calls that it was for are accepted, those whose place another leader's
-// entry took are tried again, and so are orders that were outdated when they were applied.
+// An entry is committed. Its call is accepted. Calls whose index another leader's entry took are
+// retried, and so are cordon commands that were outdated when they were applied.
 OperatorActions committed(OperatorState &operators, std::uint64_t index, std::uint64_t term,
                           catalog::Applied applied, const GroupView &group, Time now);
 
 OperatorActions readDone(OperatorState &operators, std::uint64_t number, bool confirmed,
                          const GroupView &group, Time now);
 
-// The host that leads has answered a call that was handed over.
+// The leader has answered a forwarded call.
 OperatorActions peerAnswered(OperatorState &operators, const OperatorAnswer &answer,
                              const GroupView &group, Time now);
 
-// Nothing is under way at the log any more: its journal was opened anew.
+// The log's journal was reopened: proposals and reads in progress are lost, their calls are retried.
 void logReopened(OperatorState &operators);
 
 OperatorActions tick(OperatorState &operators, const GroupView &group, Time now);
--- a/packages/operators/src/operators.cpp
+++ b/packages/operators/src/operators.cpp
@@ -3,7 +3,7 @@
 
     [SECTION] Requests
     [SECTION] Answers
-    [SECTION] Tries
+    [SECTION] Attempts
     [SECTION] Events
 */
 #include <foxwing/operators/operators.h>
@@ -38,7 +38,7 @@
 
 namespace {
 
-// What the call was about, and what this host knew when it was answered.
+// Adds the call's request and the state of this host when it was answered.
 void describeCall(const OperatorCall &call, const GroupView &group, eventlog::Event &event)
 {
     event.with("call", toString(call.request));
@@ -87,10 +87,10 @@
     return given;
 }
 
-// [SECTION] Tries
+// [SECTION] Attempts
 
-// Handed over once only: a host that was asked by another and does not lead answers so, unless it
-// is about to lead itself.
+// A call is forwarded only once: a host that got it from another one and is not the leader answers
+// it, unless this host is elected and about to act as leader.
 void handOver(OperatorState &operators, std::uint64_t number, OperatorCall &call,
               const GroupView &group, Time now, OperatorActions &actions)
 {
@@ -105,8 +105,8 @@
     actions.handOvers.push_back(number);
 }
 
-// Whether the operator that gave an order still waits for its answer is known only at the host that
-// took the call, so only that host may give it anew.
+// Only the host that received the call knows whether the operator still waits for the answer, so
+// only that host may base the command on newer cordons.
 void renewOrder(OperatorCall &call, const GroupView &group)
 {
     auto *order = std::get_if<CordonOrder>(&call.request);
@@ -114,14 +114,14 @@
         order->basedOn = group.held->cordons.revision;
 }
 
-// A higher or equal version is agreed on, and stays so: sending this again changes nothing.
+// A higher or equal version is committed already, and versions never go back.
 bool changesNothing(const OperatorCall &call, const GroupView &group)
 {
     const auto *declared = std::get_if<DeclaredCatalog>(&call.request);
     return declared && !catalog::supersedes(group.held->declared.catalog, declared->catalog);
 }
 
-// May answer the call, and so remove it.
+// May answer the call, which removes it.
 void tryCall(OperatorState &operators, std::uint64_t number, const GroupView &group, Time now,
              OperatorActions &actions)
 {
@@ -143,7 +143,7 @@
     }
 }
 
-// This host has not turned for long, or has only just begun to again.
+// Whether this host was paused and may not have read all that arrived meanwhile.
 bool mayBeOld(const OperatorState &operators, Time now)
 {
     const bool stoodStill = operators.tickedAt != Time {}
@@ -151,8 +151,8 @@
     return stoodStill || now < operators.catchesUpUntil;
 }
 
-// The call's entry is committed. An outdated order changed nothing: it is given anew here, or by
-// the host that handed it over.
+// The call's entry is committed. An outdated cordon command changed nothing: it is reissued here,
+// or by the host that forwarded it.
 void concludeCall(OperatorState &operators, std::uint64_t number, Applied applied,
                   const GroupView &group, Time now, OperatorActions &actions)
 {
@@ -218,7 +218,7 @@
     for (auto &[number, call] : operators.calls) {
         if (call.index == 0 || call.index > index)
             continue;
-        // Another leader's entry came in its place: the call is tried again.
+        // Another leader's entry took its index: the call is retried.
         if (call.index == index && call.term == term)
             done.push_back(number);
         else
--- a/packages/operators/tests/operators_test.cpp
+++ b/packages/operators/tests/operators_test.cpp
@@ -1,10 +1,10 @@
 /*
-    When an operator's call is accepted, handed over, tried again or given up.
+    When an operator's call is accepted, forwarded, retried or answered as unconfirmed.
 
     [SECTION] Helpers
     [SECTION] Declarations
     [SECTION] Reads
-    [SECTION] Hosts that do not lead
+    [SECTION] Forwarding
     [SECTION] Cordons
 */
 #include <gtest/gtest.h>
@@ -20,10 +20,10 @@
     Leader,
     Follower,
 
-    // Knows no leader, or does not reach it
+    // Knows no leader, or is not connected to it
     Alone,
 
-    // Is told to lead, and has not caught up yet
+    // Elected, but has not applied all committed entries yet
     NamedLeader,
 };
 
@@ -55,7 +55,7 @@
 
     OperatorActions read() { return add(ReadCatalog {}); }
 
-    // What was proposed for the last call
+    // The command of the last call
     catalog::CordonOrder order() const
     {
         return std::get<catalog::CordonOrder>(operators.calls.at(number).request);
@@ -86,7 +86,7 @@
 class Versions : public testing::TestWithParam<VersionCase>
 { };
 
-// A version that is not above the one held is accepted and changes nothing.
+// A version that is not above the current one is accepted and changes nothing.
 TEST_P(Versions, AreProposedOnlyAboveTheOneHeld)
 {
     Host host(Place::Leader);
@@ -137,7 +137,7 @@
                                          CommitCase { "ALaterOne", 9, 4, false, true }),
                          [](const auto &tested) { return tested.param.name; });
 
-// With a single voter the log commits while it takes the proposal.
+// With a single voter, the entry commits before the proposal returns.
 TEST(OperatorsCommit, MayComeBeforeTheProposalIsKnown)
 {
     Host host(Place::Leader);
@@ -172,7 +172,7 @@
     EXPECT_EQ(host.pass(host.operators.settings.retry).proposals.size(), 1U);
 }
 
-// Another operator's higher version was agreed on in the meantime.
+// Another operator's higher version was committed in the meantime.
 TEST(OperatorsCommit, OfAHigherVersionEndsALowerCall)
 {
     Host host(Place::Leader);
@@ -220,7 +220,7 @@
                         ReadCase { "LostTheLead", 5, false, std::nullopt }),
         [](const auto &tested) { return tested.param.name; });
 
-// [SECTION] Hosts that do not lead
+// [SECTION] Forwarding
 
 struct HandOverCase
 {
@@ -297,7 +297,7 @@
         return add(catalog::CordonOrder { "north", true, basedOn }, fromPeer);
     }
 
-    // The last call's entry is committed after other cordons were.
+    // Commits the last call's entry after another cordon command.
     OperatorActions commitOutdated()
     {
         proposed(operators, number, 8, 3, view, now);
@@ -306,8 +306,8 @@
     }
 };
 
-// What this host holds may be old: unlike a catalog's version, a cordon can be taken back, so it
-// says nothing about whether the order would change anything.
+// This host's state may be old, and a cordon, unlike a catalog's version, can be reverted. So its
+// state does not show whether the command would change anything.
 TEST(OperatorsCordon, IsAgreedOnEvenIfItSeemsToBeSo)
 {
     CordonHost host(Place::Leader);
@@ -328,7 +328,7 @@
 class Bases : public testing::TestWithParam<BasisCase>
 { };
 
-// The host that took the call knows that the operator waits; a host that it was handed to does not.
+// Only the host that received the call knows whether the operator still waits.
 TEST_P(Bases, AreOfTheHostThatTookTheCall)
 {
     CordonHost host(GetParam().place);
@@ -376,7 +376,7 @@
     const char *name;
     Milliseconds pause;
 
-    // Whether a tick came between the pause and the call
+    // Whether there is a tick between the pause and the call
     bool ticked;
     bool taken;
 };
@@ -384,8 +384,8 @@
 class Pauses : public testing::TestWithParam<PauseCase>
 { };
 
-// What a host reads after it stood still was sent long ago; its operator has gone elsewhere, and
-// may have ordered the opposite there since.
+// A call that is read after a pause was sent before it. Its operator may have tried another host
+// since, and ordered the opposite there.
 TEST_P(Pauses, MakeOrdersDoubtful)
 {
     CordonHost host(Place::Leader);
--- a/packages/operators/tests/orders_test.cpp
+++ b/packages/operators/tests/orders_test.cpp
@@ -1,11 +1,11 @@
 /*
-    Random schedules of orders about cordons: hosts that freeze, requests and messages that are held
-    up on their way, leaders that change, answers that are lost, and an operator who asks again.
+    Random schedules of cordon commands: hosts are paused, requests and messages are delayed, leaders
+    change, answers are lost, and an operator retries.
 
-    What is checked: an order that was acknowledged is in force, and stays so until the operator
-    gives another one, whatever is still on its way. Each guard is missed when it is taken away.
+    Checks that an acknowledged command is in effect, and stays so until the operator sends another
+    one, whatever is still in flight. With any one of the guards removed, a violation must be found.
 
-    [SECTION] World
+    [SECTION] Simulation
     [SECTION] Log
     [SECTION] Hosts
     [SECTION] Operator
@@ -21,13 +21,13 @@
 namespace foxwing::operators {
 namespace {
 
-// [SECTION] World
+// [SECTION] Simulation
 
 constexpr int Hosts = 3;
 constexpr Milliseconds TickInterval { 20 };
 constexpr Milliseconds Length { 60000 };
 
-// An operator waits so long for an answer, and gives an order up after asking for so long.
+// How long the operator waits for an answer, and how long it retries one command.
 constexpr Milliseconds AnswerPatience { 1000 };
 constexpr Milliseconds OrderPatience { 5000 };
 const std::string North = "north";
@@ -35,13 +35,13 @@
 enum class Guard {
     None,
 
-    // Orders say nothing of the cordons that they were given upon.
+    // Commands are not checked against the revision that they are based on.
     Basis,
 
-    // A host that stood still takes what it finds.
+    // A host accepts all calls after a pause.
     Pause,
 
-    // Nobody looks whether the operator is still there.
+    // Hosts don't notice that the operator has closed its connection.
     CallerGone,
 };
 
@@ -60,7 +60,7 @@
     std::uint64_t applied = 0;
     Time frozenUntil {};
 
-    // By call: the operator's request, or the host and call that it was handed over for
+    // By call: the operator's request, or the host and call that it was forwarded for
     std::map<std::uint64_t, std::uint64_t> requests;
     std::map<std::uint64_t, std::pair<int, std::uint64_t>> peers;
 };
@@ -89,7 +89,7 @@
         events.push({ now + span, ++order, std::move(job) });
     }
 
-    // On a host, when it runs again.
+    // On a host, as soon as it is not paused.
     void on(int host, Microseconds span, const std::function<void()> &job)
     {
         after(span, [this, host, job] {
@@ -100,7 +100,7 @@
         });
     }
 
-    // A way between two processes; one in ten is held up.
+    // Delay of a message between two processes; one in ten is long.
     Microseconds way() { return Milliseconds(chance(10) ? between(300, 4000) : between(1, 4)); }
 
     struct Event
@@ -120,7 +120,7 @@
     std::uint64_t order = 0;
     std::priority_queue<Event> events;
 
-    // The group: who leads, its log, what is proposed and not committed yet, and the state
+    // The group: leader, log, proposals that are not committed yet, and the state
     std::vector<ControlHost> hosts;
     int leader = 0;
     std::uint64_t term = 1;
@@ -128,7 +128,7 @@
     std::vector<Proposal> proposals;
     catalog::AgreedState agreed;
 
-    // The operator: the order, the request that it waits for, and what was acknowledged last
+    // The operator: the wanted state, the request that it waits for, and what was acknowledged last
     bool wanted = false;
     std::uint64_t request = 0;
     Time orderedAt {};
@@ -151,7 +151,7 @@
     return view;
 }
 
-// What is committed reaches each host in order, a little later.
+// Each host applies committed commands in order, a little later.
 void applyAt(World &world, int number)
 {
     ControlHost &host = world.hosts[static_cast<std::size_t>(number)];
@@ -180,7 +180,7 @@
         world.on(i, Milliseconds(world.between(1, 90)), [&world, i] { applyAt(world, i); });
 }
 
-// What a leader has proposed before it lost the lead is either committed then, or never.
+// Proposals of the previous leader are either committed now or never.
 void changeLeader(World &world)
 {
     for (const Proposal &proposal : std::vector<Proposal>(std::move(world.proposals))) {
@@ -271,7 +271,7 @@
 void tickHost(World &world, int number)
 {
     ControlHost &host = world.hosts[static_cast<std::size_t>(number)];
-    // A connection that its operator has closed is noticed within a turn.
+    // A connection that the operator has closed is noticed within one turn of the event loop.
     for (const auto &[call, request] : host.requests) {
         if (request != world.request && world.missing != Guard::CallerGone)
             dropCall(host.operators, call);
@@ -298,12 +298,12 @@
     ask(world);
 }
 
-// A new request on a new connection; the one before is closed. The end of a connection comes with
-// what was held up on it, unless it was the host that stood still and has not read it yet.
+// Sends a new request on a new connection; the previous connection is closed. Its end is seen along
+// with delayed requests on it, unless the host was paused and has not read it yet.
 void ask(World &world)
 {
     if (world.now >= world.orderedAt + OrderPatience) {
-        // Nobody knows what became of it.
+        // The outcome of the command is unknown.
         world.acknowledged.reset();
         return giveNextOrder(world);
     }
