--- a/bench/beats.cpp
+++ b/bench/beats.cpp
@@ -42,7 +42,7 @@
         : m_agents(count)
     {
         for (std::size_t i = 0; i < count; ++i) {
-            control::Beat identity;
+            control::Heartbeat identity;
             identity.id = "stand-in-" + std::to_string(i);
             identity.incarnation = i + 1;
             identity.address = address;
@@ -54,10 +54,10 @@
         }
     }
 
-    control::Beat beat(std::size_t number)
+    control::Heartbeat beat(std::size_t number)
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        return control::nextBeat(m_agents[number].reporter, steadyNow());
+        return control::nextHeartbeat(m_agents[number].reporter, steadyNow());
     }
 
     // Updates do not name the agent; here its incarnation does.
@@ -131,7 +131,7 @@
     const auto total = static_cast<std::size_t>(seconds) * count;
     for (std::size_t i = 0; i < total; ++i) {
         std::this_thread::sleep_until(begin + gap * static_cast<std::int64_t>(i));
-        std::variant<control::Beat> message = fleet.beat(i % count);
+        std::variant<control::Heartbeat> message = fleet.beat(i % count);
         Json::Value json = encodeMessage(message);
         beatBytes += writeJson(json).size();
         ++beats;
--- a/packages/catalog/include/foxwing/catalog/agreed.h
+++ b/packages/catalog/include/foxwing/catalog/agreedstate.h
@@ -10,7 +10,7 @@
     a delayed command can't undo a later one.
 
         AgreedState state;
-        if (apply(state, command) == Applied::Outdated)
+        if (apply(state, command) == ApplyResult::Outdated)
             ... if the operator still wants it, reissue the command on the newest revision ...
 
     [SECTION] Cordons
@@ -43,7 +43,7 @@
 }
 
 // Cordons or uncordons a data centre.
-struct CordonOrder
+struct CordonCommand
 {
     static constexpr const char *Type = "cordon-order";
     std::string dataCentre;
@@ -53,7 +53,7 @@
     std::uint64_t basedOn = 0;
 };
 template<class Fields>
-void describe(Fields &fields, CordonOrder &order)
+void describe(Fields &fields, CordonCommand &order)
 {
     fields("dataCentre", order.dataCentre);
     fields("cordoned", order.cordoned);
@@ -75,9 +75,9 @@
 }
 
 // A command of the group's log.
-using Command = std::variant<DeclaredCatalog, CordonOrder>;
+using Command = std::variant<DeclaredCatalog, CordonCommand>;
 
-enum class Applied {
+enum class ApplyResult {
     Changed,
 
     // The state was already as requested, by a newer cordon command, or has a newer catalog.
@@ -89,7 +89,7 @@
 
 // [SECTION] Functions
 
-Applied apply(AgreedState &state, const Command &command);
+ApplyResult apply(AgreedState &state, const Command &command);
 bool isCordoned(const Cordons &cordons, const std::string &dataCentre);
 
 } // namespace foxwing::catalog
--- a/packages/catalog/include/foxwing/catalog/catalog.h
+++ b/packages/catalog/include/foxwing/catalog/catalog.h
@@ -43,7 +43,7 @@
     std::uint32_t priority = 0;
 
     // A task that fails this many times fails its job.
-    std::uint32_t attempts = 1;
+    std::uint32_t maxAttempts = 1;
 
     // A job is on time if it completes within stretch times its critical path plus targetLatency.
     double stretch = 1.0;
@@ -60,7 +60,7 @@
     fields("prefix", queue.prefix);
     fields("service", queue.service);
     fields("priority", queue.priority);
-    fields("attempts", queue.attempts);
+    fields("attempts", queue.maxAttempts);
     fields("stretch", queue.stretch);
     fields("targetLatency", queue.targetLatency);
     fields("timeout", queue.timeout);
@@ -72,17 +72,17 @@
     std::string name;
 
     // Connections that one endpoint accepts in total, over all its callers
-    std::uint32_t mostConnections = 0;
+    std::uint32_t maxConnections = 0;
 
     // Whether endpoints reject a start that exceeds their capacity; if not, only foxwing tracks it.
-    bool refusesExcess = false;
+    bool enforcesCapacity = false;
 };
 template<class Fields>
 void describe(Fields &fields, ServiceDeclaration &service)
 {
     fields("name", service.name);
-    fields("mostConnections", service.mostConnections);
-    fields("refusesExcess", service.refusesExcess);
+    fields("mostConnections", service.maxConnections);
+    fields("refusesExcess", service.enforcesCapacity);
 }
 
 // Limits of callers' requests and connections.
@@ -147,6 +147,6 @@
                                   const std::string &path);
 
 // Whether any queue sends its tasks to endpoints of this service.
-bool isUsed(const Catalog &catalog, const std::string &service);
+bool usesService(const Catalog &catalog, const std::string &service);
 
 } // namespace foxwing::catalog
--- a/packages/catalog/src/agreed.cpp
+++ b/packages/catalog/src/agreedstate.cpp
@@ -3,7 +3,7 @@
 
     [SECTION] Functions
 */
-#include <foxwing/catalog/agreed.h>
+#include <foxwing/catalog/agreedstate.h>
 
 #include <algorithm>
 
@@ -13,40 +13,40 @@
 
 namespace {
 
-Applied applyCatalog(AgreedState &state, const DeclaredCatalog &declared)
+ApplyResult applyCatalog(AgreedState &state, const DeclaredCatalog &declared)
 {
     if (!supersedes(state.declared.catalog, declared.catalog))
-        return Applied::Unchanged;
+        return ApplyResult::Unchanged;
     state.declared = declared;
-    return Applied::Changed;
+    return ApplyResult::Changed;
 }
 
-Applied applyOrder(Cordons &cordons, const CordonOrder &order)
+ApplyResult applyOrder(Cordons &cordons, const CordonCommand &order)
 {
     const bool same = isCordoned(cordons, order.dataCentre) == order.cordoned;
     if (order.basedOn != cordons.revision)
-        return same ? Applied::Unchanged : Applied::Outdated;
+        return same ? ApplyResult::Unchanged : ApplyResult::Outdated;
     // Also if the cordon itself does not change: an earlier opposite command that is still in
     // flight must not undo this one.
     ++cordons.revision;
     if (same)
-        return Applied::Changed;
+        return ApplyResult::Changed;
     std::vector<std::string> &names = cordons.dataCentres;
     const auto place = std::lower_bound(names.begin(), names.end(), order.dataCentre);
     if (order.cordoned)
         names.insert(place, order.dataCentre);
     else
         names.erase(place);
-    return Applied::Changed;
+    return ApplyResult::Changed;
 }
 
 } // namespace
 
-Applied apply(AgreedState &state, const Command &command)
+ApplyResult apply(AgreedState &state, const Command &command)
 {
     if (const auto *declared = std::get_if<DeclaredCatalog>(&command))
         return applyCatalog(state, *declared);
-    return applyOrder(state.cordons, std::get<CordonOrder>(command));
+    return applyOrder(state.cordons, std::get<CordonCommand>(command));
 }
 
 bool isCordoned(const Cordons &cordons, const std::string &dataCentre)
--- a/packages/catalog/src/catalog.cpp
+++ b/packages/catalog/src/catalog.cpp
@@ -93,7 +93,7 @@
     return best;
 }
 
-bool isUsed(const Catalog &catalog, const std::string &service)
+bool usesService(const Catalog &catalog, const std::string &service)
 {
     return std::any_of(catalog.queues.begin(), catalog.queues.end(),
                        [&](const QueueDeclaration &queue) { return queue.service == service; });
--- a/packages/catalog/tests/agreed_test.cpp
+++ b/packages/catalog/tests/agreedstate_test.cpp
@@ -8,7 +8,7 @@
 #include <gtest/gtest.h>
 
 #include <foxwing/base/codec.h>
-#include <foxwing/catalog/agreed.h>
+#include <foxwing/catalog/agreedstate.h>
 
 namespace foxwing::catalog {
 namespace {
@@ -28,8 +28,8 @@
 {
     const char *name;
     std::vector<std::string> before;
-    CordonOrder order;
-    Applied applied;
+    CordonCommand order;
+    ApplyResult applied;
     std::vector<std::string> after;
 };
 
@@ -42,26 +42,38 @@
     AgreedState state = stateWith(GetParam().before, 5);
     EXPECT_EQ(apply(state, GetParam().order), GetParam().applied);
     EXPECT_EQ(state.cordons.dataCentres, GetParam().after);
-    EXPECT_EQ(state.cordons.revision, GetParam().applied == Applied::Changed ? 6U : 5U);
+    EXPECT_EQ(state.cordons.revision, GetParam().applied == ApplyResult::Changed ? 6U : 5U);
 }
 
 INSTANTIATE_TEST_SUITE_P(
         Agreed, Orders,
         testing::Values(
-                OrderCase { "First", {}, { "b", true, 5 }, Applied::Changed, { "b" } },
-                OrderCase { "Second", { "b" }, { "a", true, 5 }, Applied::Changed, { "a", "b" } },
+                OrderCase { "First", {}, { "b", true, 5 }, ApplyResult::Changed, { "b" } },
+                OrderCase {
+                        "Second", { "b" }, { "a", true, 5 }, ApplyResult::Changed, { "a", "b" } },
                 // Outdates earlier commands to uncordon that are still in flight.
-                OrderCase { "AsItIs", { "b" }, { "b", true, 5 }, Applied::Changed, { "b" } },
+                OrderCase { "AsItIs", { "b" }, { "b", true, 5 }, ApplyResult::Changed, { "b" } },
                 // The answer was lost: a retry for the current state never fails.
-                OrderCase { "AgainLate", { "b" }, { "b", true, 4 }, Applied::Unchanged, { "b" } },
-                OrderCase {
-                        "Withdrawn", { "a", "b" }, { "a", false, 5 }, Applied::Changed, { "b" } },
                 OrderCase {
-                        "WithdrawnAgain", { "b" }, { "a", false, 3 }, Applied::Unchanged, { "b" } },
+                        "AgainLate", { "b" }, { "b", true, 4 }, ApplyResult::Unchanged, { "b" } },
+                OrderCase { "Withdrawn",
+                            { "a", "b" },
+                            { "a", false, 5 },
+                            ApplyResult::Changed,
+                            { "b" } },
+                OrderCase { "WithdrawnAgain",
+                            { "b" },
+                            { "a", false, 3 },
+                            ApplyResult::Unchanged,
+                            { "b" } },
                 // Delayed until after the opposite was acknowledged.
-                OrderCase { "LateAfterItsWithdrawal", {}, { "b", true, 4 }, Applied::Outdated, {} },
                 OrderCase {
-                        "LateWithdrawal", { "b" }, { "b", false, 4 }, Applied::Outdated, { "b" } }),
+                        "LateAfterItsWithdrawal", {}, { "b", true, 4 }, ApplyResult::Outdated, {} },
+                OrderCase { "LateWithdrawal",
+                            { "b" },
+                            { "b", false, 4 },
+                            ApplyResult::Outdated,
+                            { "b" } }),
         [](const auto &tested) { return tested.param.name; });
 
 TEST(AgreedCatalog, LeavesCordonsAlone)
@@ -69,8 +81,8 @@
     AgreedState state = stateWith({ "b" }, 5);
     DeclaredCatalog declared;
     declared.catalog.version = 3;
-    EXPECT_EQ(apply(state, declared), Applied::Changed);
-    EXPECT_EQ(apply(state, declared), Applied::Unchanged);
+    EXPECT_EQ(apply(state, declared), ApplyResult::Changed);
+    EXPECT_EQ(apply(state, declared), ApplyResult::Unchanged);
     EXPECT_EQ(state.declared.catalog.version, 3U);
     EXPECT_EQ(state.cordons.revision, 5U);
 }
--- a/packages/catalog/tests/catalog_test.cpp
+++ b/packages/catalog/tests/catalog_test.cpp
@@ -140,15 +140,15 @@
 TEST(CatalogServices, AreUsedWhileAQueueNamesThem)
 {
     Catalog catalog;
-    EXPECT_FALSE(isUsed(catalog, "align"));
+    EXPECT_FALSE(usesService(catalog, "align"));
     QueueDeclaration queue;
     queue.service = "align";
     catalog.queues = { queue };
-    EXPECT_TRUE(isUsed(catalog, "align"));
-    EXPECT_FALSE(isUsed(catalog, "tag"));
-    EXPECT_FALSE(isUsed(catalog, ""));
+    EXPECT_TRUE(usesService(catalog, "align"));
+    EXPECT_FALSE(usesService(catalog, "tag"));
+    EXPECT_FALSE(usesService(catalog, ""));
     catalog.queues[0].service = "tag";
-    EXPECT_FALSE(isUsed(catalog, "align"));
+    EXPECT_FALSE(usesService(catalog, "align"));
 }
 
 } // namespace
--- a/packages/control/include/foxwing/control/cluster.h
+++ b/packages/control/include/foxwing/control/cluster.h
@@ -48,7 +48,7 @@
 
 struct ClusterState
 {
-    Store store;
+    ResourceStore store;
     claims::View view;
 };
 
--- a/packages/control/include/foxwing/control/control.h
+++ b/packages/control/include/foxwing/control/control.h
@@ -6,7 +6,7 @@
     journal has committed it.
 
         ControlState control = makeControl(settings, cluster, now, wallNow);
-        ControlActions actions = handleBeat(control, heartbeat, now, wallNow);
+        ControlActions actions = handleHeartbeat(control, heartbeat, now, wallNow);
         for (const Command &command : actions.proposals)
             ...
 
@@ -35,11 +35,11 @@
     // Id of this host
     std::string self;
     // A node without a heartbeat for this long is lost. Must exceed the entries' control lease.
-    Milliseconds deadAfter { 2500 };
+    Milliseconds nodeTimeout { 2500 };
 
     // At least this long between changes of membership, so that entries which join or leave within
     // it share one new view.
-    Milliseconds viewPause { 300 };
+    Milliseconds minViewInterval { 300 };
 
     // Entries that hold each claim
     std::uint32_t replicaCount = 2;
@@ -51,27 +51,27 @@
     Milliseconds configurationLease { 10000 };
 
     // How long a lost agent stays listed: as long as agents retain what they started.
-    Seconds agentMemory { 900 };
+    Seconds agentRetention { 900 };
 };
 
 // [SECTION] State
 
 struct NodeRecord
 {
-    Beat last;
+    Heartbeat last;
     Time lastReceivedAt {};
     bool live = true;
 
     // When an incarnation of this node ended last; milliseconds since 1970
     std::int64_t lostAt = 0;
-    Time diedAt {};
+    Time deadSince {};
 };
 
 struct ControlCounters
 {
-    std::uint64_t beats = 0;
+    std::uint64_t heartbeats = 0;
     std::uint64_t views = 0;
-    std::uint64_t deaths = 0;
+    std::uint64_t nodesLost = 0;
     std::uint64_t restarts = 0;
     std::uint64_t changesSent = 0;
 };
@@ -86,7 +86,7 @@
     std::uint64_t agentsVersion = 1;
 
     // Agents lost before this time may be missing from the list; milliseconds since 1970.
-    std::int64_t agentsSince = 0;
+    std::int64_t agentsCompleteSince = 0;
 
     // Whether a proposed view is not committed yet
     bool viewProposed = false;
@@ -94,7 +94,7 @@
     std::set<std::uint32_t> readyShards;
 
     // Shares of teams' quotas, and the quotas as declared at quotasRevision
-    ShareBook shares;
+    ShareTable shares;
     std::vector<TeamQuota> quotas;
     std::uint64_t quotasRevision = 0;
 
@@ -103,12 +103,12 @@
     bool ticked = false;
 
     // No new view is proposed before this time, so that nodes can send heartbeats to a new leader.
-    Time settledAt {};
+    Time viewsAllowedAt {};
     ControlCounters counters;
 };
 
 // How many live nodes there are, and which of them have not applied a revision.
-struct InForce
+struct RolloutStatus
 {
     std::uint64_t revision = 0;
     std::uint32_t nodes = 0;
@@ -134,7 +134,8 @@
 ControlState makeControl(const ControlSettings &settings, ClusterState cluster, Time now,
                          WallTime wallNow);
 
-ControlActions handleBeat(ControlState &control, const Beat &beat, Time now, WallTime wallNow);
+ControlActions handleHeartbeat(ControlState &control, const Heartbeat &beat, Time now,
+                               WallTime wallNow);
 
 // Applies a command that this host's journal has committed.
 ChangeResult committed(ControlState &control, const Command &command);
@@ -142,6 +143,6 @@
 ControlActions tick(ControlState &control, Time now, WallTime wallNow);
 
 // How far a revision has been applied, by the nodes' last reports.
-InForce inForce(const ControlState &control, std::uint64_t revision);
+RolloutStatus rolloutStatus(const ControlState &control, std::uint64_t revision);
 
 } // namespace foxwing::control
--- a/packages/control/include/foxwing/control/messages.h
+++ b/packages/control/include/foxwing/control/messages.h
@@ -4,7 +4,7 @@
     Every node sends a heartbeat about once a second. Control answers each with an Update that has
     what the node lacks: changed resources, the newest view, the newest list of agents.
 
-    [SECTION] Beat
+    [SECTION] Heartbeat
     [SECTION] Update
     [SECTION] Variant
 */
@@ -21,9 +21,9 @@
 
 namespace foxwing::control {
 
-// [SECTION] Beat
+// [SECTION] Heartbeat
 
-struct Beat
+struct Heartbeat
 {
     static constexpr const char *Type = "beat";
 
@@ -58,7 +58,7 @@
     bool leaving = false;
 };
 template<class Fields>
-void describe(Fields &fields, Beat &beat)
+void describe(Fields &fields, Heartbeat &beat)
 {
     fields("id", beat.id);
     fields("incarnation", beat.incarnation);
@@ -81,7 +81,7 @@
 // [SECTION] Update
 
 // A live agent, or one that was lost recently.
-struct AgentHint
+struct AgentStatus
 {
     std::string id;
     std::string address;
@@ -92,7 +92,7 @@
     bool live = false;
 };
 template<class Fields>
-void describe(Fields &fields, AgentHint &hint)
+void describe(Fields &fields, AgentStatus &hint)
 {
     fields("id", hint.id);
     fields("address", hint.address);
@@ -124,10 +124,10 @@
     // Entries only: all agents, if the node's list has another version
     std::uint64_t agentsVersion = 0;
     bool hasAgents = false;
-    std::vector<AgentHint> agents;
+    std::vector<AgentStatus> agents;
 
     // Agents lost before this time may be missing; milliseconds since 1970.
-    std::int64_t agentsSince = 0;
+    std::int64_t agentsCompleteSince = 0;
 
     // Entries only: shares of quotas that differ from those the entry reported
     std::vector<ShareGrant> shares;
@@ -145,13 +145,13 @@
     fields("agentsVersion", update.agentsVersion);
     fields("hasAgents", update.hasAgents);
     fields("agents", update.agents);
-    fields("agentsSince", update.agentsSince);
+    fields("agentsSince", update.agentsCompleteSince);
     fields("shares", update.shares);
 }
 
 // [SECTION] Variant
 
-using ToControl = std::variant<Beat>;
+using ToControl = std::variant<Heartbeat>;
 using FromControl = std::variant<Update>;
 
 } // namespace foxwing::control
--- a/packages/control/include/foxwing/control/quota.h
+++ b/packages/control/include/foxwing/control/quota.h
@@ -7,7 +7,7 @@
     reported the lower value or has been silent for the lease duration. Without demand all shares
     are equal, so that a team's first task starts at once; otherwise they follow demand.
 
-        takeShareReports(book, "entry-a", reports, now);
+        applyShareReports(book, "entry-a", reports, now);
         std::vector<ShareGrant> grants = grantShares(book, "entry-a", entries, quotas, now);
 
     [SECTION] Messages
@@ -62,7 +62,7 @@
 // [SECTION] State
 
 // State of one entry's share of one team's quota.
-struct HeldShare
+struct EntryShare
 {
     ShareReport reported;
 
@@ -71,16 +71,16 @@
     Time lastReceivedAt {};
 };
 
-struct ShareBook
+struct ShareTable
 {
     // How long an entry applies a share that control does not confirm.
-    Milliseconds shareLife { 12500 };
+    Milliseconds leaseDuration { 12500 };
 
     // By team, then by entry
-    std::map<std::string, std::map<std::string, HeldShare>> teams;
+    std::map<std::string, std::map<std::string, EntryShare>> teams;
 
     // Shares are not raised before this time, so that all entries can report to a new leader.
-    Time grantsFrom {};
+    Time grantsAllowedAt {};
 };
 
 struct TeamQuota
@@ -91,15 +91,15 @@
 
 // [SECTION] Functions
 
-void takeShareReports(ShareBook &book, const std::string &entry,
-                      const std::vector<ShareReport> &reports, Time now);
+void applyShareReports(ShareTable &book, const std::string &entry,
+                       const std::vector<ShareReport> &reports, Time now);
 
 // The shares that an entry should apply now, for every team with a quota.
-std::vector<ShareGrant> grantShares(ShareBook &book, const std::string &entry,
+std::vector<ShareGrant> grantShares(ShareTable &book, const std::string &entry,
                                     const std::vector<std::string> &entries,
                                     const std::vector<TeamQuota> &quotas, Time now);
 
 // Upper bound of the tasks of a team that all entries together may run.
-std::uint32_t believedSum(const ShareBook &book, const std::string &team, Time now);
+std::uint32_t maxRunningTotal(const ShareTable &book, const std::string &team, Time now);
 
 } // namespace foxwing::control
--- a/packages/control/include/foxwing/control/reporter.h
+++ b/packages/control/include/foxwing/control/reporter.h
@@ -5,7 +5,7 @@
     when control last confirmed the configuration that the node applies.
 
         Reporter reporter = makeReporter(identity);
-        Beat heartbeat = nextBeat(reporter, now);
+        Heartbeat heartbeat = nextHeartbeat(reporter, now);
         if (std::optional<Time> sentAt = acceptUpdate(reporter, update))
             ...
 
@@ -23,7 +23,7 @@
 
 // [SECTION] State
 
-struct SentBeat
+struct SentHeartbeat
 {
     std::uint64_t number = 0;
     Time at {};
@@ -31,11 +31,11 @@
 
 struct Reporter
 {
-    // Template of every heartbeat; nextBeat() fills in the number and the versions below.
-    Beat identity;
+    // Template of every heartbeat; nextHeartbeat() fills in the number and the versions below.
+    Heartbeat identity;
 
     // Heartbeats that are not answered yet, oldest first
-    std::deque<SentBeat> sent;
+    std::deque<SentHeartbeat> sent;
     std::uint64_t number = 0;
 
     // What the node has applied
@@ -51,9 +51,9 @@
 
 // [SECTION] Functions
 
-Reporter makeReporter(const Beat &identity);
+Reporter makeReporter(const Heartbeat &identity);
 
-Beat nextBeat(Reporter &reporter, Time now);
+Heartbeat nextHeartbeat(Reporter &reporter, Time now);
 
 // The time at which the heartbeat was sent that this update answers, if the update is current and
 // not older than what the node has; the caller must then apply it. Otherwise nothing.
--- a/packages/control/include/foxwing/control/resources.h
+++ b/packages/control/include/foxwing/control/resources.h
@@ -97,11 +97,11 @@
 // [SECTION] Store
 
 // Changes retained for watches; a watcher that missed more must list the resources again.
-constexpr std::size_t KeptChanges = 4096;
+constexpr std::size_t MaxRetainedChanges = 4096;
 
 // Request ids retained for deduplication. A change that is resent after this many others is applied
 // a second time, unless its expected version prevents that.
-constexpr std::size_t KeptRequests = 8192;
+constexpr std::size_t MaxRetainedRequests = 8192;
 
 struct AnsweredRequest
 {
@@ -115,7 +115,7 @@
     fields("result", request.result);
 }
 
-struct Store
+struct ResourceStore
 {
     std::uint64_t revision = 0;
 
@@ -135,14 +135,14 @@
 std::string resourceKey(const std::string &kind, const std::string &name);
 
 // Applies a validated change. Deterministic.
-ChangeResult applyChange(Store &store, const ChangeRequest &change);
+ChangeResult applyChange(ResourceStore &store, const ChangeRequest &change);
 
 // All changes after a revision in order, or nothing with the reason if they are no longer retained.
-std::optional<std::vector<Resource>> changesSince(const Store &store, std::uint64_t revision,
-                                                  Error *reason);
+std::optional<std::vector<Resource>> changesSince(const ResourceStore &store,
+                                                  std::uint64_t revision, Error *reason);
 
 // The whole store as JSON.
-Json::Value saveStore(const Store &store);
-bool loadStore(const Json::Value &json, Store *store, Error *reason);
+Json::Value saveStore(const ResourceStore &store);
+bool loadStore(const Json::Value &json, ResourceStore *store, Error *reason);
 
 } // namespace foxwing::control
--- a/packages/control/include/foxwing/control/validation.h
+++ b/packages/control/include/foxwing/control/validation.h
@@ -28,16 +28,16 @@
 // kind "service"
 struct ServiceSpec
 {
-    std::uint32_t mostTasks = 1000;
-    std::uint32_t mostPayloadBytes = 1U << 20U;
-    std::uint64_t longestTimeMs = 600000;
+    std::uint32_t maxTasks = 1000;
+    std::uint32_t maxPayloadBytes = 1U << 20U;
+    std::uint64_t maxTimeMs = 600000;
 };
 
 // [SECTION] Functions
 
 // Parse a spec. Absent fields keep their defaults; unknown ones are errors.
-std::optional<TeamSpec> readTeamSpec(const std::string &spec, Error *reason);
-std::optional<ServiceSpec> readServiceSpec(const std::string &spec, Error *reason);
+std::optional<TeamSpec> parseTeamSpec(const std::string &spec, Error *reason);
+std::optional<ServiceSpec> parseServiceSpec(const std::string &spec, Error *reason);
 
 // Checks the content of a change, without the store. The reason names the field and the remedy.
 bool validateChange(const ChangeRequest &change, Error *reason);
--- a/packages/control/src/control.cpp
+++ b/packages/control/src/control.cpp
@@ -26,7 +26,7 @@
 void endLife(ControlState &control, NodeRecord &node, Time now, WallTime wallNow)
 {
     node.live = false;
-    node.diedAt = now;
+    node.deadSince = now;
     node.lostAt = wallNow.time_since_epoch().count();
     ++control.agentsVersion;
 }
@@ -44,7 +44,7 @@
     ++control.agentsVersion;
 }
 
-NodeRecord *takeBeat(ControlState &control, const Beat &beat, Time now, WallTime wallNow)
+NodeRecord *takeBeat(ControlState &control, const Heartbeat &beat, Time now, WallTime wallNow)
 {
     const auto inserted = control.nodes.try_emplace(beat.id);
     NodeRecord &node = inserted.first->second;
@@ -65,9 +65,9 @@
 {
     for (auto &entry : control.nodes) {
         NodeRecord &node = entry.second;
-        if (!node.live || now < node.lastReceivedAt + control.settings.deadAfter)
+        if (!node.live || now < node.lastReceivedAt + control.settings.nodeTimeout)
             continue;
-        ++control.counters.deaths;
+        ++control.counters.nodesLost;
         endLife(control, node, now, wallNow);
     }
 }
@@ -76,7 +76,7 @@
 {
     for (auto it = control.nodes.begin(); it != control.nodes.end();) {
         const bool old = !it->second.live
-                && now >= it->second.diedAt + control.settings.agentMemory;
+                && now >= it->second.deadSince + control.settings.agentRetention;
         it = old ? control.nodes.erase(it) : std::next(it);
     }
 }
@@ -96,14 +96,14 @@
 
 // [SECTION] Updates
 
-bool wants(const Beat &beat, const Resource &resource)
+bool wants(const Heartbeat &beat, const Resource &resource)
 {
     return beat.isEntry || (resource.kind == "service" && resource.name == beat.service);
 }
 
-void addChanges(const ControlState &control, const Beat &beat, Update &update)
+void addChanges(const ControlState &control, const Heartbeat &beat, Update &update)
 {
-    const Store &store = control.cluster.store;
+    const ResourceStore &store = control.cluster.store;
     update.revision = store.revision;
     if (beat.revision == store.revision)
         return;
@@ -127,7 +127,7 @@
     }
 }
 
-void addView(const ControlState &control, const Beat &beat, Update &update)
+void addView(const ControlState &control, const Heartbeat &beat, Update &update)
 {
     const claims::View &view = control.cluster.view;
     claims::View held;
@@ -141,13 +141,13 @@
         update.view.bases.clear();
 }
 
-void addAgents(const ControlState &control, const Beat &beat, Update &update)
+void addAgents(const ControlState &control, const Heartbeat &beat, Update &update)
 {
     update.agentsVersion = control.agentsVersion;
     if (!beat.isEntry || beat.agentsVersion == control.agentsVersion)
         return;
     update.hasAgents = true;
-    update.agentsSince = control.agentsSince;
+    update.agentsCompleteSince = control.agentsCompleteSince;
     for (const auto &entry : control.nodes) {
         const NodeRecord &node = entry.second;
         if (!node.last.isAgent)
@@ -159,7 +159,7 @@
 
 void refreshQuotas(ControlState &control)
 {
-    const Store &store = control.cluster.store;
+    const ResourceStore &store = control.cluster.store;
     if (control.quotasRevision == store.revision)
         return;
     control.quotasRevision = store.revision;
@@ -168,30 +168,30 @@
     for (auto it = store.resources.lower_bound("team/"); it != store.resources.end(); ++it) {
         if (it->second.kind != "team")
             break;
-        const auto spec = readTeamSpec(it->second.spec, &ignored);
+        const auto spec = parseTeamSpec(it->second.spec, &ignored);
         if (spec && spec->concurrency > 0)
             control.quotas.push_back({ it->second.name, spec->concurrency });
     }
 }
 
 // Applies the entry's reports, and adds the shares that differ from what it reported.
-void addShares(ControlState &control, const Beat &beat, Time now, Update &update)
+void addShares(ControlState &control, const Heartbeat &beat, Time now, Update &update)
 {
     if (!beat.isEntry)
         return;
     refreshQuotas(control);
-    takeShareReports(control.shares, beat.id, beat.shares, now);
+    applyShareReports(control.shares, beat.id, beat.shares, now);
     std::vector<std::string> entries;
     for (const claims::Member &member : control.cluster.view.members)
         entries.push_back(member.replica.id);
     for (ShareGrant &grant : grantShares(control.shares, beat.id, entries, control.quotas, now)) {
-        const HeldShare &held = control.shares.teams[grant.team][beat.id];
+        const EntryShare &held = control.shares.teams[grant.team][beat.id];
         if (held.reported.share != grant.share || held.reported.team.empty())
             update.shares.push_back(std::move(grant));
     }
 }
 
-Update makeUpdate(const ControlState &control, const Beat &beat)
+Update makeUpdate(const ControlState &control, const Heartbeat &beat)
 {
     Update update;
     update.from = control.settings.self;
@@ -209,7 +209,7 @@
 {
     std::vector<claims::Member> members;
     for (const auto &entry : control.nodes) {
-        const Beat &last = entry.second.last;
+        const Heartbeat &last = entry.second.last;
         if (entry.second.live && last.isEntry)
             members.push_back({ { last.id, last.incarnation }, last.address, last.dataCentre });
     }
@@ -231,7 +231,7 @@
     actions.proposals.push_back(ViewCommand { std::move(view) });
 }
 
-void takeReadyShards(ControlState &control, const Beat &beat)
+void takeReadyShards(ControlState &control, const Heartbeat &beat)
 {
     if (beat.view != control.cluster.view.number)
         return;
@@ -248,11 +248,11 @@
     const claims::View &view = control.cluster.view;
     std::vector<claims::Member> members = liveEntries(control);
     if (!sameMembers(members, view.members) && now >= control.nextViewAt
-        && now >= control.settledAt) {
+        && now >= control.viewsAllowedAt) {
         const std::int64_t lossCutoff =
                 (wallNow + control.settings.clockSkew).time_since_epoch().count();
         control.readyShards.clear();
-        control.nextViewAt = now + control.settings.viewPause;
+        control.nextViewAt = now + control.settings.minViewInterval;
         return proposeView(control,
                            nextView(view, std::move(members), control.settings.replicaCount,
                                     lossCutoff),
@@ -281,20 +281,21 @@
     control.agentsVersion = static_cast<std::uint64_t>(wallNow.time_since_epoch().count());
     const WallTime since = wallNow + settings.configurationLease;
     if (!control.cluster.view.members.empty())
-        control.agentsSince = since.time_since_epoch().count();
-    control.shares.shareLife = settings.configurationLease + settings.deadAfter;
+        control.agentsCompleteSince = since.time_since_epoch().count();
+    control.shares.leaseDuration = settings.configurationLease + settings.nodeTimeout;
     if (!control.cluster.view.members.empty())
-        control.shares.grantsFrom = now + control.shares.shareLife;
+        control.shares.grantsAllowedAt = now + control.shares.leaseDuration;
     // After a restart the members of the last view need time for one heartbeat.
     if (!control.cluster.view.members.empty())
-        control.settledAt = now + settings.deadAfter;
+        control.viewsAllowedAt = now + settings.nodeTimeout;
     return control;
 }
 
-ControlActions handleBeat(ControlState &control, const Beat &beat, Time now, WallTime wallNow)
+ControlActions handleHeartbeat(ControlState &control, const Heartbeat &beat, Time now,
+                               WallTime wallNow)
 {
     ControlActions actions;
-    ++control.counters.beats;
+    ++control.counters.heartbeats;
     if (!takeBeat(control, beat, now, wallNow))
         return actions;
     takeReadyShards(control, beat);
@@ -328,9 +329,9 @@
     return actions;
 }
 
-InForce inForce(const ControlState &control, std::uint64_t revision)
+RolloutStatus rolloutStatus(const ControlState &control, std::uint64_t revision)
 {
-    InForce state;
+    RolloutStatus state;
     state.revision = revision;
     for (const auto &entry : control.nodes) {
         if (!entry.second.live)
--- a/packages/control/src/quota.cpp
+++ b/packages/control/src/quota.cpp
@@ -16,22 +16,22 @@
 namespace {
 
 // Upper bound of the tasks that an entry may run until its next report.
-std::uint32_t believed(const ShareBook &book, const HeldShare &held, Time now)
+std::uint32_t believed(const ShareTable &book, const EntryShare &held, Time now)
 {
-    if (now >= held.lastReceivedAt + book.shareLife)
+    if (now >= held.lastReceivedAt + book.leaseDuration)
         return 0;
     return std::max({ held.reported.share, held.sent, held.reported.running });
 }
 
 // [SECTION] Targets
 
-std::uint32_t demandOf(const HeldShare &held)
+std::uint32_t demandOf(const EntryShare &held)
 {
     return held.reported.running + held.reported.waiting;
 }
 
 // Equal parts without demand; otherwise in proportion to demand.
-std::uint32_t targetFor(const std::map<std::string, HeldShare> &shares, const std::string &entry,
+std::uint32_t targetFor(const std::map<std::string, EntryShare> &shares, const std::string &entry,
                         const std::vector<std::string> &entries, std::uint32_t quota)
 {
     const auto count = static_cast<std::uint32_t>(std::max<std::size_t>(entries.size(), 1));
@@ -59,8 +59,8 @@
 
 // [SECTION] Functions
 
-void takeShareReports(ShareBook &book, const std::string &entry,
-                      const std::vector<ShareReport> &reports, Time now)
+void applyShareReports(ShareTable &book, const std::string &entry,
+                       const std::vector<ShareReport> &reports, Time now)
 {
     for (auto &team : book.teams) {
         const auto held = team.second.find(entry);
@@ -68,13 +68,13 @@
             held->second.lastReceivedAt = now;
     }
     for (const ShareReport &report : reports) {
-        HeldShare &held = book.teams[report.team][entry];
+        EntryShare &held = book.teams[report.team][entry];
         held.reported = report;
         held.lastReceivedAt = now;
     }
 }
 
-std::uint32_t believedSum(const ShareBook &book, const std::string &team, Time now)
+std::uint32_t maxRunningTotal(const ShareTable &book, const std::string &team, Time now)
 {
     std::uint32_t sum = 0;
     const auto shares = book.teams.find(team);
@@ -85,21 +85,22 @@
     return sum;
 }
 
-std::vector<ShareGrant> grantShares(ShareBook &book, const std::string &entry,
+std::vector<ShareGrant> grantShares(ShareTable &book, const std::string &entry,
                                     const std::vector<std::string> &entries,
                                     const std::vector<TeamQuota> &quotas, Time now)
 {
     std::vector<ShareGrant> grants;
     for (const TeamQuota &quota : quotas) {
-        HeldShare &own = book.teams[quota.team][entry];
+        EntryShare &own = book.teams[quota.team][entry];
         if (own.lastReceivedAt == Time {})
             own.lastReceivedAt = now;
         const std::uint32_t target = targetFor(book.teams[quota.team], entry, entries,
                                                quota.concurrency);
-        const std::uint32_t others = believedSum(book, quota.team, now) - believed(book, own, now);
+        const std::uint32_t others = maxRunningTotal(book, quota.team, now)
+                - believed(book, own, now);
         const std::uint32_t left = quota.concurrency > others ? quota.concurrency - others : 0;
         // Until all entries have reported, a new leader only confirms the shares they have.
-        const std::uint32_t most = now < book.grantsFrom ? own.reported.share : left;
+        const std::uint32_t most = now < book.grantsAllowedAt ? own.reported.share : left;
         own.sent = std::min(target, most);
         grants.push_back({ quota.team, own.sent });
     }
--- a/packages/control/src/reporter.cpp
+++ b/packages/control/src/reporter.cpp
@@ -16,16 +16,16 @@
 
 // [SECTION] Functions
 
-Reporter makeReporter(const Beat &identity)
+Reporter makeReporter(const Heartbeat &identity)
 {
     Reporter reporter;
     reporter.identity = identity;
     return reporter;
 }
 
-Beat nextBeat(Reporter &reporter, Time now)
+Heartbeat nextHeartbeat(Reporter &reporter, Time now)
 {
-    Beat beat = reporter.identity;
+    Heartbeat beat = reporter.identity;
     beat.number = ++reporter.number;
     beat.revision = reporter.revision;
     beat.view = reporter.view;
--- a/packages/control/src/resources.cpp
+++ b/packages/control/src/resources.cpp
@@ -22,7 +22,7 @@
 }
 
 // Applies a change whose request id was not seen before.
-ChangeResult decide(Store &store, const ChangeRequest &change)
+ChangeResult decide(ResourceStore &store, const ChangeRequest &change)
 {
     const std::string key = resourceKey(change.kind, change.name);
     const auto found = store.resources.find(key);
@@ -43,7 +43,7 @@
     resource.spec = change.spec;
     resource.deleted = change.remove;
     store.changes.push_back(resource);
-    if (store.changes.size() > KeptChanges)
+    if (store.changes.size() > MaxRetainedChanges)
         store.changes.pop_front();
     if (change.remove)
         store.resources.erase(found);
@@ -52,11 +52,11 @@
     return { ErrorKind::None, {}, resource.version, resource.revision };
 }
 
-void remember(Store &store, const std::string &requestId, const ChangeResult &result)
+void remember(ResourceStore &store, const std::string &requestId, const ChangeResult &result)
 {
     store.answered.push_back({ requestId, result });
     store.answeredById[requestId] = result;
-    if (store.answered.size() <= KeptRequests)
+    if (store.answered.size() <= MaxRetainedRequests)
         return;
     store.answeredById.erase(store.answered.front().requestId);
     store.answered.pop_front();
@@ -64,7 +64,7 @@
 
 } // namespace
 
-ChangeResult applyChange(Store &store, const ChangeRequest &change)
+ChangeResult applyChange(ResourceStore &store, const ChangeRequest &change)
 {
     if (change.requestId.empty())
         return decide(store, change);
@@ -76,8 +76,8 @@
     return result;
 }
 
-std::optional<std::vector<Resource>> changesSince(const Store &store, std::uint64_t revision,
-                                                  Error *reason)
+std::optional<std::vector<Resource>> changesSince(const ResourceStore &store,
+                                                  std::uint64_t revision, Error *reason)
 {
     const std::uint64_t oldest = store.changes.empty() ? store.revision + 1
                                                        : store.changes.front().revision;
@@ -97,7 +97,7 @@
     return missed;
 }
 
-Json::Value saveStore(const Store &store)
+Json::Value saveStore(const ResourceStore &store)
 {
     Json::Value json(Json::objectValue);
     json["revision"] = static_cast<Json::UInt64>(store.revision);
@@ -113,9 +113,9 @@
     return json;
 }
 
-bool loadStore(const Json::Value &json, Store *store, Error *reason)
+bool loadStore(const Json::Value &json, ResourceStore *store, Error *reason)
 {
-    Store loaded;
+    ResourceStore loaded;
     JsonReader reader(json, {}, reason);
     std::vector<Resource> resources;
     std::vector<Resource> changes;
--- a/packages/control/src/validation.cpp
+++ b/packages/control/src/validation.cpp
@@ -110,7 +110,7 @@
 
 // [SECTION] Functions
 
-std::optional<TeamSpec> readTeamSpec(const std::string &spec, Error *reason)
+std::optional<TeamSpec> parseTeamSpec(const std::string &spec, Error *reason)
 {
     TeamSpec team;
     SpecReader reader(spec, "team", reason);
@@ -126,13 +126,13 @@
     return team;
 }
 
-std::optional<ServiceSpec> readServiceSpec(const std::string &spec, Error *reason)
+std::optional<ServiceSpec> parseServiceSpec(const std::string &spec, Error *reason)
 {
     ServiceSpec service;
     SpecReader reader(spec, "service", reason);
-    reader.whole("mostTasks", service.mostTasks, 1, 10000);
-    reader.whole("mostPayloadBytes", service.mostPayloadBytes, 1, 16U << 20U);
-    reader.whole("longestTimeMs", service.longestTimeMs, 1, std::uint64_t { 24 } * 3600 * 1000);
+    reader.whole("mostTasks", service.maxTasks, 1, 10000);
+    reader.whole("mostPayloadBytes", service.maxPayloadBytes, 1, 16U << 20U);
+    reader.whole("longestTimeMs", service.maxTimeMs, 1, std::uint64_t { 24 } * 3600 * 1000);
     if (!reader.finish())
         return std::nullopt;
     return service;
@@ -147,9 +147,9 @@
         return false;
     }
     if (change.kind == "team")
-        return change.remove || readTeamSpec(change.spec, reason).has_value();
+        return change.remove || parseTeamSpec(change.spec, reason).has_value();
     if (change.kind == "service")
-        return change.remove || readServiceSpec(change.spec, reason).has_value();
+        return change.remove || parseServiceSpec(change.spec, reason).has_value();
     fail(reason, ErrorKind::BadRequest,
          "there is no kind \"" + change.kind + "\"; use team or service");
     return false;
--- a/packages/control/tests/quota_test.cpp
+++ b/packages/control/tests/quota_test.cpp
@@ -18,10 +18,10 @@
 const std::vector<std::string> Entries { "a", "b", "c" };
 const std::vector<TeamQuota> Quotas { { "team", 30 } };
 
-std::uint32_t beat(ShareBook &book, const std::string &entry, ShareReport report, Time now)
+std::uint32_t beat(ShareTable &book, const std::string &entry, ShareReport report, Time now)
 {
     report.team = "team";
-    takeShareReports(book, entry, { report }, now);
+    applyShareReports(book, entry, { report }, now);
     return grantShares(book, entry, Entries, Quotas, now).at(0).share;
 }
 
@@ -29,14 +29,14 @@
 
 TEST(Quota, WithoutDemandSharesAreEqual)
 {
-    ShareBook book;
+    ShareTable book;
     for (const std::string &entry : Entries)
         EXPECT_EQ(beat(book, entry, {}, Begin), 10U);
 }
 
 TEST(Quota, AnUnusedShareComesBackInTwoBeats)
 {
-    ShareBook book;
+    ShareTable book;
     std::map<std::string, std::uint32_t> shares;
     for (const std::string &entry : Entries)
         shares[entry] = beat(book, entry, {}, Begin);
@@ -54,7 +54,7 @@
 
 TEST(Quota, AnEntryThatIsCutOffKeepsItsShareUntilItHasRunOut)
 {
-    ShareBook book;
+    ShareTable book;
     for (const std::string &entry : Entries)
         beat(book, entry, {}, Begin);
     beat(book, "c", { "", 10, 10, 0 }, Begin + Milliseconds(500));
@@ -73,8 +73,8 @@
 
 TEST(Quota, ANewLeaderGrantsNothingBeyondWhatEntriesHave)
 {
-    ShareBook book;
-    book.grantsFrom = Begin + Seconds(13);
+    ShareTable book;
+    book.grantsAllowedAt = Begin + Seconds(13);
     EXPECT_EQ(beat(book, "a", { "", 4, 4, 50 }, Begin), 4U);
     EXPECT_GT(beat(book, "a", { "", 4, 4, 50 }, Begin + Seconds(13)), 4U);
 }
@@ -84,7 +84,7 @@
 {
     for (std::uint64_t seed = 1; seed <= 500; ++seed) {
         std::mt19937_64 random(seed);
-        ShareBook book;
+        ShareTable book;
         std::map<std::string, ShareReport> state;
         Time now = Begin;
         std::map<std::string, Time> heard;
@@ -103,7 +103,7 @@
                                                               % (own.share - own.running + 1));
                 if (random() % 4 == 0)
                     continue; // the beat is lost
-                takeShareReports(book, entry, { own }, now);
+                applyShareReports(book, entry, { own }, now);
                 const auto grants = grantShares(book, entry, Entries, Quotas, now);
                 if (random() % 4 == 0)
                     continue; // the answer is lost
--- a/packages/control/tests/resources_test.cpp
+++ b/packages/control/tests/resources_test.cpp
@@ -19,9 +19,9 @@
 
 // [SECTION] Store
 
-TEST(Store, EqualVersionsRaceToExactlyOneWinner)
+TEST(ResourceStore, EqualVersionsRaceToExactlyOneWinner)
 {
-    Store store;
+    ResourceStore store;
     EXPECT_EQ(applyChange(store, change("1", "svc", 0)).kind, ErrorKind::None);
     EXPECT_EQ(applyChange(store, change("2", "svc", 1)).version, 2U);
     const ChangeResult loser = applyChange(store, change("3", "svc", 1));
@@ -30,35 +30,35 @@
     EXPECT_EQ(store.revision, 2U);
 }
 
-TEST(Store, AResentChangeGetsTheFirstAnswerAgain)
+TEST(ResourceStore, AResentChangeGetsTheFirstAnswerAgain)
 {
-    Store store;
+    ResourceStore store;
     const ChangeResult first = applyChange(store, change("1", "svc", 0));
     applyChange(store, change("2", "svc", 1));
     const ChangeResult again = applyChange(store, change("1", "svc", 0));
     EXPECT_EQ(again.kind, ErrorKind::None);
     EXPECT_EQ(again.version, first.version);
     EXPECT_EQ(store.revision, 2U);
-    Store copy;
+    ResourceStore copy;
     Error reason;
     ASSERT_TRUE(loadStore(saveStore(store), &copy, &reason)) << reason.message;
     EXPECT_EQ(applyChange(copy, change("1", "svc", 0)).revision, first.revision)
             << "also after a snapshot";
 }
 
-TEST(Store, RequestIdsAndChangesAreBounded)
+TEST(ResourceStore, RequestIdsAndChangesAreBounded)
 {
-    Store store;
-    for (std::size_t i = 0; i < KeptRequests + 100; ++i)
+    ResourceStore store;
+    for (std::size_t i = 0; i < MaxRetainedRequests + 100; ++i)
         applyChange(store, change(std::to_string(i), "svc", -1));
-    EXPECT_EQ(store.answered.size(), KeptRequests);
-    EXPECT_EQ(store.answeredById.size(), KeptRequests);
-    EXPECT_EQ(store.changes.size(), KeptChanges);
+    EXPECT_EQ(store.answered.size(), MaxRetainedRequests);
+    EXPECT_EQ(store.answeredById.size(), MaxRetainedRequests);
+    EXPECT_EQ(store.changes.size(), MaxRetainedChanges);
 }
 
-TEST(Store, AWatchSeesEachChangeOnceOrIsToldThatItIsTooOld)
+TEST(ResourceStore, AWatchSeesEachChangeOnceOrIsToldThatItIsTooOld)
 {
-    Store store;
+    ResourceStore store;
     std::uint64_t seen = 0;
     std::uint64_t count = 0;
     for (int i = 0; i < 500; ++i) {
@@ -74,7 +74,7 @@
         }
     }
     EXPECT_EQ(count, seen);
-    for (std::size_t i = 0; i < KeptChanges; ++i)
+    for (std::size_t i = 0; i < MaxRetainedChanges; ++i)
         applyChange(store, change("more" + std::to_string(i), "svc", -1));
     Error reason;
     EXPECT_FALSE(changesSince(store, 1, &reason));
@@ -83,9 +83,9 @@
     EXPECT_TRUE(changesSince(store, store.revision, &reason)->empty());
 }
 
-TEST(Store, DeletionIsAChangeLikeOthers)
+TEST(ResourceStore, DeletionIsAChangeLikeOthers)
 {
-    Store store;
+    ResourceStore store;
     applyChange(store, change("1", "svc", 0));
     const ChangeRequest removal { "2", "service", "svc", {}, true, 1 };
     EXPECT_EQ(applyChange(store, removal).revision, 2U);
--- a/packages/fleet/src/controlshell.cpp
+++ b/packages/fleet/src/controlshell.cpp
@@ -111,7 +111,7 @@
     void reopenJournal(Time now);
 
     OperatorLinks operatorLinks();
-    operators::GroupView groupView() const;
+    operators::GroupStatus groupView() const;
     void sendToLeader(const Frame &frame);
 
     Core &m_core;
@@ -369,8 +369,8 @@
     if (!command)
         return false;
     const catalog::AgreedState before = m_agreed;
-    const catalog::Applied applied = catalog::apply(m_agreed, *command);
-    if (applied == catalog::Applied::Changed)
+    const catalog::ApplyResult applied = catalog::apply(m_agreed, *command);
+    if (applied == catalog::ApplyResult::Changed)
         adopted(before);
     m_operators.committed(index, term, applied);
     if (m_replica->wantsSnapshot())
@@ -444,15 +444,15 @@
         m_reopenAt = now + ReopenPause;
 }
 
-operators::GroupView ControlShell::groupView() const
+operators::GroupStatus ControlShell::groupView() const
 {
     const std::string &leader = m_replica->state().leader;
     const auto peer = m_controls.find(addressOf(leader));
-    operators::GroupView view;
-    view.leads = m_replica->leadsNow();
-    view.isNamedLeader = leader == m_core.self.groupId;
+    operators::GroupStatus view;
+    view.isReadyLeader = m_replica->leadsNow();
+    view.isElected = leader == m_core.self.groupId;
     view.reachesLeader = peer != m_controls.end() && peer->second.link != nullptr;
-    view.held = &m_agreed;
+    view.agreed = &m_agreed;
     return view;
 }
 
--- a/packages/fleet/src/entryshell.cpp
+++ b/packages/fleet/src/entryshell.cpp
@@ -256,7 +256,7 @@
     options.queue = queue.name;
     options.service = queue.service;
     options.priority = queue.priority;
-    options.attempts = queue.attempts;
+    options.maxAttempts = queue.maxAttempts;
     options.stretch = std::clamp(queue.stretch, 0.0, MostStretch);
     options.targetLatency = queue.targetLatency;
     return options;
@@ -574,7 +574,7 @@
 {
     const auto unused = [this](const auto &item) {
         const jobs::EndpointView &endpoint = item.second.endpoint;
-        return !endpoint.service.empty() && !catalog::isUsed(m_catalog, endpoint.service);
+        return !endpoint.service.empty() && !catalog::usesService(m_catalog, endpoint.service);
     };
     return static_cast<std::size_t>(
             std::count_if(m_scheduler.agents.begin(), m_scheduler.agents.end(), unused));
--- a/packages/fleet/src/messages.h
+++ b/packages/fleet/src/messages.h
@@ -8,7 +8,7 @@
 #pragma once
 
 #include <foxwing/base/binary.h>
-#include <foxwing/catalog/agreed.h>
+#include <foxwing/catalog/agreedstate.h>
 #include <foxwing/directory/directory.h>
 #include <foxwing/fleet/dialect.h>
 #include <foxwing/jobs/messages.h>
@@ -49,7 +49,7 @@
 struct ForwardAnswer
 {
     std::uint64_t call = 0;
-    OperatorOutcome outcome = OperatorOutcome::Unsure;
+    OperatorOutcome outcome = OperatorOutcome::Unconfirmed;
     std::string reason;
 
     // One, if a read was accepted
--- a/packages/fleet/src/nodelinks.h
+++ b/packages/fleet/src/nodelinks.h
@@ -17,7 +17,7 @@
 #include <memory>
 #include <string>
 
-#include <foxwing/catalog/agreed.h>
+#include <foxwing/catalog/agreedstate.h>
 #include <foxwing/directory/directory.h>
 
 #include "core.h"
--- a/packages/fleet/src/operatorshell.cpp
+++ b/packages/fleet/src/operatorshell.cpp
@@ -56,7 +56,7 @@
     const auto *declared = std::get_if<catalog::DeclaredCatalog>(&*read);
     if (declared && !catalog::validate(declared->catalog, reason))
         return std::nullopt;
-    const auto *order = std::get_if<catalog::CordonOrder>(&*read);
+    const auto *order = std::get_if<catalog::CordonCommand>(&*read);
     const std::vector<std::string> &known = m_core.settings.dataCentres;
     if (order && !known.empty()
         && std::find(known.begin(), known.end(), order->dataCentre) == known.end())
@@ -112,7 +112,7 @@
     carryOut(operators::peerAnswered(m_operators, given, m_links.group(), steadyNow()));
 }
 
-void OperatorShell::committed(std::uint64_t index, std::uint64_t term, catalog::Applied applied)
+void OperatorShell::committed(std::uint64_t index, std::uint64_t term, catalog::ApplyResult applied)
 {
     carryOut(operators::committed(m_operators, index, term, applied, m_links.group(), steadyNow()));
 }
@@ -140,7 +140,7 @@
         writeEvent(m_core.log, event);
     for (const operators::OperatorAnswer &given : actions.answers)
         answer(given);
-    for (const std::uint64_t number : actions.handOvers)
+    for (const std::uint64_t number : actions.forwards)
         handOver(number);
     for (const std::uint64_t number : actions.reads)
         m_links.requestRead(number);
@@ -200,7 +200,7 @@
         { "foxwing_operator_outdated_total", "Orders given upon cordons that had changed",
           count(m_operators.outdated) },
         { "foxwing_operator_unsure_total", "Calls without a sure answer",
-          count(m_operators.unsure) },
+          count(m_operators.unconfirmed) },
     };
 }
 
--- a/packages/fleet/src/operatorshell.h
+++ b/packages/fleet/src/operatorshell.h
@@ -19,7 +19,7 @@
 // What the control host does for its operators' calls.
 struct OperatorLinks
 {
-    std::function<operators::GroupView()> group;
+    std::function<operators::GroupStatus()> group;
 
     // The entry under which it will be committed; nothing if this host can't lead.
     std::function<std::optional<quorum::LogEntry>(const std::string &text)> propose;
@@ -40,7 +40,7 @@
     void handedOver(std::uint64_t connection, const ForwardCall &forward);
     void peerAnswered(const ForwardAnswer &answer);
 
-    void committed(std::uint64_t index, std::uint64_t term, catalog::Applied applied);
+    void committed(std::uint64_t index, std::uint64_t term, catalog::ApplyResult applied);
     void readDone(std::uint64_t call, bool confirmed);
     void logReopened();
     void tick(Time now);
--- a/packages/node/include/foxwing/node/message.h
+++ b/packages/node/include/foxwing/node/message.h
@@ -23,7 +23,7 @@
         agent::KeepAlive, agent::Fenced, claims::ClaimRequest, claims::ClaimResponse,
         claims::Release, claims::Released, claims::Replicate, claims::ReplicateAck,
         claims::ShardPart, claims::ShardPartAck, claims::ShardsReady, entry::Join,
-        entry::JoinAnswer, entry::Handoff, entry::LoadReport, control::Beat, control::Update,
+        entry::JoinAnswer, entry::Handoff, entry::LoadReport, control::Heartbeat, control::Update,
         quorum::VoteRequest, quorum::VoteReply, quorum::Append, quorum::AppendReply,
         quorum::InstallSnapshot>;
 
--- a/packages/node/src/controlrole.cpp
+++ b/packages/node/src/controlrole.cpp
@@ -139,12 +139,12 @@
 
 // [SECTION] Nodes
 
-void ControlRole::receive(const control::Beat &beat)
+void ControlRole::receive(const control::Heartbeat &beat)
 {
     m_post.learnAddress(beat.id, beat.address);
     if (!m_leading)
         return;
-    carryOut(control::handleBeat(m_state, beat, steadyNow(), wallClockNow()));
+    carryOut(control::handleHeartbeat(m_state, beat, steadyNow(), wallClockNow()));
 }
 
 void ControlRole::tick()
@@ -154,11 +154,11 @@
     followLeadership();
     if (!m_leading)
         return;
-    const std::uint64_t deaths = m_state.counters.deaths;
+    const std::uint64_t nodesLost = m_state.counters.nodesLost;
     carryOut(control::tick(m_state, now, wallClockNow()));
-    if (m_state.counters.deaths != deaths)
+    if (m_state.counters.nodesLost != nodesLost)
         logChange(LogLevel::Warning, "nodes-dead",
-                  { { "count", std::to_string(m_state.counters.deaths - deaths) } });
+                  { { "count", std::to_string(m_state.counters.nodesLost - nodesLost) } });
     answerWatchers(now);
 }
 
@@ -170,11 +170,11 @@
         samples.push_back({ name, help, value, gauge });
     };
     const control::ControlCounters &counters = m_state.counters;
-    add("foxwing_control_beats_total", "Beats received", static_cast<double>(counters.beats),
+    add("foxwing_control_beats_total", "Beats received", static_cast<double>(counters.heartbeats),
         false);
     add("foxwing_control_views_total", "Views and updates of views made",
         static_cast<double>(counters.views), false);
-    add("foxwing_control_deaths_total", "Nodes found dead", static_cast<double>(counters.deaths),
+    add("foxwing_control_deaths_total", "Nodes found dead", static_cast<double>(counters.nodesLost),
         false);
     add("foxwing_control_restarts_total", "Nodes found restarted",
         static_cast<double>(counters.restarts), false);
@@ -184,7 +184,8 @@
         static_cast<double>(m_state.cluster.store.revision), true);
     add("foxwing_control_view", "Number of the view",
         static_cast<double>(m_state.cluster.view.number), true);
-    const control::InForce force = control::inForce(m_state, m_state.cluster.store.revision);
+    const control::RolloutStatus force = control::rolloutStatus(m_state,
+                                                                m_state.cluster.store.revision);
     add("foxwing_control_nodes", "Live nodes", force.nodes, true);
     add("foxwing_control_lagging", "Live nodes that lack the newest revision",
         static_cast<double>(force.lagging.size()), true);
--- a/packages/node/src/controlrole.h
+++ b/packages/node/src/controlrole.h
@@ -35,7 +35,7 @@
     // An operator's request, on the loop's thread. False if its path is none of control's.
     bool serve(const edge::HttpRequest &request, const edge::Responder &responder);
 
-    void receive(const control::Beat &beat);
+    void receive(const control::Heartbeat &beat);
     void receive(const quorum::QuorumMessage &message) { m_log.receive(message); }
     void tick();
     void addSamples(std::vector<metrics::Sample> &samples) const;
--- a/packages/node/src/entryrole.cpp
+++ b/packages/node/src/entryrole.cpp
@@ -216,7 +216,7 @@
     Error ignored;
     entry::Registry &registry = m_state.registry;
     if (resource.kind == "team") {
-        const auto spec = control::readTeamSpec(resource.spec, &ignored);
+        const auto spec = control::parseTeamSpec(resource.spec, &ignored);
         registry.teams.erase(resource.name);
         if (!resource.deleted && spec) {
             registry.teams[resource.name] = { resource.name, spec->salt, spec->tokenHash,
@@ -229,12 +229,12 @@
                 dispatch::setTeamLimit(m_state.dispatcher, resource.name, 0);
         }
     } else if (resource.kind == "service") {
-        const auto spec = control::readServiceSpec(resource.spec, &ignored);
+        const auto spec = control::parseServiceSpec(resource.spec, &ignored);
         registry.services.erase(resource.name);
         if (!resource.deleted && spec)
             registry.services[resource.name] = {
-                resource.name, spec->mostTasks, spec->mostPayloadBytes,
-                Milliseconds(static_cast<std::int64_t>(spec->longestTimeMs))
+                resource.name, spec->maxTasks, spec->maxPayloadBytes,
+                Milliseconds(static_cast<std::int64_t>(spec->maxTimeMs))
             };
     }
 }
@@ -249,8 +249,8 @@
     for (const control::Resource &change : update.changes)
         applyResource(change);
     if (update.hasAgents) {
-        m_state.agents = { {}, update.agentsSince };
-        for (const control::AgentHint &hint : update.agents) {
+        m_state.agents = { {}, update.agentsCompleteSince };
+        for (const control::AgentStatus &hint : update.agents) {
             m_state.agents.agents.push_back({ hint.id, hint.service, hint.lostAt, hint.live });
             m_post.learnAddress(hint.id, hint.address);
         }
@@ -265,7 +265,7 @@
                     { "entries", std::to_string(update.view.members.size()) } });
 }
 
-void EntryRole::fillBeat(control::Beat &beat)
+void EntryRole::fillBeat(control::Heartbeat &beat)
 {
     beat.readyShards = claims::readyShards(m_state.claims);
     const dispatch::Dispatcher &dispatcher = m_state.dispatcher;
--- a/packages/node/src/entryrole.h
+++ b/packages/node/src/entryrole.h
@@ -34,7 +34,7 @@
     void receive(const entry::EntryMessage &message);
     void sendFailed(const agent::ToAgent &message);
     void applyUpdate(const control::Update &update, Time beatSentAt);
-    void fillBeat(control::Beat &beat);
+    void fillBeat(control::Heartbeat &beat);
     void tick();
 
     void beginLeaving() { m_state.leaving = true; }
--- a/packages/node/src/node.cpp
+++ b/packages/node/src/node.cpp
@@ -93,7 +93,7 @@
         HandingOver,
     };
 
-    control::Beat identity() const;
+    control::Heartbeat identity() const;
     void receive(Message &&message);
     void takeFailure(Message &&message);
     void applyUpdate(const control::Update &update);
@@ -141,9 +141,9 @@
              })
 { }
 
-control::Beat Node::Impl::identity() const
+control::Heartbeat Node::Impl::identity() const
 {
-    control::Beat beat;
+    control::Heartbeat beat;
     beat.id = m_settings.node.id;
     beat.incarnation = m_incarnation;
     beat.address = innerAddress(m_settings);
@@ -193,7 +193,7 @@
         if (const auto held = narrow<entry::EntryMessage>(message))
             return m_entry->receive(*held);
     }
-    if (const auto *beat = std::get_if<control::Beat>(&message)) {
+    if (const auto *beat = std::get_if<control::Heartbeat>(&message)) {
         if (m_control)
             m_control->receive(*beat);
     } else if (const auto group = narrow<quorum::QuorumMessage>(message)) {
@@ -230,7 +230,7 @@
 
 void Node::Impl::sendBeat(Time now)
 {
-    control::Beat beat = control::nextBeat(m_reporter, now);
+    control::Heartbeat beat = control::nextHeartbeat(m_reporter, now);
     beat.leaving = m_stopping == Stopping::HandingOver;
     if (m_entry)
         m_entry->fillBeat(beat);
--- a/packages/node/src/operatorapi.cpp
+++ b/packages/node/src/operatorapi.cpp
@@ -157,7 +157,7 @@
         return replyError(responder, reason);
     if (request.query.count("dryRun") != 0) {
         // Only what the change would do now; nothing is kept.
-        control::Store trial = m_state.cluster.store;
+        control::ResourceStore trial = m_state.cluster.store;
         control::ChangeResult result = control::applyChange(trial, *change);
         Json::Value json = toJson(result);
         json["kind"] = toString(result.kind);
@@ -178,7 +178,7 @@
 void ControlRole::serveRead(const edge::HttpRequest &request,
                             const edge::Responder &responder) const
 {
-    const control::Store &store = m_state.cluster.store;
+    const control::ResourceStore &store = m_state.cluster.store;
     Json::Value json(Json::objectValue);
     json["revision"] = static_cast<Json::UInt64>(store.revision);
     if (request.path.size() == 3) {
@@ -195,7 +195,7 @@
         return replyError(responder, ErrorKind::NotFound,
                           "there is no " + key + "; list what there is with: foxwing show all");
     json = resourceJson(found->second);
-    const control::InForce force = control::inForce(m_state, found->second.revision);
+    const control::RolloutStatus force = control::rolloutStatus(m_state, found->second.revision);
     Json::Value &status = json["status"] = Json::Value(Json::objectValue);
     status["accepted"] = true;
     status["inForce"] = force.lagging.empty();
@@ -213,7 +213,7 @@
     Json::Value &nodes = json["nodes"] = Json::Value(Json::arrayValue);
     const Time now = steadyNow();
     for (const auto &entry : m_state.nodes) {
-        const control::Beat &last = entry.second.last;
+        const control::Heartbeat &last = entry.second.last;
         Json::Value node(Json::objectValue);
         node["id"] = entry.first;
         node["live"] = entry.second.live;
@@ -257,7 +257,7 @@
 bool ControlRole::answerWatcher(const Watcher &watcher, bool overdue) const
 {
     Error reason;
-    const control::Store &store = m_state.cluster.store;
+    const control::ResourceStore &store = m_state.cluster.store;
     const auto changes = control::changesSince(store, watcher.revision, &reason);
     if (!changes) {
         replyError(watcher.responder, reason);
--- a/packages/node/tests/callerapi_test.cpp
+++ b/packages/node/tests/callerapi_test.cpp
@@ -152,7 +152,7 @@
         const auto json = parseJson(mutate(message, random), &reason);
         if (json)
             refused += decodeMessage<Message>(*json, &reason) ? 0 : 1;
-        refused += control::readServiceSpec(mutate(spec, random), &reason) ? 0 : 1;
+        refused += control::parseServiceSpec(mutate(spec, random), &reason) ? 0 : 1;
         Error settingsReason;
         if (!settings::parseSettings(mutate(settings, random), "fuzz.toml", &settingsReason)) {
             EXPECT_FALSE(settingsReason.message.empty());
--- a/packages/operators/include/foxwing/operators/operators.h
+++ b/packages/operators/include/foxwing/operators/operators.h
@@ -32,7 +32,7 @@
 #include <variant>
 #include <vector>
 
-#include <foxwing/catalog/agreed.h>
+#include <foxwing/catalog/agreedstate.h>
 #include <foxwing/eventlog/eventlog.h>
 
 namespace foxwing::operators {
@@ -46,7 +46,7 @@
 void describe(Fields &, ReadCatalog &)
 { }
 
-using OperatorRequest = std::variant<ReadCatalog, catalog::DeclaredCatalog, catalog::CordonOrder>;
+using OperatorRequest = std::variant<ReadCatalog, catalog::DeclaredCatalog, catalog::CordonCommand>;
 
 // For log events
 const char *toString(const OperatorRequest &request);
@@ -58,7 +58,7 @@
     Invalid,
 
     // Not decided here, or not confirmed to be the newest; another control host may succeed.
-    Unsure,
+    Unconfirmed,
     NotFound,
 };
 constexpr OperatorOutcome lastOf(OperatorOutcome)
@@ -74,30 +74,30 @@
     bool fromPeer = false;
 
     Time receivedAt {};
-    Time nextTry {};
+    Time retryAt {};
 
     // In progress: proposed to this host's log at an index and term, as a read at this host, or
     // forwarded to the leader
     std::uint64_t index = 0;
     std::uint64_t term = 0;
     bool reading = false;
-    bool handedOver = false;
+    bool forwarded = false;
 };
 
 // The consensus group as this host sees it.
-struct GroupView
+struct GroupStatus
 {
     // This host is the leader and has applied all committed entries.
-    bool leads = false;
+    bool isReadyLeader = false;
 
     // This host is elected, but may not be able to act as leader yet.
-    bool isNamedLeader = false;
+    bool isElected = false;
 
     // The leader is known and connected.
     bool reachesLeader = false;
 
     // The agreed state as far as this host has applied it
-    const catalog::AgreedState *held = nullptr;
+    const catalog::AgreedState *agreed = nullptr;
 };
 
 // [SECTION] State
@@ -106,16 +106,16 @@
 {
     // A call that is not decided within this time is answered as unconfirmed. Below the second
     // after which operators try another host.
-    Milliseconds patience { 900 };
+    Milliseconds callTimeout { 900 };
 
     // Between attempts at a call that found no leader.
-    Milliseconds retry { 60 };
+    Milliseconds retryDelay { 60 };
 
     // A gap between ticks of this length means that the process was paused. Calls that arrived
     // meanwhile may be from operators that have tried another host since, so cordon commands are
     // rejected for catchUpDuration, until those calls have been read.
-    Milliseconds stoodStill { 400 };
-    Milliseconds catchingUp { 100 };
+    Milliseconds pauseThreshold { 400 };
+    Milliseconds catchUpDuration { 100 };
 };
 
 struct OperatorState
@@ -126,16 +126,16 @@
 
     // The last tick, and until when arriving calls may have been sent before a pause
     Time tickedAt {};
-    Time catchesUpUntil {};
+    Time catchUpUntil {};
 
     // The last committed entry of the log, and the result of applying it
     std::uint64_t committedIndex = 0;
     std::uint64_t committedTerm = 0;
-    catalog::Applied committedAs = catalog::Applied::Unchanged;
+    catalog::ApplyResult committedResult = catalog::ApplyResult::Unchanged;
 
     // Counters for metrics
     std::uint64_t accepted = 0;
-    std::uint64_t unsure = 0;
+    std::uint64_t unconfirmed = 0;
     std::uint64_t outdated = 0;
 };
 
@@ -144,7 +144,7 @@
 struct OperatorAnswer
 {
     std::uint64_t number = 0;
-    OperatorOutcome outcome = OperatorOutcome::Unsure;
+    OperatorOutcome outcome = OperatorOutcome::Unconfirmed;
     std::string reason;
 
     // Only for an accepted read
@@ -160,14 +160,14 @@
     std::vector<std::uint64_t> reads;
 
     // To be forwarded to the leader; call peerAnswered() with its answer.
-    std::vector<std::uint64_t> handOvers;
+    std::vector<std::uint64_t> forwards;
     std::vector<OperatorAnswer> answers;
     std::vector<eventlog::Event> events;
 };
 
 // [SECTION] Functions
 
-OperatorActions addCall(OperatorState &operators, OperatorCall call, const GroupView &group,
+OperatorActions addCall(OperatorState &operators, OperatorCall call, const GroupStatus &group,
                         Time now, std::uint64_t *number);
 
 // The operator no longer waits for an answer. What was proposed for the call may still commit.
@@ -179,23 +179,24 @@
 // The log has taken the call's command. It is decided once an entry with this index and term is
 // committed, which may have happened already.
 OperatorActions proposed(OperatorState &operators, std::uint64_t number, std::uint64_t index,
-                         std::uint64_t term, const GroupView &group, Time now);
+                         std::uint64_t term, const GroupStatus &group, Time now);
 
 // An entry is committed. Its call is accepted. Calls whose index another leader's entry took are
 // retried, and so are cordon commands that were outdated when they were applied.
 OperatorActions committed(OperatorState &operators, std::uint64_t index, std::uint64_t term,
-                          catalog::Applied applied, const GroupView &group, Time now);
+                          catalog::ApplyResult applied, const GroupStatus &group, Time now);
 
 OperatorActions readDone(OperatorState &operators, std::uint64_t number, bool confirmed,
-                         const GroupView &group, Time now);
+                         const GroupStatus &group, Time now);
 
 // The leader has answered a forwarded call.
 OperatorActions peerAnswered(OperatorState &operators, const OperatorAnswer &answer,
-                             const GroupView &group, Time now);
+                             const GroupStatus &group, Time now);
 
-// The log's journal was reopened: proposals and reads in progress are lost, their calls are retried.
+// The log's journal was reopened: proposals and reads in progress are lost, their calls are
+// retried.
 void logReopened(OperatorState &operators);
 
-OperatorActions tick(OperatorState &operators, const GroupView &group, Time now);
+OperatorActions tick(OperatorState &operators, const GroupStatus &group, Time now);
 
 } // namespace foxwing::operators
--- a/packages/operators/src/operators.cpp
+++ b/packages/operators/src/operators.cpp
@@ -10,8 +10,8 @@
 
 namespace foxwing::operators {
 
-using catalog::Applied;
-using catalog::CordonOrder;
+using catalog::ApplyResult;
+using catalog::CordonCommand;
 using catalog::DeclaredCatalog;
 
 // [SECTION] Requests
@@ -22,14 +22,14 @@
         return "read";
     if (std::holds_alternative<DeclaredCatalog>(request))
         return "declare";
-    return std::get<CordonOrder>(request).cordoned ? "cordon" : "uncordon";
+    return std::get<CordonCommand>(request).cordoned ? "cordon" : "uncordon";
 }
 
 std::optional<catalog::Command> commandOf(const OperatorRequest &request)
 {
     if (const auto *declared = std::get_if<DeclaredCatalog>(&request))
         return *declared;
-    if (const auto *order = std::get_if<CordonOrder>(&request))
+    if (const auto *order = std::get_if<CordonCommand>(&request))
         return *order;
     return std::nullopt;
 }
@@ -39,29 +39,29 @@
 namespace {
 
 // Adds the call's request and the state of this host when it was answered.
-void describeCall(const OperatorCall &call, const GroupView &group, eventlog::Event &event)
+void describeCall(const OperatorCall &call, const GroupStatus &group, eventlog::Event &event)
 {
     event.with("call", toString(call.request));
-    if (const auto *order = std::get_if<CordonOrder>(&call.request)) {
+    if (const auto *order = std::get_if<CordonCommand>(&call.request)) {
         event.with("data_centre", order->dataCentre)
                 .with("based_on", order->basedOn)
-                .with("cordons", group.held->cordons.revision);
+                .with("cordons", group.agreed->cordons.revision);
         return;
     }
     if (const auto *declared = std::get_if<DeclaredCatalog>(&call.request))
         event.with("version", declared->catalog.version);
-    event.with("held", group.held->declared.catalog.version);
+    event.with("held", group.agreed->declared.catalog.version);
 }
 
 void answer(OperatorState &operators, std::uint64_t number, OperatorAnswer given,
-            const GroupView &group, Time now, OperatorActions &actions)
+            const GroupStatus &group, Time now, OperatorActions &actions)
 {
     const auto found = operators.calls.find(number);
     if (found == operators.calls.end())
         return;
     const OperatorCall &call = found->second;
     given.number = number;
-    ++(given.outcome == OperatorOutcome::Accepted ? operators.accepted : operators.unsure);
+    ++(given.outcome == OperatorOutcome::Accepted ? operators.accepted : operators.unconfirmed);
     eventlog::Event event = eventlog::change("operator-answered");
     describeCall(call, group, event);
     actions.events.push_back(
@@ -80,7 +80,7 @@
     return given;
 }
 
-OperatorAnswer unsure(const std::string &reason)
+OperatorAnswer unconfirmed(const std::string &reason)
 {
     OperatorAnswer given;
     given.reason = reason;
@@ -92,48 +92,48 @@
 // A call is forwarded only once: a host that got it from another one and is not the leader answers
 // it, unless this host is elected and about to act as leader.
 void handOver(OperatorState &operators, std::uint64_t number, OperatorCall &call,
-              const GroupView &group, Time now, OperatorActions &actions)
+              const GroupStatus &group, Time now, OperatorActions &actions)
 {
     if (call.fromPeer) {
-        if (!group.isNamedLeader)
-            answer(operators, number, unsure("this host does not lead"), group, now, actions);
+        if (!group.isElected)
+            answer(operators, number, unconfirmed("this host does not lead"), group, now, actions);
         return;
     }
     if (!group.reachesLeader)
         return;
-    call.handedOver = true;
-    actions.handOvers.push_back(number);
+    call.forwarded = true;
+    actions.forwards.push_back(number);
 }
 
 // Only the host that received the call knows whether the operator still waits for the answer, so
 // only that host may base the command on newer cordons.
-void renewOrder(OperatorCall &call, const GroupView &group)
+void renewOrder(OperatorCall &call, const GroupStatus &group)
 {
-    auto *order = std::get_if<CordonOrder>(&call.request);
+    auto *order = std::get_if<CordonCommand>(&call.request);
     if (order && !call.fromPeer)
-        order->basedOn = group.held->cordons.revision;
+        order->basedOn = group.agreed->cordons.revision;
 }
 
 // A higher or equal version is committed already, and versions never go back.
-bool changesNothing(const OperatorCall &call, const GroupView &group)
+bool changesNothing(const OperatorCall &call, const GroupStatus &group)
 {
     const auto *declared = std::get_if<DeclaredCatalog>(&call.request);
-    return declared && !catalog::supersedes(group.held->declared.catalog, declared->catalog);
+    return declared && !catalog::supersedes(group.agreed->declared.catalog, declared->catalog);
 }
 
 // May answer the call, which removes it.
-void tryCall(OperatorState &operators, std::uint64_t number, const GroupView &group, Time now,
+void tryCall(OperatorState &operators, std::uint64_t number, const GroupStatus &group, Time now,
              OperatorActions &actions)
 {
     OperatorCall &call = operators.calls.at(number);
-    call.nextTry = now + operators.settings.retry;
-    const bool underWay = call.index != 0 || call.reading || call.handedOver;
+    call.retryAt = now + operators.settings.retryDelay;
+    const bool underWay = call.index != 0 || call.reading || call.forwarded;
     if (underWay)
         return;
     if (changesNothing(call, group))
         return answer(operators, number, accepted("nothing changed"), group, now, actions);
     renewOrder(call, group);
-    if (!group.leads)
+    if (!group.isReadyLeader)
         return handOver(operators, number, call, group, now, actions);
     if (std::holds_alternative<ReadCatalog>(call.request)) {
         call.reading = true;
@@ -146,23 +146,23 @@
 // Whether this host was paused and may not have read all that arrived meanwhile.
 bool mayBeOld(const OperatorState &operators, Time now)
 {
-    const bool stoodStill = operators.tickedAt != Time {}
-            && now >= operators.tickedAt + operators.settings.stoodStill;
-    return stoodStill || now < operators.catchesUpUntil;
+    const bool wasPaused = operators.tickedAt != Time {}
+            && now >= operators.tickedAt + operators.settings.pauseThreshold;
+    return wasPaused || now < operators.catchUpUntil;
 }
 
 // The call's entry is committed. An outdated cordon command changed nothing: it is reissued here,
 // or by the host that forwarded it.
-void concludeCall(OperatorState &operators, std::uint64_t number, Applied applied,
-                  const GroupView &group, Time now, OperatorActions &actions)
+void concludeCall(OperatorState &operators, std::uint64_t number, ApplyResult applied,
+                  const GroupStatus &group, Time now, OperatorActions &actions)
 {
-    if (applied != Applied::Outdated)
+    if (applied != ApplyResult::Outdated)
         return answer(operators, number, accepted(""), group, now, actions);
     ++operators.outdated;
     OperatorCall &call = operators.calls.at(number);
     call.index = 0;
     if (call.fromPeer)
-        answer(operators, number, unsure("the cordons have changed meanwhile"), group, now,
+        answer(operators, number, unconfirmed("the cordons have changed meanwhile"), group, now,
                actions);
 }
 
@@ -170,17 +170,19 @@
 
 // [SECTION] Events
 
-OperatorActions addCall(OperatorState &operators, OperatorCall call, const GroupView &group,
+OperatorActions addCall(OperatorState &operators, OperatorCall call, const GroupStatus &group,
                         Time now, std::uint64_t *number)
 {
     OperatorActions actions;
     *number = ++operators.lastNumber;
     call.receivedAt = now;
-    const bool old = std::holds_alternative<CordonOrder>(call.request) && mayBeOld(operators, now);
+    const bool old = std::holds_alternative<CordonCommand>(call.request)
+            && mayBeOld(operators, now);
     operators.calls.emplace(*number, std::move(call));
     if (old)
-        answer(operators, *number, unsure("this host stood still; the order may be an old one"),
-               group, now, actions);
+        answer(operators, *number,
+               unconfirmed("this host stood still; the order may be an old one"), group, now,
+               actions);
     else
         tryCall(operators, *number, group, now, actions);
     return actions;
@@ -192,7 +194,7 @@
 }
 
 OperatorActions proposed(OperatorState &operators, std::uint64_t number, std::uint64_t index,
-                         std::uint64_t term, const GroupView &group, Time now)
+                         std::uint64_t term, const GroupStatus &group, Time now)
 {
     OperatorActions actions;
     const auto found = operators.calls.find(number);
@@ -202,18 +204,18 @@
         found->second.index = index;
         found->second.term = term;
     } else if (index == operators.committedIndex && term == operators.committedTerm) {
-        concludeCall(operators, number, operators.committedAs, group, now, actions);
+        concludeCall(operators, number, operators.committedResult, group, now, actions);
     }
     return actions;
 }
 
 OperatorActions committed(OperatorState &operators, std::uint64_t index, std::uint64_t term,
-                          Applied applied, const GroupView &group, Time now)
+                          ApplyResult applied, const GroupStatus &group, Time now)
 {
     OperatorActions actions;
     operators.committedIndex = index;
     operators.committedTerm = term;
-    operators.committedAs = applied;
+    operators.committedResult = applied;
     std::vector<std::uint64_t> done;
     for (auto &[number, call] : operators.calls) {
         if (call.index == 0 || call.index > index)
@@ -230,7 +232,7 @@
 }
 
 OperatorActions readDone(OperatorState &operators, std::uint64_t number, bool confirmed,
-                         const GroupView &group, Time now)
+                         const GroupStatus &group, Time now)
 {
     OperatorActions actions;
     const auto found = operators.calls.find(number);
@@ -239,25 +241,25 @@
     found->second.reading = false;
     if (!confirmed)
         return actions;
-    if (group.held->declared.catalog.version == 0) {
-        answer(operators, number, unsure("no catalog was declared yet"), group, now, actions);
+    if (group.agreed->declared.catalog.version == 0) {
+        answer(operators, number, unconfirmed("no catalog was declared yet"), group, now, actions);
         return actions;
     }
     OperatorAnswer given = accepted("");
-    given.declared = group.held->declared;
+    given.declared = group.agreed->declared;
     answer(operators, number, std::move(given), group, now, actions);
     return actions;
 }
 
 OperatorActions peerAnswered(OperatorState &operators, const OperatorAnswer &given,
-                             const GroupView &group, Time now)
+                             const GroupStatus &group, Time now)
 {
     OperatorActions actions;
     const auto found = operators.calls.find(given.number);
     if (found == operators.calls.end())
         return actions;
-    if (given.outcome == OperatorOutcome::Unsure)
-        found->second.handedOver = false;
+    if (given.outcome == OperatorOutcome::Unconfirmed)
+        found->second.forwarded = false;
     else
         answer(operators, given.number, given, group, now, actions);
     return actions;
@@ -271,21 +273,22 @@
     }
 }
 
-OperatorActions tick(OperatorState &operators, const GroupView &group, Time now)
+OperatorActions tick(OperatorState &operators, const GroupStatus &group, Time now)
 {
     OperatorActions actions;
-    if (operators.tickedAt != Time {} && now >= operators.tickedAt + operators.settings.stoodStill)
-        operators.catchesUpUntil = now + operators.settings.catchingUp;
+    if (operators.tickedAt != Time {}
+        && now >= operators.tickedAt + operators.settings.pauseThreshold)
+        operators.catchUpUntil = now + operators.settings.catchUpDuration;
     operators.tickedAt = now;
     std::vector<std::uint64_t> numbers;
     for (const auto &[number, call] : operators.calls)
         numbers.push_back(number);
     for (const std::uint64_t number : numbers) {
         const OperatorCall &call = operators.calls.at(number);
-        if (now >= call.receivedAt + operators.settings.patience)
-            answer(operators, number, unsure("no quorum has confirmed it in time"), group, now,
+        if (now >= call.receivedAt + operators.settings.callTimeout)
+            answer(operators, number, unconfirmed("no quorum has confirmed it in time"), group, now,
                    actions);
-        else if (now >= call.nextTry)
+        else if (now >= call.retryAt)
             tryCall(operators, number, group, now, actions);
     }
     return actions;
--- a/packages/operators/tests/operators_test.cpp
+++ b/packages/operators/tests/operators_test.cpp
@@ -31,10 +31,10 @@
 {
     explicit Host(Place place, std::uint64_t heldVersion = 5)
     {
-        held.declared.catalog.version = heldVersion;
-        view.held = &held;
-        view.leads = place == Place::Leader;
-        view.isNamedLeader = place == Place::Leader || place == Place::NamedLeader;
+        agreed.declared.catalog.version = heldVersion;
+        view.agreed = &agreed;
+        view.isReadyLeader = place == Place::Leader;
+        view.isElected = place == Place::Leader || place == Place::NamedLeader;
         view.reachesLeader = place == Place::Follower;
     }
 
@@ -56,9 +56,9 @@
     OperatorActions read() { return add(ReadCatalog {}); }
 
     // The command of the last call
-    catalog::CordonOrder order() const
+    catalog::CordonCommand order() const
     {
-        return std::get<catalog::CordonOrder>(operators.calls.at(number).request);
+        return std::get<catalog::CordonCommand>(operators.calls.at(number).request);
     }
 
     OperatorActions pass(Milliseconds span)
@@ -67,8 +67,8 @@
         return tick(operators, view, now);
     }
 
-    catalog::AgreedState held;
-    GroupView view;
+    catalog::AgreedState agreed;
+    GroupStatus view;
     OperatorState operators;
     Time now { Seconds(100) };
     std::uint64_t number = 0;
@@ -123,9 +123,9 @@
     host.declare(6);
     proposed(host.operators, host.number, 8, 3, host.view, host.now);
     const OperatorActions actions = committed(host.operators, GetParam().index, GetParam().term,
-                                              catalog::Applied::Changed, host.view, host.now);
+                                              catalog::ApplyResult::Changed, host.view, host.now);
     EXPECT_EQ(actions.answers.size(), GetParam().accepted ? 1U : 0U);
-    EXPECT_EQ(host.pass(host.operators.settings.retry).proposals.size(),
+    EXPECT_EQ(host.pass(host.operators.settings.retryDelay).proposals.size(),
               GetParam().proposedAgain ? 1U : 0U);
 }
 
@@ -142,7 +142,7 @@
 {
     Host host(Place::Leader);
     host.declare(6);
-    committed(host.operators, 8, 3, catalog::Applied::Changed, host.view, host.now);
+    committed(host.operators, 8, 3, catalog::ApplyResult::Changed, host.view, host.now);
     const OperatorActions actions = proposed(host.operators, host.number, 8, 3, host.view,
                                              host.now);
     ASSERT_EQ(actions.answers.size(), 1U);
@@ -154,12 +154,12 @@
     Host host(Place::Leader);
     host.declare(6);
     proposed(host.operators, host.number, 8, 3, host.view, host.now);
-    const Milliseconds patience = host.operators.settings.patience;
-    EXPECT_TRUE(host.pass(patience - Milliseconds(1)).answers.empty());
+    const Milliseconds callTimeout = host.operators.settings.callTimeout;
+    EXPECT_TRUE(host.pass(callTimeout - Milliseconds(1)).answers.empty());
     const OperatorActions actions = host.pass(Milliseconds(1));
     ASSERT_EQ(actions.answers.size(), 1U);
-    EXPECT_EQ(actions.answers.at(0).outcome, OperatorOutcome::Unsure);
-    EXPECT_TRUE(committed(host.operators, 8, 3, catalog::Applied::Changed, host.view, host.now)
+    EXPECT_EQ(actions.answers.at(0).outcome, OperatorOutcome::Unconfirmed);
+    EXPECT_TRUE(committed(host.operators, 8, 3, catalog::ApplyResult::Changed, host.view, host.now)
                         .answers.empty());
 }
 
@@ -169,7 +169,7 @@
     host.declare(6);
     proposed(host.operators, host.number, 8, 3, host.view, host.now);
     logReopened(host.operators);
-    EXPECT_EQ(host.pass(host.operators.settings.retry).proposals.size(), 1U);
+    EXPECT_EQ(host.pass(host.operators.settings.retryDelay).proposals.size(), 1U);
 }
 
 // Another operator's higher version was committed in the meantime.
@@ -177,8 +177,8 @@
 {
     Host host(Place::Leader);
     host.declare(6);
-    host.held.declared.catalog.version = 7;
-    const OperatorActions actions = host.pass(host.operators.settings.retry);
+    host.agreed.declared.catalog.version = 7;
+    const OperatorActions actions = host.pass(host.operators.settings.retryDelay);
     ASSERT_EQ(actions.answers.size(), 1U);
     EXPECT_EQ(actions.answers.at(0).outcome, OperatorOutcome::Accepted);
 }
@@ -216,7 +216,7 @@
 INSTANTIATE_TEST_SUITE_P(
         Operators, Reads,
         testing::Values(ReadCase { "Confirmed", 5, true, OperatorOutcome::Accepted },
-                        ReadCase { "NothingDeclared", 0, true, OperatorOutcome::Unsure },
+                        ReadCase { "NothingDeclared", 0, true, OperatorOutcome::Unconfirmed },
                         ReadCase { "LostTheLead", 5, false, std::nullopt }),
         [](const auto &tested) { return tested.param.name; });
 
@@ -227,7 +227,7 @@
     const char *name;
     Place place;
     bool fromPeer;
-    bool handedOver;
+    bool forwarded;
     bool answeredUnsure;
 };
 
@@ -239,10 +239,10 @@
     Host host(GetParam().place);
     const OperatorActions actions = host.declare(6, GetParam().fromPeer);
     EXPECT_TRUE(actions.proposals.empty());
-    EXPECT_EQ(actions.handOvers.size(), GetParam().handedOver ? 1U : 0U);
+    EXPECT_EQ(actions.forwards.size(), GetParam().forwarded ? 1U : 0U);
     ASSERT_EQ(actions.answers.size(), GetParam().answeredUnsure ? 1U : 0U);
     if (GetParam().answeredUnsure) {
-        EXPECT_EQ(actions.answers.at(0).outcome, OperatorOutcome::Unsure);
+        EXPECT_EQ(actions.answers.at(0).outcome, OperatorOutcome::Unconfirmed);
     }
 }
 
@@ -259,10 +259,10 @@
 {
     Host host(Place::Follower);
     host.declare(6);
-    OperatorAnswer unsure;
-    unsure.number = host.number;
-    EXPECT_TRUE(peerAnswered(host.operators, unsure, host.view, host.now).answers.empty());
-    EXPECT_EQ(host.pass(host.operators.settings.retry).handOvers.size(), 1U);
+    OperatorAnswer unconfirmed;
+    unconfirmed.number = host.number;
+    EXPECT_TRUE(peerAnswered(host.operators, unconfirmed, host.view, host.now).answers.empty());
+    EXPECT_EQ(host.pass(host.operators.settings.retryDelay).forwards.size(), 1U);
 }
 
 TEST(OperatorsHandOver, GivesTheOperatorWhatTheLeaderSaid)
@@ -289,20 +289,20 @@
     explicit CordonHost(Place place)
         : Host(place)
     {
-        held.cordons.revision = HeldRevision;
+        agreed.cordons.revision = HeldRevision;
     }
 
     OperatorActions cordon(bool fromPeer = false, std::uint64_t basedOn = 0)
     {
-        return add(catalog::CordonOrder { "north", true, basedOn }, fromPeer);
+        return add(catalog::CordonCommand { "north", true, basedOn }, fromPeer);
     }
 
     // Commits the last call's entry after another cordon command.
     OperatorActions commitOutdated()
     {
         proposed(operators, number, 8, 3, view, now);
-        held.cordons.revision = HeldRevision + 1;
-        return committed(operators, 8, 3, catalog::Applied::Outdated, view, now);
+        agreed.cordons.revision = HeldRevision + 1;
+        return committed(operators, 8, 3, catalog::ApplyResult::Outdated, view, now);
     }
 };
 
@@ -311,7 +311,7 @@
 TEST(OperatorsCordon, IsAgreedOnEvenIfItSeemsToBeSo)
 {
     CordonHost host(Place::Leader);
-    host.held.cordons.dataCentres = { "north" };
+    host.agreed.cordons.dataCentres = { "north" };
     const OperatorActions actions = host.cordon();
     EXPECT_EQ(actions.proposals.size(), 1U);
     EXPECT_TRUE(actions.answers.empty());
@@ -348,7 +348,7 @@
     CordonHost host(Place::Leader);
     host.cordon();
     EXPECT_TRUE(host.commitOutdated().answers.empty());
-    EXPECT_EQ(host.pass(host.operators.settings.retry).proposals.size(), 1U);
+    EXPECT_EQ(host.pass(host.operators.settings.retryDelay).proposals.size(), 1U);
     EXPECT_EQ(host.order().basedOn, HeldRevision + 1);
     EXPECT_EQ(host.operators.outdated, 1U);
 }
@@ -359,7 +359,7 @@
     host.cordon(true, HeldRevision);
     const OperatorActions actions = host.commitOutdated();
     ASSERT_EQ(actions.answers.size(), 1U);
-    EXPECT_EQ(actions.answers.at(0).outcome, OperatorOutcome::Unsure);
+    EXPECT_EQ(actions.answers.at(0).outcome, OperatorOutcome::Unconfirmed);
 }
 
 TEST(OperatorsCordon, OfAnOperatorThatHasGoneIsNotGivenAnew)
@@ -368,7 +368,7 @@
     host.cordon();
     dropCall(host.operators, host.number);
     EXPECT_TRUE(host.commitOutdated().answers.empty());
-    EXPECT_TRUE(host.pass(host.operators.settings.retry).proposals.empty());
+    EXPECT_TRUE(host.pass(host.operators.settings.retryDelay).proposals.empty());
 }
 
 struct PauseCase
@@ -397,10 +397,10 @@
     EXPECT_EQ(actions.proposals.size(), GetParam().taken ? 1U : 0U);
     ASSERT_EQ(actions.answers.size(), GetParam().taken ? 0U : 1U);
     if (!GetParam().taken) {
-        EXPECT_EQ(actions.answers.at(0).outcome, OperatorOutcome::Unsure);
+        EXPECT_EQ(actions.answers.at(0).outcome, OperatorOutcome::Unconfirmed);
     }
     host.pass(Milliseconds(20));
-    host.pass(host.operators.settings.catchingUp);
+    host.pass(host.operators.settings.catchUpDuration);
     EXPECT_EQ(host.cordon().proposals.size(), 1U);
 }
 
--- a/packages/operators/tests/orders_test.cpp
+++ b/packages/operators/tests/orders_test.cpp
@@ -1,6 +1,6 @@
 /*
-    Random schedules of cordon commands: hosts are paused, requests and messages are delayed, leaders
-    change, answers are lost, and an operator retries.
+    Random schedules of cordon commands: hosts are paused, requests and messages are delayed,
+   leaders change, answers are lost, and an operator retries.
 
     Checks that an acknowledged command is in effect, and stays so until the operator sends another
     one, whatever is still in flight. With any one of the guards removed, a violation must be found.
@@ -74,7 +74,7 @@
     {
         if (missing == Guard::Pause)
             for (ControlHost &host : hosts)
-                host.operators.settings.stoodStill = std::chrono::hours(1);
+                host.operators.settings.pauseThreshold = std::chrono::hours(1);
     }
 
     std::int64_t between(std::int64_t least, std::int64_t most)
@@ -141,13 +141,13 @@
 
 void carryOut(World &world, int number, OperatorActions &&actions);
 
-GroupView viewOf(World &world, int number)
+GroupStatus viewOf(World &world, int number)
 {
-    GroupView view;
-    view.leads = world.leader == number;
-    view.isNamedLeader = view.leads;
-    view.reachesLeader = !view.leads;
-    view.held = &world.hosts[static_cast<std::size_t>(number)].agreed;
+    GroupStatus view;
+    view.isReadyLeader = world.leader == number;
+    view.isElected = view.isReadyLeader;
+    view.reachesLeader = !view.isReadyLeader;
+    view.agreed = &world.hosts[static_cast<std::size_t>(number)].agreed;
     return view;
 }
 
@@ -157,7 +157,7 @@
     ControlHost &host = world.hosts[static_cast<std::size_t>(number)];
     while (host.applied < world.log.size()) {
         const auto &[command, term] = world.log[host.applied++];
-        const catalog::Applied applied = catalog::apply(host.agreed, command);
+        const catalog::ApplyResult applied = catalog::apply(host.agreed, command);
         carryOut(world, number,
                  committed(host.operators, host.applied, term, applied, viewOf(world, number),
                            world.now));
@@ -166,7 +166,7 @@
 
 void commit(World &world, catalog::Command command)
 {
-    auto &order = std::get<catalog::CordonOrder>(command);
+    auto &order = std::get<catalog::CordonCommand>(command);
     if (world.missing == Guard::Basis)
         order.basedOn = world.agreed.cordons.revision;
     const bool before = catalog::isCordoned(world.agreed.cordons, North);
@@ -262,7 +262,7 @@
         else if (world.chance(90))
             tellOperator(world, host.requests[given.number], given.outcome);
     }
-    for (const std::uint64_t call : actions.handOvers)
+    for (const std::uint64_t call : actions.forwards)
         handOver(world, number, call);
     for (const std::uint64_t call : actions.proposals)
         propose(world, number, call);
@@ -310,7 +310,7 @@
     const std::uint64_t request = ++world.request;
     const int number = static_cast<int>(world.between(0, Hosts - 1));
     OperatorCall call;
-    call.request = catalog::CordonOrder { North, world.wanted, 0 };
+    call.request = catalog::CordonCommand { North, world.wanted, 0 };
     const bool endIsSeen = world.chance(50);
     world.after(world.way(), [&world, number, call, request, endIsSeen] {
         const bool late = request != world.request;
--- a/packages/runner/include/foxwing/runner/runner.h
+++ b/packages/runner/include/foxwing/runner/runner.h
@@ -34,7 +34,7 @@
 #include <vector>
 
 #include <foxwing/base/fadingsum.h>
-#include <foxwing/catalog/agreed.h>
+#include <foxwing/catalog/agreedstate.h>
 #include <foxwing/eventlog/eventlog.h>
 #include <foxwing/jobs/messages.h>
 
--- a/packages/scheduler/include/foxwing/scheduler/scheduler.h
+++ b/packages/scheduler/include/foxwing/scheduler/scheduler.h
@@ -31,7 +31,7 @@
 #include <vector>
 
 #include <foxwing/base/fadingsum.h>
-#include <foxwing/catalog/agreed.h>
+#include <foxwing/catalog/agreedstate.h>
 #include <foxwing/eventlog/eventlog.h>
 #include <foxwing/forecast/forecast.h>
 #include <foxwing/jobs/messages.h>
@@ -234,7 +234,7 @@
     std::string queue;
     std::string service;
     std::uint32_t priority = 0;
-    std::uint32_t attempts = 1;
+    std::uint32_t maxAttempts = 1;
     double stretch = 1.0;
     Milliseconds targetLatency { 0 };
 
--- a/packages/scheduler/src/completion.cpp
+++ b/packages/scheduler/src/completion.cpp
@@ -292,7 +292,7 @@
     task.avoidedAgents.push_back(task.agent);
     const std::string agent = task.agent;
     requeueTask(scheduler, job, task);
-    if (task.failures >= job.options.attempts)
+    if (task.failures >= job.options.maxAttempts)
         answerJob(scheduler, job, JobOutcome::Failed,
                   "task " + std::to_string(task.step) + "." + std::to_string(task.index)
                           + " failed " + std::to_string(task.failures) + " times, last at " + agent,
--- a/packages/scheduler/tests/bench.h
+++ b/packages/scheduler/tests/bench.h
@@ -73,7 +73,7 @@
         JobOptions options;
         options.queue = "queue";
         options.service = "align";
-        options.attempts = 2;
+        options.maxAttempts = 2;
         options.stretch = 1.6;
         options.priority = priority;
         options.targetLatency = Milliseconds(60);
--- a/packages/scheduler/tests/order_test.cpp
+++ b/packages/scheduler/tests/order_test.cpp
@@ -144,7 +144,7 @@
         options.queue = names.queue + std::to_string(i % 2);
         options.service = names.service;
         options.priority = static_cast<std::uint32_t>(i % 2);
-        options.attempts = 2;
+        options.maxAttempts = 2;
         options.stretch = 1.6;
         options.targetLatency = Milliseconds(60);
         options.startDeadline = now + Milliseconds(1500);
--- a/packages/settings/src/settings.cpp
+++ b/packages/settings/src/settings.cpp
@@ -173,7 +173,7 @@
 
 void readControl(TomlReader table, Settings &settings)
 {
-    table.span("dead_after", settings.control.deadAfter);
+    table.span("dead_after", settings.control.nodeTimeout);
     table.whole("claim_replicas", settings.control.replicaCount, 1, 5);
     table.span("journal_added_delay", settings.journal.addedDelay);
     table.whole("snapshot_every", settings.journal.snapshotEvery, 10, MostCount);
@@ -184,7 +184,7 @@
         table.refuse("operator_token_hash",
                      "and \"control.operator_salt\" must be as printed by: "
                      "foxwing token");
-    if (settings.control.deadAfter <= settings.entry.claims.controlLease)
+    if (settings.control.nodeTimeout <= settings.entry.claims.controlLease)
         table.refuse("dead_after",
                      "must be longer than \"entry.master_lease\": an entry must stop "
                      "granting claims before control replaces it");
@@ -244,7 +244,7 @@
     settings.control.self = node.id;
     settings.control.configurationLease = settings.entry.configurationLease;
     settings.control.clockSkew = settings.entry.claims.clockSkew;
-    settings.control.agentMemory = settings.agent.retention;
+    settings.control.agentRetention = settings.agent.retention;
 }
 
 } // namespace
--- a/packages/subset/include/foxwing/subset/subset.h
+++ b/packages/subset/include/foxwing/subset/subset.h
@@ -27,7 +27,7 @@
 #include <string>
 #include <vector>
 
-#include <foxwing/catalog/agreed.h>
+#include <foxwing/catalog/agreedstate.h>
 #include <foxwing/directory/directory.h>
 
 namespace foxwing::subset {
--- a/tests/fleet/replay_test.cpp
+++ b/tests/fleet/replay_test.cpp
@@ -51,7 +51,7 @@
         queue.host = "a.example";
         queue.prefix = "/q/";
         queue.service = "align";
-        queue.attempts = 2;
+        queue.maxAttempts = 2;
         queue.stretch = 1.6;
         queue.targetLatency = Milliseconds(60);
         queue.timeout = Milliseconds(1500);
@@ -147,7 +147,7 @@
         scheduler::JobOptions options;
         options.queue = queue->name;
         options.service = queue->service;
-        options.attempts = queue->attempts;
+        options.maxAttempts = queue->maxAttempts;
         options.stretch = queue->stretch;
         options.targetLatency = queue->targetLatency;
         options.startDeadline = m_now + queue->timeout;
--- a/tests/fleet/world.cpp
+++ b/tests/fleet/world.cpp
@@ -159,7 +159,7 @@
             % m_settings.priorities;
     options.queue = "queue-" + std::to_string(options.priority);
     options.service = "service";
-    options.attempts = 3;
+    options.maxAttempts = 3;
     options.stretch = 1.6;
     options.targetLatency = Milliseconds(60);
     options.startDeadline = clockOf(entry) + Milliseconds(1500);
--- a/tests/fleet/worldfaults.cpp
+++ b/tests/fleet/worldfaults.cpp
@@ -26,8 +26,8 @@
                   [this, dataCentre, cordoned] { changeCordon(dataCentre, cordoned); });
     catalog::AgreedState state;
     state.cordons = m_cordons;
-    const catalog::CordonOrder order { dataCentre, cordoned, m_cordons.revision };
-    if (catalog::apply(state, order) != catalog::Applied::Changed)
+    const catalog::CordonCommand order { dataCentre, cordoned, m_cordons.revision };
+    if (catalog::apply(state, order) != catalog::ApplyResult::Changed)
         return;
     m_cordons = state.cordons;
     if (cordoned)
--- a/tests/fuzz/frames_test.cpp
+++ b/tests/fuzz/frames_test.cpp
@@ -56,7 +56,7 @@
            fleet::Frame(directory::Announce { node }),
            fleet::Frame(fleet::OpenSession { "entry-1", { push.cordons } }),
            fleet::Frame(jobs::StopRuns { { { { "job", 0, 0, 1 }, 1 } } }),
-           fleet::Frame(fleet::ForwardAnswer { 3, fleet::OperatorOutcome::Unsure, "r", {} }) })
+           fleet::Frame(fleet::ForwardAnswer { 3, fleet::OperatorOutcome::Unconfirmed, "r", {} }) })
         frames.push_back(encodeFrame(frame));
     return frames;
 }
--- a/tests/rig/rig.cpp
+++ b/tests/rig/rig.cpp
@@ -359,7 +359,7 @@
     options.queue = load.name;
     options.service = "service";
     options.priority = load.priority;
-    options.attempts = load.attempts;
+    options.maxAttempts = load.maxAttempts;
     options.stretch = Stretch;
     options.targetLatency = Latency;
     options.startDeadline = m_now + Milliseconds(1500);
@@ -619,8 +619,8 @@
     catalog::AgreedState agreed;
     agreed.cordons = m_cordons;
     catalog::apply(agreed,
-                   catalog::CordonOrder { centreName(span.dataCentre), begins,
-                                          m_cordons.revision });
+                   catalog::CordonCommand { centreName(span.dataCentre), begins,
+                                            m_cordons.revision });
     m_cordons = agreed.cordons;
     for (std::size_t host = 0; host < m_hosts.size(); ++host)
         at(m_now + m_settings.farDelay, [this, host, cordons = m_cordons] {
--- a/tests/rig/rig.h
+++ b/tests/rig/rig.h
@@ -33,7 +33,7 @@
 {
     std::string name;
     std::uint32_t priority = 0;
-    std::uint32_t attempts = 4;
+    std::uint32_t maxAttempts = 4;
     double perSecond = 0;
 
     // Of a task at an endpoint of speed 1; of one job to the next with the spread below
--- a/tests/schedules/world.cpp
+++ b/tests/schedules/world.cpp
@@ -176,7 +176,7 @@
     process.incarnation = static_cast<std::uint64_t>(
             wallOf(world, process).time_since_epoch().count());
     process.heldBack.clear();
-    process.nextBeat = world.now;
+    process.nextHeartbeat = world.now;
     if (process.isEntry)
         startEntry(process);
     else if (process.isAgent)
@@ -184,7 +184,7 @@
     else
         process.control = std::make_unique<control::ControlState>(
                 control::makeControl({}, world.durable, world.now, wallOf(world, process)));
-    control::Beat identity;
+    control::Heartbeat identity;
     identity.id = process.id;
     identity.incarnation = process.incarnation;
     identity.address = process.id;
@@ -211,8 +211,8 @@
     }
     claims::renewControlLease(process.entry->claims, *sentAt);
     if (update.hasAgents) {
-        process.entry->agents = { {}, update.agentsSince };
-        for (const control::AgentHint &hint : update.agents)
+        process.entry->agents = { {}, update.agentsCompleteSince };
+        for (const control::AgentStatus &hint : update.agents)
             process.entry->agents.agents.push_back(
                     { hint.id, hint.service, hint.lostAt, hint.live });
     }
@@ -235,7 +235,7 @@
 // Steady traffic that says nothing about a submission.
 bool isUpkeep(const Message &message)
 {
-    return std::holds_alternative<control::Beat>(message)
+    return std::holds_alternative<control::Heartbeat>(message)
             || std::holds_alternative<control::Update>(message)
             || std::holds_alternative<agent::LeaseOffer>(message)
             || std::holds_alternative<agent::LeaseAccepted>(message)
@@ -276,8 +276,9 @@
             carryOut(world, process, entry::handleClaim(state, *claim, world.now, wall));
         else if (const auto other = node::narrow<entry::EntryMessage>(message))
             carryOut(world, process, entry::handleEntry(state, *other, world.now));
-    } else if (const auto *beat = std::get_if<control::Beat>(&message)) {
-        carryOut(world, process, control::handleBeat(*process.control, *beat, world.now, wall));
+    } else if (const auto *beat = std::get_if<control::Heartbeat>(&message)) {
+        carryOut(world, process,
+                 control::handleHeartbeat(*process.control, *beat, world.now, wall));
     }
     if (const auto *update = std::get_if<control::Update>(&message); update && !process.control)
         applyUpdate(world, process, *update);
@@ -293,13 +294,13 @@
     else
         carryOut(world, process, agent::tick(*process.agent, world.now));
     const bool wanted = process.entry && std::exchange(process.entry->heartbeatRequested, false);
-    if (world.now < process.nextBeat && !wanted)
+    if (world.now < process.nextHeartbeat && !wanted)
         return;
-    control::Beat beat = control::nextBeat(process.reporter, world.now);
+    control::Heartbeat beat = control::nextHeartbeat(process.reporter, world.now);
     const bool moving = process.entry && !claims::allShardsActive(process.entry->claims);
     if (process.entry)
         beat.readyShards = claims::readyShards(process.entry->claims);
-    process.nextBeat = world.now + (moving ? TickInterval : BeatInterval);
+    process.nextHeartbeat = world.now + (moving ? TickInterval : BeatInterval);
     sendMessage(world, process.id, "control", beat);
 }
 
--- a/tests/schedules/worldstate.h
+++ b/tests/schedules/worldstate.h
@@ -66,7 +66,7 @@
     std::uint64_t incarnation = 0;
     Milliseconds skew { 0 };
     control::Reporter reporter;
-    Time nextBeat {};
+    Time nextHeartbeat {};
 
     // Exactly one of these, by role
     std::unique_ptr<entry::EntryState> entry;
