--- a/packages/control/include/foxwing/control/control.h
+++ b/packages/control/include/foxwing/control/control.h
@@ -98,7 +98,7 @@
     std::vector<TeamQuota> quotas;
     std::uint64_t quotasRevision = 0;
 
-    // Tells a pause of this process from silence of all nodes.
+    // Detects pauses of this process, which are not silence of the nodes.
     Time lastTickAt {};
     bool hasTicked = false;
 
--- a/packages/control/tests/quota_test.cpp
+++ b/packages/control/tests/quota_test.cpp
@@ -1,5 +1,5 @@
 /*
-    Shares never add up to more than the quota, whatever is lost, and follow demand.
+    Shares follow demand, and their sum never exceeds the quota, whichever messages are lost.
 
     [SECTION] Helpers
     [SECTION] Tests
@@ -79,7 +79,7 @@
     EXPECT_GT(heartbeat(table, "a", { "", 4, 4, 50 }, Start + Seconds(13)), 4U);
 }
 
-// Beats and answers are lost at random; an entry starts work up to the share that it has.
+// Heartbeats and answers are lost at random; entries start tasks up to their current share.
 TEST(Quota, SumStaysWithinQuotaWhenMessagesAreLost)
 {
     for (std::uint64_t seed = 1; seed <= 500; ++seed) {
@@ -102,7 +102,7 @@
                     own.running += static_cast<std::uint32_t>(random()
                                                               % (own.share - own.running + 1));
                 if (random() % 4 == 0)
-                    continue; // the beat is lost
+                    continue; // the heartbeat is lost
                 applyShareReports(table, entry, { own }, now);
                 const auto grants = grantShares(table, entry, Entries, Quotas, now);
                 if (random() % 4 == 0)
--- a/packages/control/tests/resources_test.cpp
+++ b/packages/control/tests/resources_test.cpp
@@ -1,5 +1,5 @@
 /*
-    Versions, request ids, watches, validation.
+    Versions, request ids, watches and validation of declared resources.
 
     [SECTION] Store
     [SECTION] Validation
--- a/packages/operators/include/foxwing/operators/operators.h
+++ b/packages/operators/include/foxwing/operators/operators.h
@@ -87,7 +87,7 @@
 // The consensus group as this host sees it.
 struct GroupStatus
 {
-    // This host is the leader and has applied all committed entries.
+    // This host is the leader, and its agreed state is the newest.
     bool isReadyLeader = false;
 
     // This host is elected, but may not be able to act as leader yet.
@@ -111,9 +111,10 @@
     // Between attempts at a call that found no leader.
     Milliseconds retryDelay { 60 };
 
-    // A gap between ticks of this length means that the process was paused. Calls that arrived
-    // meanwhile may be from operators that have tried another host since, so cordon commands are
-    // rejected for catchUpDuration, until those calls have been read.
+    // A gap between ticks of this length means that the process was paused; a slow disk sync does
+    // not cause one, as it has its own thread. Operators try another host after a second, so calls
+    // that arrived meanwhile may be outdated: cordon commands are rejected for catchUpDuration,
+    // until those calls have been read.
     Milliseconds pauseThreshold { 400 };
     Milliseconds catchUpDuration { 100 };
 };
@@ -190,7 +191,7 @@
                          const GroupStatus &group, Time now);
 
 // The leader has answered a forwarded call.
-OperatorActions peerAnswered(OperatorState &operators, const OperatorAnswer &answer,
+OperatorActions peerAnswered(OperatorState &operators, const OperatorAnswer &reply,
                              const GroupStatus &group, Time now);
 
 // The log's journal was reopened: proposals and reads in progress are lost, their calls are
--- a/packages/operators/tests/operators_test.cpp
+++ b/packages/operators/tests/operators_test.cpp
@@ -23,7 +23,7 @@
     // Knows no leader, or is not connected to it
     NoLeader,
 
-    // Elected, but has not applied all committed entries yet
+    // Elected, but has not caught up yet
     Elected,
 };
 
--- a/packages/operators/tests/orders_test.cpp
+++ b/packages/operators/tests/orders_test.cpp
@@ -35,14 +35,14 @@
 enum class Guard {
     None,
 
-    // Commands are not checked against the revision that they are based on.
+    // Commands change nothing unless based on the current revision.
     BaseRevision,
 
-    // A host accepts all calls after a pause.
-    Pause,
+    // A host rejects commands after a pause.
+    PauseCheck,
 
-    // Hosts don't notice that the operator has closed its connection.
-    CallerGone,
+    // Hosts drop the calls of an operator that has closed its connection.
+    CallerCheck,
 };
 
 struct Proposal
@@ -72,7 +72,7 @@
         , disabled(disabledGuard)
         , hosts(HostCount)
     {
-        if (disabled == Guard::Pause)
+        if (disabled == Guard::PauseCheck)
             for (ControlHost &host : hosts)
                 host.operators.settings.pauseThreshold = std::chrono::hours(1);
     }
@@ -282,7 +282,7 @@
     ControlHost &host = simulation.hosts[static_cast<std::size_t>(number)];
     // A connection that the operator has closed is noticed within one turn of the event loop.
     for (const auto &[call, request] : host.requests) {
-        if (request != simulation.request && simulation.disabled != Guard::CallerGone)
+        if (request != simulation.request && simulation.disabled != Guard::CallerCheck)
             dropCall(host.operators, call);
     }
     execute(simulation, number, tick(host.operators, groupOf(simulation, number), simulation.now));
@@ -325,14 +325,14 @@
     const bool closeIsSeen = simulation.chance(50);
     simulation.after(simulation.messageDelay(), [&simulation, number, call, request, closeIsSeen] {
         const bool late = request != simulation.request;
-        if (late && simulation.disabled != Guard::CallerGone)
+        if (late && simulation.disabled != Guard::CallerCheck)
             return;
         const bool paused = simulation.now
                 < simulation.hosts[static_cast<std::size_t>(number)].pausedUntil;
         simulation.on(number, Milliseconds(0),
                       [&simulation, number, call, request, paused, closeIsSeen] {
                           if (request != simulation.request && (!paused || closeIsSeen)
-                              && simulation.disabled != Guard::CallerGone)
+                              && simulation.disabled != Guard::CallerCheck)
                               return;
                           receiveCall(simulation, number, call, request, std::nullopt);
                       });
@@ -419,8 +419,8 @@
 INSTANTIATE_TEST_SUITE_P(Operators, CordonSchedules,
                          testing::Values(GuardCase { "AllGuards", Guard::None },
                                          GuardCase { "WithoutBaseRevision", Guard::BaseRevision },
-                                         GuardCase { "WithoutPauseCheck", Guard::Pause },
-                                         GuardCase { "WithoutCallerCheck", Guard::CallerGone }),
+                                         GuardCase { "WithoutPauseCheck", Guard::PauseCheck },
+                                         GuardCase { "WithoutCallerCheck", Guard::CallerCheck }),
                          [](const auto &tested) { return tested.param.name; });
 
 } // namespace
