--- a/packages/control/src/reporter.cpp
+++ b/packages/control/src/reporter.cpp
@@ -1,5 +1,5 @@
 /*
-    Beats and updates at a node.
+    Heartbeats and updates at a node.
 
     [SECTION] Functions
 */
@@ -9,8 +9,8 @@
 
 namespace {
 
-// Beats that were never answered are forgotten beyond this many.
-constexpr std::size_t MostSent = 1000;
+// Bound of the heartbeats that are remembered without an answer.
+constexpr std::size_t MaxUnanswered = 1000;
 
 } // namespace
 
@@ -25,30 +25,30 @@
 
 Heartbeat nextHeartbeat(Reporter &reporter, Time now)
 {
-    Heartbeat beat = reporter.identity;
-    beat.number = ++reporter.number;
-    beat.revision = reporter.revision;
-    beat.view = reporter.view;
-    beat.viewUpdate = reporter.viewUpdate;
-    beat.agentsVersion = reporter.agentsVersion;
-    reporter.sent.push_back({ beat.number, now });
-    if (reporter.sent.size() > MostSent)
-        reporter.sent.pop_front();
-    return beat;
+    Heartbeat heartbeat = reporter.identity;
+    heartbeat.number = ++reporter.number;
+    heartbeat.revision = reporter.revision;
+    heartbeat.view = reporter.view;
+    heartbeat.viewUpdate = reporter.viewUpdate;
+    heartbeat.agentsVersion = reporter.agentsVersion;
+    reporter.unanswered.push_back({ heartbeat.number, now });
+    if (reporter.unanswered.size() > MaxUnanswered)
+        reporter.unanswered.pop_front();
+    return heartbeat;
 }
 
 std::optional<Time> acceptUpdate(Reporter &reporter, const Update &update)
 {
     if (update.incarnation != reporter.identity.incarnation)
         return std::nullopt;
-    while (!reporter.sent.empty() && reporter.sent.front().number < update.number)
-        reporter.sent.pop_front();
-    // An update for an earlier beat than the one that was answered last is late.
-    if (reporter.sent.empty() || reporter.sent.front().number != update.number)
+    while (!reporter.unanswered.empty() && reporter.unanswered.front().number < update.number)
+        reporter.unanswered.pop_front();
+    // Late: a later heartbeat was answered already.
+    if (reporter.unanswered.empty() || reporter.unanswered.front().number != update.number)
         return std::nullopt;
-    const Time sentAt = reporter.sent.front().at;
-    reporter.sent.pop_front();
-    // Control that knows less than this node can't be the one that accepted what it has.
+    const Time sentAt = reporter.unanswered.front().sentAt;
+    reporter.unanswered.pop_front();
+    // Sent by a control host that is behind this node's revision.
     if (update.revision < reporter.revision)
         return std::nullopt;
     reporter.confirmed = true;
--- a/packages/fleet/src/messages.h
+++ b/packages/fleet/src/messages.h
@@ -8,7 +8,7 @@
 #pragma once
 
 #include <foxwing/base/binary.h>
-#include <foxwing/catalog/agreed.h>
+#include <foxwing/catalog/agreedstate.h>
 #include <foxwing/directory/directory.h>
 #include <foxwing/fleet/dialect.h>
 #include <foxwing/jobs/messages.h>
--- a/packages/scheduler/include/foxwing/scheduler/scheduler.h
+++ b/packages/scheduler/include/foxwing/scheduler/scheduler.h
@@ -31,7 +31,7 @@
 #include <vector>
 
 #include <foxwing/base/fadingsum.h>
-#include <foxwing/catalog/agreed.h>
+#include <foxwing/catalog/agreedstate.h>
 #include <foxwing/eventlog/eventlog.h>
 #include <foxwing/forecast/forecast.h>
 #include <foxwing/jobs/messages.h>
