--- a/packages/dispatch/src/dispatcher.cpp
+++ b/packages/dispatch/src/dispatcher.cpp
@@ -208,8 +208,8 @@
     backOffWorker(dispatcher, job, message.agent, now + backoff);
     if (job.refusals > dispatcher.settings.maxRefusals)
         return failJob(dispatcher, job, ErrorKind::Unavailable,
-                       "the workers refused this work; check the state of the service's workers",
-                       now, actions);
+                       "no worker took this work; look at the state of the service's workers", now,
+                       actions);
     job.backoffUntil = now + backoff;
     dispatcher.backoffJobs.push_back(job.spec.key);
     requeue(dispatcher, job, now);
@@ -444,8 +444,8 @@
     const Microseconds needed = wait + reliableRunTime(service, spec, now);
     if (now + needed > spec.deadline)
         return Error { ErrorKind::DeadlineUnreachable,
-                       "the expected wait and run time exceed the deadline; retry later or allow "
-                       "more time",
+                       "the work is not expected to be done before its deadline; retry later or "
+                       "allow more time",
                        Outcome::NotRun, std::max(retryAfter, Milliseconds { 100 }) };
     return std::nullopt;
 }
--- a/tests/golden/sessions_test.cpp
+++ b/tests/golden/sessions_test.cpp
@@ -14,7 +14,7 @@
 #include <map>
 #include <sstream>
 
-#include "../schedules/world.h"
+#include "../schedules/simulation.h"
 
 namespace foxwing::schedules {
 namespace {
@@ -23,19 +23,19 @@
 
 // [SECTION] Sessions
 
-struct Scene
+struct Scenario
 {
     const char *name;
-    void (*play)(Session &);
+    void (*run)(Session &);
 };
 
-void playJob(Session &session)
+void runJob(Session &session)
 {
     session.submit("entry0", 3, milliseconds(100), milliseconds(5000));
     session.advance(milliseconds(500));
 }
 
-void playResubmission(Session &session)
+void runResubmission(Session &session)
 {
     const std::size_t job = session.submit("entry0", 2, milliseconds(200), milliseconds(5000));
     session.submitAgain("entry1", job);
@@ -46,7 +46,7 @@
     session.advance(milliseconds(300));
 }
 
-void playCancellation(Session &session)
+void runCancellation(Session &session)
 {
     const std::size_t job = session.submit("entry0", 4, milliseconds(3000), milliseconds(9000));
     session.advance(milliseconds(200));
@@ -54,14 +54,14 @@
     session.advance(milliseconds(500));
 }
 
-void playTaskFails(Session &session)
+void runTaskFails(Session &session)
 {
     session.failNextTask();
     session.submit("entry0", 2, milliseconds(100), milliseconds(5000));
     session.advance(milliseconds(500));
 }
 
-void playTakeover(Session &session)
+void runTakeover(Session &session)
 {
     const std::size_t job = session.submit("entry0", 3, milliseconds(2000), milliseconds(20000));
     session.advance(milliseconds(200));
@@ -70,7 +70,7 @@
     session.advance(milliseconds(8000));
 }
 
-void playWorkerLost(Session &session)
+void runWorkerLost(Session &session)
 {
     session.submit("entry0", 6, milliseconds(6000), milliseconds(20000));
     session.advance(milliseconds(200));
@@ -80,7 +80,7 @@
     session.advance(milliseconds(6000));
 }
 
-void playLeavingAgent(Session &session)
+void runLeavingAgent(Session &session)
 {
     session.submit("entry0", 3, milliseconds(500), milliseconds(5000));
     session.advance(milliseconds(100));
@@ -94,13 +94,13 @@
 
 // [SECTION] Golden files
 
-class Golden : public testing::TestWithParam<Scene>
+class Golden : public testing::TestWithParam<Scenario>
 { };
 
-TEST_P(Golden, SessionIsAsRecorded)
+TEST_P(Golden, SessionMatchesTheRecording)
 {
     Session session;
-    GetParam().play(session);
+    GetParam().run(session);
     EXPECT_TRUE(session.report().violations.empty());
     std::string text;
     for (const std::string &line : session.transcript())
@@ -114,14 +114,17 @@
     EXPECT_EQ(text, expected.str()) << path;
 }
 
-INSTANTIATE_TEST_SUITE_P(
-        Table, Golden,
-        testing::Values(Scene { "Job", playJob }, Scene { "Resubmission", playResubmission },
-                        Scene { "Cancellation", playCancellation },
-                        Scene { "TaskFails", playTaskFails }, Scene { "Takeover", playTakeover },
-                        Scene { "WorkerLost", playWorkerLost },
-                        Scene { "LeavingAgent", playLeavingAgent }),
-        [](const testing::TestParamInfo<Scene> &given) { return given.param.name; });
+INSTANTIATE_TEST_SUITE_P(Table, Golden,
+                         testing::Values(Scenario { "Job", runJob },
+                                         Scenario { "Resubmission", runResubmission },
+                                         Scenario { "Cancellation", runCancellation },
+                                         Scenario { "TaskFails", runTaskFails },
+                                         Scenario { "Takeover", runTakeover },
+                                         Scenario { "WorkerLost", runWorkerLost },
+                                         Scenario { "LeavingAgent", runLeavingAgent }),
+                         [](const testing::TestParamInfo<Scenario> &given) {
+                             return given.param.name;
+                         });
 
 // [SECTION] Traces
 
@@ -135,7 +138,7 @@
 class Replay : public testing::TestWithParam<Trace>
 { };
 
-TEST_P(Replay, EveryRowComesToItsStatedOutcome)
+TEST_P(Replay, EveryRowCompletes)
 {
     Session session;
     std::ifstream file(std::string("tests/traces/") + GetParam().name + ".csv");
@@ -146,18 +149,18 @@
         if (line.empty() || line[0] == '#')
             continue;
         std::istringstream row(line);
-        std::string when;
+        std::string arrival;
         std::string workClass;
         std::string tasks;
-        std::string span;
-        std::getline(row, when, ',');
+        std::string taskTime;
+        std::getline(row, arrival, ',');
         std::getline(row, workClass, ',');
         std::getline(row, tasks, ',');
-        std::getline(row, span, ',');
-        session.advance(milliseconds(std::stol(when)) - at);
-        at = milliseconds(std::stol(when));
+        std::getline(row, taskTime, ',');
+        session.advance(milliseconds(std::stol(arrival)) - at);
+        at = milliseconds(std::stol(arrival));
         session.submit("entry" + std::to_string(rows % 3), std::stoul(tasks),
-                       milliseconds(std::stol(span)), milliseconds(30000));
+                       milliseconds(std::stol(taskTime)), milliseconds(30000));
         ++rows;
     }
     session.advance(milliseconds(30000));
--- a/tests/schedules/schedules_test.cpp
+++ b/tests/schedules/schedules_test.cpp
@@ -7,7 +7,7 @@
 
     [SECTION] Tests
 */
-#include "world.h"
+#include "simulation.h"
 
 #include <atomic>
 #include <cstdlib>
@@ -72,7 +72,7 @@
 
 // [SECTION] Tests
 
-TEST(Schedules, PromisesHoldUnderFaults)
+TEST(Schedules, InvariantsHoldUnderFaults)
 {
     const std::uint64_t first = numberFrom("FOXWING_SEED", 1);
     const std::uint64_t count = numberFrom("FOXWING_SCHEDULES", 2000);
--- a/tests/schedules/sessions.cpp
+++ b/tests/schedules/sessions.cpp
@@ -3,7 +3,7 @@
 
     [SECTION] Sessions
 */
-#include "worldstate.h"
+#include "simulationstate.h"
 
 #include <foxwing/base/submissionid.h>
 
@@ -12,18 +12,18 @@
 // [SECTION] Sessions
 
 Session::Session()
-    : m_world(std::make_unique<World>())
+    : m_simulation(std::make_unique<Simulation>())
 {
-    m_world->random.seed(1);
-    m_world->chaos = false;
-    m_world->session = true;
-    m_world->now = Time(Milliseconds(1000));
-    setUp(*m_world);
-    m_world->works.clear();
-    for (auto &item : m_world->processes)
-        item.second.skew = Milliseconds(0);
+    m_simulation->random.seed(1);
+    m_simulation->faultsEnabled = false;
+    m_simulation->scripted = true;
+    m_simulation->now = Time(Milliseconds(1000));
+    setUp(*m_simulation);
+    m_simulation->submissions.clear();
+    for (auto &item : m_simulation->processes)
+        item.second.clockSkew = Milliseconds(0);
     advance(Milliseconds(3000));
-    m_world->transcript.clear();
+    m_simulation->transcript.clear();
 }
 
 Session::~Session() = default;
@@ -31,119 +31,121 @@
 std::size_t Session::submit(const std::string &entry, std::size_t tasks, Milliseconds taskTime,
                             Milliseconds deadline)
 {
-    World &world = *m_world;
-    const std::size_t number = world.works.size();
-    Work work;
-    work.request.team = "team0";
-    work.request.service = ServiceName;
-    work.request.workClass = "class";
-    work.request.timeLeft = deadline;
-    work.request.payloads.assign(tasks, "once");
-    work.request.digest = "digest " + std::to_string(number);
-    const WallTime wall = wallOf(world, world.processes.at(entry));
-    work.request.submission = makeSubmissionId(wall, world.random);
-    world.works.push_back(work);
-    world.taskTime = taskTime;
+    Simulation &simulation = *m_simulation;
+    const std::size_t number = simulation.submissions.size();
+    Submission submission;
+    submission.request.team = "team0";
+    submission.request.service = ServiceName;
+    submission.request.workClass = "class";
+    submission.request.timeLeft = deadline;
+    submission.request.payloads.assign(tasks, "once");
+    submission.request.digest = "digest " + std::to_string(number);
+    const WallTime wallTime = wallTimeOf(simulation, simulation.processes.at(entry));
+    submission.request.submission = makeSubmissionId(wallTime, simulation.random);
+    simulation.submissions.push_back(submission);
+    simulation.taskTime = taskTime;
     submitAgain(entry, number);
     return number;
 }
 
 namespace {
 
-void submitTo(World &world, const std::string &name, std::size_t number,
+void submitTo(Simulation &simulation, const std::string &name, std::size_t number,
               entry::SubmitRequest request)
 {
-    Process &process = world.processes.at(name);
-    request.waiter = world.nextWaiter++;
-    world.waiting[request.waiter] = { number, name, process.incarnation,
-                                      world.now + request.timeLeft, false };
-    world.transcript.push_back("caller submits " + std::to_string(number) + " at " + name);
-    carryOut(world, process,
-             entry::submit(*process.entry, request, world.now, wallOf(world, process)));
+    Process &process = simulation.processes.at(name);
+    request.waiter = simulation.nextWaiter++;
+    simulation.pendingReplies[request.waiter] = { number, name, process.incarnation,
+                                                  simulation.now + request.timeLeft, false };
+    simulation.transcript.push_back("caller submits " + std::to_string(number) + " at " + name);
+    execute(simulation, process,
+            entry::submit(*process.entry, request, simulation.now,
+                          wallTimeOf(simulation, process)));
 }
 
 } // namespace
 
 void Session::submitAgain(const std::string &entry, std::size_t number)
 {
-    submitTo(*m_world, entry, number, m_world->works[number].request);
+    submitTo(*m_simulation, entry, number, m_simulation->submissions[number].request);
 }
 
 void Session::submitOtherBody(const std::string &entry, std::size_t number)
 {
-    entry::SubmitRequest request = m_world->works[number].request;
+    entry::SubmitRequest request = m_simulation->submissions[number].request;
     request.digest = "another digest";
-    submitTo(*m_world, entry, number, request);
+    submitTo(*m_simulation, entry, number, request);
 }
 
 namespace {
 
-void lookUpAt(World &world, const std::string &name, std::size_t number, bool cancelling)
+void fetchOrCancelAt(Simulation &simulation, const std::string &name, std::size_t number,
+                     bool cancelling)
 {
-    Process &process = world.processes.at(name);
-    const entry::SubmitRequest &request = world.works[number].request;
-    const entry::WaiterId waiter = world.nextWaiter++;
-    const Time deadline = world.now + Milliseconds(2000);
-    world.waiting[waiter] = { number, name, process.incarnation, deadline, true };
-    world.transcript.push_back(std::string("caller ") + (cancelling ? "cancels " : "fetches ")
-                               + std::to_string(number) + " at " + name);
-    carryOut(world, process,
-             cancelling ? entry::cancel(*process.entry, waiter, request.team, request.submission,
-                                        deadline, world.now)
-                        : entry::fetch(*process.entry, waiter, request.team, request.submission,
-                                       deadline, world.now));
+    Process &process = simulation.processes.at(name);
+    const entry::SubmitRequest &request = simulation.submissions[number].request;
+    const entry::WaiterId waiter = simulation.nextWaiter++;
+    const Time deadline = simulation.now + Milliseconds(2000);
+    simulation.pendingReplies[waiter] = { number, name, process.incarnation, deadline, true };
+    simulation.transcript.push_back(std::string("caller ") + (cancelling ? "cancels " : "fetches ")
+                                    + std::to_string(number) + " at " + name);
+    execute(simulation, process,
+            cancelling ? entry::cancel(*process.entry, waiter, request.team, request.submission,
+                                       deadline, simulation.now)
+                       : entry::fetch(*process.entry, waiter, request.team, request.submission,
+                                      deadline, simulation.now));
 }
 
 } // namespace
 
 void Session::fetch(const std::string &entry, std::size_t number)
 {
-    lookUpAt(*m_world, entry, number, false);
+    fetchOrCancelAt(*m_simulation, entry, number, false);
 }
 
 void Session::cancel(const std::string &entry, std::size_t number)
 {
-    lookUpAt(*m_world, entry, number, true);
+    fetchOrCancelAt(*m_simulation, entry, number, true);
 }
 
 void Session::crash(const std::string &process)
 {
-    m_world->transcript.push_back(process + " crashes");
-    schedules::crash(*m_world, m_world->processes.at(process));
-    m_world->processes.at(process).restartAt = m_world->now + Seconds(60);
+    m_simulation->transcript.push_back(process + " crashes");
+    schedules::crash(*m_simulation, m_simulation->processes.at(process));
+    m_simulation->processes.at(process).restartAt = m_simulation->now + Seconds(60);
 }
 
-void Session::pause(const std::string &process, Milliseconds span)
+void Session::pause(const std::string &process, Milliseconds duration)
 {
-    m_world->transcript.push_back(process + " stands still");
-    m_world->processes.at(process).pausedUntil = m_world->now + span;
+    m_simulation->transcript.push_back(process + " is paused");
+    m_simulation->processes.at(process).pausedUntil = m_simulation->now + duration;
 }
 
 void Session::leave(const std::string &agent)
 {
-    m_world->transcript.push_back(agent + " leaves");
-    Process &process = m_world->processes.at(agent);
-    carryOut(*m_world, process, agent::leave(*process.agent, m_world->now));
+    m_simulation->transcript.push_back(agent + " leaves");
+    Process &process = m_simulation->processes.at(agent);
+    execute(*m_simulation, process, agent::leave(*process.agent, m_simulation->now));
 }
 
 void Session::failNextTask()
 {
-    m_world->failNext = true;
+    m_simulation->failNext = true;
 }
 
-void Session::advance(Milliseconds span)
+void Session::advance(Milliseconds duration)
 {
-    advanceWorld(*m_world, m_world->now + span);
+    advanceTo(*m_simulation, m_simulation->now + duration);
 }
 
 std::vector<std::string> Session::transcript() const
 {
-    return m_world->transcript;
+    return m_simulation->transcript;
 }
 
 Report Session::report() const
 {
-    return m_world->report;
+    return m_simulation->report;
 }
 
 } // namespace foxwing::schedules
--- a/tests/schedules/world.h
+++ b/tests/schedules/simulation.h
@@ -50,7 +50,7 @@
 
 // [SECTION] Sessions
 
-struct World;
+struct Simulation;
 
 // The simulation without faults, driven step by step for golden files and traces. The transcript
 // has one line per delivered message and per reply; heartbeats, views, leases and load reports are
@@ -71,16 +71,16 @@
     void cancel(const std::string &entry, std::size_t number);
 
     void crash(const std::string &process);
-    void pause(const std::string &process, std::chrono::milliseconds span);
+    void pause(const std::string &process, std::chrono::milliseconds duration);
     void leave(const std::string &agent);
     void failNextTask();
-    void advance(std::chrono::milliseconds span);
+    void advance(std::chrono::milliseconds duration);
 
     std::vector<std::string> transcript() const;
     Report report() const;
 
 private:
-    std::unique_ptr<World> m_world;
+    std::unique_ptr<Simulation> m_simulation;
 };
 
 } // namespace foxwing::schedules
--- a/tests/schedules/worldstate.h
+++ b/tests/schedules/simulationstate.h
@@ -21,7 +21,7 @@
 #include <foxwing/entry/entry.h>
 #include <foxwing/node/message.h>
 
-#include "world.h"
+#include "simulation.h"
 
 namespace foxwing::schedules {
 
@@ -32,10 +32,10 @@
 constexpr std::uint32_t EntryCount = 3;
 constexpr std::uint32_t AgentCount = 3;
 constexpr std::uint32_t SubmissionCount = 6;
-constexpr Milliseconds ChaosSpan { 7000 };
-constexpr Milliseconds HealSpan { 18000 };
+constexpr Milliseconds FaultDuration { 7000 };
+constexpr Milliseconds RecoveryDuration { 18000 };
 constexpr Milliseconds TickInterval { 50 };
-constexpr Milliseconds BeatInterval { 400 };
+constexpr Milliseconds HeartbeatInterval { 400 };
 constexpr Milliseconds CommitDelay { 4 };
 constexpr std::int64_t WallStartMs = 1'796'000'000'000;
 constexpr char ServiceName[] = "svc";
@@ -45,14 +45,14 @@
 struct Delivery
 {
     Time at {};
-    std::uint64_t order = 0;
+    std::uint64_t sequence = 0;
     std::string from;
     std::string to;
     Message message;
 
     bool operator<(const Delivery &other) const
     {
-        return at != other.at ? at > other.at : order > other.order;
+        return at != other.at ? at > other.at : sequence > other.sequence;
     }
 };
 
@@ -60,13 +60,13 @@
 struct Process
 {
     std::string id;
-    bool up = false;
+    bool isUp = false;
     Time pausedUntil {};
     Time restartAt {};
     std::uint64_t incarnation = 0;
-    Milliseconds skew { 0 };
+    Milliseconds clockSkew { 0 };
     control::Reporter reporter;
-    Time nextBeat {};
+    Time nextHeartbeatAt {};
 
     // Exactly one of these is set, by role
     std::unique_ptr<entry::EntryState> entry;
@@ -75,7 +75,7 @@
     bool isEntry = false;
     bool isAgent = false;
 
-    std::vector<Delivery> heldBack;
+    std::vector<Delivery> deferred;
 };
 
 struct RunningTask
@@ -93,46 +93,48 @@
 };
 
 // A submission that callers may send several times.
-struct Work
+struct Submission
 {
     entry::SubmitRequest request;
+    // A single request, for which the entry creates the id
     bool anonymous = false;
 };
 
-struct Waiting
+struct PendingReply
 {
-    std::size_t work = 0;
+    std::size_t submission = 0;
     std::string process;
     std::uint64_t incarnation = 0;
     Time deadline {};
-    bool lookUp = false;
+    bool isLookup = false;
 };
 
-struct World
+struct Simulation
 {
     std::mt19937_64 random;
     Time now {};
-    std::uint64_t order = 0;
+    std::uint64_t sequence = 0;
     std::priority_queue<Delivery> network;
     std::map<std::string, Process> processes;
     std::vector<RunningTask> running;
     std::vector<Proposal> proposals;
-    control::ClusterState durable;
-    std::set<std::string> cut;
-    bool chaos = true;
+    control::ClusterState committedState;
+    std::set<std::string> blockedLinks;
+    bool faultsEnabled = true;
 
-    std::vector<Work> works;
-    std::map<entry::WaiterId, Waiting> waiting;
+    std::vector<Submission> submissions;
+    std::map<entry::WaiterId, PendingReply> pendingReplies;
     entry::WaiterId nextWaiter = 1;
 
     // Starts at endpoints, by "job#task".
     std::map<std::string, int> starts;
     // Jobs that were reported as "not run" to a caller.
-    std::set<std::string> saidNotRun;
+    std::set<std::string> reportedNotRun;
     Report report;
 
-    // Sessions only: run time of the next tasks, and whether the next one to end fails
-    bool session = false;
+    // Sessions only: no random faults, run time of the next tasks, and whether the next one to end
+    // fails
+    bool scripted = false;
     Milliseconds taskTime { 0 };
     bool failNext = false;
     std::vector<std::string> transcript;
@@ -141,9 +143,9 @@
 // [SECTION] Functions
 
 // The wall time on the clock of a process.
-WallTime wallOf(const World &world, const Process &process);
+WallTime wallTimeOf(const Simulation &simulation, const Process &process);
 
-void violate(World &world, const std::string &what);
+void recordViolation(Simulation &simulation, const std::string &what);
 
 // "team/submission", and the result that the endpoint gives for one of its tasks.
 std::string keyOf(const entry::SubmitRequest &request);
@@ -151,25 +153,25 @@
 
 // Checks a reply: complete results of the caller's own job, only one reply, and "not run" only if
 // no task ran.
-void checkReply(World &world, const entry::Reply &reply);
+void checkReply(Simulation &simulation, const entry::Reply &reply);
 
 // Checks that callers of running entries get a reply by their deadline, with some tolerance.
-void checkWaiting(World &world);
+void checkPendingReplies(Simulation &simulation);
 
 // Checks that all tasks of a submission made after the end of the faults have run.
-void checkRecovery(World &world, std::size_t fresh);
+void checkRecovery(Simulation &simulation, std::size_t number);
 
 // Executes the actions that a process returned.
-void carryOut(World &world, Process &process, agent::AgentActions &&actions);
-void carryOut(World &world, Process &process, entry::EntryActions &&actions);
+void execute(Simulation &simulation, Process &process, agent::AgentActions &&actions);
+void execute(Simulation &simulation, Process &process, entry::EntryActions &&actions);
 
 // Ends a process; its memory is lost.
-void crash(World &world, Process &process);
+void crash(Simulation &simulation, Process &process);
 
 // Starts all processes and creates the submissions.
-void setUp(World &world);
+void setUp(Simulation &simulation);
 
 // Delivers messages and ticks processes until the given time.
-void advanceWorld(World &world, Time until);
+void advanceTo(Simulation &simulation, Time until);
 
 } // namespace foxwing::schedules
--- a/tests/support/standin_endpoint.cpp
+++ b/tests/support/standin_endpoint.cpp
@@ -28,7 +28,7 @@
 
 using Clock = std::chrono::steady_clock;
 
-struct Mode
+struct Options
 {
     long slowMs = 0;
     long lateMs = 0;
@@ -47,10 +47,10 @@
         m_thread.detach();
     }
 
-    void after(Milliseconds span, std::function<void()> job)
+    void after(Milliseconds delay, std::function<void()> job)
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        m_jobs.emplace(Clock::now() + span, std::move(job));
+        m_jobs.emplace(Clock::now() + delay, std::move(job));
         m_wakeUp.notify_one();
     }
 
@@ -87,8 +87,8 @@
 class Tasks
 {
 public:
-    explicit Tasks(const Mode &mode)
-        : m_mode(mode)
+    explicit Tasks(const Options &options)
+        : m_options(options)
     { }
 
     void serve(const edge::HttpRequest &request, const edge::Responder &responder)
@@ -115,18 +115,18 @@
             ++m_starts[path];
             m_running.emplace(path, responder);
         }
-        if (m_mode.hangAll || payload["hang"].asBool())
+        if (m_options.hangAll || payload["hang"].asBool())
             return;
-        const bool failing = m_mode.failAll || payload["fail"].asBool();
+        const bool failing = m_options.failAll || payload["fail"].asBool();
         const std::string result = payload.get("echo", path).asString();
-        const long span = payload.get("sleepMs", 0).asInt() + m_mode.slowMs + m_mode.lateMs;
+        const long delay = payload.get("sleepMs", 0).asInt() + m_options.slowMs + m_options.lateMs;
         const auto finish = [this, path, failing, result] {
-            end(path, failing ? 500 : 200, failing ? "told to fail" : result);
+            end(path, failing ? 500 : 200, failing ? "asked to fail" : result);
         };
-        if (span == 0)
+        if (delay == 0)
             finish();
         else
-            m_timers.after(Milliseconds(span), finish);
+            m_timers.after(Milliseconds(delay), finish);
     }
 
     void end(const std::string &path, int status, const std::string &body)
@@ -156,28 +156,28 @@
         responder.reply(200, "text/plain", text);
     }
 
-    Mode m_mode;
+    Options m_options;
     Timers m_timers;
     std::mutex m_mutex;
     std::map<std::string, int> m_starts;
     std::map<std::string, edge::Responder> m_running;
 };
 
-Mode readMode(int argc, char **argv)
+Options parseOptions(int argc, char **argv)
 {
-    Mode mode;
+    Options options;
     for (int i = 2; i < argc; ++i) {
-        const std::string word = argv[i];
-        const std::size_t equals = word.find('=');
-        const std::string value = equals == std::string::npos ? "" : word.substr(equals + 1);
-        if (word.compare(0, 5, "slow=") == 0)
-            mode.slowMs = std::atol(value.c_str());
-        else if (word.compare(0, 5, "late=") == 0)
-            mode.lateMs = std::atol(value.c_str());
-        mode.failAll = mode.failAll || word == "fail=all";
-        mode.hangAll = mode.hangAll || word == "hang=all";
+        const std::string argument = argv[i];
+        const std::size_t equals = argument.find('=');
+        const std::string value = equals == std::string::npos ? "" : argument.substr(equals + 1);
+        if (argument.compare(0, 5, "slow=") == 0)
+            options.slowMs = std::atol(value.c_str());
+        else if (argument.compare(0, 5, "late=") == 0)
+            options.lateMs = std::atol(value.c_str());
+        options.failAll = options.failAll || argument == "fail=all";
+        options.hangAll = options.hangAll || argument == "hang=all";
     }
-    return mode;
+    return options;
 }
 
 } // namespace
@@ -191,7 +191,7 @@
                      "use: standin_endpoint PORT [slow=MS] [fail=all] [hang=all] [late=MS]\n");
         return 2;
     }
-    Tasks tasks(readMode(argc, argv));
+    Tasks tasks(parseOptions(argc, argv));
     edge::HttpServerSettings settings;
     settings.port = std::atoi(argv[1]);
     edge::HttpServer server(settings,
