--- a/packages/dispatch/include/foxwing/dispatch/health.h
+++ b/packages/dispatch/include/foxwing/dispatch/health.h
@@ -1,5 +1,5 @@
 /*
-    Outlier ejection: takes workers whose tasks fail out of use.
+    Outlier ejection: stops sending tasks to workers that fail more than their peers.
 
     A worker that fails every task quickly always has a free slot and would attract most of the
     tasks. So each worker's failures are compared with those of its peers. A worker that fails
@@ -22,8 +22,8 @@
 
 struct HealthSettings
 {
-    // Consecutive failures before a worker can be ejected, and least number of outcomes of its
-    // peers to compare it with.
+    // Consecutive failures before a worker can be ejected, and minimum number of outcomes of
+    // its peers to compare it with.
     std::uint32_t ejectionThreshold = 4;
 
     // No worker is ejected while its peers fail more than this part of their tasks: then the cause
