--- a/packages/edge/src/httpclient.cpp
+++ b/packages/edge/src/httpclient.cpp
@@ -64,7 +64,7 @@
                             });
                 })
                 .then([receiver = std::move(receiver)](const pplx::task<HttpReply> &done) {
-                    receiver(take(done));
+                    receiver(toReply(done));
                 });
     }
 
@@ -77,7 +77,7 @@
         return config;
     }
 
-    static HttpReply take(const pplx::task<HttpReply> &done)
+    static HttpReply toReply(const pplx::task<HttpReply> &done)
     {
         try {
             return done.get();
--- a/packages/edge/src/httpserver.cpp
+++ b/packages/edge/src/httpserver.cpp
@@ -152,7 +152,7 @@
     std::size_t pendingBodies() const
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        return m_arriving.size();
+        return m_pendingBodies.size();
     }
 
     // Ids increase with time, so the search ends at the first request that is not overdue.
@@ -162,9 +162,9 @@
         {
             const std::lock_guard<std::mutex> lock(m_mutex);
             const Time now = steadyNow();
-            while (!m_arriving.empty() && m_arriving.begin()->second.until <= now) {
-                overdue.push_back(m_arriving.begin()->second.responder);
-                m_arriving.erase(m_arriving.begin());
+            while (!m_pendingBodies.empty() && m_pendingBodies.begin()->second.deadline <= now) {
+                overdue.push_back(m_pendingBodies.begin()->second.responder);
+                m_pendingBodies.erase(m_pendingBodies.begin());
             }
         }
         for (const Responder &responder : overdue)
@@ -195,21 +195,21 @@
     }
 
     // A request whose body is incomplete.
-    struct Arriving
+    struct PendingBody
     {
         Responder responder;
-        Time until;
+        Time deadline;
     };
 
     void readBody(const http::http_request &message, HttpRequest request,
                   const Responder &responder)
     {
-        const std::uint64_t number = addArriving(responder);
+        const std::uint64_t id = addPendingBody(responder);
         // Copies of an http_request share its state.
         http::http_request(message).extract_vector().then(
-                [this, number, request = std::move(request),
+                [this, id, request = std::move(request),
                  responder](const pplx::task<std::vector<unsigned char>> &arrived) mutable {
-                    const bool inTime = removeArriving(number);
+                    const bool inTime = removePendingBody(id);
                     try {
                         const std::vector<unsigned char> body = arrived.get();
                         request.body.assign(body.begin(), body.end());
@@ -221,27 +221,27 @@
                 });
     }
 
-    std::uint64_t addArriving(const Responder &responder)
+    std::uint64_t addPendingBody(const Responder &responder)
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        m_arriving.emplace(++m_lastArriving,
-                           Arriving { responder, steadyNow() + m_settings.bodyTimeout });
-        return m_lastArriving;
+        m_pendingBodies.emplace(++m_lastBodyId,
+                                PendingBody { responder, steadyNow() + m_settings.bodyTimeout });
+        return m_lastBodyId;
     }
 
     // False if it was refused already.
-    bool removeArriving(std::uint64_t number)
+    bool removePendingBody(std::uint64_t id)
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        return m_arriving.erase(number) == 1;
+        return m_pendingBodies.erase(id) == 1;
     }
 
     HttpServerSettings m_settings;
     Handler m_handler;
     http::experimental::listener::http_listener m_listener;
     mutable std::mutex m_mutex;
-    std::map<std::uint64_t, Arriving> m_arriving;
-    std::uint64_t m_lastArriving = 0;
+    std::map<std::uint64_t, PendingBody> m_pendingBodies;
+    std::uint64_t m_lastBodyId = 0;
     bool m_open = false;
 };
 
--- a/packages/edge/tests/edge_test.cpp
+++ b/packages/edge/tests/edge_test.cpp
@@ -41,10 +41,10 @@
     {
         m_settings.port = freePort();
         m_settings.maxBodyBytes = 1000;
-        listenWith(m_settings);
+        startServer(m_settings);
     }
 
-    void listenWith(const HttpServerSettings &settings)
+    void startServer(const HttpServerSettings &settings)
     {
         m_server = std::make_unique<HttpServer>(settings,
                                                 [this](const HttpRequest &request,
@@ -62,7 +62,7 @@
 
     // Sends raw bytes and returns the first part of the response; empty if the server closed the
     // connection.
-    std::string raw(const std::string &bytes) const
+    std::string sendRaw(const std::string &bytes) const
     {
         const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
         sockaddr_in address {};
@@ -112,8 +112,9 @@
 
 TEST_F(EdgeTest, BodyWithoutLengthIsRefused)
 {
-    const std::string reply = raw("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"
-                                  "5\r\nhello\r\n0\r\n\r\n");
+    const std::string reply = sendRaw(
+            "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"
+            "5\r\nhello\r\n0\r\n\r\n");
     EXPECT_NE(reply.find("400"), std::string::npos) << reply;
     EXPECT_TRUE(m_requests.empty());
 }
@@ -126,8 +127,8 @@
     address.sin_port = htons(static_cast<std::uint16_t>(m_settings.port));
     address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     ASSERT_EQ(::connect(socket, reinterpret_cast<sockaddr *>(&address), sizeof address), 0);
-    const std::string half = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 100\r\n\r\nhalf";
-    ::send(socket, half.data(), half.size(), MSG_NOSIGNAL);
+    const std::string incomplete = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 100\r\n\r\nhalf";
+    ::send(socket, incomplete.data(), incomplete.size(), MSG_NOSIGNAL);
     HttpClient client(url(), {});
     EXPECT_EQ(client.callAndWait("GET", "/", {}, {}).status, 200);
     ::close(socket);
@@ -140,15 +141,15 @@
     m_server->stop();
     m_settings.port = freePort();
     m_settings.bodyTimeout = Milliseconds(0);
-    listenWith(m_settings);
+    startServer(m_settings);
     const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in address {};
     address.sin_family = AF_INET;
     address.sin_port = htons(static_cast<std::uint16_t>(m_settings.port));
     address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     ASSERT_EQ(::connect(socket, reinterpret_cast<const sockaddr *>(&address), sizeof address), 0);
-    const std::string half = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 100\r\n\r\nhalf";
-    ::send(socket, half.data(), half.size(), MSG_NOSIGNAL);
+    const std::string incomplete = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 100\r\n\r\nhalf";
+    ::send(socket, incomplete.data(), incomplete.size(), MSG_NOSIGNAL);
     while (m_server->pendingBodies() == 0)
         std::this_thread::yield();
     m_server->expirePendingBodies();
@@ -165,7 +166,7 @@
 
 TEST_F(EdgeTest, NonHttpInputIsIgnored)
 {
-    raw("\x16\x03\x01\x02 this is no HTTP\r\n\r\n");
+    sendRaw("\x16\x03\x01\x02 this is no HTTP\r\n\r\n");
     EXPECT_TRUE(m_requests.empty());
 }
 
--- a/packages/node/include/foxwing/node/loop.h
+++ b/packages/node/include/foxwing/node/eventloop.h
@@ -3,11 +3,11 @@
 
     All changes of state run on its one thread, as callbacks that must not block.
 
-        Loop loop([] { ... called every 10 ms ... }, Milliseconds(10));
+        EventLoop loop([] { ... called every 10 ms ... }, Milliseconds(10));
         loop.post([] { ... });
         loop.run();
 
-    [SECTION] Loop
+    [SECTION] Event loop
 */
 #pragma once
 
@@ -20,28 +20,28 @@
 
 namespace foxwing::node {
 
-// [SECTION] Loop
+// [SECTION] Event loop
 
-class Loop
+class EventLoop
 {
 public:
-    using Job = std::function<void()>;
+    using Callback = std::function<void()>;
 
-    Loop(Job onTick, Milliseconds tickInterval);
+    EventLoop(Callback onTick, Milliseconds tickInterval);
 
     // May be called from any thread.
-    void post(Job job);
+    void post(Callback callback);
 
     // Runs posted callbacks and ticks until stop() is called.
     void run();
     void stop();
 
 private:
-    Job m_onTick;
+    Callback m_onTick;
     Milliseconds m_tickInterval;
     std::mutex m_mutex;
     std::condition_variable m_wakeUp;
-    std::vector<Job> m_jobs;
+    std::vector<Callback> m_callbacks;
     bool m_stopping = false;
 };
 
--- a/packages/node/include/foxwing/node/message.h
+++ b/packages/node/include/foxwing/node/message.h
@@ -29,7 +29,7 @@
 
 // Whether a narrower variant can hold a message of this type.
 template<class Narrow, class Held>
-constexpr bool isOneOf()
+constexpr bool canHold()
 {
     return std::is_constructible_v<Narrow, Held>;
 }
@@ -40,7 +40,7 @@
 {
     return std::visit(
             [](const auto &held) -> std::optional<Narrow> {
-                if constexpr (isOneOf<Narrow, std::decay_t<decltype(held)>>())
+                if constexpr (canHold<Narrow, std::decay_t<decltype(held)>>())
                     return Narrow(held);
                 else
                     return std::nullopt;
--- a/packages/node/src/agentrole.cpp
+++ b/packages/node/src/agentrole.cpp
@@ -21,20 +21,20 @@
 
 } // namespace
 
-AgentRole::AgentRole(const settings::Settings &settings, std::uint64_t incarnation, Loop &loop,
-                     PostOffice &post)
+AgentRole::AgentRole(const settings::Settings &settings, std::uint64_t incarnation, EventLoop &loop,
+                     MessageRouter &router)
     : m_state(agent::makeAgent(withIncarnation(settings.agent, incarnation)))
-    , m_post(post)
+    , m_router(router)
     , m_endpoint(settings.endpoint, loop,
                  [this](const agent::TaskRef &ref, agent::TaskEnd end, std::string body) {
-                     carryOut(agent::endpointDone(m_state, ref, end, std::move(body), steadyNow()));
+                     execute(agent::endpointDone(m_state, ref, end, std::move(body), steadyNow()));
                  })
 { }
 
-void AgentRole::carryOut(agent::AgentActions &&actions)
+void AgentRole::execute(agent::AgentActions &&actions)
 {
     for (agent::Outgoing &send : actions.sends)
-        m_post.send(send.to, widen(std::move(send.message)));
+        m_router.send(send.to, widen(std::move(send.message)));
     for (const agent::EndpointCall &call : actions.calls)
         m_endpoint.call(call);
     for (const agent::EndpointStop &stop : actions.stops)
@@ -43,7 +43,7 @@
 
 void AgentRole::receive(const agent::ToAgent &message)
 {
-    carryOut(agent::handle(m_state, message, steadyNow()));
+    execute(agent::handle(m_state, message, steadyNow()));
 }
 
 void AgentRole::applyUpdate(const control::Update &update)
@@ -53,7 +53,7 @@
     std::vector<agent::OwnerCandidate> entries;
     for (const claims::Member &member : update.view.members)
         entries.push_back({ member.replica.id, member.replica.incarnation, member.dataCentre });
-    carryOut(agent::setEntries(m_state, std::move(entries), steadyNow()));
+    execute(agent::setEntries(m_state, std::move(entries), steadyNow()));
 }
 
 void AgentRole::tick(bool configurationStale)
@@ -64,7 +64,7 @@
         logEvent(LogLevel::Warning, "configuration",
                  { { "state", configurationStale ? "stale" : "confirmed" } });
     m_state.configurationStale = configurationStale;
-    carryOut(agent::tick(m_state, now));
+    execute(agent::tick(m_state, now));
     m_endpoint.tick(now);
     if (m_state.lease.owner != owner)
         logEvent(LogLevel::Info, "owner",
@@ -76,7 +76,7 @@
 void AgentRole::leave()
 {
     logEvent(LogLevel::Info, "leaving", { { "role", "agent" } });
-    carryOut(agent::leave(m_state, steadyNow()));
+    execute(agent::leave(m_state, steadyNow()));
 }
 
 bool AgentRole::drained() const
@@ -105,17 +105,17 @@
                         static_cast<double>(m_state.unsettledBytes), true });
     samples.push_back({ "foxwing_agent_jobs_remembered", "Retained jobs",
                         static_cast<double>(m_state.jobs.size()), true });
-    const auto ofTeams = [&](const char *name, const char *help, auto value) {
+    const auto addPerTeam = [&](const char *name, const char *help, auto value) {
         for (const auto &usage : m_state.usage)
             samples.push_back({ std::string(name) + "{team=\"" + usage.first + "\"}", help,
                                 value(usage.second), false });
     };
-    ofTeams("foxwing_agent_team_starts_total", "Starts of a team",
-            [](const agent::TeamUsage &usage) { return static_cast<double>(usage.starts); });
-    ofTeams("foxwing_agent_team_run_seconds_total", "Run time of a team",
-            [](const agent::TeamUsage &usage) {
-                return static_cast<double>(usage.runTime.count()) / 1e6;
-            });
+    addPerTeam("foxwing_agent_team_starts_total", "Starts of a team",
+               [](const agent::TeamUsage &usage) { return static_cast<double>(usage.starts); });
+    addPerTeam("foxwing_agent_team_run_seconds_total", "Run time of a team",
+               [](const agent::TeamUsage &usage) {
+                   return static_cast<double>(usage.runTime.count()) / 1e6;
+               });
 }
 
 } // namespace foxwing::node
--- a/packages/node/src/agentrole.h
+++ b/packages/node/src/agentrole.h
@@ -12,7 +12,7 @@
 #include <foxwing/metrics/metrics.h>
 
 #include "endpoint.h"
-#include "postoffice.h"
+#include "messagerouter.h"
 
 namespace foxwing::node {
 
@@ -21,8 +21,8 @@
 class AgentRole
 {
 public:
-    AgentRole(const settings::Settings &settings, std::uint64_t incarnation, Loop &loop,
-              PostOffice &post);
+    AgentRole(const settings::Settings &settings, std::uint64_t incarnation, EventLoop &loop,
+              MessageRouter &router);
 
     void receive(const agent::ToAgent &message);
     void applyUpdate(const control::Update &update);
@@ -32,10 +32,10 @@
     void addSamples(std::vector<metrics::Sample> &samples) const;
 
 private:
-    void carryOut(agent::AgentActions &&actions);
+    void execute(agent::AgentActions &&actions);
 
     agent::AgentState m_state;
-    PostOffice &m_post;
+    MessageRouter &m_router;
     Endpoint m_endpoint;
 };
 
--- a/packages/node/src/callerapi.cpp
+++ b/packages/node/src/callerapi.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 
-constexpr std::int64_t LongestDeadlineMs = 24LL * 3600 * 1000;
+constexpr std::int64_t MaxDeadlineMs = 24LL * 3600 * 1000;
 constexpr std::int64_t DefaultDeadlineMs = 60000;
-constexpr std::size_t LongestClass = 64;
+constexpr std::size_t MaxNameLength = 64;
 
 // [SECTION] Requests
 
@@ -30,44 +30,44 @@
         , m_reason(reason)
     { }
 
-    std::string text(const char *name, bool needed, std::size_t longest)
+    std::string text(const char *name, bool required, std::size_t maxLength)
     {
-        const Json::Value value = take(name, needed);
+        const Json::Value value = takeMember(name, required);
         if (value.isNull())
             return {};
-        if (!value.isString() || value.asString().size() > longest)
-            refuse(name, "must be a string of at most " + std::to_string(longest) + " bytes");
+        if (!value.isString() || value.asString().size() > maxLength)
+            refuse(name, "must be a string of at most " + std::to_string(maxLength) + " bytes");
         return m_ok ? value.asString() : std::string();
     }
 
-    std::int64_t milliseconds(const char *name, std::int64_t fallback, std::int64_t least)
+    std::int64_t milliseconds(const char *name, std::int64_t fallback, std::int64_t min)
     {
-        const Json::Value value = take(name, false);
+        const Json::Value value = takeMember(name, false);
         if (value.isNull())
             return fallback;
-        if (!value.isInt64() || value.asInt64() < least || value.asInt64() > LongestDeadlineMs)
+        if (!value.isInt64() || value.asInt64() < min || value.asInt64() > MaxDeadlineMs)
             refuse(name,
-                   "must be a whole number of milliseconds from " + std::to_string(least) + " to "
-                           + std::to_string(LongestDeadlineMs));
+                   "must be a whole number of milliseconds from " + std::to_string(min) + " to "
+                           + std::to_string(MaxDeadlineMs));
         return m_ok ? value.asInt64() : fallback;
     }
 
-    bool flag(const char *name)
+    bool boolean(const char *name)
     {
-        const Json::Value value = take(name, false);
+        const Json::Value value = takeMember(name, false);
         if (!value.isNull() && !value.isBool())
             refuse(name, "must be true or false");
         return m_ok && value.isBool() && value.asBool();
     }
 
-    Json::Value any(const char *name) { return take(name, true); }
+    Json::Value anyValue(const char *name) { return takeMember(name, true); }
 
-    void refuse(const std::string &name, const std::string &what)
+    void refuse(const std::string &name, const std::string &problem)
     {
         if (!m_ok)
             return;
         m_ok = false;
-        fail(m_reason, ErrorKind::BadRequest, "\"" + name + "\" " + what);
+        fail(m_reason, ErrorKind::BadRequest, "\"" + name + "\" " + problem);
     }
 
     bool finish()
@@ -78,10 +78,10 @@
     }
 
 private:
-    Json::Value take(const char *name, bool needed)
+    Json::Value takeMember(const char *name, bool required)
     {
         Json::Value value;
-        if (m_ok && !m_json.removeMember(name, &value) && needed)
+        if (m_ok && !m_json.removeMember(name, &value) && required)
             refuse(name, "is required");
         return value;
     }
@@ -118,10 +118,10 @@
 void readPayloads(BodyReader &reader, entry::SubmitRequest &request)
 {
     if (request.request) {
-        request.payloads.push_back(payloadText(reader.any("payload")));
+        request.payloads.push_back(payloadText(reader.anyValue("payload")));
         return;
     }
-    const Json::Value tasks = reader.any("tasks");
+    const Json::Value tasks = reader.anyValue("tasks");
     if (!tasks.isArray() || tasks.empty())
         return reader.refuse("tasks", "must be a list of at least one payload");
     for (const Json::Value &task : tasks)
@@ -130,8 +130,8 @@
 
 } // namespace
 
-std::optional<entry::SubmitRequest> readSubmission(const std::string &body, bool isRequest,
-                                                   Error *reason)
+std::optional<entry::SubmitRequest> parseSubmission(const std::string &body, bool isRequest,
+                                                    Error *reason)
 {
     std::optional<Json::Value> json = parseJson(body, reason);
     if (!json)
@@ -141,10 +141,10 @@
     BodyReader reader(std::move(*json), reason);
     entry::SubmitRequest request;
     request.request = isRequest;
-    request.submission = reader.text("submission", !isRequest, LongestClass);
-    request.service = reader.text("service", true, LongestClass);
-    request.workClass = reader.text("class", false, LongestClass);
-    request.repeatable = reader.flag("repeatable");
+    request.submission = reader.text("submission", !isRequest, MaxNameLength);
+    request.service = reader.text("service", true, MaxNameLength);
+    request.workClass = reader.text("class", false, MaxNameLength);
+    request.repeatable = reader.boolean("repeatable");
     request.timeLeft = Milliseconds(reader.milliseconds("deadlineMs", DefaultDeadlineMs, 1));
     request.declaredTime = Milliseconds(reader.milliseconds("declaredMs", 0, 0));
     readPayloads(reader, request);
@@ -154,7 +154,7 @@
     return request;
 }
 
-std::optional<Milliseconds> readWait(const std::string &text, Milliseconds fallback, Error *reason)
+std::optional<Milliseconds> parseWait(const std::string &text, Milliseconds fallback, Error *reason)
 {
     if (text.empty())
         return fallback;
--- a/packages/node/src/callerapi.h
+++ b/packages/node/src/callerapi.h
@@ -15,18 +15,17 @@
 // [SECTION] Requests
 
 // Parses the body of a job (POST /v1/jobs) or of a single request (POST /v1/requests).
-std::optional<entry::SubmitRequest> readSubmission(const std::string &body, bool request,
-                                                   Error *reason);
+std::optional<entry::SubmitRequest> parseSubmission(const std::string &body, bool request,
+                                                    Error *reason);
 
 // Parses a query parameter in milliseconds; the fallback if it is empty.
-std::optional<Milliseconds> readWait(const std::string &text, Milliseconds fallback, Error *reason);
+std::optional<Milliseconds> parseWait(const std::string &text, Milliseconds fallback,
+                                      Error *reason);
 
 // [SECTION] Replies
 
 int answerStatus(const dispatch::Answer &answer);
-
 std::string answerBody(const std::string &submission, const dispatch::Answer &answer);
-
 std::string errorBody(const Error &error);
 
 } // namespace foxwing::node
--- a/packages/node/src/controlrole.cpp
+++ b/packages/node/src/controlrole.cpp
@@ -3,7 +3,7 @@
 
     [SECTION] Commands
     [SECTION] Nodes
-    [SECTION] Measures
+    [SECTION] Metrics
 */
 #include "controlrole.h"
 
@@ -13,10 +13,10 @@
 
 // [SECTION] Commands
 
-ControlRole::ControlRole(const settings::Settings &settings, Loop &loop, PostOffice &post)
+ControlRole::ControlRole(const settings::Settings &settings, EventLoop &loop, MessageRouter &router)
     : m_settings(settings)
-    , m_post(post)
-    , m_log(loop, post, settings,
+    , m_router(router)
+    , m_log(loop, router, settings,
             { [this](const control::Command &command, std::uint64_t index, std::uint64_t term) {
                  onCommitted(command, index, term);
              },
@@ -38,10 +38,10 @@
     return true;
 }
 
-void ControlRole::carryOut(control::ControlActions &&actions)
+void ControlRole::execute(control::ControlActions &&actions)
 {
     for (control::Outgoing &send : actions.sends)
-        m_post.send(send.to, widen(std::move(send.message)));
+        m_router.send(send.to, widen(std::move(send.message)));
     for (const control::Command &command : actions.proposals)
         m_log.propose(command);
 }
@@ -49,17 +49,17 @@
 void ControlRole::answerChange(std::uint64_t index, std::uint64_t term,
                                const control::ChangeResult &result)
 {
-    const auto found = m_waiting.find(index);
-    if (found == m_waiting.end())
+    const auto found = m_pendingChanges.find(index);
+    if (found == m_pendingChanges.end())
         return;
-    const WaitingChange waiting = found->second;
-    m_waiting.erase(found);
-    if (waiting.term != term)
-        return refuseAsFollower(waiting.responder); // replaced by another leader's log entry
+    const PendingChange pending = found->second;
+    m_pendingChanges.erase(found);
+    if (pending.term != term)
+        return refuseAsFollower(pending.responder); // replaced by another leader's log entry
     Json::Value json = toJson(result);
     json["kind"] = toString(result.kind);
     const int status = result.kind == ErrorKind::None ? 200 : httpStatus(result.kind);
-    waiting.responder.reply(status, "application/json", writeJson(json));
+    pending.responder.reply(status, "application/json", writeJson(json));
 }
 
 void ControlRole::onCommitted(const control::Command &command, std::uint64_t index,
@@ -87,15 +87,15 @@
 
 void ControlRole::onRead(std::uint64_t id, bool confirmed)
 {
-    const auto found = m_reads.find(id);
-    if (found == m_reads.end())
+    const auto found = m_pendingReads.find(id);
+    if (found == m_pendingReads.end())
         return;
-    const WaitingRead waiting = std::move(found->second);
-    m_reads.erase(found);
+    const PendingRead pending = std::move(found->second);
+    m_pendingReads.erase(found);
     if (confirmed)
-        waiting.read();
+        pending.read();
     else
-        refuseAsFollower(waiting.responder);
+        refuseAsFollower(pending.responder);
 }
 
 void ControlRole::onFailed(const Error &error)
@@ -103,25 +103,25 @@
     if (!m_failed)
         logEvent(LogLevel::Error, "journal-failed", { { "reason", error.message } });
     m_failed = true;
-    dropOperators();
+    refusePending();
 }
 
 // Pending requests have to be sent again to the new leader.
-void ControlRole::dropOperators()
+void ControlRole::refusePending()
 {
-    for (const auto &waiting : m_waiting)
-        refuseAsFollower(waiting.second.responder);
-    for (const auto &waiting : m_reads)
-        refuseAsFollower(waiting.second.responder);
+    for (const auto &pending : m_pendingChanges)
+        refuseAsFollower(pending.second.responder);
+    for (const auto &pending : m_pendingReads)
+        refuseAsFollower(pending.second.responder);
     for (const Watcher &watcher : m_watchers)
         refuseAsFollower(watcher.responder);
-    m_waiting.clear();
-    m_reads.clear();
+    m_pendingChanges.clear();
+    m_pendingReads.clear();
     m_watchers.clear();
 }
 
 // A new leader starts without volatile state; nodes report it again.
-void ControlRole::followLeadership()
+void ControlRole::updateLeadership()
 {
     const bool leading = m_log.leadsNow();
     if (leading == m_leading)
@@ -134,35 +134,35 @@
         m_state = control::makeControl(m_settings.control, std::move(m_state.cluster), steadyNow(),
                                        wallClockNow());
     else
-        dropOperators();
+        refusePending();
 }
 
 // [SECTION] Nodes
 
-void ControlRole::receive(const control::Beat &beat)
+void ControlRole::receive(const control::Beat &heartbeat)
 {
-    m_post.learnAddress(beat.id, beat.address);
+    m_router.learnAddress(heartbeat.id, heartbeat.address);
     if (!m_leading)
         return;
-    carryOut(control::handleBeat(m_state, beat, steadyNow(), wallClockNow()));
+    execute(control::handleBeat(m_state, heartbeat, steadyNow(), wallClockNow()));
 }
 
 void ControlRole::tick()
 {
     const Time now = steadyNow();
     m_log.tick();
-    followLeadership();
+    updateLeadership();
     if (!m_leading)
         return;
     const std::uint64_t deaths = m_state.counters.deaths;
-    carryOut(control::tick(m_state, now, wallClockNow()));
+    execute(control::tick(m_state, now, wallClockNow()));
     if (m_state.counters.deaths != deaths)
         logEvent(LogLevel::Warning, "nodes-dead",
                  { { "count", std::to_string(m_state.counters.deaths - deaths) } });
     answerWatchers(now);
 }
 
-// [SECTION] Measures
+// [SECTION] Metrics
 
 void ControlRole::addSamples(std::vector<metrics::Sample> &samples) const
 {
@@ -183,10 +183,10 @@
         static_cast<double>(m_state.cluster.store.revision), true);
     add("foxwing_control_view", "Number of the view",
         static_cast<double>(m_state.cluster.view.number), true);
-    const control::InForce force = control::inForce(m_state, m_state.cluster.store.revision);
-    add("foxwing_control_nodes", "Live nodes", force.nodes, true);
+    const control::InForce rollout = control::inForce(m_state, m_state.cluster.store.revision);
+    add("foxwing_control_nodes", "Live nodes", rollout.nodes, true);
     add("foxwing_control_lagging", "Live nodes that lack the newest revision",
-        static_cast<double>(force.lagging.size()), true);
+        static_cast<double>(rollout.lagging.size()), true);
     add("foxwing_control_leads", "1 if this host is the leader of the group", m_leading ? 1 : 0,
         true);
     add("foxwing_control_term", "Term of the group", static_cast<double>(m_log.state().term), true);
--- a/packages/node/src/controlrole.h
+++ b/packages/node/src/controlrole.h
@@ -18,8 +18,8 @@
 #include <foxwing/metrics/metrics.h>
 #include <foxwing/settings/settings.h>
 
-#include "grouplog.h"
-#include "postoffice.h"
+#include "messagerouter.h"
+#include "replicatedlog.h"
 
 namespace foxwing::node {
 
@@ -28,7 +28,7 @@
 class ControlRole
 {
 public:
-    ControlRole(const settings::Settings &settings, Loop &loop, PostOffice &post);
+    ControlRole(const settings::Settings &settings, EventLoop &loop, MessageRouter &router);
 
     // Opens the journal and restores the state from it.
     bool start(Error *reason);
@@ -36,14 +36,14 @@
     // Serves an operator's request, on the loop's thread. False if control does not serve its path.
     bool serve(const edge::HttpRequest &request, const edge::Responder &responder);
 
-    void receive(const control::Beat &beat);
+    void receive(const control::Beat &heartbeat);
     void receive(const quorum::QuorumMessage &message) { m_log.receive(message); }
     void tick();
     void addSamples(std::vector<metrics::Sample> &samples) const;
 
 private:
     // A change that is not committed yet.
-    struct WaitingChange
+    struct PendingChange
     {
         std::uint64_t term = 0;
         edge::Responder responder;
@@ -54,16 +54,16 @@
     {
         edge::Responder responder;
         std::uint64_t revision = 0;
-        Time until {};
+        Time deadline {};
     };
 
-    void carryOut(control::ControlActions &&actions);
+    void execute(control::ControlActions &&actions);
     void onCommitted(const control::Command &command, std::uint64_t index, std::uint64_t term);
     void onInstalled(control::ClusterState &&cluster);
     void onRead(std::uint64_t id, bool confirmed);
     void onFailed(const Error &error);
-    void followLeadership();
-    void dropOperators();
+    void updateLeadership();
+    void refusePending();
     void answerChange(std::uint64_t index, std::uint64_t term, const control::ChangeResult &result);
 
     bool isOperator(const std::string &token) const;
@@ -77,22 +77,22 @@
     // Calls read() once a quorum has confirmed that this host is still the leader.
     void afterConfirmation(const edge::Responder &responder, std::function<void()> read);
     void answerWatchers(Time now);
-    bool answerWatcher(const Watcher &watcher, bool overdue) const;
+    bool answerWatcher(const Watcher &watcher, bool timedOut) const;
 
     settings::Settings m_settings;
-    PostOffice &m_post;
-    GroupLog m_log;
+    MessageRouter &m_router;
+    ReplicatedLog m_log;
     control::ControlState m_state;
     bool m_leading = false;
 
-    struct WaitingRead
+    struct PendingRead
     {
         edge::Responder responder;
         std::function<void()> read;
     };
-    std::map<std::uint64_t, WaitingRead> m_reads;
-    std::uint64_t m_nextRead = 1;
-    std::map<std::uint64_t, WaitingChange> m_waiting;
+    std::map<std::uint64_t, PendingRead> m_pendingReads;
+    std::uint64_t m_nextReadId = 1;
+    std::map<std::uint64_t, PendingChange> m_pendingChanges;
     std::vector<Watcher> m_watchers;
     bool m_failed = false;
 };
--- a/packages/node/src/endpoint.h
+++ b/packages/node/src/endpoint.h
@@ -15,7 +15,7 @@
 
 #include <foxwing/agent/agent.h>
 #include <foxwing/edge/httpclient.h>
-#include <foxwing/node/loop.h>
+#include <foxwing/node/eventloop.h>
 #include <foxwing/settings/settings.h>
 
 namespace foxwing::node {
@@ -28,7 +28,7 @@
     // Called on the loop's thread, exactly once for each call().
     using Done = std::function<void(const agent::TaskRef &, agent::TaskEnd, std::string)>;
 
-    Endpoint(const settings::EndpointSettings &settings, Loop &loop, Done onDone);
+    Endpoint(const settings::EndpointSettings &settings, EventLoop &loop, Done onDone);
 
     // All may be called only on the loop's thread.
     void call(const agent::EndpointCall &call);
@@ -41,19 +41,19 @@
     struct OpenCall
     {
         agent::TaskRef ref;
-        bool stopped = false;
-        Time cutAt {};
+        bool stopRequested = false;
+        Time abandonAt {};
     };
 
-    void finish(const std::string &path, const edge::HttpReply &reply);
-    void end(const std::string &path, agent::TaskEnd end, std::string body);
+    void handleReply(const std::string &path, const edge::HttpReply &reply);
+    void complete(const std::string &path, agent::TaskEnd end, std::string body);
 
     settings::EndpointSettings m_settings;
-    Loop &m_loop;
+    EventLoop &m_loop;
     Done m_onDone;
     edge::HttpClient m_client;
     std::unordered_map<std::string, OpenCall> m_open;
-    std::size_t m_stopping = 0;
+    std::size_t m_stopsPending = 0;
 };
 
 } // namespace foxwing::node
--- a/packages/node/src/entryrole.cpp
+++ b/packages/node/src/entryrole.cpp
@@ -5,7 +5,7 @@
     [SECTION] Callers
     [SECTION] Messages
     [SECTION] Configuration
-    [SECTION] Measures
+    [SECTION] Metrics
 */
 #include "entryrole.h"
 
@@ -20,11 +20,11 @@
 
 namespace {
 
-constexpr Milliseconds LongestWait { 24 * 3600 * 1000 };
+constexpr Milliseconds MaxWait { 24 * 3600 * 1000 };
 constexpr Milliseconds DefaultFetchWait { 0 };
 
 // Limits the size of a heartbeat; further teams are reported in later ones.
-constexpr std::size_t MostShareReports = 40;
+constexpr std::size_t MaxShareReports = 40;
 
 entry::EntrySettings withIncarnation(entry::EntrySettings settings, std::uint64_t incarnation)
 {
@@ -42,19 +42,19 @@
 } // namespace
 
 EntryRole::EntryRole(const settings::Settings &settings, std::uint64_t incarnation,
-                     PostOffice &post)
+                     MessageRouter &router)
     : m_state(entry::makeEntry(withIncarnation(settings.entry, incarnation)))
-    , m_post(post)
+    , m_router(router)
 { }
 
 // [SECTION] Actions
 
-void EntryRole::carryOut(entry::EntryActions &&actions)
+void EntryRole::execute(entry::EntryActions &&actions)
 {
     for (entry::Outgoing &send : actions.sends) {
         Message message = std::visit([](auto &held) { return widen(std::move(held)); },
                                      send.message);
-        m_post.send(send.to, std::move(message));
+        m_router.send(send.to, std::move(message));
     }
     for (const entry::Reply &reply : actions.replies)
         replyTo(reply);
@@ -68,7 +68,7 @@
     const Caller caller = std::move(found->second);
     m_callers.erase(found);
     metrics::observe(m_metrics, "foxwing_response_ms", caller.labels,
-                     toMilliseconds(steadyNow() - caller.since));
+                     toMilliseconds(steadyNow() - caller.startedAt));
     caller.responder.reply(answerStatus(reply.answer), "application/json",
                            answerBody(reply.submission, reply.answer),
                            reply.answer.error.retryAfter);
@@ -92,42 +92,42 @@
     Error reason;
     const auto wait = request.query.find("wait");
     const std::string waitText = wait == request.query.end() ? std::string() : wait->second;
-    const auto waitSpan = readWait(waitText, LongestWait, &reason);
-    auto submission = waitSpan ? readSubmission(request.body, isRequest, &reason) : std::nullopt;
+    const auto timeout = parseWait(waitText, MaxWait, &reason);
+    auto submission = timeout ? parseSubmission(request.body, isRequest, &reason) : std::nullopt;
     if (!submission)
         return replyError(responder, reason);
     submission->team = team;
-    submission->waiter = addCaller(responder, submission->submission, *waitSpan,
+    submission->waiter = addCaller(responder, submission->submission, *timeout,
                                    { team, submission->workClass });
-    carryOut(entry::submit(m_state, *submission, steadyNow(), wallClockNow()));
+    execute(entry::submit(m_state, *submission, steadyNow(), wallClockNow()));
 }
 
-void EntryRole::serveLookUp(const edge::HttpRequest &request, const edge::Responder &responder,
+void EntryRole::serveLookup(const edge::HttpRequest &request, const edge::Responder &responder,
                             const std::string &team)
 {
     Error reason;
     const auto wait = request.query.find("wait");
     const std::string waitText = wait == request.query.end() ? std::string() : wait->second;
-    const auto waitSpan = readWait(waitText, DefaultFetchWait, &reason);
-    if (!waitSpan)
+    const auto timeout = parseWait(waitText, DefaultFetchWait, &reason);
+    if (!timeout)
         return replyError(responder, reason);
     // Looking up a submission of another entry takes a round trip even if the caller does not wait.
-    const Milliseconds span = std::max(*waitSpan, Milliseconds { 500 });
+    const Milliseconds lookupTimeout = std::max(*timeout, Milliseconds { 500 });
     const Time now = steadyNow();
     const std::string &id = request.path[2];
-    const entry::WaiterId waiter = addCaller(responder, id, span, { team, "look-up" });
+    const entry::WaiterId waiter = addCaller(responder, id, lookupTimeout, { team, "look-up" });
     if (request.method == "DELETE")
-        carryOut(entry::cancel(m_state, waiter, team, id, now + span, now));
+        execute(entry::cancel(m_state, waiter, team, id, now + lookupTimeout, now));
     else
-        carryOut(entry::fetch(m_state, waiter, team, id, now + span, now));
+        execute(entry::fetch(m_state, waiter, team, id, now + lookupTimeout, now));
 }
 
 bool EntryRole::serve(const edge::HttpRequest &request, const edge::Responder &responder)
 {
     const std::vector<std::string> &path = request.path;
-    const bool ours = path.size() >= 2 && path[0] == "v1"
+    const bool isServed = path.size() >= 2 && path[0] == "v1"
             && (path[1] == "jobs" || path[1] == "requests");
-    if (!ours)
+    if (!isServed)
         return false;
     // Without a fresh configuration, tokens can't be checked and earlier submissions are unknown.
     if (!entry::hasFreshConfiguration(m_state, steadyNow())) {
@@ -140,8 +140,8 @@
     }
     Error reason;
     const auto team = entry::authenticate(m_state.registry, request.token, &reason);
-    const bool posts = request.method == "POST" && path.size() == 2;
-    const bool looksUp = (request.method == "GET" || request.method == "DELETE")
+    const bool isSubmission = request.method == "POST" && path.size() == 2;
+    const bool isLookup = (request.method == "GET" || request.method == "DELETE")
             && path.size() == 3;
     if (!team) {
         replyError(responder, reason);
@@ -151,10 +151,10 @@
                            "too many callers are waiting at this entry; use another one",
                            path.size() == 2 ? Outcome::NotRun : Outcome::Unknown,
                            Milliseconds { 500 } });
-    } else if (posts) {
+    } else if (isSubmission) {
         serveSubmission(request, responder, *team, path[1] == "requests");
-    } else if (looksUp) {
-        serveLookUp(request, responder, *team);
+    } else if (isLookup) {
+        serveLookup(request, responder, *team);
     } else {
         replyError(responder,
                    Error { ErrorKind::BadRequest,
@@ -169,22 +169,22 @@
 
 void EntryRole::receive(const agent::FromAgent &message)
 {
-    carryOut(entry::handleAgent(m_state, message, steadyNow()));
+    execute(entry::handleAgent(m_state, message, steadyNow()));
 }
 
 void EntryRole::receive(const claims::ClaimMessage &message)
 {
-    carryOut(entry::handleClaim(m_state, message, steadyNow(), wallClockNow()));
+    execute(entry::handleClaim(m_state, message, steadyNow(), wallClockNow()));
 }
 
 void EntryRole::receive(const entry::EntryMessage &message)
 {
-    carryOut(entry::handleEntry(m_state, message, steadyNow()));
+    execute(entry::handleEntry(m_state, message, steadyNow()));
 }
 
 void EntryRole::sendFailed(const agent::ToAgent &message)
 {
-    carryOut(entry::sendFailed(m_state, message, steadyNow()));
+    execute(entry::sendFailed(m_state, message, steadyNow()));
 }
 
 void EntryRole::tick()
@@ -195,14 +195,14 @@
         for (auto &limit : m_state.dispatcher.teamLimits)
             dispatch::setTeamLimit(m_state.dispatcher, limit.first, 0);
     }
-    carryOut(entry::tick(m_state, now, wallClockNow()));
-    std::vector<entry::WaiterId> over;
+    execute(entry::tick(m_state, now, wallClockNow()));
+    std::vector<entry::WaiterId> timedOut;
     for (const auto &caller : m_callers) {
-        if (now >= caller.second.waitUntil)
-            over.push_back(caller.first);
+        if (now >= caller.second.deadline)
+            timedOut.push_back(caller.first);
     }
     dispatch::Answer pending;
-    for (const entry::WaiterId waiter : over) {
+    for (const entry::WaiterId waiter : timedOut) {
         entry::abandon(m_state, waiter);
         replyTo({ waiter, m_callers.at(waiter).submission, pending });
     }
@@ -238,9 +238,9 @@
     }
 }
 
-void EntryRole::applyUpdate(const control::Update &update, Time beatSentAt)
+void EntryRole::applyUpdate(const control::Update &update, Time heartbeatSentAt)
 {
-    claims::renewControlLease(m_state.claims, beatSentAt);
+    claims::renewControlLease(m_state.claims, heartbeatSentAt);
     for (const control::ShareGrant &grant : update.shares)
         dispatch::setTeamLimit(m_state.dispatcher, grant.team, grant.share);
     if (update.reset)
@@ -251,35 +251,35 @@
         m_state.agents = { {}, update.agentsSince };
         for (const control::AgentHint &hint : update.agents) {
             m_state.agents.agents.push_back({ hint.id, hint.service, hint.lostAt, hint.live });
-            m_post.learnAddress(hint.id, hint.address);
+            m_router.learnAddress(hint.id, hint.address);
         }
     }
     if (update.view.number == 0)
         return;
     const std::uint64_t before = m_state.claims.view.number;
-    carryOut(entry::setView(m_state, update.view, steadyNow()));
+    execute(entry::setView(m_state, update.view, steadyNow()));
     if (m_state.claims.view.number != before)
         logEvent(LogLevel::Info, "view",
                  { { "number", std::to_string(update.view.number) },
                    { "entries", std::to_string(update.view.members.size()) } });
 }
 
-void EntryRole::fillBeat(control::Beat &beat)
+void EntryRole::fillHeartbeat(control::Beat &heartbeat)
 {
-    beat.readyShards = claims::readyShards(m_state.claims);
+    heartbeat.readyShards = claims::readyShards(m_state.claims);
     const dispatch::Dispatcher &dispatcher = m_state.dispatcher;
     for (const auto &team : m_state.registry.teams) {
-        if (team.second.concurrency == 0 || beat.shares.size() == MostShareReports)
+        if (team.second.concurrency == 0 || heartbeat.shares.size() == MaxShareReports)
             continue;
         const auto limit = dispatcher.teamLimits.find(team.first);
         const std::uint32_t share = limit == dispatcher.teamLimits.end() ? 0 : limit->second;
         const dispatch::TeamLoad load = dispatch::teamLoad(dispatcher, team.first);
         const control::ShareReport report { team.first, share, load.running, load.waiting };
-        const auto told = m_toldShares.find(team.first);
-        const bool news = told == m_toldShares.end() || told->second != share;
-        if (news || load.running + load.waiting > 0)
-            beat.shares.push_back(report);
-        m_toldShares[team.first] = share;
+        const auto reported = m_reportedShares.find(team.first);
+        const bool changed = reported == m_reportedShares.end() || reported->second != share;
+        if (changed || load.running + load.waiting > 0)
+            heartbeat.shares.push_back(report);
+        m_reportedShares[team.first] = share;
     }
 }
 
@@ -304,7 +304,7 @@
                });
 }
 
-// [SECTION] Measures
+// [SECTION] Metrics
 
 void EntryRole::addSamples(std::vector<metrics::Sample> &samples) const
 {
@@ -343,17 +343,19 @@
     gauge("foxwing_callers", "Waiting callers", m_callers.size());
     gauge("foxwing_jobs_active", "Unfinished jobs", dispatch::activeJobs(m_state.dispatcher));
     gauge("foxwing_answer_bytes", "Bytes of retained answers", m_state.dispatcher.answerBytes);
-    const auto ofServices = [&](const char *name, const char *help, auto value) {
+    const auto addPerService = [&](const char *name, const char *help, auto value) {
         for (const auto &service : m_state.dispatcher.services)
             samples.push_back({ std::string(name) + "{service=\"" + service.first + "\"}", help,
                                 static_cast<double>(value(service.second)), true });
     };
-    ofServices("foxwing_slots", "Slots under lease",
-               [](const dispatch::ServiceState &service) { return service.pool.slots; });
-    ofServices("foxwing_queue_tasks", "Waiting tasks",
-               [](const dispatch::ServiceState &service) { return service.waitingTasks; });
-    ofServices("foxwing_workers_out", "Workers ejected or on probation",
-               [](const dispatch::ServiceState &service) { return service.pool.health.ejected; });
+    addPerService("foxwing_slots", "Slots under lease",
+                  [](const dispatch::ServiceState &service) { return service.pool.slots; });
+    addPerService("foxwing_queue_tasks", "Waiting tasks",
+                  [](const dispatch::ServiceState &service) { return service.waitingTasks; });
+    addPerService("foxwing_workers_out", "Workers ejected or on probation",
+                  [](const dispatch::ServiceState &service) {
+                      return service.pool.health.ejected;
+                  });
 }
 
 } // namespace foxwing::node
--- a/packages/node/src/entryrole.h
+++ b/packages/node/src/entryrole.h
@@ -15,7 +15,7 @@
 #include <foxwing/metrics/metrics.h>
 #include <foxwing/settings/settings.h>
 
-#include "postoffice.h"
+#include "messagerouter.h"
 
 namespace foxwing::node {
 
@@ -24,7 +24,7 @@
 class EntryRole
 {
 public:
-    EntryRole(const settings::Settings &settings, std::uint64_t incarnation, PostOffice &post);
+    EntryRole(const settings::Settings &settings, std::uint64_t incarnation, MessageRouter &router);
 
     // Serves a caller's request, on the loop's thread. False if the entry does not serve its path.
     bool serve(const edge::HttpRequest &request, const edge::Responder &responder);
@@ -33,11 +33,11 @@
     void receive(const claims::ClaimMessage &message);
     void receive(const entry::EntryMessage &message);
     void sendFailed(const agent::ToAgent &message);
-    void applyUpdate(const control::Update &update, Time beatSentAt);
-    void fillBeat(control::Beat &beat);
+    void applyUpdate(const control::Update &update, Time heartbeatSentAt);
+    void fillHeartbeat(control::Beat &heartbeat);
     void tick();
 
-    void beginLeaving() { m_state.leaving = true; }
+    void startLeaving() { m_state.leaving = true; }
     bool ready() const;
 
     // Whether a heartbeat should be sent at once. Reading it resets it.
@@ -54,29 +54,29 @@
     struct Caller
     {
         edge::Responder responder;
-        Time since {};
-        Time waitUntil {};
+        Time startedAt {};
+        Time deadline {};
         std::string submission;
         metrics::Labels labels;
     };
 
-    void carryOut(entry::EntryActions &&actions);
+    void execute(entry::EntryActions &&actions);
     void replyTo(const entry::Reply &reply);
     void serveSubmission(const edge::HttpRequest &request, const edge::Responder &responder,
                          const std::string &team, bool isRequest);
-    void serveLookUp(const edge::HttpRequest &request, const edge::Responder &responder,
+    void serveLookup(const edge::HttpRequest &request, const edge::Responder &responder,
                      const std::string &team);
     entry::WaiterId addCaller(const edge::Responder &responder, const std::string &submission,
                               Milliseconds wait, const metrics::Labels &labels);
     void applyResource(const control::Resource &resource);
 
     entry::EntryState m_state;
-    PostOffice &m_post;
+    MessageRouter &m_router;
     std::unordered_map<entry::WaiterId, Caller> m_callers;
     entry::WaiterId m_nextWaiter = 1;
 
     // Quota shares by team as last reported to control
-    std::unordered_map<std::string, std::uint32_t> m_toldShares;
+    std::unordered_map<std::string, std::uint32_t> m_reportedShares;
     metrics::Metrics m_metrics;
 };
 
--- a/packages/node/src/loop.cpp
+++ b/packages/node/src/eventloop.cpp
@@ -1,45 +1,45 @@
 /*
     The event loop's queue and ticks.
 
-    [SECTION] Loop
+    [SECTION] Event loop
 */
-#include <foxwing/node/loop.h>
+#include <foxwing/node/eventloop.h>
 
 #include <utility>
 
 namespace foxwing::node {
 
-// [SECTION] Loop
+// [SECTION] Event loop
 
-Loop::Loop(Job onTick, Milliseconds tickInterval)
+EventLoop::EventLoop(Callback onTick, Milliseconds tickInterval)
     : m_onTick(std::move(onTick))
     , m_tickInterval(tickInterval)
 { }
 
-void Loop::post(Job job)
+void EventLoop::post(Callback callback)
 {
     bool wasEmpty = false;
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        wasEmpty = m_jobs.empty();
-        m_jobs.push_back(std::move(job));
+        wasEmpty = m_callbacks.empty();
+        m_callbacks.push_back(std::move(callback));
     }
     if (wasEmpty)
         m_wakeUp.notify_one();
 }
 
-void Loop::run()
+void EventLoop::run()
 {
     auto nextTick = std::chrono::steady_clock::now();
-    std::vector<Job> jobs;
+    std::vector<Callback> callbacks;
     std::unique_lock<std::mutex> lock(m_mutex);
     while (!m_stopping) {
-        m_wakeUp.wait_until(lock, nextTick, [this] { return m_stopping || !m_jobs.empty(); });
-        jobs.swap(m_jobs);
+        m_wakeUp.wait_until(lock, nextTick, [this] { return m_stopping || !m_callbacks.empty(); });
+        callbacks.swap(m_callbacks);
         lock.unlock();
-        for (const Job &job : jobs)
-            job();
-        jobs.clear();
+        for (const Callback &callback : callbacks)
+            callback();
+        callbacks.clear();
         const auto now = std::chrono::steady_clock::now();
         if (now >= nextTick) {
             m_onTick();
@@ -49,7 +49,7 @@
     }
 }
 
-void Loop::stop()
+void EventLoop::stop()
 {
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
--- a/packages/node/src/log.cpp
+++ b/packages/node/src/log.cpp
@@ -60,13 +60,13 @@
 void initLog(const std::string &level, const std::string &node)
 {
     nodeName() = node;
-    trivial::severity_level lowest = trivial::info;
-    trivial::from_string(level.c_str(), level.size(), lowest);
+    trivial::severity_level minSeverity = trivial::info;
+    trivial::from_string(level.c_str(), level.size(), minSeverity);
     boost::log::add_common_attributes();
     boost::log::add_console_log(std::cerr,
                                 boost::log::keywords::format = "%TimeStamp% %Severity% %Message%",
                                 boost::log::keywords::auto_flush = true);
-    boost::log::core::get()->set_filter(trivial::severity >= lowest);
+    boost::log::core::get()->set_filter(trivial::severity >= minSeverity);
 }
 
 void logEvent(LogLevel level, const char *event, std::initializer_list<LogField> fields)
--- a/packages/node/src/postoffice.cpp
+++ b/packages/node/src/messagerouter.cpp
@@ -4,7 +4,7 @@
     [SECTION] Sending
     [SECTION] Receiving
 */
-#include "postoffice.h"
+#include "messagerouter.h"
 
 #include <foxwing/node/log.h>
 
@@ -12,24 +12,24 @@
 
 // [SECTION] Sending
 
-PostOffice::PostOffice(const wire::SenderSettings &settings, Loop &loop, Receiver onMessage,
-                       FailureHandler onFailure)
+MessageRouter::MessageRouter(const wire::SenderSettings &settings, EventLoop &loop,
+                             Receiver onMessage, FailureHandler onFailure)
     : m_self(settings.from)
     , m_loop(loop)
     , m_onMessage(std::move(onMessage))
     , m_onFailure(std::move(onFailure))
-    , m_lanes(settings, [this](const std::string &, std::vector<Json::Value> &&lost) {
-        takeLost(std::move(lost));
+    , m_sender(settings, [this](const std::string &, std::vector<Json::Value> &&failed) {
+        handleFailedSends(std::move(failed));
     })
 { }
 
-void PostOffice::learnAddress(const std::string &id, const std::string &address)
+void MessageRouter::learnAddress(const std::string &id, const std::string &address)
 {
     if (!address.empty())
         m_addresses[id] = address;
 }
 
-void PostOffice::send(const std::string &to, Message message)
+void MessageRouter::send(const std::string &to, Message message)
 {
     if (to == m_self) {
         ++m_counters.local;
@@ -47,14 +47,14 @@
         return;
     }
     ++m_counters.sent;
-    m_lanes.send(found->second, encodeMessage(message));
+    m_sender.send(found->second, encodeMessage(message));
 }
 
-void PostOffice::takeLost(std::vector<Json::Value> &&lost)
+void MessageRouter::handleFailedSends(std::vector<Json::Value> &&failed)
 {
-    m_loop.post([this, lost = std::move(lost)] {
+    m_loop.post([this, failed = std::move(failed)] {
         Error ignored;
-        for (const Json::Value &json : lost) {
+        for (const Json::Value &json : failed) {
             if (auto message = decodeMessage<Message>(json, &ignored))
                 m_onFailure(std::move(*message));
         }
@@ -63,7 +63,7 @@
 
 // [SECTION] Receiving
 
-void PostOffice::receive(wire::Envelope &&envelope)
+void MessageRouter::receive(wire::Envelope &&envelope)
 {
     std::vector<Message> messages;
     std::uint64_t unreadable = 0;
--- a/packages/node/src/postoffice.h
+++ b/packages/node/src/messagerouter.h
@@ -4,7 +4,7 @@
     Addresses are learned from the settings, from views and node lists of control, and from received
     envelopes. A message to this node itself is posted to the loop without a call.
 
-    [SECTION] Post office
+    [SECTION] Router
 */
 #pragma once
 
@@ -12,15 +12,15 @@
 #include <string>
 #include <unordered_map>
 
-#include <foxwing/node/loop.h>
+#include <foxwing/node/eventloop.h>
 #include <foxwing/node/message.h>
 #include <foxwing/wire/senderpool.h>
 
 namespace foxwing::node {
 
-// [SECTION] Post office
+// [SECTION] Router
 
-struct PostCounters
+struct RouterCounters
 {
     std::uint64_t sent = 0;
     std::uint64_t local = 0;
@@ -29,37 +29,37 @@
     std::uint64_t unreadable = 0;
 };
 
-class PostOffice
+class MessageRouter
 {
 public:
     // Both are called on the loop's thread.
     using Receiver = std::function<void(Message &&)>;
     using FailureHandler = std::function<void(Message &&)>;
 
-    PostOffice(const wire::SenderSettings &settings, Loop &loop, Receiver onMessage,
-               FailureHandler onFailure);
+    MessageRouter(const wire::SenderSettings &settings, EventLoop &loop, Receiver onMessage,
+                  FailureHandler onFailure);
 
     // The following may be called only on the loop's thread.
     void send(const std::string &to, Message message);
     void learnAddress(const std::string &id, const std::string &address);
-    void flush(Milliseconds longest) { m_lanes.flush(longest); }
+    void flush(Milliseconds timeout) { m_sender.flush(timeout); }
 
-    const PostCounters &counters() const { return m_counters; }
-    wire::SenderCounters laneCounters() const { return m_lanes.counters(); }
+    const RouterCounters &counters() const { return m_counters; }
+    wire::SenderCounters senderCounters() const { return m_sender.counters(); }
 
     // Accepts what another process delivered; may be called from any thread.
     void receive(wire::Envelope &&envelope);
 
 private:
-    void takeLost(std::vector<Json::Value> &&lost);
+    void handleFailedSends(std::vector<Json::Value> &&failed);
 
     std::string m_self;
-    Loop &m_loop;
+    EventLoop &m_loop;
     Receiver m_onMessage;
     FailureHandler m_onFailure;
     std::unordered_map<std::string, std::string> m_addresses;
-    PostCounters m_counters;
-    wire::SenderPool m_lanes;
+    RouterCounters m_counters;
+    wire::SenderPool m_sender;
 };
 
 } // namespace foxwing::node
--- a/packages/node/src/node.cpp
+++ b/packages/node/src/node.cpp
@@ -3,7 +3,7 @@
 
     [SECTION] Construction
     [SECTION] Messages
-    [SECTION] Beats
+    [SECTION] Heartbeats
     [SECTION] HTTP
     [SECTION] Stopping
     [SECTION] Node
@@ -14,15 +14,15 @@
 
 #include <foxwing/control/reporter.h>
 #include <foxwing/edge/httpserver.h>
+#include <foxwing/node/eventloop.h>
 #include <foxwing/node/log.h>
-#include <foxwing/node/loop.h>
 #include <foxwing/wire/rpcserver.h>
 
 #include "agentrole.h"
 #include "callerapi.h"
 #include "controlrole.h"
 #include "entryrole.h"
-#include "postoffice.h"
+#include "messagerouter.h"
 
 namespace foxwing::node {
 
@@ -30,17 +30,17 @@
 
 constexpr Milliseconds TickInterval { 10 };
 // Used while claims are being transferred.
-constexpr Milliseconds HurriedBeatInterval { 50 };
+constexpr Milliseconds FastHeartbeatInterval { 50 };
 
 constexpr unsigned int EntryHttpThreads = 8;
-constexpr unsigned int QuietHttpThreads = 4;
+constexpr unsigned int DefaultHttpThreads = 4;
 
 std::string innerAddress(const settings::Settings &settings)
 {
     return settings.listen.inner.host + ":" + std::to_string(settings.listen.inner.port);
 }
 
-wire::SenderSettings laneSettings(const settings::Settings &settings)
+wire::SenderSettings senderSettings(const settings::Settings &settings)
 {
     wire::SenderSettings sender;
     sender.from = settings.node.id;
@@ -86,7 +86,7 @@
     enum class Stopping {
         No,
         // Reports not ready, so that the load balancer withdraws it; still accepts requests.
-        Noticing,
+        Withdrawing,
         // Accepts no requests; finishes work in flight.
         Draining,
         // Transfers claims to other entries.
@@ -95,20 +95,20 @@
 
     control::Beat identity() const;
     void receive(Message &&message);
-    void takeFailure(Message &&message);
+    void handleSendFailure(Message &&message);
     void applyUpdate(const control::Update &update);
-    void sendBeat(Time now);
+    void sendHeartbeat(Time now);
     void tick();
     void tickStopping(Time now);
     bool configurationStale(Time now) const;
     void serve(const edge::HttpRequest &request, const edge::Responder &responder);
-    bool servePlain(const edge::HttpRequest &request, const edge::Responder &responder) const;
+    bool serveMonitoring(const edge::HttpRequest &request, const edge::Responder &responder) const;
     std::string metricsText() const;
 
     settings::Settings m_settings;
     std::uint64_t m_incarnation;
-    Loop m_loop;
-    PostOffice m_post;
+    EventLoop m_loop;
+    MessageRouter m_router;
     std::unique_ptr<AgentRole> m_agent;
     std::unique_ptr<EntryRole> m_entry;
     std::unique_ptr<ControlRole> m_control;
@@ -117,7 +117,7 @@
 
     control::Reporter m_reporter;
     std::string m_controlLeader;
-    Time m_nextBeat {};
+    Time m_nextHeartbeat {};
 
     Stopping m_stopping = Stopping::No;
     Time m_stoppingSince {};
@@ -129,12 +129,12 @@
     : m_settings(settings)
     , m_incarnation(static_cast<std::uint64_t>(wallClockNow().time_since_epoch().count()))
     , m_loop([this] { tick(); }, TickInterval)
-    , m_post(
-              laneSettings(settings), m_loop,
+    , m_router(
+              senderSettings(settings), m_loop,
               [this](Message &&message) { receive(std::move(message)); },
-              [this](Message &&message) { takeFailure(std::move(message)); })
+              [this](Message &&message) { handleSendFailure(std::move(message)); })
     , m_rpc(rpcSettings(settings),
-            [this](wire::Envelope &&envelope) { m_post.receive(std::move(envelope)); })
+            [this](wire::Envelope &&envelope) { m_router.receive(std::move(envelope)); })
     , m_http(httpSettings(settings),
              [this](const edge::HttpRequest &request, const edge::Responder &responder) {
                  m_loop.post([this, request, responder] { serve(request, responder); });
@@ -143,32 +143,32 @@
 
 control::Beat Node::Impl::identity() const
 {
-    control::Beat beat;
-    beat.id = m_settings.node.id;
-    beat.incarnation = m_incarnation;
-    beat.address = innerAddress(m_settings);
-    beat.dataCentre = m_settings.node.dataCentre;
-    beat.isEntry = m_settings.node.entry;
-    beat.isAgent = m_settings.node.agent;
-    beat.service = m_settings.node.agent ? m_settings.agent.service : std::string();
-    beat.slots = m_settings.node.agent ? m_settings.agent.slots : 0;
-    return beat;
+    control::Beat heartbeat;
+    heartbeat.id = m_settings.node.id;
+    heartbeat.incarnation = m_incarnation;
+    heartbeat.address = innerAddress(m_settings);
+    heartbeat.dataCentre = m_settings.node.dataCentre;
+    heartbeat.isEntry = m_settings.node.entry;
+    heartbeat.isAgent = m_settings.node.agent;
+    heartbeat.service = m_settings.node.agent ? m_settings.agent.service : std::string();
+    heartbeat.slots = m_settings.node.agent ? m_settings.agent.slots : 0;
+    return heartbeat;
 }
 
 bool Node::Impl::start(Error *reason)
 {
     m_reporter = control::makeReporter(identity());
     for (const settings::Peer &peer : m_settings.cluster.control)
-        m_post.learnAddress(peer.id, peer.address);
+        m_router.learnAddress(peer.id, peer.address);
     if (m_settings.node.control) {
-        m_control = std::make_unique<ControlRole>(m_settings, m_loop, m_post);
+        m_control = std::make_unique<ControlRole>(m_settings, m_loop, m_router);
         if (!m_control->start(reason))
             return false;
     }
     if (m_settings.node.entry)
-        m_entry = std::make_unique<EntryRole>(m_settings, m_incarnation, m_post);
+        m_entry = std::make_unique<EntryRole>(m_settings, m_incarnation, m_router);
     if (m_settings.node.agent)
-        m_agent = std::make_unique<AgentRole>(m_settings, m_incarnation, m_loop, m_post);
+        m_agent = std::make_unique<AgentRole>(m_settings, m_incarnation, m_loop, m_router);
     if (!m_rpc.start(reason) || !m_http.start(reason))
         return false;
     logEvent(LogLevel::Info, "started",
@@ -193,18 +193,18 @@
         if (const auto held = narrow<entry::EntryMessage>(message))
             return m_entry->receive(*held);
     }
-    if (const auto *beat = std::get_if<control::Beat>(&message)) {
+    if (const auto *heartbeat = std::get_if<control::Beat>(&message)) {
         if (m_control)
-            m_control->receive(*beat);
-    } else if (const auto group = narrow<quorum::QuorumMessage>(message)) {
+            m_control->receive(*heartbeat);
+    } else if (const auto quorumMessage = narrow<quorum::QuorumMessage>(message)) {
         if (m_control)
-            m_control->receive(*group);
+            m_control->receive(*quorumMessage);
     } else if (const auto *update = std::get_if<control::Update>(&message)) {
         applyUpdate(*update);
     }
 }
 
-void Node::Impl::takeFailure(Message &&message)
+void Node::Impl::handleSendFailure(Message &&message)
 {
     if (!m_entry)
         return;
@@ -212,7 +212,7 @@
         m_entry->sendFailed(*held);
 }
 
-// [SECTION] Beats
+// [SECTION] Heartbeats
 
 void Node::Impl::applyUpdate(const control::Update &update)
 {
@@ -221,27 +221,27 @@
         return;
     m_controlLeader = update.from;
     for (const claims::Member &member : update.view.members)
-        m_post.learnAddress(member.replica.id, member.address);
+        m_router.learnAddress(member.replica.id, member.address);
     if (m_entry)
         m_entry->applyUpdate(update, *sentAt);
     if (m_agent)
         m_agent->applyUpdate(update);
 }
 
-void Node::Impl::sendBeat(Time now)
+void Node::Impl::sendHeartbeat(Time now)
 {
-    control::Beat beat = control::nextBeat(m_reporter, now);
-    beat.leaving = m_stopping == Stopping::HandingOver;
+    control::Beat heartbeat = control::nextBeat(m_reporter, now);
+    heartbeat.leaving = m_stopping == Stopping::HandingOver;
     if (m_entry)
-        m_entry->fillBeat(beat);
-    const bool hurried = m_entry && !beat.leaving && !m_entry->allClaimsInService();
-    m_nextBeat = now + (hurried ? HurriedBeatInterval : m_settings.cluster.heartbeatInterval);
+        m_entry->fillHeartbeat(heartbeat);
+    const bool fast = m_entry && !heartbeat.leaving && !m_entry->allClaimsInService();
+    m_nextHeartbeat = now + (fast ? FastHeartbeatInterval : m_settings.cluster.heartbeatInterval);
     // Sends only to the leader as long as it answers, otherwise to all control hosts.
-    const Milliseconds patience = 2 * m_settings.cluster.heartbeatInterval;
-    const bool answered = m_reporter.confirmed && now < m_reporter.confirmedAt + patience;
+    const Milliseconds answerTimeout = 2 * m_settings.cluster.heartbeatInterval;
+    const bool answered = m_reporter.confirmed && now < m_reporter.confirmedAt + answerTimeout;
     for (const settings::Peer &peer : m_settings.cluster.control) {
         if (!answered || peer.id == m_controlLeader)
-            m_post.send(peer.id, beat);
+            m_router.send(peer.id, heartbeat);
     }
 }
 
@@ -259,9 +259,9 @@
         m_entry->tick();
     if (m_agent)
         m_agent->tick(configurationStale(now));
-    const bool wanted = m_entry && m_entry->takeHeartbeatRequest();
-    if (now >= m_nextBeat || wanted)
-        sendBeat(now);
+    const bool requested = m_entry && m_entry->takeHeartbeatRequest();
+    if (now >= m_nextHeartbeat || requested)
+        sendHeartbeat(now);
     m_http.expirePendingBodies();
     if (m_stopping != Stopping::No)
         tickStopping(now);
@@ -280,24 +280,25 @@
         m_agent->addSamples(samples);
     samples.push_back({ "foxwing_bodies_arriving", "Requests whose bodies are incomplete",
                         static_cast<double>(m_http.pendingBodies()), true });
-    const PostCounters &post = m_post.counters();
-    const wire::SenderCounters sender = m_post.laneCounters();
+    const RouterCounters &router = m_router.counters();
+    const wire::SenderCounters sender = m_router.senderCounters();
     const auto count = [&](const char *name, const char *help, std::uint64_t value) {
         samples.push_back({ name, help, static_cast<double>(value), false });
     };
-    count("foxwing_messages_sent_total", "Messages to other processes", post.sent);
-    count("foxwing_messages_local_total", "Messages to this process", post.local);
-    count("foxwing_messages_received_total", "Messages from other processes", post.received);
-    count("foxwing_messages_unreadable_total", "Messages that could not be read", post.unreadable);
-    count("foxwing_messages_no_address_total", "Messages to unknown nodes", post.noAddress);
+    count("foxwing_messages_sent_total", "Messages to other processes", router.sent);
+    count("foxwing_messages_local_total", "Messages to this process", router.local);
+    count("foxwing_messages_received_total", "Messages from other processes", router.received);
+    count("foxwing_messages_unreadable_total", "Messages that could not be read",
+          router.unreadable);
+    count("foxwing_messages_no_address_total", "Messages to unknown nodes", router.noAddress);
     count("foxwing_calls_total", "Calls to other processes", sender.calls);
     count("foxwing_calls_failed_total", "Calls that failed", sender.failedCalls);
     static const metrics::Metrics none;
     return metrics::writeExposition(m_entry ? m_entry->histograms() : none, samples);
 }
 
-bool Node::Impl::servePlain(const edge::HttpRequest &request,
-                            const edge::Responder &responder) const
+bool Node::Impl::serveMonitoring(const edge::HttpRequest &request,
+                                 const edge::Responder &responder) const
 {
     const std::string path = request.path.size() == 1 ? request.path[0] : std::string();
     if (path == "metrics") {
@@ -319,7 +320,7 @@
 
 void Node::Impl::serve(const edge::HttpRequest &request, const edge::Responder &responder)
 {
-    const bool served = servePlain(request, responder)
+    const bool served = serveMonitoring(request, responder)
             || (m_entry && m_entry->serve(request, responder))
             || (m_control && m_control->serve(request, responder));
     if (served)
@@ -338,7 +339,7 @@
     m_loop.post([this] {
         if (m_stopping != Stopping::No)
             return;
-        m_stopping = m_entry ? Stopping::Noticing : Stopping::Draining;
+        m_stopping = m_entry ? Stopping::Withdrawing : Stopping::Draining;
         m_stoppingSince = steadyNow();
         logEvent(LogLevel::Info, "stopping", {});
         if (m_agent)
@@ -352,23 +353,23 @@
         logEvent(LogLevel::Warning, "stopped", { { "drained", "false" } });
         return m_loop.stop();
     }
-    if (m_stopping == Stopping::Noticing && now >= m_stoppingSince + m_settings.drainDelay) {
+    if (m_stopping == Stopping::Withdrawing && now >= m_stoppingSince + m_settings.drainDelay) {
         m_stopping = Stopping::Draining;
-        m_entry->beginLeaving();
+        m_entry->startLeaving();
     }
     const bool drained = m_stopping == Stopping::Draining && (!m_entry || m_entry->drained())
             && (!m_agent || m_agent->drained());
     if (drained) {
         m_stopping = Stopping::HandingOver;
-        sendBeat(now);
+        sendHeartbeat(now);
         return;
     }
     // A process with control can't hand over to itself; others wait for control's confirmation.
-    const bool over = m_stopping == Stopping::HandingOver
+    const bool finished = m_stopping == Stopping::HandingOver
             && (!m_entry || m_control || m_entry->handedOver());
-    if (!over)
+    if (!finished)
         return;
-    m_post.flush(Milliseconds { 500 });
+    m_router.flush(Milliseconds { 500 });
     logEvent(LogLevel::Info, "stopped", { { "drained", "true" } });
     m_loop.stop();
 }
@@ -384,7 +385,7 @@
 
 Node::Node(const settings::Settings &settings)
 {
-    edge::setHttpThreads(settings.node.entry ? EntryHttpThreads : QuietHttpThreads);
+    edge::setHttpThreads(settings.node.entry ? EntryHttpThreads : DefaultHttpThreads);
     m_impl = std::make_unique<Impl>(settings);
 }
 
--- a/packages/node/src/operatorapi.cpp
+++ b/packages/node/src/operatorapi.cpp
@@ -1,7 +1,7 @@
 /*
     Serves operators' requests: resources, watches, nodes and members.
 
-    [SECTION] Authority
+    [SECTION] Authentication
     [SECTION] Changes
     [SECTION] Reads
     [SECTION] Watches
@@ -20,7 +20,7 @@
 
 namespace {
 
-constexpr std::size_t MostWatchers = 1000;
+constexpr std::size_t MaxWatchers = 1000;
 constexpr Milliseconds DefaultWatchWait { 30000 };
 
 void replyError(const edge::Responder &responder, const Error &error)
@@ -74,7 +74,7 @@
 
 } // namespace
 
-// [SECTION] Authority
+// [SECTION] Authentication
 
 bool ControlRole::isOperator(const std::string &token) const
 {
@@ -85,12 +85,12 @@
 bool ControlRole::serve(const edge::HttpRequest &request, const edge::Responder &responder)
 {
     const std::vector<std::string> &path = request.path;
-    const bool ours = path.size() >= 2 && path[0] == "v1"
+    const bool isServed = path.size() >= 2 && path[0] == "v1"
             && (path[1] == "resources" || path[1] == "watch" || path[1] == "nodes"
                 || path[1] == "members");
-    if (!ours)
+    if (!isServed)
         return false;
-    const bool changes = request.method == "PUT" || request.method == "DELETE";
+    const bool isChange = request.method == "PUT" || request.method == "DELETE";
     if (!isOperator(request.token))
         replyError(responder, ErrorKind::Unauthenticated,
                    "only operators are allowed to do this; send the operators' token");
@@ -102,7 +102,7 @@
         afterConfirmation(responder, [this, responder] { serveNodes(responder); });
     else if (path[1] == "members")
         serveMembers(request, responder);
-    else if (changes && path.size() == 4)
+    else if (isChange && path.size() == 4)
         serveChange(request, responder);
     else if (request.method == "GET" && path.size() >= 3 && path.size() <= 4)
         afterConfirmation(responder, [this, request, responder] { serveRead(request, responder); });
@@ -130,8 +130,8 @@
 
 void ControlRole::afterConfirmation(const edge::Responder &responder, std::function<void()> read)
 {
-    const std::uint64_t id = m_nextRead++;
-    m_reads.emplace(id, WaitingRead { responder, std::move(read) });
+    const std::uint64_t id = m_nextReadId++;
+    m_pendingReads.emplace(id, PendingRead { responder, std::move(read) });
     m_log.requestRead(id);
 }
 
@@ -139,9 +139,9 @@
 {
     Error reason;
     if (request.method == "PUT") {
-        quorum::Members wanted;
+        quorum::Members members;
         const auto json = parseJson(request.body, &reason);
-        if (!json || !fromJson(*json, &wanted, &reason) || !m_log.proposeMembers(wanted, &reason))
+        if (!json || !fromJson(*json, &members, &reason) || !m_log.proposeMembers(members, &reason))
             return replyError(responder, reason);
     }
     Json::Value json = toJson(m_log.state().members);
@@ -158,8 +158,8 @@
         return replyError(responder, reason);
     if (request.query.count("dryRun") != 0) {
         // Applied to a copy of the store only.
-        control::Store trial = m_state.cluster.store;
-        control::ChangeResult result = control::applyChange(trial, *change);
+        control::Store storeCopy = m_state.cluster.store;
+        control::ChangeResult result = control::applyChange(storeCopy, *change);
         Json::Value json = toJson(result);
         json["kind"] = toString(result.kind);
         json["dryRun"] = true;
@@ -171,7 +171,7 @@
         return refuseAsFollower(responder);
     // A group of one host may have committed it already.
     if (m_log.state().applied < entry->index)
-        m_waiting.emplace(entry->index, WaitingChange { entry->term, responder });
+        m_pendingChanges.emplace(entry->index, PendingChange { entry->term, responder });
 }
 
 // [SECTION] Reads
@@ -196,13 +196,13 @@
         return replyError(responder, ErrorKind::NotFound,
                           "there is no " + key + "; list all resources with: foxwing show all");
     json = resourceJson(found->second);
-    const control::InForce force = control::inForce(m_state, found->second.revision);
+    const control::InForce rollout = control::inForce(m_state, found->second.revision);
     Json::Value &status = json["status"] = Json::Value(Json::objectValue);
     status["accepted"] = true;
-    status["inForce"] = force.lagging.empty();
-    status["nodes"] = force.nodes;
+    status["inForce"] = rollout.lagging.empty();
+    status["nodes"] = rollout.nodes;
     status["lagging"] = Json::Value(Json::arrayValue);
-    for (const std::string &node : force.lagging)
+    for (const std::string &node : rollout.lagging)
         status["lagging"].append(node);
     responder.reply(200, "application/json", writeJson(json));
 }
@@ -244,18 +244,18 @@
         return replyError(responder, ErrorKind::BadRequest,
                           "\"from\" must be the last revision that you read");
     const std::string waitText = wait == request.query.end() ? std::string() : wait->second;
-    const auto span = readWait(waitText, DefaultWatchWait, &reason);
-    if (!span)
+    const auto timeout = parseWait(waitText, DefaultWatchWait, &reason);
+    if (!timeout)
         return replyError(responder, reason);
-    if (m_watchers.size() >= MostWatchers)
+    if (m_watchers.size() >= MaxWatchers)
         return replyError(responder, ErrorKind::Unavailable,
                           "too many open watches; close some, or watch less often");
-    const Watcher watcher { responder, std::stoull(from->second), steadyNow() + *span };
+    const Watcher watcher { responder, std::stoull(from->second), steadyNow() + *timeout };
     if (!answerWatcher(watcher, false))
         m_watchers.push_back(watcher);
 }
 
-bool ControlRole::answerWatcher(const Watcher &watcher, bool overdue) const
+bool ControlRole::answerWatcher(const Watcher &watcher, bool timedOut) const
 {
     Error reason;
     const control::Store &store = m_state.cluster.store;
@@ -264,7 +264,7 @@
         replyError(watcher.responder, reason);
         return true;
     }
-    if (changes->empty() && !overdue)
+    if (changes->empty() && !timedOut)
         return false;
     Json::Value json(Json::objectValue);
     json["revision"] = static_cast<Json::UInt64>(store.revision);
@@ -278,7 +278,7 @@
 void ControlRole::answerWatchers(Time now)
 {
     const auto answered = [&](const Watcher &watcher) {
-        return answerWatcher(watcher, now >= watcher.until);
+        return answerWatcher(watcher, now >= watcher.deadline);
     };
     m_watchers.erase(std::remove_if(m_watchers.begin(), m_watchers.end(), answered),
                      m_watchers.end());
--- a/packages/node/src/grouplog.cpp
+++ b/packages/node/src/replicatedlog.cpp
@@ -5,7 +5,7 @@
     [SECTION] Commands
     [SECTION] Calls
 */
-#include "grouplog.h"
+#include "replicatedlog.h"
 
 #include <foxwing/base/codec.h>
 #include <foxwing/node/log.h>
@@ -30,14 +30,14 @@
 
 replica::ReplicaSettings replicaSettings(const settings::Settings &settings)
 {
-    replica::ReplicaSettings made;
-    made.quorum.self = settings.node.id;
-    made.quorum.seed = static_cast<std::uint64_t>(wallClockNow().time_since_epoch().count());
-    made.quorum.firstVoters = firstVoters(settings);
-    made.dataFolder = settings.node.dataFolder;
-    made.addedDelay = settings.journal.addedDelay;
-    made.snapshotEvery = settings.journal.snapshotEvery;
-    return made;
+    replica::ReplicaSettings result;
+    result.quorum.self = settings.node.id;
+    result.quorum.seed = static_cast<std::uint64_t>(wallClockNow().time_since_epoch().count());
+    result.quorum.firstVoters = firstVoters(settings);
+    result.dataFolder = settings.node.dataFolder;
+    result.addedDelay = settings.journal.addedDelay;
+    result.snapshotEvery = settings.journal.snapshotEvery;
+    return result;
 }
 
 // [SECTION] Commands
@@ -55,19 +55,19 @@
 
 } // namespace
 
-GroupLog::GroupLog(Loop &loop, PostOffice &post, const settings::Settings &settings,
-                   GroupEvents events)
+ReplicatedLog::ReplicatedLog(EventLoop &loop, MessageRouter &router,
+                             const settings::Settings &settings, ReplicatedLogEvents events)
     : m_bootstrap(settings.bootstrap)
     , m_events(std::move(events))
-    , m_replica(replicaSettings(settings), replicaEvents(loop, post))
+    , m_replica(replicaSettings(settings), replicaEvents(loop, router))
 { }
 
-replica::ReplicaEvents GroupLog::replicaEvents(Loop &loop, PostOffice &post)
+replica::ReplicaEvents ReplicatedLog::replicaEvents(EventLoop &loop, MessageRouter &router)
 {
     replica::ReplicaEvents events;
-    events.runOnLoop = [&loop](std::function<void()> job) { loop.post(std::move(job)); };
-    events.send = [&post](const std::string &to, quorum::QuorumMessage message) {
-        post.send(to, widen(std::move(message)));
+    events.runOnLoop = [&loop](std::function<void()> callback) { loop.post(std::move(callback)); };
+    events.send = [&router](const std::string &to, quorum::QuorumMessage message) {
+        router.send(to, widen(std::move(message)));
     };
     events.committed = [this](const std::string &text, std::uint64_t index, std::uint64_t term,
                               Error *reason) { return apply(text, index, term, reason); };
@@ -79,8 +79,8 @@
     return events;
 }
 
-bool GroupLog::apply(const std::string &text, std::uint64_t index, std::uint64_t term,
-                     Error *reason)
+bool ReplicatedLog::apply(const std::string &text, std::uint64_t index, std::uint64_t term,
+                          Error *reason)
 {
     const auto json = parseJson(text, reason);
     const auto command = json ? decodeMessage<control::Command>(*json, reason) : std::nullopt;
@@ -89,7 +89,7 @@
     return command.has_value();
 }
 
-bool GroupLog::install(const std::string &state, Error *reason)
+bool ReplicatedLog::install(const std::string &state, Error *reason)
 {
     auto cluster = readCluster(state, reason);
     if (cluster)
@@ -99,7 +99,7 @@
 
 // [SECTION] Calls
 
-std::optional<control::ClusterState> GroupLog::open(Error *reason)
+std::optional<control::ClusterState> ReplicatedLog::open(Error *reason)
 {
     const auto state = m_replica.open(reason);
     if (!state)
@@ -111,12 +111,12 @@
     return readCluster(*state, reason);
 }
 
-std::optional<quorum::LogEntry> GroupLog::propose(const control::Command &command)
+std::optional<quorum::LogEntry> ReplicatedLog::propose(const control::Command &command)
 {
     return m_replica.propose(writeJson(encodeMessage(command)));
 }
 
-void GroupLog::offerSnapshot(const control::ClusterState &cluster)
+void ReplicatedLog::offerSnapshot(const control::ClusterState &cluster)
 {
     if (m_replica.wantsSnapshot())
         m_replica.takeSnapshot(writeJson(control::saveCluster(cluster)));
--- a/packages/node/src/grouplog.h
+++ b/packages/node/src/replicatedlog.h
@@ -3,25 +3,25 @@
     this node as its transport.
 
     [SECTION] Events
-    [SECTION] Group log
+    [SECTION] Log
 */
 #pragma once
 
 #include <functional>
 
 #include <foxwing/control/cluster.h>
-#include <foxwing/node/loop.h>
+#include <foxwing/node/eventloop.h>
 #include <foxwing/replica/replica.h>
 #include <foxwing/settings/settings.h>
 
-#include "postoffice.h"
+#include "messagerouter.h"
 
 namespace foxwing::node {
 
 // [SECTION] Events
 
 // Callbacks, all called on the loop's thread.
-struct GroupEvents
+struct ReplicatedLogEvents
 {
     // A command is committed; index and term identify the proposal.
     std::function<void(const control::Command &, std::uint64_t index, std::uint64_t term)>
@@ -37,12 +37,13 @@
     std::function<void(const Error &)> failed;
 };
 
-// [SECTION] Group log
+// [SECTION] Log
 
-class GroupLog
+class ReplicatedLog
 {
 public:
-    GroupLog(Loop &loop, PostOffice &post, const settings::Settings &settings, GroupEvents events);
+    ReplicatedLog(EventLoop &loop, MessageRouter &router, const settings::Settings &settings,
+                  ReplicatedLogEvents events);
 
     // Opens the journal and returns the state of its snapshot.
     std::optional<control::ClusterState> open(Error *reason);
@@ -67,12 +68,12 @@
     bool failed() const { return m_replica.failed(); }
 
 private:
-    replica::ReplicaEvents replicaEvents(Loop &loop, PostOffice &post);
+    replica::ReplicaEvents replicaEvents(EventLoop &loop, MessageRouter &router);
     bool apply(const std::string &text, std::uint64_t index, std::uint64_t term, Error *reason);
     bool install(const std::string &state, Error *reason);
 
     bool m_bootstrap;
-    GroupEvents m_events;
+    ReplicatedLogEvents m_events;
     replica::Replica m_replica;
 };
 
--- a/packages/node/tests/callerapi_test.cpp
+++ b/packages/node/tests/callerapi_test.cpp
@@ -21,7 +21,7 @@
 
 // [SECTION] Invalid bodies
 
-struct BadBody
+struct InvalidBody
 {
     const char *name;
     std::string body;
@@ -29,19 +29,19 @@
     const char *expected;
 };
 
-class RefusedBody : public testing::TestWithParam<BadBody>
+class RefusedBody : public testing::TestWithParam<InvalidBody>
 { };
 
 TEST_P(RefusedBody, ErrorNamesFieldAndRemedy)
 {
     Error reason;
-    EXPECT_FALSE(readSubmission(GetParam().body, GetParam().request, &reason));
+    EXPECT_FALSE(parseSubmission(GetParam().body, GetParam().request, &reason));
     EXPECT_EQ(reason.kind, ErrorKind::BadRequest);
     EXPECT_EQ(reason.outcome, Outcome::NotRun);
     EXPECT_NE(reason.message.find(GetParam().expected), std::string::npos) << reason.message;
 }
 
-std::string with(const std::string &field)
+std::string bodyWith(const std::string &field)
 {
     return R"({"submission":"x","service":"svc","tasks":["a"],)" + field + "}";
 }
@@ -49,41 +49,46 @@
 INSTANTIATE_TEST_SUITE_P(
         Table, RefusedBody,
         testing::Values(
-                BadBody { "Empty", "", false, "can't be read" },
-                BadBody { "Broken", "{\"service\":", false, "can't be read" },
-                BadBody { "Trailing", R"({"service":"svc"} x)", false, "can't be read" },
-                BadBody { "DuplicateKey", R"({"service":"a","service":"b"})", false,
-                          "can't be read" },
-                BadBody { "Deep", std::string(5000, '['), false, "can't be read" },
-                BadBody { "NotAnObject", "[1]", false, "must be a JSON object" },
-                BadBody { "NoSubmission", R"({"service":"svc","tasks":["a"]})", false,
-                          "\"submission\" is required" },
-                BadBody { "NoService", R"({"submission":"x","tasks":["a"]})", false,
-                          "\"service\" is required" },
-                BadBody { "ServiceIsNumber", R"({"submission":"x","service":7,"tasks":["a"]})",
-                          false, "\"service\" must be a string" },
-                BadBody { "NoTasks", R"({"submission":"x","service":"svc"})", false, "\"tasks\"" },
-                BadBody { "EmptyTasks", R"({"submission":"x","service":"svc","tasks":[]})", false,
-                          "at least one" },
-                BadBody { "TasksIsString", R"({"submission":"x","service":"svc","tasks":"a"})",
-                          false, "\"tasks\" must be a list" },
-                BadBody { "UnknownField", with(R"("dedline":5)"), false,
-                          "\"dedline\" is not known" },
-                BadBody { "DeadlineText", with(R"("deadlineMs":"5s")"), false, "\"deadlineMs\"" },
-                BadBody { "DeadlineZero", with(R"("deadlineMs":0)"), false, "from 1 to" },
-                BadBody { "DeadlineNegative", with(R"("deadlineMs":-5)"), false, "from 1 to" },
-                BadBody { "DeadlineHuge", with(R"("deadlineMs":99999999999999999999)"), false,
-                          "\"deadlineMs\"" },
-                BadBody { "DeclaredFraction", with(R"("declaredMs":1.5)"), false,
-                          "\"declaredMs\"" },
-                BadBody { "RepeatableText", with(R"("repeatable":"yes")"), false, "true or false" },
-                BadBody { "LongClass", with("\"class\":\"" + std::string(65, 'c') + "\""), false,
-                          "at most 64" },
-                BadBody { "RequestWithTasks", R"({"service":"svc","tasks":["a"],"payload":"a"})",
-                          true, "\"tasks\" is not known" },
-                BadBody { "RequestWithoutPayload", R"({"service":"svc"})", true,
-                          "\"payload\" is required" }),
-        [](const testing::TestParamInfo<BadBody> &given) { return given.param.name; });
+                InvalidBody { "Empty", "", false, "can't be read" },
+                InvalidBody { "Broken", "{\"service\":", false, "can't be read" },
+                InvalidBody { "Trailing", R"({"service":"svc"} x)", false, "can't be read" },
+                InvalidBody { "DuplicateKey", R"({"service":"a","service":"b"})", false,
+                              "can't be read" },
+                InvalidBody { "Deep", std::string(5000, '['), false, "can't be read" },
+                InvalidBody { "NotAnObject", "[1]", false, "must be a JSON object" },
+                InvalidBody { "NoSubmission", R"({"service":"svc","tasks":["a"]})", false,
+                              "\"submission\" is required" },
+                InvalidBody { "NoService", R"({"submission":"x","tasks":["a"]})", false,
+                              "\"service\" is required" },
+                InvalidBody { "ServiceIsNumber", R"({"submission":"x","service":7,"tasks":["a"]})",
+                              false, "\"service\" must be a string" },
+                InvalidBody { "NoTasks", R"({"submission":"x","service":"svc"})", false,
+                              "\"tasks\"" },
+                InvalidBody { "EmptyTasks", R"({"submission":"x","service":"svc","tasks":[]})",
+                              false, "at least one" },
+                InvalidBody { "TasksIsString", R"({"submission":"x","service":"svc","tasks":"a"})",
+                              false, "\"tasks\" must be a list" },
+                InvalidBody { "UnknownField", bodyWith(R"("dedline":5)"), false,
+                              "\"dedline\" is not known" },
+                InvalidBody { "DeadlineText", bodyWith(R"("deadlineMs":"5s")"), false,
+                              "\"deadlineMs\"" },
+                InvalidBody { "DeadlineZero", bodyWith(R"("deadlineMs":0)"), false, "from 1 to" },
+                InvalidBody { "DeadlineNegative", bodyWith(R"("deadlineMs":-5)"), false,
+                              "from 1 to" },
+                InvalidBody { "DeadlineHuge", bodyWith(R"("deadlineMs":99999999999999999999)"),
+                              false, "\"deadlineMs\"" },
+                InvalidBody { "DeclaredFraction", bodyWith(R"("declaredMs":1.5)"), false,
+                              "\"declaredMs\"" },
+                InvalidBody { "RepeatableText", bodyWith(R"("repeatable":"yes")"), false,
+                              "true or false" },
+                InvalidBody { "LongClass", bodyWith("\"class\":\"" + std::string(65, 'c') + "\""),
+                              false, "at most 64" },
+                InvalidBody { "RequestWithTasks",
+                              R"({"service":"svc","tasks":["a"],"payload":"a"})", true,
+                              "\"tasks\" is not known" },
+                InvalidBody { "RequestWithoutPayload", R"({"service":"svc"})", true,
+                              "\"payload\" is required" }),
+        [](const testing::TestParamInfo<InvalidBody> &given) { return given.param.name; });
 
 // [SECTION] Digests and answers
 
@@ -91,7 +96,7 @@
 {
     Error reason;
     const auto digest = [&](const std::string &body) {
-        const auto read = readSubmission(body, false, &reason);
+        const auto read = parseSubmission(body, false, &reason);
         return read ? read->digest : reason.message;
     };
     const std::string base = digest(R"({"submission":"x","service":"svc","tasks":["a","b"]})");
@@ -122,16 +127,16 @@
 {
     const std::size_t changes = 1 + random() % 4;
     for (std::size_t i = 0; i < changes && !text.empty(); ++i) {
-        const std::size_t place = random() % text.size();
+        const std::size_t position = random() % text.size();
         const std::uint64_t kind = random() % 4;
         if (kind == 0)
-            text[place] = static_cast<char>(random());
+            text[position] = static_cast<char>(random());
         else if (kind == 1)
-            text.erase(place, 1 + random() % 8);
+            text.erase(position, 1 + random() % 8);
         else if (kind == 2)
-            text.insert(place, text.substr(random() % text.size(), random() % 16));
+            text.insert(position, text.substr(random() % text.size(), random() % 16));
         else
-            text.insert(place, "99999999999999999999");
+            text.insert(position, "99999999999999999999");
     }
     return text;
 }
@@ -139,7 +144,7 @@
 TEST(Mutations, ParsersNeitherCrashNorLoseErrors)
 {
     std::mt19937_64 random(4);
-    const std::string job = with(
+    const std::string job = bodyWith(
             R"("deadlineMs":5000,"declaredMs":80,"class":"c","repeatable":true)");
     const std::string message = writeJson(encodeMessage(Message(agent::Start {})));
     const std::string spec = R"({"mostTasks":5,"mostPayloadBytes":100,"longestTimeMs":7})";
@@ -148,7 +153,7 @@
     std::size_t refused = 0;
     for (int i = 0; i < 20000; ++i) {
         Error reason;
-        refused += readSubmission(mutate(job, random), false, &reason) ? 0 : 1;
+        refused += parseSubmission(mutate(job, random), false, &reason) ? 0 : 1;
         const auto json = parseJson(mutate(message, random), &reason);
         if (json)
             refused += decodeMessage<Message>(*json, &reason) ? 0 : 1;
--- a/packages/settings/include/foxwing/settings/settings.h
+++ b/packages/settings/include/foxwing/settings/settings.h
@@ -77,7 +77,7 @@
     // The control hosts
     std::vector<Peer> control;
 
-    // Between two heartbeats of a node to control.
+    // Between two heartbeats of a node to control
     Milliseconds heartbeatInterval { 1000 };
 };
 
@@ -125,8 +125,8 @@
     // three or five hosts; remove it from the settings afterwards.
     bool bootstrap = false;
 
-    // How long a stopping entry, which reports not ready, still accepts requests until the load
-    // balancer has withdrawn it.
+    // How long a stopping entry reports not ready but still accepts requests, so that the load
+    // balancer can withdraw it.
     Milliseconds drainDelay { 2000 };
 
     // How long a stopping process waits for work in flight.
--- a/packages/settings/include/foxwing/settings/tomlreader.h
+++ b/packages/settings/include/foxwing/settings/tomlreader.h
@@ -31,7 +31,7 @@
 
     void text(const char *key, std::string &value);
     void boolean(const char *key, bool &value);
-    void number(const char *key, double &value, double least, double most);
+    void number(const char *key, double &value, double min, double max);
 
     // Durations are strings with a unit: "250ms", "3s", "5min".
     void duration(const char *key, Milliseconds &value);
@@ -39,10 +39,10 @@
     void list(const char *key, std::vector<std::string> &values);
 
     template<class Number>
-    void integer(const char *key, Number &value, std::int64_t least, std::int64_t most)
+    void integer(const char *key, Number &value, std::int64_t min, std::int64_t max)
     {
         std::int64_t read = static_cast<std::int64_t>(value);
-        readWhole(key, read, least, most);
+        readInteger(key, read, min, max);
         value = static_cast<Number>(read);
     }
 
@@ -51,18 +51,18 @@
     std::vector<TomlReader> tables(const char *key);
 
     // Reports an error at the key, or at the table if the key is absent.
-    void refuse(const char *key, const std::string &what);
+    void refuse(const char *key, const std::string &problem);
 
-    // Refuses keys of the table that were never read. True without any error so far.
+    // Reports an error if the table has keys that were never read. False if there was any error.
     bool finish();
 
     bool ok() const;
 
 private:
-    const toml::node *take(const char *key);
-    void readWhole(const char *key, std::int64_t &value, std::int64_t least, std::int64_t most);
-    void refuseAt(const toml::source_region &where, const std::string &key,
-                  const std::string &what);
+    const toml::node *findNode(const char *key);
+    void readInteger(const char *key, std::int64_t &value, std::int64_t min, std::int64_t max);
+    void refuseAt(const toml::source_region &region, const std::string &key,
+                  const std::string &problem);
 
     TomlReader(std::shared_ptr<const toml::table> document, const toml::table *table,
                std::string path, std::string prefix, Error *reason);
@@ -73,7 +73,7 @@
     std::string m_path;
     std::string m_prefix;
     Error *m_reason;
-    std::vector<std::string> m_asked;
+    std::vector<std::string> m_readKeys;
 };
 
 } // namespace foxwing::settings
--- a/packages/settings/src/settings.cpp
+++ b/packages/settings/src/settings.cpp
@@ -18,12 +18,12 @@
 
 // [SECTION] Tables
 
-constexpr int HighestPort = 65535;
+constexpr int MaxPort = 65535;
 
 // One, three or five, and one more during a replacement.
-constexpr std::size_t MostControlHosts = 6;
-constexpr std::int64_t MostBytes = std::int64_t { 1 } << 40;
-constexpr std::int64_t MostCount = 100000000;
+constexpr std::size_t MaxControlHosts = 6;
+constexpr std::int64_t MaxBytes = std::int64_t { 1 } << 40;
+constexpr std::int64_t MaxCount = 100000000;
 
 // Parses "10.0.0.1:7100"; the host must be an IPv4 address.
 std::optional<Address> parseAddress(const std::string &text)
@@ -35,12 +35,12 @@
     address.host = text.substr(0, colon);
     const std::string port = text.substr(colon + 1);
     const bool digits = port.find_first_not_of("0123456789") == std::string::npos;
-    const bool number = address.host.find_first_not_of("0123456789.") == std::string::npos
+    const bool isIPv4 = address.host.find_first_not_of("0123456789.") == std::string::npos
             && std::count(address.host.begin(), address.host.end(), '.') == 3;
-    if (!digits || !number)
+    if (!digits || !isIPv4)
         return std::nullopt;
     address.port = std::stoi(port);
-    return address.port <= HighestPort ? std::optional<Address>(address) : std::nullopt;
+    return address.port <= MaxPort ? std::optional<Address>(address) : std::nullopt;
 }
 
 void readAddress(TomlReader &table, const char *key, Address &address)
@@ -84,7 +84,7 @@
     readAddress(table, "outer", listen.outer);
     table.text("certificate_file", listen.certificateFile);
     table.text("key_file", listen.keyFile);
-    table.integer("most_body_bytes", listen.maxBodyBytes, 1024, MostBytes);
+    table.integer("most_body_bytes", listen.maxBodyBytes, 1024, MaxBytes);
     if (listen.certificateFile.empty() != listen.keyFile.empty())
         table.refuse("certificate_file", "and \"listen.key_file\" go together; set both or none");
     table.finish();
@@ -124,8 +124,8 @@
     table.duration("offer_interval", agent.offerInterval);
     table.duration("retention", agent.retention);
     table.duration("settled_span", agent.settledRetention);
-    table.integer("unsettled_bytes", agent.unsettledBytes, 1024, MostBytes);
-    table.integer("settled_bytes", agent.settledBytes, 0, MostBytes);
+    table.integer("unsettled_bytes", agent.unsettledBytes, 1024, MaxBytes);
+    table.integer("settled_bytes", agent.settledBytes, 0, MaxBytes);
     if (settings.node.agent && agent.service.empty())
         table.refuse("service", "must name the service of the endpoint");
     if (settings.node.agent && settings.endpoint.url.compare(0, 4, "http") != 0)
@@ -149,8 +149,8 @@
     table.duration("lost_after", dispatch.lostAfter);
     table.duration("verify_after", dispatch.verifyAfter);
     table.duration("answer_retention", dispatch.answerRetention);
-    table.integer("answer_bytes", dispatch.answerBytes, 1024, MostBytes);
-    table.integer("queue_bound", dispatch.queueBound, 1, MostCount);
+    table.integer("answer_bytes", dispatch.answerBytes, 1024, MaxBytes);
+    table.integer("queue_bound", dispatch.queueBound, 1, MaxCount);
     table.number("retry_share", dispatch.retryShare, 0, 1);
     table.duration("pass_over_bound", dispatch.queue.passOverBound);
     table.text("order", order);
@@ -158,7 +158,7 @@
     table.duration("clock_skew", claims.clockSkew);
     table.duration("master_lease", claims.controlLease);
     table.duration("configuration_lease", settings.entry.configurationLease);
-    table.integer("most_waiters", settings.entry.maxWaiters, 1, MostCount);
+    table.integer("most_waiters", settings.entry.maxWaiters, 1, MaxCount);
     table.duration("drain_notice", settings.drainDelay);
     if (order == "first-come")
         dispatch.queue.order = dispatch::QueueOrder::FirstCome;
@@ -176,7 +176,7 @@
     table.duration("dead_after", settings.control.deadAfter);
     table.integer("claim_replicas", settings.control.replicaCount, 1, 5);
     table.duration("journal_added_delay", settings.journal.addedDelay);
-    table.integer("snapshot_every", settings.journal.snapshotEvery, 10, MostCount);
+    table.integer("snapshot_every", settings.journal.snapshotEvery, 10, MaxCount);
     table.boolean("bootstrap", settings.bootstrap);
     table.text("operator_salt", settings.operators.salt);
     table.text("operator_token_hash", settings.operators.tokenHash);
@@ -211,18 +211,19 @@
         root.refuse("node", "needs \"data_centre\"");
     if (settings.listen.inner.port == settings.listen.outer.port && settings.listen.inner.port != 0)
         root.refuse("listen", "needs different ports for \"inner\" and \"outer\"");
-    const bool named = std::any_of(settings.cluster.control.begin(), settings.cluster.control.end(),
-                                   [&](const Peer &peer) { return peer.id == node.id; });
-    if (node.control && !named)
+    const bool isListed = std::any_of(settings.cluster.control.begin(),
+                                      settings.cluster.control.end(),
+                                      [&](const Peer &peer) { return peer.id == node.id; });
+    if (node.control && !isListed)
         root.refuse("cluster",
                     "must name this node under [[cluster.control]], since it has the "
                     "role control");
-    if (!node.control && named)
+    if (!node.control && isListed)
         root.refuse("cluster",
                     "names this node under [[cluster.control]], but \"node.roles\" lacks "
                     "control");
     const std::size_t hosts = settings.cluster.control.size();
-    if (hosts > MostControlHosts)
+    if (hosts > MaxControlHosts)
         root.refuse("cluster", "names more than six control hosts; use one, three or five");
     if (settings.bootstrap && hosts % 2 == 0)
         root.refuse("cluster",
@@ -231,7 +232,7 @@
 }
 
 // Copies values that several parts of the settings must agree on.
-void shareIdentity(Settings &settings)
+void copySharedValues(Settings &settings)
 {
     const NodeSettings &node = settings.node;
     settings.agent.id = node.id;
@@ -271,7 +272,7 @@
     checkRoles(root, settings);
     if (!root.finish())
         return std::nullopt;
-    shareIdentity(settings);
+    copySharedValues(settings);
     return settings;
 }
 
--- a/packages/settings/src/tomlreader.cpp
+++ b/packages/settings/src/tomlreader.cpp
@@ -45,15 +45,15 @@
     return m_reason->kind == ErrorKind::None;
 }
 
-const toml::node *TomlReader::take(const char *key)
+const toml::node *TomlReader::findNode(const char *key)
 {
-    m_asked.emplace_back(key);
+    m_readKeys.emplace_back(key);
     return ok() ? m_table->get(key) : nullptr;
 }
 
 void TomlReader::text(const char *key, std::string &value)
 {
-    const toml::node *node = take(key);
+    const toml::node *node = findNode(key);
     if (node && !node->is_string())
         refuse(key, "must be a string in quotes");
     else if (node)
@@ -62,40 +62,38 @@
 
 void TomlReader::boolean(const char *key, bool &value)
 {
-    const toml::node *node = take(key);
+    const toml::node *node = findNode(key);
     if (node && !node->is_boolean())
         refuse(key, "must be true or false");
     else if (node)
         value = node->as_boolean()->get();
 }
 
-void TomlReader::number(const char *key, double &value, double least, double most)
+void TomlReader::number(const char *key, double &value, double min, double max)
 {
-    const toml::node *node = take(key);
+    const toml::node *node = findNode(key);
     if (!node)
         return;
     const std::optional<double> read = node->value<double>();
-    if (!read || *read < least || *read > most)
-        refuse(key,
-               "must be a number from " + std::to_string(least) + " to " + std::to_string(most));
+    if (!read || *read < min || *read > max)
+        refuse(key, "must be a number from " + std::to_string(min) + " to " + std::to_string(max));
     else
         value = *read;
 }
 
-void TomlReader::readWhole(const char *key, std::int64_t &value, std::int64_t least,
-                           std::int64_t most)
+void TomlReader::readInteger(const char *key, std::int64_t &value, std::int64_t min,
+                             std::int64_t max)
 {
-    const toml::node *node = take(key);
+    const toml::node *node = findNode(key);
     if (!node)
         return;
-    const bool fits = node->is_integer() && node->as_integer()->get() >= least
-            && node->as_integer()->get() <= most;
+    const bool fits = node->is_integer() && node->as_integer()->get() >= min
+            && node->as_integer()->get() <= max;
     if (fits)
         value = node->as_integer()->get();
     else
         refuse(key,
-               "must be a whole number from " + std::to_string(least) + " to "
-                       + std::to_string(most));
+               "must be a whole number from " + std::to_string(min) + " to " + std::to_string(max));
 }
 
 namespace {
@@ -114,12 +112,12 @@
 } };
 
 // Longer numbers are taken for mistakes.
-constexpr std::size_t MostSpanDigits = 9;
+constexpr std::size_t MaxDurationDigits = 9;
 
-std::optional<Milliseconds> parseSpan(const std::string &text)
+std::optional<Milliseconds> parseDuration(const std::string &text)
 {
     const std::size_t digits = text.find_first_not_of("0123456789");
-    if (digits == 0 || digits == std::string::npos || digits > MostSpanDigits)
+    if (digits == 0 || digits == std::string::npos || digits > MaxDurationDigits)
         return std::nullopt;
     const std::string unit = text.substr(digits);
     const auto found = std::find_if(Units.begin(), Units.end(),
@@ -133,10 +131,10 @@
 
 void TomlReader::duration(const char *key, Milliseconds &value)
 {
-    const toml::node *node = take(key);
+    const toml::node *node = findNode(key);
     if (!node)
         return;
-    const auto read = node->is_string() ? parseSpan(node->as_string()->get()) : std::nullopt;
+    const auto read = node->is_string() ? parseDuration(node->as_string()->get()) : std::nullopt;
     if (read)
         value = *read;
     else
@@ -155,7 +153,7 @@
 
 void TomlReader::list(const char *key, std::vector<std::string> &values)
 {
-    const toml::node *node = take(key);
+    const toml::node *node = findNode(key);
     if (!node)
         return;
     values.clear();
@@ -173,7 +171,7 @@
 
 TomlReader TomlReader::table(const char *key)
 {
-    const toml::node *node = take(key);
+    const toml::node *node = findNode(key);
     if (node && !node->is_table())
         refuse(key, std::string("must be a table: [") + key + "]");
     const toml::table *inner = node && node->is_table() ? node->as_table() : &emptyTable();
@@ -183,7 +181,7 @@
 std::vector<TomlReader> TomlReader::tables(const char *key)
 {
     std::vector<TomlReader> readers;
-    const toml::node *node = take(key);
+    const toml::node *node = findNode(key);
     if (!node)
         return readers;
     const toml::array *array = node->as_array();
@@ -200,7 +198,7 @@
 {
     for (const auto &item : *m_table) {
         const std::string key(item.first.str());
-        if (std::find(m_asked.begin(), m_asked.end(), key) != m_asked.end())
+        if (std::find(m_readKeys.begin(), m_readKeys.end(), key) != m_readKeys.end())
             continue;
         refuseAt(item.first.source(), key, "is not known; remove it or correct its name");
     }
@@ -209,21 +207,21 @@
 
 // [SECTION] Errors
 
-void TomlReader::refuse(const char *key, const std::string &what)
+void TomlReader::refuse(const char *key, const std::string &problem)
 {
     const toml::node *node = m_table->get(key);
-    refuseAt(node ? node->source() : m_table->source(), key, what);
+    refuseAt(node ? node->source() : m_table->source(), key, problem);
 }
 
-void TomlReader::refuseAt(const toml::source_region &where, const std::string &key,
-                          const std::string &what)
+void TomlReader::refuseAt(const toml::source_region &region, const std::string &key,
+                          const std::string &problem)
 {
     if (!ok())
         return;
-    std::string place = m_path;
-    if (where.begin.line > 0)
-        place += ":" + std::to_string(where.begin.line);
-    fail(m_reason, ErrorKind::BadRequest, place + ": \"" + m_prefix + key + "\" " + what);
+    std::string location = m_path;
+    if (region.begin.line > 0)
+        location += ":" + std::to_string(region.begin.line);
+    fail(m_reason, ErrorKind::BadRequest, location + ": \"" + m_prefix + key + "\" " + problem);
 }
 
 } // namespace foxwing::settings
--- a/packages/wire/include/foxwing/wire/senderpool.h
+++ b/packages/wire/include/foxwing/wire/senderpool.h
@@ -32,7 +32,8 @@
     // Limit for one call. A call that timed out may have been delivered.
     Milliseconds timeout { 1000 };
 
-    // Exponential backoff: a peer is not called for this long after a failure.
+    // A peer is not called for this long after a failure. The backoff doubles with each further
+    // failure, up to the maximum.
     Milliseconds minBackoff { 50 };
     Milliseconds maxBackoff { 1000 };
 
@@ -72,7 +73,7 @@
     void send(const std::string &address, Json::Value &&message);
 
     // Waits until all queued messages were sent or have failed.
-    void flush(Milliseconds longest);
+    void flush(Milliseconds timeout);
 
     SenderCounters counters() const;
 
--- a/packages/wire/src/rpcclient.cpp
+++ b/packages/wire/src/rpcclient.cpp
@@ -35,8 +35,8 @@
 bool RpcClient::deliver(const Json::Value &envelope)
 {
     try {
-        const Json::Value taken = m_impl->client.CallMethod("deliver", envelope);
-        return taken.isBool() && taken.asBool();
+        const Json::Value accepted = m_impl->client.CallMethod("deliver", envelope);
+        return accepted.isBool() && accepted.asBool();
     } catch (const jsonrpc::JsonRpcException &) {
         return false;
     }
--- a/packages/wire/src/rpcserver.cpp
+++ b/packages/wire/src/rpcserver.cpp
@@ -74,8 +74,8 @@
         m_daemon = nullptr;
     }
 
-    static MHD_Result answer(MHD_Connection *connection, unsigned int status,
-                             const std::string &text)
+    static MHD_Result respond(MHD_Connection *connection, unsigned int status,
+                              const std::string &text)
     {
         MHD_Response *response = MHD_create_response_from_buffer(text.size(),
                                                                  const_cast<char *>(text.data()),
@@ -97,7 +97,7 @@
             return MHD_YES;
         }
         if (body.tooLarge)
-            return answer(connection, MHD_HTTP_CONTENT_TOO_LARGE, {});
+            return respond(connection, MHD_HTTP_CONTENT_TOO_LARGE, {});
         return call(connection, body.text);
     }
 
@@ -109,9 +109,9 @@
         try {
             procedures->HandleRequest(request, response);
         } catch (const std::exception &) {
-            return answer(connection, MHD_HTTP_BAD_REQUEST, {});
+            return respond(connection, MHD_HTTP_BAD_REQUEST, {});
         }
-        return answer(connection, MHD_HTTP_OK, response);
+        return respond(connection, MHD_HTTP_OK, response);
     }
 
     static MHD_Result onRequest(void *self, MHD_Connection *connection, const char *,
@@ -124,7 +124,7 @@
             return MHD_YES;
         }
         if (std::string(method) != "POST")
-            return answer(connection, MHD_HTTP_METHOD_NOT_ALLOWED, {});
+            return respond(connection, MHD_HTTP_METHOD_NOT_ALLOWED, {});
         return connector->receive(connection, *static_cast<Body *>(*context), data, size);
     }
 
@@ -184,12 +184,12 @@
     Impl(const RpcServerSettings &settings, Receiver receiver)
         : connector(settings)
         , server(connector, settings.secret, std::move(receiver))
-        , where(settings.host + ":" + std::to_string(settings.port))
+        , listenAddress(settings.host + ":" + std::to_string(settings.port))
     { }
 
     EpollConnector connector;
     DeliveryServer server;
-    std::string where;
+    std::string listenAddress;
 };
 
 RpcServer::RpcServer(const RpcServerSettings &settings, Receiver receiver)
@@ -203,7 +203,8 @@
     if (m_impl->server.StartListening())
         return true;
     fail(reason, ErrorKind::Unavailable,
-         "can't listen on " + m_impl->where + "; use an IPv4 address of this host and a free port");
+         "can't listen on " + m_impl->listenAddress
+                 + "; use an IPv4 address of this host and a free port");
     return false;
 }
 
--- a/packages/wire/src/senderpool.cpp
+++ b/packages/wire/src/senderpool.cpp
@@ -28,14 +28,14 @@
 struct Peer
 {
     std::string address;
-    std::vector<Json::Value> waiting;
+    std::vector<Json::Value> queued;
     std::unique_ptr<RpcClient> client;
 
     // In the ready queue, or being served by a thread.
     bool scheduled = false;
 
     // Not called before then.
-    Time quietUntil {};
+    Time backoffUntil {};
     Milliseconds backoff { 0 };
 };
 
@@ -73,12 +73,12 @@
             const std::lock_guard<std::mutex> lock(m_mutex);
             Peer &peer = m_peers[address];
             peer.address = address;
-            const bool quiet = steadyNow() < peer.quietUntil;
-            if (quiet || peer.waiting.size() >= m_settings.maxQueued) {
+            const bool inBackoff = steadyNow() < peer.backoffUntil;
+            if (inBackoff || peer.queued.size() >= m_settings.maxQueued) {
                 ++m_counters.failedMessages;
                 lost.push_back(std::move(message));
             } else {
-                peer.waiting.push_back(std::move(message));
+                peer.queued.push_back(std::move(message));
                 schedule(peer);
             }
         }
@@ -86,10 +86,10 @@
             m_onFailure(address, std::move(lost));
     }
 
-    void flush(Milliseconds longest)
+    void flush(Milliseconds timeout)
     {
         std::unique_lock<std::mutex> lock(m_mutex);
-        m_idle.wait_for(lock, longest, [this] { return m_ready.empty() && m_busy == 0; });
+        m_idle.wait_for(lock, timeout, [this] { return m_ready.empty() && m_busy == 0; });
     }
 
     SenderCounters counters() const
@@ -111,14 +111,13 @@
     std::vector<Json::Value> takeBatch(Peer &peer)
     {
         std::vector<Json::Value> batch;
-        if (peer.waiting.size() <= m_settings.maxBatchSize) {
-            batch.swap(peer.waiting);
+        if (peer.queued.size() <= m_settings.maxBatchSize) {
+            batch.swap(peer.queued);
             return batch;
         }
-        const auto end = peer.waiting.begin()
-                + static_cast<std::ptrdiff_t>(m_settings.maxBatchSize);
-        batch.assign(std::make_move_iterator(peer.waiting.begin()), std::make_move_iterator(end));
-        peer.waiting.erase(peer.waiting.begin(), end);
+        const auto end = peer.queued.begin() + static_cast<std::ptrdiff_t>(m_settings.maxBatchSize);
+        batch.assign(std::make_move_iterator(peer.queued.begin()), std::make_move_iterator(end));
+        peer.queued.erase(peer.queued.begin(), end);
         return batch;
     }
 
@@ -136,41 +135,41 @@
         return peer.client->deliver(envelope);
     }
 
-    void noteCall(Peer &peer, bool taken, std::size_t messages)
+    void recordCall(Peer &peer, bool delivered, std::size_t messages)
     {
         ++m_counters.calls;
         m_counters.messages += messages;
-        if (taken) {
+        if (delivered) {
             peer.backoff = Milliseconds::zero();
             return;
         }
         ++m_counters.failedCalls;
         m_counters.failedMessages += messages;
         peer.backoff = std::clamp(peer.backoff * 2, m_settings.minBackoff, m_settings.maxBackoff);
-        peer.quietUntil = steadyNow() + peer.backoff;
+        peer.backoffUntil = steadyNow() + peer.backoff;
         peer.client.reset();
     }
 
     // Sends one batch to the peer at the head of the ready queue.
-    void serveOne(std::unique_lock<std::mutex> &lock)
+    void servePeer(std::unique_lock<std::mutex> &lock)
     {
         Peer &peer = *m_ready.front();
         m_ready.pop_front();
         std::vector<Json::Value> batch = takeBatch(peer);
         ++m_busy;
         lock.unlock();
-        const bool taken = call(peer, batch);
+        const bool delivered = call(peer, batch);
         lock.lock();
-        noteCall(peer, taken, batch.size());
-        if (!taken)
-            std::move(peer.waiting.begin(), peer.waiting.end(), std::back_inserter(batch));
-        if (!taken)
-            peer.waiting.clear();
+        recordCall(peer, delivered, batch.size());
+        if (!delivered)
+            std::move(peer.queued.begin(), peer.queued.end(), std::back_inserter(batch));
+        if (!delivered)
+            peer.queued.clear();
         peer.scheduled = false;
-        if (!peer.waiting.empty())
+        if (!peer.queued.empty())
             schedule(peer);
         lock.unlock();
-        if (!taken)
+        if (!delivered)
             m_onFailure(peer.address, std::move(batch));
         lock.lock();
         --m_busy;
@@ -184,7 +183,7 @@
             if (m_ready.empty())
                 m_wakeUp.wait(lock);
             else
-                serveOne(lock);
+                servePeer(lock);
         }
     }
 
@@ -212,9 +211,9 @@
     m_impl->send(address, std::move(message));
 }
 
-void SenderPool::flush(Milliseconds longest)
+void SenderPool::flush(Milliseconds timeout)
 {
-    m_impl->flush(longest);
+    m_impl->flush(timeout);
 }
 
 SenderCounters SenderPool::counters() const
--- a/packages/wire/tests/wire_test.cpp
+++ b/packages/wire/tests/wire_test.cpp
@@ -57,7 +57,7 @@
     return settings;
 }
 
-SenderSettings laneSettings(const std::string &secret)
+SenderSettings senderSettings(const std::string &secret)
 {
     SenderSettings settings;
     settings.from = "test";
@@ -79,7 +79,7 @@
                      [&](Envelope &&envelope) { collector.add(std::move(envelope)); });
     Error reason;
     ASSERT_TRUE(server.start(&reason)) << reason.message;
-    SenderPool sender(laneSettings("secret"),
+    SenderPool sender(senderSettings("secret"),
                       [](const std::string &, std::vector<Json::Value> &&) {});
     for (int i = 0; i < 2000; ++i)
         sender.send(addressOf(server), Json::Value(i));
@@ -96,7 +96,7 @@
     Error reason;
     ASSERT_TRUE(server.start(&reason));
     std::atomic<int> lost { 0 };
-    SenderPool sender(laneSettings("wrong"),
+    SenderPool sender(senderSettings("wrong"),
                       [&](const std::string &, std::vector<Json::Value> &&messages) {
                           lost += static_cast<int>(messages.size());
                       });
@@ -114,7 +114,7 @@
     Error reason;
     ASSERT_TRUE(server.start(&reason));
     std::atomic<int> lost { 0 };
-    SenderSettings settings = laneSettings("secret");
+    SenderSettings settings = senderSettings("secret");
     settings.threads = 1;
     SenderPool sender(settings, [&](const std::string &, std::vector<Json::Value> &&messages) {
         lost += static_cast<int>(messages.size());
@@ -134,8 +134,8 @@
     ASSERT_EQ(getrlimit(RLIMIT_NOFILE, &limit), 0);
     limit.rlim_cur = limit.rlim_max;
     setrlimit(RLIMIT_NOFILE, &limit);
-    constexpr std::size_t Wanted = 1500; // select() supports 1,024 descriptors
-    if (limit.rlim_cur < 2 * Wanted + 100)
+    constexpr std::size_t ConnectionCount = 1500; // select() supports 1,024 descriptors
+    if (limit.rlim_cur < 2 * ConnectionCount + 100)
         GTEST_SKIP() << "this host allows only " << limit.rlim_cur << " descriptors";
     Collector collector;
     RpcServer server(serverSettings(),
@@ -147,14 +147,14 @@
     address.sin_port = htons(static_cast<std::uint16_t>(server.port()));
     inet_pton(AF_INET, "127.0.0.1", &address.sin_addr);
     std::vector<int> sockets;
-    for (std::size_t i = 0; i < Wanted; ++i) {
+    for (std::size_t i = 0; i < ConnectionCount; ++i) {
         const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
         ASSERT_GE(socket, 0);
         sockets.push_back(socket);
         ASSERT_EQ(::connect(socket, reinterpret_cast<const sockaddr *>(&address), sizeof address),
                   0);
     }
-    SenderPool sender(laneSettings("secret"),
+    SenderPool sender(senderSettings("secret"),
                       [](const std::string &, std::vector<Json::Value> &&) {});
     sender.send(addressOf(server), Json::Value(7));
     EXPECT_EQ(collector.waitFor(1).size(), 1U);
