--- a/packages/edge/include/foxwing/edge/httpserver.h
+++ b/packages/edge/include/foxwing/edge/httpserver.h
@@ -8,8 +8,8 @@
         });
 
     The handler runs on cpprestsdk's threads and must not block; it may keep the responder and reply
-    later from any thread. Requests whose body has no Content-Length or exceeds the limit are
-   refused before they reach it.
+    later from any thread. Requests whose body has no Content-Length or exceeds the limit never
+    reach it.
 
     [SECTION] Request
     [SECTION] Responder
@@ -99,8 +99,7 @@
     // Refuses requests whose bodies take too long. They no longer count as pending; the caller gets
     // the reply once the rest of the body arrives. Call it regularly.
     // FIXME: cpprestsdk can neither reply before a body is complete nor close the connection, so
-    // the connection of a caller that stops sending stays open, bounded only by the descriptor
-    // limit.
+    // connections of callers that stop sending stay open, up to the limit on descriptors.
     void expirePendingBodies();
 
     // Number of requests whose bodies are incomplete
--- a/packages/node/src/replicatedlog.cpp
+++ b/packages/node/src/replicatedlog.cpp
@@ -16,8 +16,7 @@
 
 // [SECTION] Settings
 
-// A single control host bootstraps without the operator's setting: no other host can have newer
-// state.
+// A single control host needs no bootstrap setting: no other host can have newer state.
 std::vector<std::string> firstVoters(const settings::Settings &settings)
 {
     std::vector<std::string> voters;
--- a/packages/wire/include/foxwing/wire/rpcserver.h
+++ b/packages/wire/include/foxwing/wire/rpcserver.h
@@ -8,8 +8,8 @@
         if (!server.start(&reason))
             ...
 
-    The receiver is called on the server's threads and must not block: the sender's call returns
-   only after it.
+    The receiver is called on the server's threads and must not block: the sender waits for its
+    return.
 
     [SECTION] Settings
     [SECTION] Server
