--- a/packages/fleet/include/foxwing/fleet/dialect.h
+++ b/packages/fleet/include/foxwing/fleet/dialect.h
@@ -105,9 +105,9 @@
     std::optional<EndpointRequest> (*readEndpointRequest)(const fabric::Request &request,
                                                           Error *reason) = nullptr;
     fabric::Response (*writeEndpointResponse)(bool accepted, const std::string &reason) = nullptr;
-    fabric::Request (*writeStart)(const runner::StartCommand &order) = nullptr;
-    fabric::Request (*writeStop)(const runner::StopCommand &order) = nullptr;
-    fabric::Request (*writePoll)(const runner::PollCommand &order) = nullptr;
+    fabric::Request (*writeStart)(const runner::StartCommand &command) = nullptr;
+    fabric::Request (*writeStop)(const runner::StopCommand &command) = nullptr;
+    fabric::Request (*writePoll)(const runner::PollCommand &command) = nullptr;
     runner::CommandResult (*readCommandResult)(const fabric::Response &response) = nullptr;
     runner::PollResult (*readPollResult)(const fabric::Response &response) = nullptr;
 
--- a/packages/fleet/src/agentlinks.cpp
+++ b/packages/fleet/src/agentlinks.cpp
@@ -92,7 +92,7 @@
 
 // [SECTION] Subset
 
-void AgentLinks::keep(bool needsCapacity, Time now)
+void AgentLinks::updateConnections(bool needsCapacity, Time now)
 {
     if (needsCapacity)
         subset::requestGrowth(m_subset, now);
--- a/packages/fleet/src/agentlinks.h
+++ b/packages/fleet/src/agentlinks.h
@@ -46,7 +46,7 @@
 
     // Opens and closes connections to follow the subset. needsCapacity: tasks recently found no
     // free capacity.
-    void keep(bool needsCapacity, Time now);
+    void updateConnections(bool needsCapacity, Time now);
 
     // Whether each step of the job has a suitable endpoint in the fleet. Where the subset has none,
     // the next updateConnections() connects to some.
--- a/packages/fleet/src/agentrole.cpp
+++ b/packages/fleet/src/agentrole.cpp
@@ -1,7 +1,7 @@
 /*
-    An agent of a fleet: entries on one side, its endpoint on the other, the runner between them.
+    The role agent: connects entries and the endpoint to the runner.
 
-    [SECTION] Shell
+    [SECTION] Role
     [SECTION] Entries
     [SECTION] Endpoint
     [SECTION] Time
@@ -17,43 +17,44 @@
 using eventlog::change;
 using fabric::ExchangePtr;
 
-// [SECTION] Shell
+// [SECTION] Role
 
 namespace {
 
-// An order to the endpoint, on the same host, is answered in a few milliseconds; what is not there
-// by then is counted as unanswered.
-constexpr Milliseconds OrderTimeout { 25 };
+// The endpoint is on the same host and answers commands within a few milliseconds.
+constexpr Milliseconds CommandTimeout { 25 };
 
-// On top of the time that a look waits at the endpoint.
-constexpr Milliseconds LookTimeout { 25 };
+// Added to the time that a poll may wait at the endpoint.
+constexpr Milliseconds PollMargin { 25 };
 
-// Before the end of the stop grace what still runs is stopped, so that its entries can start it
-// elsewhere.
-constexpr Milliseconds LastRuns { 1000 };
-constexpr Milliseconds LastWords { 300 };
+// This long before the end of the stop grace all runs are stopped, so that their entries can rerun
+// them elsewhere.
+constexpr Milliseconds StopRunsMargin { 1000 };
 
-// Of an error in a log line; it may quote what was sent.
-constexpr std::size_t LongestReason = 200;
+// Time for the last updates to reach the entries
+constexpr Milliseconds ReportDelay { 300 };
 
-// Fences are milliseconds of the date with ten bits below them that differ between two lives of one
-// millisecond.
+// Bounds error messages in the log, which may quote the request.
+constexpr std::size_t MaxReasonLength = 200;
+
+// A fence is the wall-clock time in milliseconds, followed by ten random bits that distinguish
+// incarnations started in the same millisecond.
 constexpr unsigned FenceBits = 10;
 
-std::uint64_t firstFence()
+std::uint64_t initialFence()
 {
     std::random_device device;
     const auto date = static_cast<std::uint64_t>(wallClockNow().time_since_epoch().count());
     return (date << FenceBits) | (device() & ((1U << FenceBits) - 1));
 }
 
-class AgentShell : public RoleShell
+class AgentRole : public NodeRole
 {
 public:
-    AgentShell(Core &core, const Dialect &dialect)
+    AgentRole(Core &core, const Dialect &dialect)
         : m_core(core)
         , m_dialect(dialect)
-        , m_runner(runner::makeRunner(core.settings.runner, core.self.incarnation, firstFence()))
+        , m_runner(runner::makeRunner(core.settings.runner, core.self.incarnation, initialFence()))
         , m_endpoint(core.io, core.settings.endpointAddress, clientSettings())
         , m_control(core, controlEvents())
     { }
@@ -76,12 +77,12 @@
 
     void handleEndpoint(const ExchangePtr &exchange);
     void announceEndpoint();
-    void noteUnreadable(const std::string &reason, Time now);
-    void orderStart(const runner::StartCommand &order);
-    void orderStop(const runner::StopCommand &order);
-    void orderLook(const runner::PollCommand &order);
+    void recordUnreadable(const std::string &reason, Time now);
+    void sendStart(const runner::StartCommand &command);
+    void sendStop(const runner::StopCommand &command);
+    void sendPoll(const runner::PollCommand &command);
     runner::CommandResult resultOf(const fabric::CallResult &result) const;
-    void carryOut(runner::RunnerActions &&actions);
+    void execute(runner::RunnerActions &&actions);
 
     Core &m_core;
     const Dialect &m_dialect;
@@ -91,38 +92,38 @@
     std::unique_ptr<fabric::Listener> m_listener;
     std::map<std::uint64_t, std::shared_ptr<fabric::Link>> m_entries;
     std::uint64_t m_lastSession = 0;
-    Time m_stopBegan {};
+    Time m_stopStartedAt {};
 
-    // Calls of endpoints that could not be read, and when a line last told of one
+    // Unreadable endpoint requests, and when one was last logged
     std::uint64_t m_unreadable = 0;
-    Time m_unreadableTold {};
+    Time m_unreadableLoggedAt {};
     ControlLinks m_control;
 };
 
-fabric::HttpClientSettings AgentShell::clientSettings()
+fabric::HttpClientSettings AgentRole::clientSettings()
 {
-    // One for the look and one for each of the starts that fill an endpoint (10 to 15 tasks), so
-    // that orders without an answer hold up no others. Opened only when needed.
+    // One for the poll and one for each start that an endpoint has capacity for (10 to 15 tasks),
+    // so that unanswered commands don't delay others. Connections are opened on demand.
     fabric::HttpClientSettings settings;
     settings.mostConnections = 16;
     return settings;
 }
 
-// An agent needs control to be found, and to be told of cordons.
-ControlEvents AgentShell::controlEvents()
+// An agent uses control only to be listed in the directory and to receive cordons.
+ControlEvents AgentRole::controlEvents()
 {
     ControlEvents events;
     events.directory = [](const std::string &, const directory::DirectoryUpdate &) {};
     events.agreed = [this](const AgreedPush &push) {
-        carryOut(runner::handleCordons(m_runner, push.cordons, runner::CordonSource::Control,
-                                       steadyNow()));
+        execute(runner::handleCordons(m_runner, push.cordons, runner::CordonSource::Control,
+                                      steadyNow()));
     };
     return events;
 }
 
-bool AgentShell::start(Error *reason)
+bool AgentRole::start(Error *reason)
 {
-    m_listener = listenInside(
+    m_listener = listenForPeers(
             m_core, [this](const std::shared_ptr<fabric::Link> &link) { entryConnected(link); },
             reason);
     m_server = serveHttp(
@@ -131,18 +132,18 @@
     return m_listener && m_server;
 }
 
-void AgentShell::carryOut(runner::RunnerActions &&actions)
+void AgentRole::execute(runner::RunnerActions &&actions)
 {
     for (const eventlog::Event &event : actions.events)
         writeEvent(m_core.log, event);
-    for (const runner::StopCommand &order : actions.stops)
-        orderStop(order);
-    for (const runner::StartCommand &order : actions.starts)
-        orderStart(order);
+    for (const runner::StopCommand &command : actions.stops)
+        sendStop(command);
+    for (const runner::StartCommand &command : actions.starts)
+        sendStart(command);
     if (actions.poll)
-        orderLook(*actions.poll);
-    for (auto &[session, welcome] : actions.acceptances)
-        sendTo(session, Frame(std::move(welcome)));
+        sendPoll(*actions.poll);
+    for (auto &[session, accepted] : actions.acceptances)
+        sendTo(session, Frame(std::move(accepted)));
     for (auto &[session, update] : actions.updates)
         sendTo(session, Frame(std::move(update)));
     for (const std::uint64_t session : actions.closes) {
@@ -154,41 +155,41 @@
 
 // [SECTION] Entries
 
-void AgentShell::entryConnected(const std::shared_ptr<fabric::Link> &link)
+void AgentRole::entryConnected(const std::shared_ptr<fabric::Link> &link)
 {
     const std::uint64_t session = ++m_lastSession;
     m_entries[session] = link;
     link->start([this, session](std::string_view bytes) { entryReceived(session, bytes); },
                 [this, session] {
                     m_entries.erase(session);
-                    carryOut(runner::closeSession(m_runner, session, steadyNow()));
+                    execute(runner::closeSession(m_runner, session, steadyNow()));
                 });
 }
 
-void AgentShell::entryReceived(std::uint64_t session, std::string_view bytes)
+void AgentRole::entryReceived(std::uint64_t session, std::string_view bytes)
 {
     const Time now = steadyNow();
     const auto frame = readFrame(m_core, m_entries.at(session)->remote(), bytes);
     if (!frame)
         return;
     if (const auto *start = std::get_if<jobs::StartTasks>(&*frame))
-        carryOut(runner::startTasks(m_runner, session, *start, now));
+        execute(runner::startTasks(m_runner, session, *start, now));
     else if (const auto *stop = std::get_if<jobs::StopRuns>(&*frame))
-        carryOut(runner::stopRuns(m_runner, session, *stop, now));
+        execute(runner::stopRuns(m_runner, session, *stop, now));
     else if (const auto *heartbeat = std::get_if<jobs::SessionHeartbeat>(&*frame))
-        carryOut(runner::handleSessionHeartbeat(m_runner, session, *heartbeat, now));
+        execute(runner::handleSessionHeartbeat(m_runner, session, *heartbeat, now));
     else if (const auto *open = std::get_if<OpenSession>(&*frame))
         openSession(session, *open, now);
 }
 
-void AgentShell::openSession(std::uint64_t session, const OpenSession &open, Time now)
+void AgentRole::openSession(std::uint64_t session, const OpenSession &open, Time now)
 {
     for (const catalog::Cordons &cordons : open.cordons)
-        carryOut(runner::handleCordons(m_runner, cordons, runner::CordonSource::Entry, now));
-    carryOut(runner::openSession(m_runner, session, open.entry, now));
+        execute(runner::handleCordons(m_runner, cordons, runner::CordonSource::Entry, now));
+    execute(runner::openSession(m_runner, session, open.entry, now));
 }
 
-void AgentShell::sendTo(std::uint64_t session, const Frame &frame)
+void AgentRole::sendTo(std::uint64_t session, const Frame &frame)
 {
     const auto entry = m_entries.find(session);
     if (entry != m_entries.end())
@@ -197,21 +198,21 @@
 
 // [SECTION] Endpoint
 
-// One line a second, so that a writer that repeats itself hides nothing else.
-void AgentShell::noteUnreadable(const std::string &reason, Time now)
+// Logs at most once a second, so that repeated errors don't suppress other events.
+void AgentRole::recordUnreadable(const std::string &reason, Time now)
 {
     ++m_unreadable;
-    if (now < m_unreadableTold + Seconds(1))
+    if (now < m_unreadableLoggedAt + Seconds(1))
         return;
-    m_unreadableTold = now;
+    m_unreadableLoggedAt = now;
     writeEvent(m_core.log,
                change("endpoint-unreadable")
-                       .with("reason", reason.substr(0, LongestReason))
+                       .with("reason", reason.substr(0, MaxReasonLength))
                        .with("total", m_unreadable));
 }
 
-// Entries that have no session here know of the endpoint by what control lists.
-void AgentShell::announceEndpoint()
+// Entries without a session here learn about the endpoint from the directory.
+void AgentRole::announceEndpoint()
 {
     if (!m_runner.endpointIncarnation.described)
         return;
@@ -225,24 +226,24 @@
     m_control.announce();
 }
 
-void AgentShell::handleEndpoint(const ExchangePtr &exchange)
+void AgentRole::handleEndpoint(const ExchangePtr &exchange)
 {
     Error reason;
-    const auto call = m_dialect.readEndpointRequest(exchange->request(), &reason);
+    const auto request = m_dialect.readEndpointRequest(exchange->request(), &reason);
     const Time now = steadyNow();
-    if (!call) {
-        noteUnreadable(reason.message, now);
+    if (!request) {
+        recordUnreadable(reason.message, now);
         return exchange->answer(m_dialect.writeEndpointResponse(false, reason.message));
     }
-    if (call->action == EndpointAction::Deregister)
-        carryOut(runner::handleDeregistration(m_runner, call->endpointIncarnation, now));
+    if (request->action == EndpointAction::Deregister)
+        execute(runner::handleDeregistration(m_runner, request->endpointIncarnation, now));
     else
-        carryOut(runner::handleHeartbeat(m_runner, call->report, now));
+        execute(runner::handleHeartbeat(m_runner, request->report, now));
     announceEndpoint();
     exchange->answer(m_dialect.writeEndpointResponse(true, ""));
 }
 
-runner::CommandResult AgentShell::resultOf(const fabric::CallResult &result) const
+runner::CommandResult AgentRole::resultOf(const fabric::CallResult &result) const
 {
     if (result.failure == fabric::CallFailure::Refused)
         return { runner::CommandStatus::ConnectionRefused, std::nullopt };
@@ -251,75 +252,77 @@
     return m_dialect.readCommandResult(*result.response);
 }
 
-void AgentShell::orderStart(const runner::StartCommand &order)
+void AgentRole::sendStart(const runner::StartCommand &command)
 {
-    m_endpoint.call(m_dialect.writeStart(order), OrderTimeout,
-                    [this, id = order.id](const fabric::CallResult &result) {
-                        carryOut(runner::handleStartResult(m_runner, id, resultOf(result),
-                                                           steadyNow()));
+    m_endpoint.call(m_dialect.writeStart(command), CommandTimeout,
+                    [this, id = command.id](const fabric::CallResult &result) {
+                        execute(runner::handleStartResult(m_runner, id, resultOf(result),
+                                                          steadyNow()));
                     });
 }
 
-void AgentShell::orderStop(const runner::StopCommand &order)
+void AgentRole::sendStop(const runner::StopCommand &command)
 {
-    m_endpoint.call(m_dialect.writeStop(order), OrderTimeout,
-                    [this, id = order.id](const fabric::CallResult &result) {
-                        carryOut(runner::handleStopResult(m_runner, id, resultOf(result),
-                                                          steadyNow()));
+    m_endpoint.call(m_dialect.writeStop(command), CommandTimeout,
+                    [this, id = command.id](const fabric::CallResult &result) {
+                        execute(runner::handleStopResult(m_runner, id, resultOf(result),
+                                                         steadyNow()));
                     });
 }
 
-void AgentShell::orderLook(const runner::PollCommand &order)
+void AgentRole::sendPoll(const runner::PollCommand &command)
 {
-    m_endpoint.call(m_dialect.writePoll(order), order.wait + LookTimeout,
-                    [this, number = order.number](const fabric::CallResult &result) {
+    m_endpoint.call(m_dialect.writePoll(command), command.wait + PollMargin,
+                    [this, number = command.number](const fabric::CallResult &result) {
                         runner::PollResult poll;
                         if (result.response)
                             poll = m_dialect.readPollResult(*result.response);
                         else
                             poll.result = resultOf(result);
-                        carryOut(runner::handlePollResult(m_runner, number, poll, steadyNow()));
+                        execute(runner::handlePollResult(m_runner, number, poll, steadyNow()));
                     });
 }
 
 // [SECTION] Time
 
-void AgentShell::tick(Time now)
+void AgentRole::tick(Time now)
 {
     m_control.tick(now);
-    carryOut(runner::tick(m_runner, now));
+    execute(runner::tick(m_runner, now));
 }
 
-void AgentShell::beginShutdown(Time now)
+void AgentRole::beginShutdown(Time now)
 {
-    m_stopBegan = now;
-    carryOut(runner::beginShutdown(m_runner, now));
+    m_stopStartedAt = now;
+    execute(runner::beginShutdown(m_runner, now));
 }
 
-bool AgentShell::stopped(Time now)
+bool AgentRole::stopped(Time now)
 {
     const Milliseconds grace = m_core.settings.stopGrace;
-    if (now >= m_stopBegan + grace - LastRuns)
-        carryOut(runner::stopAllRuns(m_runner, now));
-    // The last ends are on their way to the entries for a moment.
-    const bool told = now >= m_stopBegan + LastWords;
-    return (told && runner::isShutDown(m_runner)) || now >= m_stopBegan + grace - LastWords;
+    if (now >= m_stopStartedAt + grace - StopRunsMargin)
+        execute(runner::stopAllRuns(m_runner, now));
+    // The last updates need time to reach the entries.
+    const bool reported = now >= m_stopStartedAt + ReportDelay;
+    return (reported && runner::isShutDown(m_runner))
+            || now >= m_stopStartedAt + grace - ReportDelay;
 }
 
-std::vector<metrics::Sample> AgentShell::samples() const
+std::vector<metrics::Sample> AgentRole::samples() const
 {
     const auto count = [](std::uint64_t value) { return static_cast<double>(value); };
     std::vector<metrics::Sample> samples {
-        { "foxwing_runs_started_total", "Starts ordered", count(m_runner.started) },
+        { "foxwing_runs_started_total", "Start commands sent", count(m_runner.started) },
         { "foxwing_runs_done_total", "Runs done", count(m_runner.done) },
         { "foxwing_runs_failed_total", "Runs failed", count(m_runner.failed) },
-        { "foxwing_runs_stopped_total", "Runs stopped, lapsed or lost", count(m_runner.stopped) },
-        { "foxwing_starts_refused_total", "Starts that never began", count(m_runner.refused) },
-        { "foxwing_orders_unanswered_total", "Starts without an answer",
+        { "foxwing_runs_stopped_total", "Runs stopped, expired with their lease, or lost",
+          count(m_runner.stopped) },
+        { "foxwing_starts_refused_total", "Starts refused", count(m_runner.refused) },
+        { "foxwing_orders_unanswered_total", "Start commands without an answer",
           count(m_runner.unanswered) },
-        { "foxwing_heartbeats_passed_over_total", "Heartbeats that changed nothing",
+        { "foxwing_heartbeats_passed_over_total", "Heartbeats ignored",
           count(m_runner.ignoredHeartbeats) },
-        { "foxwing_heartbeats_unreadable_total", "Calls of endpoints that were refused",
+        { "foxwing_heartbeats_unreadable_total", "Unreadable requests of endpoints",
           count(m_unreadable) },
         { "foxwing_endpoint_connections_total", "Connections opened to the endpoint",
           count(m_endpoint.opened()) },
@@ -327,30 +330,30 @@
     const auto gauge = [&](const char *name, const char *help, double value) {
         samples.push_back({ name, help, value, true });
     };
-    gauge("foxwing_runs", "Runs that take room", count(m_runner.runs.size()));
-    gauge("foxwing_oldest_run_ms", "How long the run ordered first has been taking room",
+    gauge("foxwing_runs", "Runs that hold capacity", count(m_runner.runs.size()));
+    gauge("foxwing_oldest_run_ms", "Age of the oldest run that holds capacity",
           toMilliseconds(runner::oldestRunAge(m_runner, steadyNow())));
-    gauge("foxwing_last_end_noted", "Number of the endpoint's last end that was taken note of",
+    gauge("foxwing_last_end_noted", "Number of the endpoint's last ended run that was handled",
           count(m_runner.endpointIncarnation.lastSeenEnd));
-    gauge("foxwing_starts_waiting", "Starts that wait here for room",
-          count(m_runner.waiting.size()));
-    gauge("foxwing_sessions", "Entries in touch", count(m_runner.sessions.size()));
-    gauge("foxwing_endpoint_pace", "Time taken against estimates",
+    gauge("foxwing_starts_waiting", "Starts queued for capacity", count(m_runner.waiting.size()));
+    gauge("foxwing_sessions", "Open sessions with entries", count(m_runner.sessions.size()));
+    gauge("foxwing_endpoint_pace", "Run times relative to estimates",
           m_runner.endpointIncarnation.slowdown);
-    gauge("foxwing_endpoint_bad", "Evidence against the endpoint, 0 to 1",
+    gauge("foxwing_endpoint_bad", "Fault score of the endpoint, 0 to 1",
           m_runner.endpointIncarnation.faultScore);
-    gauge("foxwing_cordons_revision", "Cordons known here", count(m_runner.cordons.revision));
-    gauge("foxwing_cordoned", "Whether the endpoint gets nothing new, by a cordon",
+    gauge("foxwing_cordons_revision", "Revision of the known cordons",
+          count(m_runner.cordons.revision));
+    gauge("foxwing_cordoned", "1 while the endpoint is cordoned",
           runner::isCordoned(m_runner) ? 1 : 0);
-    gauge("foxwing_control_hosts", "Control hosts in touch", count(m_control.connected()));
+    gauge("foxwing_control_hosts", "Connected control hosts", count(m_control.connected()));
     return samples;
 }
 
 } // namespace
 
-std::unique_ptr<RoleShell> makeAgentShell(Core &core, const Dialect &dialect)
+std::unique_ptr<NodeRole> makeAgentRole(Core &core, const Dialect &dialect)
 {
-    return std::make_unique<AgentShell>(core, dialect);
+    return std::make_unique<AgentRole>(core, dialect);
 }
 
 } // namespace foxwing::fleet
--- a/packages/fleet/src/controlrole.cpp
+++ b/packages/fleet/src/controlrole.cpp
@@ -1,8 +1,8 @@
 /*
-    A control host of a fleet: the agreement group that keeps the catalog and the cordons, and the
-    directory of nodes. The operators' interface has a shell of its own.
+    The role control: a member of the consensus group, which replicates the catalog and the cordons,
+    and the directory of nodes. The operators' interface is in operatorapi.h.
 
-    [SECTION] Shell
+    [SECTION] Role
     [SECTION] Nodes
     [SECTION] Group
     [SECTION] Time
@@ -24,42 +24,42 @@
 using eventlog::change;
 using fabric::ExchangePtr;
 
-// [SECTION] Shell
+// [SECTION] Role
 
 namespace {
 
-constexpr Milliseconds NodeBeatInterval { 500 };
+constexpr Milliseconds NodeHeartbeatInterval { 500 };
 
-// A host that heard its leader this recently knows what is agreed, but for the last heartbeats.
-// With the time after which a cut-off leader steps down it stays well under the 2 s within which a
-// catalog is to be in force.
-constexpr Milliseconds CurrentSpan { 300 };
+// A host that received a message from its leader this recently has a current state. Together with
+// the time until a disconnected leader steps down, this stays well below the 2 s within which a
+// catalog must be applied everywhere.
+constexpr Milliseconds FreshnessWindow { 300 };
 
-// Elections of the group: hosts of one region answer within milliseconds, and a lost packet is sent
-// again after 200 to 300 ms.
-constexpr Milliseconds ElectionSpan { 400 };
+// Hosts of one region answer within milliseconds; a lost packet is retransmitted after 200 to
+// 300 ms.
+constexpr Milliseconds ElectionTimeout { 400 };
 constexpr Milliseconds HeartbeatInterval { 80 };
 
-// The first election after a start. Hosts of one region find each other within 10 ms, and until
-// there is a leader no entry has a catalog.
-constexpr Milliseconds FirstElectionSpan { 20 };
+// The first election after a start. Short, since entries get no catalog until there is a leader;
+// hosts of one region connect within 10 ms.
+constexpr Milliseconds FirstElectionTimeout { 20 };
 
-// The members of the group are looked over this often.
+// How often changes of the group's members are considered
 constexpr Milliseconds MembersInterval { 200 };
 
-// A host that starts reads all catalogs since its last snapshot before it can tell one: 11 ms each
-// with 360 queues, on half a core. After a loss of all power entries waited 0.24 s for 31 of them.
-// Each snapshot writes the journal anew, so not after every catalog.
+// Committed entries between snapshots. At its start a host replays all catalogs since the last
+// snapshot (11 ms each with 360 queues) before it can send one to entries, so few. A snapshot
+// rewrites the journal, so not one for each entry.
 constexpr std::uint32_t SnapshotEvery = 8;
 
-// After a disk has refused a write, what it holds is only known once it is read again. Full disks
-// stay full for seconds.
-constexpr Milliseconds ReopenPause { 500 };
+// After a failed write the journal must be read again, since its contents are uncertain. A full
+// disk stays full for seconds.
+constexpr Milliseconds ReopenDelay { 500 };
 
-// Time for the last answers of a stopping control host.
-constexpr Milliseconds StopSpan { 150 };
+// Time for the last answers during shutdown
+constexpr Milliseconds StopDelay { 150 };
 
-// Members are named by an address and a disk.
+// The address in a member's id (see identity.h)
 std::string addressOf(const std::string &member)
 {
     return member.substr(0, member.find('/'));
@@ -73,44 +73,44 @@
     Time lastReceivedAt {};
 };
 
-class ControlShell : public RoleShell
+class ControlRole : public NodeRole
 {
 public:
-    ControlShell(Core &core, const Dialect &dialect)
+    ControlRole(Core &core, const Dialect &dialect)
         : m_core(core)
         , m_nodes(core, nodeEvents())
-        , m_operators(core, dialect, operatorLinks())
+        , m_operators(core, dialect, operatorCallbacks())
     { }
 
     bool start(Error *reason) override;
     void tick(Time now) override;
     void reloaded() override;
-    void beginShutdown(Time now) override { m_stopBegan = now; }
-    bool stopped(Time now) override { return now >= m_stopBegan + StopSpan; }
+    void beginShutdown(Time now) override { m_stopStartedAt = now; }
+    bool stopped(Time now) override { return now >= m_stopStartedAt + StopDelay; }
     std::vector<metrics::Sample> samples() const override;
 
 private:
     // Nodes
     NodeEvents nodeEvents();
     void nodeReceived(std::uint64_t connection, const Frame &frame);
-    void tellAgreed();
+    void pushAgreed();
     bool isCurrent(Time now) const;
-    void beatAll(Time now);
+    void sendHeartbeats(Time now);
 
     // Group
     bool startReplica(Error *reason);
     replica::ReplicaEvents replicaEvents();
-    void keepControl(const std::string &address);
-    void controlIsThere(const std::string &address);
+    void addControlHost(const std::string &address);
+    void handleControlAnnounced(const std::string &address);
     void controlReceived(const std::string &address, std::string_view bytes);
     void sendToMember(const std::string &to, const quorum::QuorumMessage &message);
     bool committed(const std::string &text, std::uint64_t index, std::uint64_t term, Error *reason);
     bool installed(const std::string &text, Error *reason);
-    void adopted(const catalog::AgreedState &before);
-    void watchMembers(Time now);
+    void handleStateChange(const catalog::AgreedState &before);
+    void updateMembers(Time now);
     void reopenJournal(Time now);
 
-    OperatorLinks operatorLinks();
+    OperatorCallbacks operatorCallbacks();
     operators::GroupView groupView() const;
     void sendToLeader(const Frame &frame);
 
@@ -121,21 +121,21 @@
     catalog::AgreedState m_agreed;
     NodeLinks m_nodes;
     std::map<std::string, GroupPeer> m_controls;
-    OperatorShell m_operators;
-    bool m_tellPosted = false;
+    OperatorApi m_operators;
+    bool m_pushPosted = false;
 
-    // Counts the replicas that this process has opened
+    // Number of replicas that this process has opened
     std::uint64_t m_replicaNumber = 0;
 
-    // When the journal is to be read again after a failure
+    // When to reopen the journal after a failure
     std::optional<Time> m_reopenAt;
-    Time m_nextBeat {};
+    Time m_nextHeartbeat {};
     Time m_nextMembers {};
-    std::string m_toldLeader;
-    Time m_stopBegan {};
+    std::string m_loggedLeader;
+    Time m_stopStartedAt {};
 };
 
-bool ControlShell::start(Error *reason)
+bool ControlRole::start(Error *reason)
 {
     const auto identity = readIdentity(m_core.settings, reason);
     if (!identity)
@@ -143,7 +143,7 @@
     m_core.self.groupId = *identity;
     if (!startReplica(reason))
         return false;
-    m_listener = listenInside(
+    m_listener = listenForPeers(
             m_core, [this](const std::shared_ptr<fabric::Link> &link) { m_nodes.connected(link); },
             reason);
     m_server = serveHttp(
@@ -152,27 +152,27 @@
     if (!m_listener || !m_server)
         return false;
     reloaded();
-    // Not only the seeds: those may be the ones that are still without power.
+    // Also the voters in the journal: the seeds may still be down after a power failure.
     for (const std::string &voter : m_replica->state().members.voters)
-        keepControl(addressOf(voter));
+        addControlHost(addressOf(voter));
     return true;
 }
 
-void ControlShell::reloaded()
+void ControlRole::reloaded()
 {
     for (const std::string &seed : seedAddresses(m_core.settings))
-        keepControl(seed);
+        addControlHost(seed);
 }
 
 // [SECTION] Nodes
 
-NodeEvents ControlShell::nodeEvents()
+NodeEvents ControlRole::nodeEvents()
 {
     NodeEvents events;
     events.announced = [this](const directory::NodeInfo &node) {
         if (node.role == directory::Role::Control)
-            controlIsThere(node.address);
-        tellAgreed();
+            handleControlAnnounced(node.address);
+        pushAgreed();
     };
     events.received = [this](std::uint64_t connection, const Frame &frame) {
         nodeReceived(connection, frame);
@@ -180,65 +180,65 @@
     return events;
 }
 
-void ControlShell::nodeReceived(std::uint64_t connection, const Frame &frame)
+void ControlRole::nodeReceived(std::uint64_t connection, const Frame &frame)
 {
     if (const auto *group = std::get_if<GroupFrame>(&frame)) {
         Error reason;
         const auto message = decodeFrame<quorum::QuorumMessage>(group->bytes, &reason);
         if (message && group->to == m_core.self.groupId)
             m_replica->receive(*message);
-    } else if (const auto *forward = std::get_if<ForwardedCall>(&frame)) {
-        m_operators.handedOver(connection, *forward);
+    } else if (const auto *forwarded = std::get_if<ForwardedCall>(&frame)) {
+        m_operators.handleForwarded(connection, *forwarded);
     }
 }
 
-// Whether what is agreed here is at most a moment old. A host that was cut off, or has just begun,
-// must not hand an old catalog to a process that has none.
-bool ControlShell::isCurrent(Time now) const
+// Whether the committed state of this host is current. A host that was disconnected or has just
+// started must not send an outdated catalog to a process that has none.
+bool ControlRole::isCurrent(Time now) const
 {
     const quorum::QuorumState &group = m_replica->state();
     return m_replica->leadsNow()
             || (!group.leader.empty() && group.commit > 0 && group.commit >= group.leaderCommit
-                && now < group.leaderHeardAt + CurrentSpan);
+                && now < group.leaderHeardAt + FreshnessWindow);
 }
 
-void ControlShell::tellAgreed()
+void ControlRole::pushAgreed()
 {
     if (isCurrent(steadyNow()))
-        m_nodes.tellAgreed(m_agreed);
+        m_nodes.pushAgreed(m_agreed);
 }
 
-void ControlShell::beatAll(Time now)
+void ControlRole::sendHeartbeats(Time now)
 {
-    if (now < m_nextBeat)
+    if (now < m_nextHeartbeat)
         return;
-    m_nextBeat = now + NodeBeatInterval;
+    m_nextHeartbeat = now + NodeHeartbeatInterval;
     const std::string heartbeat = encodeFrame(Frame(directory::NodeHeartbeat {}));
-    m_nodes.heartbeat(heartbeat, now);
-    std::vector<std::shared_ptr<fabric::Link>> silent;
+    m_nodes.sendHeartbeats(heartbeat, now);
+    std::vector<std::shared_ptr<fabric::Link>> timedOut;
     for (auto &[address, peer] : m_controls) {
-        if (peer.link && now >= peer.lastReceivedAt + NodeSilence)
-            silent.push_back(peer.link);
+        if (peer.link && now >= peer.lastReceivedAt + NodeTimeout)
+            timedOut.push_back(peer.link);
         else if (peer.link)
             peer.link->send(heartbeat);
     }
-    for (const auto &link : silent)
+    for (const auto &link : timedOut)
         link->close();
 }
 
 // [SECTION] Group
 
-bool ControlShell::startReplica(Error *reason)
+bool ControlRole::startReplica(Error *reason)
 {
     std::random_device device;
     replica::ReplicaSettings settings;
     settings.quorum.self = m_core.self.groupId;
     settings.quorum.seed = device();
-    settings.quorum.firstVoters = firstVotersFor(m_core.settings, m_core.self.groupId);
+    settings.quorum.firstVoters = initialVotersFor(m_core.settings, m_core.self.groupId);
     settings.quorum.selfManaged = true;
     settings.quorum.leastVoters = 2 * m_core.settings.toleratedLosses + 1;
-    settings.quorum.electionSpan = ElectionSpan;
-    settings.quorum.firstElectionSpan = FirstElectionSpan;
+    settings.quorum.electionSpan = ElectionTimeout;
+    settings.quorum.firstElectionSpan = FirstElectionTimeout;
     settings.quorum.heartbeatInterval = HeartbeatInterval;
     settings.dataFolder = m_core.settings.dataFolder + "/journal";
     settings.snapshotEvery = SnapshotEvery;
@@ -247,10 +247,10 @@
     return state && (state->empty() || installed(*state, reason));
 }
 
-replica::ReplicaEvents ControlShell::replicaEvents()
+replica::ReplicaEvents ControlRole::replicaEvents()
 {
     replica::ReplicaEvents events;
-    // What an earlier replica has posted must not reach its successor.
+    // Callbacks posted by a replaced replica must not run on its successor.
     events.runOnLoop = [this, number = ++m_replicaNumber](std::function<void()> job) {
         fabric::asio::post(m_core.io, [this, number, job = std::move(job)] {
             if (number == m_replicaNumber)
@@ -270,12 +270,12 @@
     };
     events.failed = [this](const Error &reason) {
         writeEvent(m_core.log, change("journal-failed").with("reason", reason.message));
-        m_reopenAt = steadyNow() + ReopenPause;
+        m_reopenAt = steadyNow() + ReopenDelay;
     };
     return events;
 }
 
-void ControlShell::keepControl(const std::string &address)
+void ControlRole::addControlHost(const std::string &address)
 {
     if (address == innerAddress(m_core.settings) || m_controls.count(address) != 0)
         return;
@@ -303,16 +303,16 @@
             });
 }
 
-// It has just dialled this host, so it need not be waited for any longer.
-void ControlShell::controlIsThere(const std::string &address)
+// The control host has just connected to this one, so redial it at once.
+void ControlRole::handleControlAnnounced(const std::string &address)
 {
-    keepControl(address);
+    addControlHost(address);
     const auto peer = m_controls.find(address);
     if (peer != m_controls.end() && !peer->second.link)
         peer->second.dialer->dialNow();
 }
 
-void ControlShell::controlReceived(const std::string &address, std::string_view bytes)
+void ControlRole::controlReceived(const std::string &address, std::string_view bytes)
 {
     m_controls.at(address).lastReceivedAt = steadyNow();
     const auto frame = readFrame(m_core, address, bytes);
@@ -321,25 +321,25 @@
     if (const auto *update = std::get_if<directory::DirectoryUpdate>(&*frame)) {
         for (const directory::NodeInfo &node : update->nodes) {
             if (node.role == directory::Role::Control)
-                keepControl(node.address);
+                addControlHost(node.address);
         }
     } else if (const auto *answer = std::get_if<ForwardedAnswer>(&*frame)) {
-        m_operators.peerAnswered(*answer);
+        m_operators.handleForwardedAnswer(*answer);
     }
 }
 
-void ControlShell::sendToMember(const std::string &to, const quorum::QuorumMessage &message)
+void ControlRole::sendToMember(const std::string &to, const quorum::QuorumMessage &message)
 {
     const std::string address = addressOf(to);
-    keepControl(address);
+    addControlHost(address);
     const auto peer = m_controls.find(address);
     if (peer != m_controls.end() && peer->second.link)
         peer->second.link->send(encodeFrame(Frame(GroupFrame { to, encodeFrame(message) })));
 }
 
-// What has changed is logged, and told once for everything that is agreed in this turn: a host that
-// recovers goes through all versions, and only the last one may be seen.
-void ControlShell::adopted(const catalog::AgreedState &before)
+// Logs the changes, and posts one push for all commits of this turn: during recovery a host replays
+// all versions, and only the last one may be sent.
+void ControlRole::handleStateChange(const catalog::AgreedState &before)
 {
     const std::uint64_t version = m_agreed.declared.catalog.version;
     if (version != before.declared.catalog.version)
@@ -351,18 +351,18 @@
         writeEvent(m_core.log,
                    change("cordons-agreed")
                            .with("revision", m_agreed.cordons.revision)
-                           .with("data_centres", joinedNames(m_agreed.cordons)));
-    if (m_tellPosted)
+                           .with("data_centres", joinNames(m_agreed.cordons)));
+    if (m_pushPosted)
         return;
-    m_tellPosted = true;
+    m_pushPosted = true;
     fabric::asio::post(m_core.io, [this] {
-        m_tellPosted = false;
-        tellAgreed();
+        m_pushPosted = false;
+        pushAgreed();
     });
 }
 
-bool ControlShell::committed(const std::string &text, std::uint64_t index, std::uint64_t term,
-                             Error *reason)
+bool ControlRole::committed(const std::string &text, std::uint64_t index, std::uint64_t term,
+                            Error *reason)
 {
     const auto json = parseJson(text, reason);
     const auto command = json ? decodeMessage<catalog::Command>(*json, reason) : std::nullopt;
@@ -371,7 +371,7 @@
     const catalog::AgreedState before = m_agreed;
     const catalog::Applied applied = catalog::apply(m_agreed, *command);
     if (applied == catalog::Applied::Changed)
-        adopted(before);
+        handleStateChange(before);
     m_operators.committed(index, term, applied);
     if (m_replica->wantsSnapshot())
         fabric::asio::post(m_core.io, [this] {
@@ -381,10 +381,9 @@
     return true;
 }
 
-// A journal that is opened anew may hold an older snapshot than what is known here. The entries
-// after it then change nothing, up to those that are new: each state has its own version and
-// revision, and entries that led there are outdated.
-bool ControlShell::installed(const std::string &text, Error *reason)
+// The snapshot of a reopened journal may be older than the state in memory. Log entries after it
+// that are already contained in the state are outdated by version or revision, and change nothing.
+bool ControlRole::installed(const std::string &text, Error *reason)
 {
     catalog::AgreedState installed;
     if (text.empty())
@@ -397,15 +396,15 @@
         m_agreed.declared = std::move(installed.declared);
     if (installed.cordons.revision > m_agreed.cordons.revision)
         m_agreed.cordons = std::move(installed.cordons);
-    adopted(before);
+    handleStateChange(before);
     return true;
 }
 
-void ControlShell::watchMembers(Time now)
+void ControlRole::updateMembers(Time now)
 {
     const std::string &leader = m_replica->state().leader;
-    if (leader != m_toldLeader) {
-        m_toldLeader = leader;
+    if (leader != m_loggedLeader) {
+        m_loggedLeader = leader;
         writeEvent(m_core.log,
                    change("leader").with("leader", leader).with("term", m_replica->state().term));
     }
@@ -427,9 +426,9 @@
                        .with("outcome", proposed ? "proposed" : reason.message.c_str()));
 }
 
-// This host takes no part until its journal can be read and written again; what it has agreed on
-// before stays true.
-void ControlShell::reopenJournal(Time now)
+// Until the journal can be read and written again this host takes no part in the consensus group;
+// its committed state remains valid.
+void ControlRole::reopenJournal(Time now)
 {
     if (!m_reopenAt || now < *m_reopenAt)
         return;
@@ -441,10 +440,10 @@
                change(opened ? "journal-reopened" : "journal-failed")
                        .with("reason", reason.message));
     if (!opened)
-        m_reopenAt = now + ReopenPause;
+        m_reopenAt = now + ReopenDelay;
 }
 
-operators::GroupView ControlShell::groupView() const
+operators::GroupView ControlRole::groupView() const
 {
     const std::string &leader = m_replica->state().leader;
     const auto peer = m_controls.find(addressOf(leader));
@@ -456,40 +455,40 @@
     return view;
 }
 
-void ControlShell::sendToLeader(const Frame &frame)
+void ControlRole::sendToLeader(const Frame &frame)
 {
     const auto peer = m_controls.find(addressOf(m_replica->state().leader));
     if (peer != m_controls.end() && peer->second.link)
         peer->second.link->send(encodeFrame(frame));
 }
 
-OperatorLinks ControlShell::operatorLinks()
+OperatorCallbacks ControlRole::operatorCallbacks()
 {
-    OperatorLinks links;
-    links.group = [this] { return groupView(); };
-    links.propose = [this](const std::string &text) { return m_replica->propose(text); };
-    links.requestRead = [this](std::uint64_t call) { m_replica->requestRead(call); };
-    links.sendToLeader = [this](const Frame &frame) { sendToLeader(frame); };
-    links.sendToNode = [this](std::uint64_t connection, const Frame &frame) {
+    OperatorCallbacks callbacks;
+    callbacks.group = [this] { return groupView(); };
+    callbacks.propose = [this](const std::string &text) { return m_replica->propose(text); };
+    callbacks.requestRead = [this](std::uint64_t call) { m_replica->requestRead(call); };
+    callbacks.sendToLeader = [this](const Frame &frame) { sendToLeader(frame); };
+    callbacks.sendToNode = [this](std::uint64_t connection, const Frame &frame) {
         m_nodes.send(connection, frame);
     };
-    return links;
+    return callbacks;
 }
 
 // [SECTION] Time
 
-void ControlShell::tick(Time now)
+void ControlRole::tick(Time now)
 {
     reopenJournal(now);
     m_replica->tick();
-    m_nodes.tellDirectory(now);
-    tellAgreed();
-    beatAll(now);
-    watchMembers(now);
+    m_nodes.pushDirectory(now);
+    pushAgreed();
+    sendHeartbeats(now);
+    updateMembers(now);
     m_operators.tick(now);
 }
 
-std::vector<metrics::Sample> ControlShell::samples() const
+std::vector<metrics::Sample> ControlRole::samples() const
 {
     const auto count = [](std::uint64_t value) { return static_cast<double>(value); };
     const quorum::QuorumState &group = m_replica->state();
@@ -497,23 +496,25 @@
     const auto gauge = [&](const char *name, const char *help, std::uint64_t value) {
         samples.push_back({ name, help, count(value), true });
     };
-    gauge("foxwing_catalog_version", "Catalog agreed on", m_agreed.declared.catalog.version);
-    gauge("foxwing_cordons_revision", "Cordons agreed on", m_agreed.cordons.revision);
-    gauge("foxwing_cordoned_data_centres", "Data centres that get nothing new",
+    gauge("foxwing_catalog_version", "Version of the committed catalog",
+          m_agreed.declared.catalog.version);
+    gauge("foxwing_cordons_revision", "Revision of the committed cordons",
+          m_agreed.cordons.revision);
+    gauge("foxwing_cordoned_data_centres", "Cordoned data centres",
           m_agreed.cordons.dataCentres.size());
-    gauge("foxwing_group_term", "Term of the group", group.term);
-    gauge("foxwing_group_commit", "Entries committed", group.commit);
+    gauge("foxwing_group_term", "Term of the consensus group", group.term);
+    gauge("foxwing_group_commit", "Index of the last committed log entry", group.commit);
     gauge("foxwing_group_voters", "Voters", group.members.voters.size());
-    gauge("foxwing_group_leads", "Whether this host leads", quorum::leads(group) ? 1 : 0);
-    gauge("foxwing_nodes", "Nodes in touch", m_nodes.count());
+    gauge("foxwing_group_leads", "1 while this host is the leader", quorum::leads(group) ? 1 : 0);
+    gauge("foxwing_nodes", "Connected nodes", m_nodes.count());
     return samples;
 }
 
 } // namespace
 
-std::unique_ptr<RoleShell> makeControlShell(Core &core, const Dialect &dialect)
+std::unique_ptr<NodeRole> makeControlRole(Core &core, const Dialect &dialect)
 {
-    return std::make_unique<ControlShell>(core, dialect);
+    return std::make_unique<ControlRole>(core, dialect);
 }
 
 } // namespace foxwing::fleet
--- a/packages/fleet/src/core.cpp
+++ b/packages/fleet/src/core.cpp
@@ -23,7 +23,7 @@
     return frame;
 }
 
-std::string joinedNames(const catalog::Cordons &cordons)
+std::string joinNames(const catalog::Cordons &cordons)
 {
     std::string joined;
     for (const std::string &name : cordons.dataCentres)
@@ -33,8 +33,8 @@
 
 // [SECTION] Listening
 
-std::unique_ptr<fabric::Listener> listenInside(Core &core, fabric::Listener::Accepted onAccepted,
-                                               Error *reason)
+std::unique_ptr<fabric::Listener> listenForPeers(Core &core, fabric::Listener::Accepted onAccepted,
+                                                 Error *reason)
 {
     auto acceptor = fabric::listenAt(core.io, innerListenAddress(core.settings), reason);
     if (!acceptor)
@@ -58,8 +58,8 @@
 namespace {
 
 // Heartbeats go both ways; after four missed ones the connection is closed and redialled.
-constexpr Milliseconds ControlBeat { 500 };
-constexpr Milliseconds ControlSilence { 2000 };
+constexpr Milliseconds HeartbeatInterval { 500 };
+constexpr Milliseconds ControlTimeout { 2000 };
 
 } // namespace
 
@@ -68,7 +68,7 @@
     std::unique_ptr<fabric::Dialer> dialer;
     std::shared_ptr<fabric::Link> link;
     Time lastReceivedAt {};
-    Time sentAt {};
+    Time lastSentAt {};
     bool wasLost = false;
 };
 
@@ -84,12 +84,12 @@
 void ControlLinks::reloadSeeds()
 {
     for (const std::string &seed : seedAddresses(m_core.settings))
-        keep(seed);
+        addPeer(seed);
 }
 
-void ControlLinks::keep(const std::string &address)
+void ControlLinks::addPeer(const std::string &address)
 {
-    if (fleet::keep(m_book, address, steadyNow()))
+    if (fleet::addPeer(m_peerTable, address, steadyNow()))
         dial(address);
 }
 
@@ -109,8 +109,8 @@
     const Time now = steadyNow();
     peer.link = link;
     peer.lastReceivedAt = now;
-    peer.sentAt = now;
-    fleet::connected(m_book, peer.dialer->address(), now);
+    peer.lastSentAt = now;
+    fleet::connected(m_peerTable, peer.dialer->address(), now);
     link->start([this, &peer](std::string_view bytes) { received(peer, bytes); },
                 [this, &peer] {
                     writeEvent(m_core.log,
@@ -118,7 +118,7 @@
                                        .with("host", peer.dialer->address())
                                        .with("heard_ms_ago", steadyNow() - peer.lastReceivedAt));
                     peer.link.reset();
-                    connectionLost(m_book, peer.dialer->address());
+                    connectionLost(m_peerTable, peer.dialer->address());
                     peer.wasLost = true;
                     peer.dialer->lost();
                 });
@@ -132,14 +132,15 @@
 {
     peer.lastReceivedAt = steadyNow();
     const std::string from = peer.dialer->address();
-    heard(m_book, from, peer.lastReceivedAt);
+    recordReceived(m_peerTable, from, peer.lastReceivedAt);
     if (!bytes.empty() && bytes == m_lastAgreed)
         return;
     const auto frame = readFrame(m_core, from, bytes);
     if (!frame)
         return;
     if (const auto *update = std::get_if<directory::DirectoryUpdate>(&*frame)) {
-        for (const std::string &address : applyUpdate(m_book, from, *update, peer.lastReceivedAt))
+        for (const std::string &address :
+             applyUpdate(m_peerTable, from, *update, peer.lastReceivedAt))
             dial(address);
         m_events.directory(from, *update);
     } else if (const auto *push = std::get_if<AgreedPush>(&*frame)) {
@@ -148,13 +149,13 @@
     }
 }
 
-void ControlLinks::keepBook(Time now)
+void ControlLinks::updatePeers(Time now)
 {
-    const PeerChanges changes = fleet::tick(m_book, seedAddresses(m_core.settings), now);
+    const PeerChanges changes = fleet::tick(m_peerTable, seedAddresses(m_core.settings), now);
     for (const std::string &address : changes.dropped) {
         m_peers.erase(address);
-        if (m_events.forgotten)
-            m_events.forgotten(address);
+        if (m_events.removed)
+            m_events.removed(address);
     }
     for (const std::string &address : changes.added)
         dial(address);
@@ -162,14 +163,14 @@
 
 void ControlLinks::tick(Time now)
 {
-    keepBook(now);
+    updatePeers(now);
     for (auto &[address, peer] : m_peers) {
         if (!peer->link)
             continue;
-        if (now >= peer->lastReceivedAt + ControlSilence) {
+        if (now >= peer->lastReceivedAt + ControlTimeout) {
             peer->link->close();
-        } else if (now >= peer->sentAt + ControlBeat) {
-            peer->sentAt = now;
+        } else if (now >= peer->lastSentAt + HeartbeatInterval) {
+            peer->lastSentAt = now;
             peer->link->send(encodeFrame(Frame(directory::NodeHeartbeat {})));
         }
     }
--- a/packages/fleet/src/core.h
+++ b/packages/fleet/src/core.h
@@ -30,8 +30,8 @@
 
 struct Core
 {
-    explicit Core(FleetSettings with)
-        : settings(std::move(with))
+    explicit Core(FleetSettings initialSettings)
+        : settings(std::move(initialSettings))
         , log(settings.name, settings.log)
     { }
 
@@ -46,10 +46,10 @@
 // [SECTION] Role
 
 // One role of the process: entry, agent or control.
-class RoleShell
+class NodeRole
 {
 public:
-    virtual ~RoleShell() = default;
+    virtual ~NodeRole() = default;
     virtual bool start(Error *reason) = 0;
 
     // Called every TickInterval
@@ -71,8 +71,8 @@
 
 // Accepts links from other processes of the fleet. Returns null, with the reason, if it can't
 // listen at the address.
-std::unique_ptr<fabric::Listener> listenInside(Core &core, fabric::Listener::Accepted onAccepted,
-                                               Error *reason);
+std::unique_ptr<fabric::Listener> listenForPeers(Core &core, fabric::Listener::Accepted onAccepted,
+                                                 Error *reason);
 
 std::unique_ptr<fabric::HttpServer> serveHttp(Core &core, const std::string &address,
                                               fabric::HttpServer::Handler handler, Error *reason);
@@ -85,7 +85,7 @@
     std::function<void(const AgreedPush &)> agreed;
 
     // No longer a peer; its directory updates are void.
-    std::function<void(const std::string &host)> forgotten;
+    std::function<void(const std::string &host)> removed;
 };
 
 // An entry's or agent's connections to control hosts: the seeds, and those listed in the directory.
@@ -104,9 +104,9 @@
 
 private:
     struct Peer;
-    void keep(const std::string &address);
+    void addPeer(const std::string &address);
     void dial(const std::string &address);
-    void keepBook(Time now);
+    void updatePeers(Time now);
     void connected(Peer &peer, const std::shared_ptr<fabric::Link> &link);
     void received(Peer &peer, std::string_view bytes);
 
@@ -116,20 +116,20 @@
 
     Core &m_core;
     ControlEvents m_events;
-    PeerBook m_book;
+    PeerTable m_peerTable;
     std::map<std::string, std::unique_ptr<Peer>> m_peers;
 };
 
 // [SECTION] Frames
 
 // The cordoned data centres, separated by spaces, for log events
-std::string joinedNames(const catalog::Cordons &cordons);
+std::string joinNames(const catalog::Cordons &cordons);
 
 // Logs and returns nothing if the bytes can't be decoded.
 std::optional<Frame> readFrame(Core &core, const std::string &from, std::string_view bytes);
 
-std::unique_ptr<RoleShell> makeEntryShell(Core &core, const Dialect &dialect);
-std::unique_ptr<RoleShell> makeAgentShell(Core &core, const Dialect &dialect);
-std::unique_ptr<RoleShell> makeControlShell(Core &core, const Dialect &dialect);
+std::unique_ptr<NodeRole> makeEntryRole(Core &core, const Dialect &dialect);
+std::unique_ptr<NodeRole> makeAgentRole(Core &core, const Dialect &dialect);
+std::unique_ptr<NodeRole> makeControlRole(Core &core, const Dialect &dialect);
 
 } // namespace foxwing::fleet
--- a/packages/fleet/src/entryrole.cpp
+++ b/packages/fleet/src/entryrole.cpp
@@ -1,7 +1,7 @@
 /*
-    An entry of a fleet: callers on one side, agents on the other, the scheduler between them.
+    The role entry: connects callers and agents to the scheduler.
 
-    [SECTION] Shell
+    [SECTION] Role
     [SECTION] Callers
     [SECTION] Agents
     [SECTION] Control
@@ -25,25 +25,26 @@
 using eventlog::Event;
 using fabric::ExchangePtr;
 
-// [SECTION] Shell
+// [SECTION] Role
 
 namespace {
 
-// A loop that stood still for this long was frozen, or had no processor: agents have stopped what
-// it started, or are about to, and callers have given it up.
-constexpr Milliseconds PauseSpan { 400 };
+// After a pause of the event loop this long, agents have stopped this entry's runs or are about to,
+// and callers have timed out.
+constexpr Milliseconds PauseThreshold { 400 };
 
-// A declared stretch beyond this says no more than that the job may take any time.
-constexpr double MostStretch = 1000;
+// Upper limit of a queue's stretch; larger values mean the same: no limit on a job's time.
+constexpr double MaxStretch = 1000;
 
-// The platform asks for readiness every second and sends nobody after two misses.
-constexpr Milliseconds StopNotice { 2300 };
+// The platform checks readiness every second and stops sending connections after two failures.
+constexpr Milliseconds DrainDelay { 2300 };
 
-// Before the end of the stop grace: no new job is taken, and the rest of what runs is answered.
-constexpr Milliseconds LastJobs { 1800 };
-constexpr Milliseconds LastAnswers { 300 };
+// Before the end of the stop grace the entry stops accepting connections, and then stops, which
+// leaves time to deliver the last answers.
+constexpr Milliseconds AcceptMargin { 1800 };
+constexpr Milliseconds AnswerMargin { 300 };
 
-// A seed of its own for each entry, so that slow ones don't all stand back at once.
+// Each entry has its own seed, so that lagging entries don't all withdraw at once.
 lag::LagSettings lagSettings(const Core &core)
 {
     lag::LagSettings settings = core.settings.lag;
@@ -51,10 +52,10 @@
     return settings;
 }
 
-class EntryShell : public RoleShell
+class EntryRole : public NodeRole
 {
 public:
-    EntryShell(Core &core, const Dialect &dialect)
+    EntryRole(Core &core, const Dialect &dialect)
         : m_core(core)
         , m_dialect(dialect)
         , m_scheduler(scheduler::makeScheduler(core.settings.scheduler))
@@ -73,44 +74,44 @@
 private:
     // Callers
     void handleCaller(const ExchangePtr &exchange);
-    // heldSince: when a call came that was held until the queues were known
+    // heldSince: time of arrival of a call that was held until the catalog arrived
     void serveCaller(const ExchangePtr &exchange, std::optional<Time> heldSince);
     void refuseHeld(Time now);
     void serveHeld();
     void handleReadiness(const ExchangePtr &exchange);
-    void submit(const ExchangePtr &exchange, const CallerRequest &call,
+    void submit(const ExchangePtr &exchange, const CallerRequest &request,
                 const catalog::QueueDeclaration &queue, std::optional<Time> heldSince);
     void refuse(const ExchangePtr &exchange, CallerRefusal refusal, const std::string &reason);
-    void callerGone(std::uint64_t number, const ExchangePtr &exchange);
+    void handleCallerGone(std::uint64_t number, const ExchangePtr &exchange);
 
-    // Before what may place work: jobs whose callers are gone, though that was not read yet, are
-    // abandoned.
-    void seeCallers(Time now);
-    void seeCallersOf(std::uint64_t number);
-    bool isFoundGone(const ExchangePtr &exchange, const std::string &job);
+    // Abandons jobs whose callers' connections are closed, though the loop has not read that yet.
+    // Must run before anything that may place tasks.
+    void probeCallers(Time now);
+    void probeCallersOf(std::uint64_t number);
+    bool isCallerGone(const ExchangePtr &exchange, const std::string &job);
     bool ready() const;
 
     // Agents
     AgentEvents agentEvents();
     void agentConnected(const std::string &address);
     void agentReceived(const std::string &address, std::string_view bytes);
-    void keepAgents(Time now);
+    void updateAgents(Time now);
     std::size_t endpointsWithoutQueue() const;
 
     // Control
     ControlEvents controlEvents();
-    void takeDirectory(const std::string &from, const directory::DirectoryUpdate &update);
-    void takeCatalog(const catalog::Catalog &catalog);
+    void applyDirectory(const std::string &from, const directory::DirectoryUpdate &update);
+    void applyCatalog(const catalog::Catalog &catalog);
     void applyCordons(const catalog::Cordons &cordons);
 
-    void carryOut(scheduler::SchedulerActions &&actions);
+    void execute(scheduler::SchedulerActions &&actions);
     void answer(const scheduler::JobAnswer &answer);
 
     // Lag
     Time receivedAt(const fabric::Exchange &exchange, std::optional<Time> heldSince,
                     Time now) const;
     void recordTurn(Time now);
-    void tellStandingBack(Time now);
+    void logWithdrawal(Time now);
     void addLagSamples(std::vector<metrics::Sample> &samples) const;
 
     void checkPause(Time now);
@@ -120,45 +121,45 @@
     scheduler::SchedulerState m_scheduler;
     AgentLinks m_agents;
     catalog::Catalog m_catalog;
-    Time m_catalogAt {};
+    Time m_catalogAppliedAt {};
 
-    // Control has told the cordons, if only that there are none.
+    // Cordons were received from control, possibly none
     bool m_knowsCordons = false;
     HeldCalls m_held;
     std::map<std::uint64_t, std::vector<ExchangePtr>> m_waiting;
     std::map<std::uint64_t, std::string> m_queueOf;
-    std::map<std::uint64_t, Time> m_cameAt;
+    std::map<std::uint64_t, Time> m_receivedAt;
     std::unique_ptr<fabric::HttpServer> m_callers;
     std::unique_ptr<fabric::HttpServer> m_readiness;
-    Time m_lastTurn {};
+    Time m_lastTurnAt {};
     lag::LagState m_lag;
 
-    // When the next turn of the loop is due
+    // When the next turn of the event loop is due
     Time m_turnDueAt {};
     bool m_stopping = false;
-    Time m_stopBegan {};
+    Time m_stopStartedAt {};
     std::uint64_t m_notFound = 0;
     std::uint64_t m_badRequests = 0;
-    scheduler::CallerProbeState m_callerWatch;
+    scheduler::CallerProbeState m_callerProbes;
 
-    // Callers that were found gone by a look
+    // Callers found gone by a probe
     std::uint64_t m_callersFoundGone = 0;
     ControlLinks m_control;
 };
 
-bool EntryShell::start(Error *reason)
+bool EntryRole::start(Error *reason)
 {
     m_callers = serveHttp(
             m_core, m_core.settings.callers,
             [this](const ExchangePtr &exchange) { handleCaller(exchange); }, reason);
     if (!m_callers)
         return false;
-    // Until a caller that lost its entry has sent again, and lost runs are certainly over
-    m_callerWatch.settings.probeWindow =
-            std::max(m_callerWatch.settings.probeWindow,
+    // Until a caller that lost its entry has resent its job, and lost runs have certainly stopped
+    m_callerProbes.settings.probeWindow =
+            std::max(m_callerProbes.settings.probeWindow,
                      m_core.settings.resendAfter + m_core.settings.scheduler.lostRunTimeout);
-    m_lastTurn = steadyNow();
-    m_held.startedAt = m_lastTurn;
+    m_lastTurnAt = steadyNow();
+    m_held.startedAt = m_lastTurnAt;
     if (m_core.settings.readiness.empty())
         return true;
     m_readiness = serveHttp(
@@ -169,13 +170,13 @@
 
 // [SECTION] Callers
 
-bool EntryShell::ready() const
+bool EntryRole::ready() const
 {
     return !m_stopping && m_catalog.version > 0 && scheduler::reachesEndpoints(m_scheduler)
             && !lag::isWithdrawn(m_lag);
 }
 
-void EntryShell::handleReadiness(const ExchangePtr &exchange)
+void EntryRole::handleReadiness(const ExchangePtr &exchange)
 {
     if (m_dialect.isReadinessRequest(exchange->request()))
         exchange->answer(m_dialect.writeReadiness(ready()));
@@ -183,37 +184,37 @@
         exchange->answer(fabric::makeResponse(404, "text/plain", ""));
 }
 
-void EntryShell::refuse(const ExchangePtr &exchange, CallerRefusal refusal,
-                        const std::string &reason)
+void EntryRole::refuse(const ExchangePtr &exchange, CallerRefusal refusal,
+                       const std::string &reason)
 {
     writeEvent(m_core.log,
                Event("call-refused")
                        .with("target", std::string(exchange->request().target()))
                        .with("reason", reason)
                        .with("catalog", m_catalog.version)
-                       .with("catalog_age_ms", steadyNow() - m_catalogAt));
+                       .with("catalog_age_ms", steadyNow() - m_catalogAppliedAt));
     exchange->answer(m_dialect.writeRefusal(refusal, reason));
 }
 
-void EntryShell::handleCaller(const ExchangePtr &exchange)
+void EntryRole::handleCaller(const ExchangePtr &exchange)
 {
     const Time now = steadyNow();
     checkPause(now);
     if (m_catalog.version > 0)
         return serveCaller(exchange, std::nullopt);
     if (!hold(m_held, exchange, now))
-        refuse(exchange, CallerRefusal::NotConfigured, "no catalog has come yet");
+        refuse(exchange, CallerRefusal::NotConfigured, "catalog not received yet");
 }
 
-void EntryShell::refuseHeld(Time now)
+void EntryRole::refuseHeld(Time now)
 {
-    for (const HeldCall &call : expired(m_held, now))
-        refuse(call.exchange, CallerRefusal::NotConfigured, "no catalog has come yet");
+    for (const HeldCall &call : takeExpired(m_held, now))
+        refuse(call.exchange, CallerRefusal::NotConfigured, "catalog not received yet");
 }
 
-void EntryShell::serveHeld()
+void EntryRole::serveHeld()
 {
-    const std::vector<HeldCall> calls = release(m_held);
+    const std::vector<HeldCall> calls = takeAll(m_held);
     if (!calls.empty())
         writeEvent(m_core.log,
                    change("held-calls-served")
@@ -225,83 +226,85 @@
     }
 }
 
-void EntryShell::serveCaller(const ExchangePtr &exchange, std::optional<Time> heldSince)
+void EntryRole::serveCaller(const ExchangePtr &exchange, std::optional<Time> heldSince)
 {
-    const CallerRequest call = m_dialect.readCallerRequest(exchange->request());
-    const catalog::QueueDeclaration *queue = catalog::findQueue(m_catalog, call.host, call.path);
+    const CallerRequest request = m_dialect.readCallerRequest(exchange->request());
+    const catalog::QueueDeclaration *queue = catalog::findQueue(m_catalog, request.host,
+                                                                request.path);
     if (!queue) {
         ++m_notFound;
-        return refuse(exchange, CallerRefusal::NoSuchQueue, "no queue has this host and path");
+        return refuse(exchange, CallerRefusal::NoSuchQueue, "no queue for this host and path");
     }
-    switch (call.action) {
+    switch (request.action) {
     case CallerAction::Submit:
-        return submit(exchange, call, *queue, heldSince);
+        return submit(exchange, request, *queue, heldSince);
     case CallerAction::CountWaiting:
-        // Jobs that are answered when they end are in nobody's count.
+        // Jobs that are answered at their end don't count as pending.
         return exchange->answer(m_dialect.writeWaitingCount(0));
     case CallerAction::GetState:
     case CallerAction::Cancel:
-        return refuse(exchange, CallerRefusal::NoSuchJob, "no job is kept under this id");
+        return refuse(exchange, CallerRefusal::NoSuchJob, "no job with this id is stored");
     case CallerAction::Other:
         break;
     }
-    refuse(exchange, CallerRefusal::BadRequest, "this is no call of the interface");
+    refuse(exchange, CallerRefusal::BadRequest,
+           "unknown request; see the caller interface for methods and paths");
 }
 
 namespace {
 
-scheduler::JobOptions makeTerms(const catalog::QueueDeclaration &queue)
+scheduler::JobOptions makeOptions(const catalog::QueueDeclaration &queue)
 {
     scheduler::JobOptions options;
     options.queue = queue.name;
     options.service = queue.service;
     options.priority = queue.priority;
     options.attempts = queue.attempts;
-    options.stretch = std::clamp(queue.stretch, 0.0, MostStretch);
+    options.stretch = std::clamp(queue.stretch, 0.0, MaxStretch);
     options.targetLatency = queue.targetLatency;
     return options;
 }
 
 } // namespace
 
-void EntryShell::submit(const ExchangePtr &exchange, const CallerRequest &call,
-                        const catalog::QueueDeclaration &queue, std::optional<Time> heldSince)
+void EntryRole::submit(const ExchangePtr &exchange, const CallerRequest &request,
+                       const catalog::QueueDeclaration &queue, std::optional<Time> heldSince)
 {
     Error reason;
-    const auto spec = m_dialect.readJob(exchange->request(), call.path.substr(queue.prefix.size()),
-                                        &reason);
+    const auto spec = m_dialect.readJob(exchange->request(),
+                                        request.path.substr(queue.prefix.size()), &reason);
     if (!spec) {
         ++m_badRequests;
         return refuse(exchange, CallerRefusal::BadRequest, reason.message);
     }
-    // What was held up on its way may have been given up meanwhile, and be sent again.
-    if (isFoundGone(exchange, spec->id))
+    // The caller of a delayed request may have timed out meanwhile and resent its job elsewhere.
+    if (isCallerGone(exchange, spec->id))
         return;
     const Time now = steadyNow();
-    seeCallers(now);
-    const Time came = receivedAt(*exchange, heldSince, now);
-    scheduler::JobOptions options = makeTerms(queue);
-    if (came < now)
-        options.receivedAt = came;
-    options.startDeadline = came + queue.timeout;
-    if (call.timeout)
-        options.callerDeadline = came + *call.timeout;
+    probeCallers(now);
+    const Time arrival = receivedAt(*exchange, heldSince, now);
+    scheduler::JobOptions options = makeOptions(queue);
+    if (arrival < now)
+        options.receivedAt = arrival;
+    options.startDeadline = arrival + queue.timeout;
+    if (request.timeout)
+        options.callerDeadline = arrival + *request.timeout;
     options.suitableUnconnected = m_agents.requireAgents(*spec, queue.service, now);
-    keepAgents(now);
+    updateAgents(now);
     std::uint64_t number = 0;
     scheduler::SchedulerActions actions = scheduler::submit(m_scheduler, *spec, options, now,
                                                             &number);
     m_waiting[number].push_back(exchange);
     m_queueOf[number] = queue.name;
-    m_cameAt.emplace(number, came);
+    m_receivedAt.emplace(number, arrival);
     exchange->onGone([this, number, weak = std::weak_ptr<fabric::Exchange>(exchange)] {
         if (const auto gone = weak.lock())
-            callerGone(number, gone);
+            handleCallerGone(number, gone);
     });
-    carryOut(std::move(actions));
+    execute(std::move(actions));
 }
 
-void EntryShell::callerGone(std::uint64_t number, const ExchangePtr &exchange)
+void EntryRole::handleCallerGone(std::uint64_t number, const ExchangePtr &exchange)
 {
     const auto found = m_waiting.find(number);
     if (found == m_waiting.end())
@@ -312,17 +315,17 @@
         return;
     m_waiting.erase(found);
     m_queueOf.erase(number);
-    m_cameAt.erase(number);
-    carryOut(scheduler::abandon(m_scheduler, number, steadyNow()));
+    m_receivedAt.erase(number);
+    execute(scheduler::abandon(m_scheduler, number, steadyNow()));
 }
 
-void EntryShell::seeCallers(Time now)
+void EntryRole::probeCallers(Time now)
 {
-    for (const std::uint64_t number : scheduler::callersToProbe(m_callerWatch, m_scheduler, now))
-        seeCallersOf(number);
+    for (const std::uint64_t number : scheduler::callersToProbe(m_callerProbes, m_scheduler, now))
+        probeCallersOf(number);
 }
 
-bool EntryShell::isFoundGone(const ExchangePtr &exchange, const std::string &job)
+bool EntryRole::isCallerGone(const ExchangePtr &exchange, const std::string &job)
 {
     if (exchange->callerIsThere())
         return false;
@@ -331,49 +334,49 @@
     return true;
 }
 
-void EntryShell::seeCallersOf(std::uint64_t number)
+void EntryRole::probeCallersOf(std::uint64_t number)
 {
     const auto found = m_waiting.find(number);
     if (found == m_waiting.end())
         return;
     const std::vector<ExchangePtr> waiting = found->second;
     for (const ExchangePtr &exchange : waiting) {
-        if (isFoundGone(exchange, m_scheduler.jobs.at(number).spec.id))
-            callerGone(number, exchange);
+        if (isCallerGone(exchange, m_scheduler.jobs.at(number).spec.id))
+            handleCallerGone(number, exchange);
     }
 }
 
-void EntryShell::answer(const scheduler::JobAnswer &answer)
+void EntryRole::answer(const scheduler::JobAnswer &answer)
 {
     const auto found = m_waiting.find(answer.number);
     if (found == m_waiting.end())
         return;
     metrics::observe(m_core.metrics, "foxwing_job_ms",
                      { m_queueOf[answer.number], scheduler::toString(answer.outcome) },
-                     toMilliseconds(steadyNow() - m_cameAt[answer.number]));
+                     toMilliseconds(steadyNow() - m_receivedAt[answer.number]));
     for (const ExchangePtr &exchange : found->second)
         exchange->answer(m_dialect.writeJobAnswer(answer));
     m_waiting.erase(found);
     m_queueOf.erase(answer.number);
-    m_cameAt.erase(answer.number);
+    m_receivedAt.erase(answer.number);
 }
 
-void EntryShell::carryOut(scheduler::SchedulerActions &&actions)
+void EntryRole::execute(scheduler::SchedulerActions &&actions)
 {
     for (const eventlog::Event &event : actions.events)
         writeEvent(m_core.log, event);
     for (scheduler::AgentSend &send : actions.sends)
         std::visit([&](auto &message) { m_agents.send(send.agent, Frame(std::move(message))); },
                    send.message);
-    for (const scheduler::JobAnswer &given : actions.answers)
-        answer(given);
+    for (const scheduler::JobAnswer &jobAnswer : actions.answers)
+        answer(jobAnswer);
     for (const std::string &name : actions.closes)
         m_agents.close(name);
 }
 
 // [SECTION] Agents
 
-AgentEvents EntryShell::agentEvents()
+AgentEvents EntryRole::agentEvents()
 {
     AgentEvents events;
     events.connected = [this](const std::string &address) { agentConnected(address); };
@@ -382,8 +385,8 @@
     };
     events.lost = [this](const std::string &address) {
         const Time now = steadyNow();
-        scheduler::recordSessionLost(m_callerWatch, now);
-        carryOut(scheduler::agentLost(m_scheduler, address, now));
+        scheduler::recordSessionLost(m_callerProbes, now);
+        execute(scheduler::agentLost(m_scheduler, address, now));
     };
     events.release = [this](const std::string &address) {
         return scheduler::releaseAgent(m_scheduler, address);
@@ -391,58 +394,58 @@
     return events;
 }
 
-void EntryShell::agentConnected(const std::string &address)
+void EntryRole::agentConnected(const std::string &address)
 {
     OpenSession open { m_core.settings.name, {} };
     if (m_knowsCordons)
         open.cordons.push_back(m_scheduler.cordons);
     m_agents.send(address, Frame(std::move(open)));
-    carryOut(scheduler::agentConnected(m_scheduler, address, steadyNow()));
+    execute(scheduler::agentConnected(m_scheduler, address, steadyNow()));
 }
 
-void EntryShell::agentReceived(const std::string &address, std::string_view bytes)
+void EntryRole::agentReceived(const std::string &address, std::string_view bytes)
 {
     const Time now = steadyNow();
     checkPause(now);
     const auto frame = readFrame(m_core, address, bytes);
     if (!frame)
         return;
-    seeCallers(now);
+    probeCallers(now);
     if (const auto *update = std::get_if<jobs::AgentUpdate>(&*frame))
-        carryOut(scheduler::agentUpdated(m_scheduler, address, *update, now));
-    else if (const auto *welcome = std::get_if<jobs::SessionAccepted>(&*frame))
-        carryOut(scheduler::agentAccepted(m_scheduler, address, *welcome, now));
+        execute(scheduler::agentUpdated(m_scheduler, address, *update, now));
+    else if (const auto *accepted = std::get_if<jobs::SessionAccepted>(&*frame))
+        execute(scheduler::agentAccepted(m_scheduler, address, *accepted, now));
 }
 
-void EntryShell::keepAgents(Time now)
+void EntryRole::updateAgents(Time now)
 {
-    m_agents.keep(now < m_scheduler.needsCapacityUntil, now);
+    m_agents.updateConnections(now < m_scheduler.needsCapacityUntil, now);
     m_scheduler.entryCount = m_agents.subset().sharingEntries;
 }
 
 // [SECTION] Control
 
-ControlEvents EntryShell::controlEvents()
+ControlEvents EntryRole::controlEvents()
 {
     ControlEvents events;
     events.directory = [this](const std::string &from, const directory::DirectoryUpdate &update) {
-        takeDirectory(from, update);
+        applyDirectory(from, update);
     };
     events.agreed = [this](const AgreedPush &push) {
         applyCordons(push.cordons);
-        takeCatalog(push.catalog);
+        applyCatalog(push.catalog);
     };
-    events.forgotten = [this](const std::string &host) { m_agents.removeControlHost(host); };
+    events.removed = [this](const std::string &host) { m_agents.removeControlHost(host); };
     return events;
 }
 
-void EntryShell::takeDirectory(const std::string &from, const directory::DirectoryUpdate &update)
+void EntryRole::applyDirectory(const std::string &from, const directory::DirectoryUpdate &update)
 {
     m_agents.applyUpdate(from, update);
-    keepAgents(steadyNow());
+    updateAgents(steadyNow());
 }
 
-void EntryShell::applyCordons(const catalog::Cordons &cordons)
+void EntryRole::applyCordons(const catalog::Cordons &cordons)
 {
     m_knowsCordons = true;
     if (cordons.revision <= m_scheduler.cordons.revision)
@@ -451,15 +454,15 @@
                change("cordons-in-force")
                        .with("revision", cordons.revision)
                        .with("before", m_scheduler.cordons.revision)
-                       .with("data_centres", joinedNames(cordons)));
+                       .with("data_centres", joinNames(cordons)));
     const Time now = steadyNow();
     m_agents.applyCordons(cordons);
-    keepAgents(now);
-    seeCallers(now);
-    carryOut(scheduler::applyCordons(m_scheduler, cordons, now));
+    updateAgents(now);
+    probeCallers(now);
+    execute(scheduler::applyCordons(m_scheduler, cordons, now));
 }
 
-void EntryShell::takeCatalog(const catalog::Catalog &catalog)
+void EntryRole::applyCatalog(const catalog::Catalog &catalog)
 {
     if (!catalog::supersedes(m_catalog, catalog))
         return;
@@ -469,7 +472,7 @@
                        .with("before", m_catalog.version)
                        .with("queues", std::uint64_t { catalog.queues.size() }));
     m_catalog = catalog;
-    m_catalogAt = steadyNow();
+    m_catalogAppliedAt = steadyNow();
     std::set<std::string> queues;
     for (const catalog::QueueDeclaration &queue : catalog.queues)
         queues.insert(queue.name);
@@ -485,25 +488,25 @@
 
 // [SECTION] Lag
 
-// A call that an entry reads while it is behind has lost part of its caller's time already.
-Time EntryShell::receivedAt(const fabric::Exchange &exchange, std::optional<Time> heldSince,
-                            Time now) const
+// While the entry lags, a call counts as received when its bytes arrived, not when it was read.
+Time EntryRole::receivedAt(const fabric::Exchange &exchange, std::optional<Time> heldSince,
+                           Time now) const
 {
     if (heldSince)
         return *heldSince;
     return lag::isLagging(m_lag) ? now - exchange.sinceReceived() : now;
 }
 
-void EntryShell::recordTurn(Time now)
+void EntryRole::recordTurn(Time now)
 {
     if (lag::recordTurn(m_lag, m_turnDueAt, now))
-        tellStandingBack(now);
-    // From this turn's beginning, so that a long turn makes the next one late.
+        logWithdrawal(now);
+    // From the start of this turn, so that a long turn makes the next one late.
     m_turnDueAt = now + TickInterval;
     m_callers->setCloseAfterAnswers(m_stopping || lag::closesConnections(m_lag));
 }
 
-void EntryShell::tellStandingBack(Time now)
+void EntryRole::logWithdrawal(Time now)
 {
     if (lag::isWithdrawn(m_lag))
         writeEvent(m_core.log,
@@ -517,60 +520,60 @@
                            .with("behind_ms", m_lag.averageDelay));
 }
 
-void EntryShell::addLagSamples(std::vector<metrics::Sample> &samples) const
+void EntryRole::addLagSamples(std::vector<metrics::Sample> &samples) const
 {
-    samples.push_back({ "foxwing_stood_back_total", "Times this entry stood back for being behind",
+    samples.push_back({ "foxwing_stood_back_total", "Times this entry withdrew because it lagged",
                         static_cast<double>(m_lag.withdrawals) });
-    samples.push_back({ "foxwing_standing_back", "1 while this entry stands back",
+    samples.push_back({ "foxwing_standing_back", "1 while this entry has withdrawn",
                         lag::isWithdrawn(m_lag) ? 1.0 : 0.0, true });
-    samples.push_back({ "foxwing_behind_ms", "How late turns of the loop were of late",
+    samples.push_back({ "foxwing_behind_ms", "Average delay of event-loop turns",
                         toMilliseconds(m_lag.averageDelay), true });
 }
 
 // [SECTION] Time
 
-void EntryShell::checkPause(Time now)
+void EntryRole::checkPause(Time now)
 {
-    const Microseconds pause = now - m_lastTurn;
-    m_lastTurn = now;
-    if (pause < PauseSpan)
+    const Microseconds pause = now - m_lastTurnAt;
+    m_lastTurnAt = now;
+    if (pause < PauseThreshold)
         return;
     writeEvent(m_core.log, change("paused").with("for_ms", pause));
-    carryOut(scheduler::closeAllJobs(m_scheduler, "this entry stood still", now));
+    execute(scheduler::closeAllJobs(m_scheduler, "this entry was paused", now));
     m_agents.closeAll();
 }
 
-void EntryShell::tick(Time now)
+void EntryRole::tick(Time now)
 {
     checkPause(now);
     recordTurn(now);
     refuseHeld(now);
     m_control.tick(now);
-    keepAgents(now);
-    seeCallers(now);
-    carryOut(scheduler::tick(m_scheduler, now));
+    updateAgents(now);
+    probeCallers(now);
+    execute(scheduler::tick(m_scheduler, now));
 }
 
-void EntryShell::beginShutdown(Time now)
+void EntryRole::beginShutdown(Time now)
 {
     m_stopping = true;
-    m_stopBegan = now;
+    m_stopStartedAt = now;
     m_callers->setCloseAfterAnswers(true);
 }
 
-bool EntryShell::stopped(Time now)
+bool EntryRole::stopped(Time now)
 {
     const Milliseconds grace = m_core.settings.stopGrace;
-    const bool quiet = m_callers->underWay() == 0;
-    if (now >= m_stopBegan + StopNotice && quiet && m_callers->connections() == 0)
+    const bool idle = m_callers->underWay() == 0;
+    if (now >= m_stopStartedAt + DrainDelay && idle && m_callers->connections() == 0)
         return true;
-    if (now >= m_stopBegan + grace - LastJobs)
+    if (now >= m_stopStartedAt + grace - AcceptMargin)
         m_callers->stopAccepting();
-    return now >= m_stopBegan + grace - LastAnswers
-            || (quiet && now >= m_stopBegan + grace - LastJobs);
+    return now >= m_stopStartedAt + grace - AnswerMargin
+            || (idle && now >= m_stopStartedAt + grace - AcceptMargin);
 }
 
-std::size_t EntryShell::endpointsWithoutQueue() const
+std::size_t EntryRole::endpointsWithoutQueue() const
 {
     const auto unused = [this](const auto &item) {
         const jobs::EndpointView &endpoint = item.second.endpoint;
@@ -580,12 +583,12 @@
             std::count_if(m_scheduler.agents.begin(), m_scheduler.agents.end(), unused));
 }
 
-// A series for each declared queue that jobs have come for.
+// One series for each declared queue that has received jobs.
 void addQueueSamples(const scheduler::SchedulerState &scheduler, Time now,
                      std::vector<metrics::Sample> &samples)
 {
     const auto add = [&](const char *name, const char *help, bool gauge, auto valueOf) {
-        for (const auto &[queue, standing] : scheduler.queueStatuses)
+        for (const auto &[queue, status] : scheduler.queueStatuses)
             samples.push_back({ metrics::labelled(name, "queue", queue), help,
                                 static_cast<double>(valueOf(queue)), gauge });
     };
@@ -593,73 +596,78 @@
         const auto found = scheduler.shares.queues.find(queue);
         return found == scheduler.shares.queues.end() ? shares::QueueShare {} : found->second;
     };
-    add("foxwing_queue_asked_total", "Jobs that endpoints could serve, by queue", false,
+    add("foxwing_queue_asked_total", "Jobs requested that endpoints could serve, by queue", false,
         [&](const std::string &queue) { return shareOf(queue).requestedJobs; });
-    add("foxwing_queue_refused_total", "Jobs refused for want of room, by queue", false,
+    add("foxwing_queue_refused_total", "Jobs refused for lack of capacity, by queue", false,
         [&](const std::string &queue) { return shareOf(queue).refusedJobs; });
-    add("foxwing_queue_served_percent", "Work not refused of what was asked of late, by queue",
-        true, [&](const std::string &queue) {
+    add("foxwing_queue_served_percent",
+        "Share of recently requested work that was not refused, by queue", true,
+        [&](const std::string &queue) {
             return shares::servedPercent(scheduler.shares, queue, now);
         });
-    add("foxwing_queue_below_floor", "Queues that are below their floor", true,
+    add("foxwing_queue_below_floor", "1 while the queue is below its guaranteed share", true,
         [&](const std::string &queue) {
             return scheduler.queueStatuses.at(queue).belowGuarantee ? 1 : 0;
         });
 }
 
-std::vector<metrics::Sample> EntryShell::samples() const
+std::vector<metrics::Sample> EntryRole::samples() const
 {
     const scheduler::SchedulerCounters &counters = m_scheduler.counters;
     const auto count = [](std::uint64_t value) { return static_cast<double>(value); };
     std::vector<metrics::Sample> samples {
-        { "foxwing_jobs_submitted_total", "Jobs taken in", count(counters.submitted) },
+        { "foxwing_jobs_submitted_total", "Jobs submitted", count(counters.submitted) },
         { "foxwing_jobs_completed_total", "Jobs answered as completed", count(counters.completed) },
         { "foxwing_jobs_failed_total", "Jobs answered as failed", count(counters.failed) },
         { "foxwing_jobs_refused_total", "Jobs answered as not run", count(counters.refused) },
-        { "foxwing_jobs_timed_out_total", "Jobs given up after they began",
+        { "foxwing_jobs_timed_out_total", "Jobs that timed out after they started",
           count(counters.timedOut) },
-        { "foxwing_jobs_served_late_total", "Jobs completed that began too late to be on time",
-          count(counters.servedLate) },
-        { "foxwing_jobs_abandoned_total", "Jobs whose caller went", count(counters.abandoned) },
+        { "foxwing_jobs_served_late_total",
+          "Jobs completed though they started too late to be on time", count(counters.servedLate) },
+        { "foxwing_jobs_abandoned_total", "Jobs abandoned by their callers",
+          count(counters.abandoned) },
         { "foxwing_starts_total", "Starts sent to agents", count(counters.starts) },
-        { "foxwing_starts_refused_total", "Starts that never began",
+        { "foxwing_starts_refused_total", "Starts refused by agents",
           count(counters.startsRefused) },
-        { "foxwing_runs_moved_total", "Runs stopped for being behind", count(counters.runsMoved) },
+        { "foxwing_runs_moved_total", "Stragglers stopped to be rerun elsewhere",
+          count(counters.runsMoved) },
         { "foxwing_runs_lost_total", "Runs on agents that were lost", count(counters.runsLost) },
-        { "foxwing_runs_crashed_total", "Runs whose endpoint crashed under them",
+        { "foxwing_runs_crashed_total", "Runs ended by a crash of their endpoint",
           count(counters.runsCrashed) },
-        { "foxwing_jobs_crashing_total", "Jobs given up since endpoints crashed under them",
+        { "foxwing_jobs_crashing_total", "Jobs given up because they crashed endpoints",
           count(counters.crashingJobs) },
         { "foxwing_callers_found_gone_total",
-          "Callers found gone by a look before their jobs were placed", count(m_callersFoundGone) },
-        { "foxwing_endpoints_tried_total", "Endpoints looked at to place tasks",
+          "Callers found gone by a probe before their jobs were placed",
+          count(m_callersFoundGone) },
+        { "foxwing_endpoints_tried_total", "Endpoints examined to place tasks",
           count(counters.endpointsTried) },
-        { "foxwing_not_found_total", "Calls without a queue", count(m_notFound) },
-        { "foxwing_bad_requests_total", "Jobs that could not be read", count(m_badRequests) },
+        { "foxwing_not_found_total", "Requests that match no queue", count(m_notFound) },
+        { "foxwing_bad_requests_total", "Job requests that could not be parsed",
+          count(m_badRequests) },
     };
     const auto gauge = [&](const char *name, const char *help, std::size_t value) {
         samples.push_back({ name, help, static_cast<double>(value), true });
     };
     gauge("foxwing_jobs_open", "Jobs not answered yet", scheduler::openJobs(m_scheduler));
-    gauge("foxwing_jobs_waiting", "Jobs with tasks that wait", m_scheduler.queue.size());
+    gauge("foxwing_jobs_waiting", "Jobs with waiting tasks", m_scheduler.queue.size());
     const scheduler::ForecastStatus forecastStatus = scheduler::forecastStatus(m_scheduler,
                                                                                steadyNow());
-    gauge("foxwing_jobs_waiting_late", "Jobs that wait and can't be on time",
+    gauge("foxwing_jobs_waiting_late", "Waiting jobs that can no longer be on time",
           forecastStatus.waitingLate);
     if (forecastStatus.wait)
-        gauge("foxwing_expected_wait_ms", "Wait of a job that comes now, behind all others",
+        gauge("foxwing_expected_wait_ms", "Expected wait of a new job, behind all others",
               static_cast<std::size_t>(forecastStatus.wait->count()));
-    samples.push_back({ "foxwing_picture_age_ms", "Age of the oldest news in the forecast",
+    samples.push_back({ "foxwing_picture_age_ms", "Age of the oldest report in the forecast",
                         toMilliseconds(forecastStatus.age), true });
-    gauge("foxwing_agents", "Agents in touch", m_scheduler.agents.size());
-    gauge("foxwing_agents_listed", "Agents that control hosts list",
+    gauge("foxwing_agents", "Connected agents", m_scheduler.agents.size());
+    gauge("foxwing_agents_listed", "Agents listed by control hosts",
           m_agents.subset().agents.size());
-    gauge("foxwing_agents_chosen", "Agents that sessions are kept with",
+    gauge("foxwing_agents_chosen", "Agents in the subset, with which sessions are kept",
           subset::sessionCount(m_agents.subset()));
-    gauge("foxwing_endpoints_without_queue", "Endpoints whose service no queue names",
+    gauge("foxwing_endpoints_without_queue", "Endpoints whose service is used by no queue",
           endpointsWithoutQueue());
-    gauge("foxwing_control_hosts", "Control hosts in touch", m_control.connected());
-    gauge("foxwing_catalog_version", "Catalog in force", m_catalog.version);
+    gauge("foxwing_control_hosts", "Connected control hosts", m_control.connected());
+    gauge("foxwing_catalog_version", "Version of the applied catalog", m_catalog.version);
     addLagSamples(samples);
     addQueueSamples(m_scheduler, steadyNow(), samples);
     return samples;
@@ -667,9 +675,9 @@
 
 } // namespace
 
-std::unique_ptr<RoleShell> makeEntryShell(Core &core, const Dialect &dialect)
+std::unique_ptr<NodeRole> makeEntryRole(Core &core, const Dialect &dialect)
 {
-    return std::make_unique<EntryShell>(core, dialect);
+    return std::make_unique<EntryRole>(core, dialect);
 }
 
 } // namespace foxwing::fleet
--- a/packages/fleet/src/heldcalls.cpp
+++ b/packages/fleet/src/heldcalls.cpp
@@ -14,23 +14,24 @@
 bool hold(HeldCalls &held, const fabric::ExchangePtr &exchange, Time now)
 {
     if (now >= held.startedAt + held.settings.startupGrace
-        || held.calls.size() >= held.settings.mostCalls)
+        || held.calls.size() >= held.settings.maxCalls)
         return false;
     held.calls.push_back({ exchange, now });
     return true;
 }
 
-std::vector<HeldCall> expired(HeldCalls &held, Time now)
+std::vector<HeldCall> takeExpired(HeldCalls &held, Time now)
 {
-    std::vector<HeldCall> over;
-    while (!held.calls.empty() && now >= held.calls.front().receivedAt + held.settings.mostHold) {
-        over.push_back(std::move(held.calls.front()));
+    std::vector<HeldCall> timedOut;
+    while (!held.calls.empty()
+           && now >= held.calls.front().receivedAt + held.settings.holdTimeout) {
+        timedOut.push_back(std::move(held.calls.front()));
         held.calls.pop_front();
     }
-    return over;
+    return timedOut;
 }
 
-std::vector<HeldCall> release(HeldCalls &held)
+std::vector<HeldCall> takeAll(HeldCalls &held)
 {
     std::vector<HeldCall> all(std::make_move_iterator(held.calls.begin()),
                               std::make_move_iterator(held.calls.end()));
--- a/packages/fleet/src/heldcalls.h
+++ b/packages/fleet/src/heldcalls.h
@@ -31,7 +31,7 @@
 {
     // Few jobs can still be completed in time after a longer wait: the shortest are late after
     // 0.15 s, those with 0.2 s of work after 0.38 s.
-    Milliseconds mostHold { 250 };
+    Milliseconds holdTimeout { 250 };
 
     // From the entry's start. After a power failure control has a quorum 0.3 s after the first
     // entry is up.
@@ -39,7 +39,7 @@
 
     // More than one entry of the largest fleet receives within holdTimeout; each takes a few
     // kilobytes.
-    std::size_t mostCalls = 1000;
+    std::size_t maxCalls = 1000;
 };
 
 struct HeldCall
@@ -63,9 +63,9 @@
 bool hold(HeldCalls &held, const fabric::ExchangePtr &exchange, Time now);
 
 // Removes and returns calls that have reached holdTimeout.
-std::vector<HeldCall> expired(HeldCalls &held, Time now);
+std::vector<HeldCall> takeExpired(HeldCalls &held, Time now);
 
 // Removes and returns all calls; use once the catalog has arrived.
-std::vector<HeldCall> release(HeldCalls &held);
+std::vector<HeldCall> takeAll(HeldCalls &held);
 
 } // namespace foxwing::fleet
--- a/packages/fleet/src/identity.cpp
+++ b/packages/fleet/src/identity.cpp
@@ -19,10 +19,10 @@
 namespace {
 
 // DISK part of the id of an initial voter
-constexpr const char *FirstDisk = "first";
+constexpr const char *InitialDisk = "first";
 
 // Marks the end of the text, to detect a partly written file.
-constexpr char End = '.';
+constexpr char EndMark = '.';
 
 bool syncFolder(const std::string &folder)
 {
@@ -50,7 +50,7 @@
 {
     std::ifstream file(path);
     std::string disk;
-    if (!std::getline(file, disk) || disk.empty() || disk.back() != End)
+    if (!std::getline(file, disk) || disk.empty() || disk.back() != EndMark)
         return std::nullopt;
     disk.pop_back();
     return disk;
@@ -62,13 +62,13 @@
     return std::to_string((std::uint64_t { device() } << 32U) | device());
 }
 
-std::vector<std::string> founders(const FleetSettings &settings)
+std::vector<std::string> seedMemberIds(const FleetSettings &settings)
 {
     std::vector<std::string> ids;
     if (!settings.firstStart)
         return ids;
     for (const std::string &seed : seedAddresses(settings))
-        ids.push_back(seed + "/" + FirstDisk);
+        ids.push_back(seed + "/" + InitialDisk);
     return ids;
 }
 
@@ -76,11 +76,11 @@
 
 // [SECTION] Functions
 
-std::vector<std::string> firstVotersFor(const FleetSettings &settings, const std::string &id)
+std::vector<std::string> initialVotersFor(const FleetSettings &settings, const std::string &id)
 {
-    const auto ids = founders(settings);
-    const bool isFounder = std::find(ids.begin(), ids.end(), id) != ids.end();
-    return isFounder ? ids : std::vector<std::string>();
+    const auto ids = seedMemberIds(settings);
+    const bool isInitialVoter = std::find(ids.begin(), ids.end(), id) != ids.end();
+    return isInitialVoter ? ids : std::vector<std::string>();
 }
 
 std::optional<std::string> readIdentity(const FleetSettings &settings, Error *reason)
@@ -89,9 +89,9 @@
     const std::string address = innerAddress(settings) + "/";
     if (const auto disk = readDisk(path))
         return address + *disk;
-    const bool isFounder = !firstVotersFor(settings, address + FirstDisk).empty();
-    const std::string disk = isFounder ? FirstDisk : randomDisk();
-    if (!writeSynced(path, disk + End + "\n") || !syncFolder(settings.dataFolder))
+    const bool isInitialVoter = !initialVotersFor(settings, address + InitialDisk).empty();
+    const std::string disk = isInitialVoter ? InitialDisk : randomDisk();
+    if (!writeSynced(path, disk + EndMark + "\n") || !syncFolder(settings.dataFolder))
         return fail(reason, ErrorKind::Unavailable,
                     path + ": can't be written; check the disk and the folder's rights");
     return address + disk;
--- a/packages/fleet/src/identity.h
+++ b/packages/fleet/src/identity.h
@@ -19,6 +19,6 @@
 std::optional<std::string> readIdentity(const FleetSettings &settings, Error *reason);
 
 // The initial voters of the group if the host with this id is one of them, otherwise empty.
-std::vector<std::string> firstVotersFor(const FleetSettings &settings, const std::string &id);
+std::vector<std::string> initialVotersFor(const FleetSettings &settings, const std::string &id);
 
 } // namespace foxwing::fleet
--- a/packages/fleet/src/messages.h
+++ b/packages/fleet/src/messages.h
@@ -40,10 +40,10 @@
     std::string request;
 };
 template<class Fields>
-void describe(Fields &fields, ForwardedCall &forward)
+void describe(Fields &fields, ForwardedCall &forwarded)
 {
-    fields("call", forward.call);
-    fields("request", forward.request);
+    fields("call", forwarded.call);
+    fields("request", forwarded.request);
 }
 
 struct ForwardedAnswer
--- a/packages/fleet/src/node.cpp
+++ b/packages/fleet/src/node.cpp
@@ -38,10 +38,10 @@
 
 struct Node::State
 {
-    State(FleetSettings settings, std::string path, const Dialect &with)
+    State(FleetSettings settings, std::string path, const Dialect &dialectToUse)
         : core(std::move(settings))
         , settingsPath(std::move(path))
-        , dialect(with)
+        , dialect(dialectToUse)
         , signals(core.io)
         , timer(core.io)
     { }
@@ -57,7 +57,7 @@
     std::string settingsPath;
     std::string settingsText;
     Dialect dialect;
-    std::unique_ptr<RoleShell> role;
+    std::unique_ptr<NodeRole> role;
     std::unique_ptr<fabric::HttpServer> metricsServer;
     fabric::asio::signal_set signals;
     fabric::asio::steady_timer timer;
@@ -132,8 +132,8 @@
 
 void Node::State::watchSignals()
 {
-    signals.async_wait([this](boost::system::error_code wrong, int number) {
-        if (wrong)
+    signals.async_wait([this](boost::system::error_code error, int number) {
+        if (error)
             return;
         if (number == SIGHUP && !settingsPath.empty())
             reload("SIGHUP");
@@ -156,8 +156,8 @@
         return;
     }
     timer.expires_after(TickInterval);
-    timer.async_wait([this](boost::system::error_code ended) {
-        if (!ended)
+    timer.async_wait([this](boost::system::error_code error) {
+        if (!error)
             turn();
     });
 }
@@ -187,13 +187,13 @@
             wallClockNow().time_since_epoch().count());
     switch (settings.role) {
     case directory::Role::Entry:
-        state.role = makeEntryShell(state.core, state.dialect);
+        state.role = makeEntryRole(state.core, state.dialect);
         break;
     case directory::Role::Agent:
-        state.role = makeAgentShell(state.core, state.dialect);
+        state.role = makeAgentRole(state.core, state.dialect);
         break;
     case directory::Role::Control:
-        state.role = makeControlShell(state.core, state.dialect);
+        state.role = makeControlRole(state.core, state.dialect);
         break;
     }
     if (!state.role->start(reason) || !state.serveMetrics(reason))
--- a/packages/fleet/src/nodelinks.cpp
+++ b/packages/fleet/src/nodelinks.cpp
@@ -55,51 +55,51 @@
 
 void NodeLinks::lost(std::uint64_t connection)
 {
-    const Node gone = m_nodes.at(connection);
+    const Node lostNode = m_nodes.at(connection);
     m_nodes.erase(connection);
     directory::connectionLost(m_directory, connection, steadyNow());
-    if (gone.announced)
+    if (lostNode.announced)
         writeEvent(m_core.log,
                    change("node-lost")
-                           .with("name", gone.info.name)
-                           .with("role", toString(gone.info.role))
-                           .with("heard_ms_ago", steadyNow() - gone.lastReceivedAt));
+                           .with("name", lostNode.info.name)
+                           .with("role", toString(lostNode.info.role))
+                           .with("heard_ms_ago", steadyNow() - lostNode.lastReceivedAt));
 }
 
 // [SECTION] Updates
 
-void NodeLinks::tellDirectory(Time now)
+void NodeLinks::pushDirectory(Time now)
 {
     directory::tick(m_directory, now);
     // Most nodes need the same update; it is encoded once for each role and last sent revision.
     std::map<std::pair<directory::Role, std::uint64_t>, std::string> frames;
     for (auto &[connection, node] : m_nodes) {
         const directory::Role role = node.info.role;
-        const std::uint64_t told = node.toldRevision;
-        if (!node.announced || told >= directory::revisionFor(m_directory, role))
+        const std::uint64_t sent = node.sentRevision;
+        if (!node.announced || sent >= directory::revisionFor(m_directory, role))
             continue;
-        node.toldRevision = m_directory.revision;
-        std::string &frame = frames[{ role, told }];
+        node.sentRevision = m_directory.revision;
+        std::string &frame = frames[{ role, sent }];
         if (frame.empty())
-            frame = encodeFrame(Frame(directory::updateFor(m_directory, role, told)));
+            frame = encodeFrame(Frame(directory::updateFor(m_directory, role, sent)));
         node.link->send(frame);
     }
 }
 
-bool NodeLinks::needsTelling(const Node &node, const catalog::AgreedState &agreed)
+bool NodeLinks::needsAgreed(const Node &node, const catalog::AgreedState &agreed)
 {
     if (!node.announced || node.info.role == directory::Role::Control)
         return false;
     const bool newCatalog = node.info.role == directory::Role::Entry
-            && node.toldCatalog < agreed.declared.catalog.version;
-    return !node.toldAgreed || newCatalog || node.toldCordons < agreed.cordons.revision;
+            && node.sentCatalogVersion < agreed.declared.catalog.version;
+    return !node.sentAgreed || newCatalog || node.sentCordonsRevision < agreed.cordons.revision;
 }
 
-void NodeLinks::tellAgreed(const catalog::AgreedState &agreed)
+void NodeLinks::pushAgreed(const catalog::AgreedState &agreed)
 {
     std::map<directory::Role, std::string> frames;
     for (auto &[connection, node] : m_nodes) {
-        if (!needsTelling(node, agreed))
+        if (!needsAgreed(node, agreed))
             continue;
         std::string &frame = frames[node.info.role];
         if (frame.empty()) {
@@ -107,23 +107,23 @@
             frame = encodeFrame(Frame(AgreedPush {
                     isEntry ? agreed.declared.catalog : catalog::Catalog {}, agreed.cordons }));
         }
-        node.toldAgreed = true;
-        node.toldCatalog = agreed.declared.catalog.version;
-        node.toldCordons = agreed.cordons.revision;
+        node.sentAgreed = true;
+        node.sentCatalogVersion = agreed.declared.catalog.version;
+        node.sentCordonsRevision = agreed.cordons.revision;
         node.link->send(frame);
     }
 }
 
-void NodeLinks::heartbeat(const std::string &frame, Time now)
+void NodeLinks::sendHeartbeats(const std::string &frame, Time now)
 {
-    std::vector<std::shared_ptr<fabric::Link>> silent;
+    std::vector<std::shared_ptr<fabric::Link>> timedOut;
     for (auto &[connection, node] : m_nodes) {
-        if (now >= node.lastReceivedAt + NodeSilence)
-            silent.push_back(node.link);
+        if (now >= node.lastReceivedAt + NodeTimeout)
+            timedOut.push_back(node.link);
         else
             node.link->send(frame);
     }
-    for (const auto &link : silent)
+    for (const auto &link : timedOut)
         link->close();
 }
 
--- a/packages/fleet/src/nodelinks.h
+++ b/packages/fleet/src/nodelinks.h
@@ -45,14 +45,14 @@
     void connected(const std::shared_ptr<fabric::Link> &link);
 
     // Sends each node the changes of the directory since its last update.
-    void tellDirectory(Time now);
+    void pushDirectory(Time now);
 
     // Sends entries and agents the committed state if they don't have it yet. Also sent while it is
     // still empty: agents start nothing before they know the cordons.
-    void tellAgreed(const catalog::AgreedState &agreed);
+    void pushAgreed(const catalog::AgreedState &agreed);
 
     // Sends a heartbeat to all nodes, and closes connections that have reached NodeTimeout.
-    void heartbeat(const std::string &frame, Time now);
+    void sendHeartbeats(const std::string &frame, Time now);
 
     // Does nothing if the connection is closed.
     void send(std::uint64_t connection, const Frame &frame);
@@ -67,15 +67,15 @@
         directory::NodeInfo info;
         bool announced = false;
         Time lastReceivedAt {};
-        std::uint64_t toldRevision = 0;
+        std::uint64_t sentRevision = 0;
 
         // Whether the committed state was sent, and which version
-        bool toldAgreed = false;
-        std::uint64_t toldCatalog = 0;
-        std::uint64_t toldCordons = 0;
+        bool sentAgreed = false;
+        std::uint64_t sentCatalogVersion = 0;
+        std::uint64_t sentCordonsRevision = 0;
     };
 
-    static bool needsTelling(const Node &node, const catalog::AgreedState &agreed);
+    static bool needsAgreed(const Node &node, const catalog::AgreedState &agreed);
     void received(std::uint64_t connection, std::string_view bytes);
     void announced(std::uint64_t connection, Node &node, const directory::Announce &announce);
     void lost(std::uint64_t connection);
@@ -90,6 +90,6 @@
 };
 
 // Without a message for this long the connection is closed.
-constexpr Milliseconds NodeSilence { 2500 };
+constexpr Milliseconds NodeTimeout { 2500 };
 
 } // namespace foxwing::fleet
--- a/packages/fleet/src/operatorapi.cpp
+++ b/packages/fleet/src/operatorapi.cpp
@@ -17,37 +17,37 @@
 
 // [SECTION] Calls
 
-OperatorShell::OperatorShell(Core &core, const Dialect &dialect, OperatorLinks links)
+OperatorApi::OperatorApi(Core &core, const Dialect &dialect, OperatorCallbacks callbacks)
     : m_core(core)
     , m_dialect(dialect)
-    , m_links(std::move(links))
+    , m_callbacks(std::move(callbacks))
 { }
 
-void OperatorShell::handle(const ExchangePtr &exchange)
+void OperatorApi::handle(const ExchangePtr &exchange)
 {
     // The operator may have sent the request to another host after closing this connection.
     if (!exchange->callerIsThere())
         return;
     Error reason;
-    auto request = checkedRequest(exchange->request(), &reason);
+    auto request = readValidRequest(exchange->request(), &reason);
     if (!request) {
         ++m_invalid;
         writeEvent(m_core.log,
                    change("operator-refused")
                            .with("target", std::string(exchange->request().target()))
                            .with("reason", reason.message));
-        const bool unknown = reason.kind == ErrorKind::NotFound;
-        return exchange->answer(m_dialect.writeOperatorResponse(unknown ? OperatorOutcome::NotFound
-                                                                        : OperatorOutcome::Invalid,
+        const bool notFound = reason.kind == ErrorKind::NotFound;
+        return exchange->answer(m_dialect.writeOperatorResponse(notFound ? OperatorOutcome::NotFound
+                                                                         : OperatorOutcome::Invalid,
                                                                 reason.message));
     }
     OperatorCall call;
     call.request = std::move(*request);
     const std::uint64_t number = add(std::move(call), { exchange, 0, 0 });
-    exchange->onGone([this, number] { operatorGone(number); });
+    exchange->onGone([this, number] { handleOperatorGone(number); });
 }
 
-std::optional<OperatorRequest> OperatorShell::checkedRequest(const fabric::Request &request,
+std::optional<OperatorRequest> OperatorApi::readValidRequest(const fabric::Request &request,
                                                              Error *reason)
 {
     auto read = m_dialect.readOperatorRequest(request, reason);
@@ -56,19 +56,19 @@
     const auto *declared = std::get_if<catalog::DeclaredCatalog>(&*read);
     if (declared && !catalog::validate(declared->catalog, reason))
         return std::nullopt;
-    const auto *order = std::get_if<catalog::CordonOrder>(&*read);
+    const auto *command = std::get_if<catalog::CordonOrder>(&*read);
     const std::vector<std::string> &known = m_core.settings.dataCentres;
-    if (order && !known.empty()
-        && std::find(known.begin(), known.end(), order->dataCentre) == known.end())
+    if (command && !known.empty()
+        && std::find(known.begin(), known.end(), command->dataCentre) == known.end())
         return fail(reason, ErrorKind::NotFound,
-                    "no data centre has this name; use one of those in the settings");
+                    "unknown data centre; use one of those listed in the settings");
     return read;
 }
 
-void OperatorShell::handedOver(std::uint64_t connection, const ForwardedCall &forward)
+void OperatorApi::handleForwarded(std::uint64_t connection, const ForwardedCall &forwarded)
 {
     Error reason;
-    auto request = decodeFrame<OperatorRequest>(forward.request, &reason);
+    auto request = decodeFrame<OperatorRequest>(forwarded.request, &reason);
     if (!request) {
         writeEvent(m_core.log, change("frame-unreadable").with("reason", reason.message));
         return;
@@ -76,20 +76,21 @@
     OperatorCall call;
     call.request = std::move(*request);
     call.fromPeer = true;
-    add(std::move(call), { nullptr, connection, forward.call });
+    add(std::move(call), { nullptr, connection, forwarded.call });
 }
 
-std::uint64_t OperatorShell::add(OperatorCall call, Origin origin)
+std::uint64_t OperatorApi::add(OperatorCall call, Origin origin)
 {
     std::uint64_t number = 0;
     operators::OperatorActions actions = operators::addCall(m_operators, std::move(call),
-                                                            m_links.group(), steadyNow(), &number);
+                                                            m_callbacks.group(), steadyNow(),
+                                                            &number);
     m_origins.emplace(number, std::move(origin));
-    carryOut(std::move(actions));
+    execute(std::move(actions));
     return number;
 }
 
-void OperatorShell::operatorGone(std::uint64_t number)
+void OperatorApi::handleOperatorGone(std::uint64_t number)
 {
     const auto call = m_operators.calls.find(number);
     if (call != m_operators.calls.end())
@@ -101,54 +102,55 @@
     m_origins.erase(number);
 }
 
-void OperatorShell::peerAnswered(const ForwardedAnswer &answer)
+void OperatorApi::handleForwardedAnswer(const ForwardedAnswer &answer)
 {
-    operators::OperatorAnswer given;
-    given.number = answer.call;
-    given.outcome = answer.outcome;
-    given.reason = answer.reason;
+    operators::OperatorAnswer leaderAnswer;
+    leaderAnswer.number = answer.call;
+    leaderAnswer.outcome = answer.outcome;
+    leaderAnswer.reason = answer.reason;
     if (!answer.declared.empty())
-        given.declared = answer.declared.front();
-    carryOut(operators::peerAnswered(m_operators, given, m_links.group(), steadyNow()));
+        leaderAnswer.declared = answer.declared.front();
+    execute(operators::peerAnswered(m_operators, leaderAnswer, m_callbacks.group(), steadyNow()));
 }
 
-void OperatorShell::committed(std::uint64_t index, std::uint64_t term, catalog::Applied applied)
+void OperatorApi::committed(std::uint64_t index, std::uint64_t term, catalog::Applied applied)
 {
-    carryOut(operators::committed(m_operators, index, term, applied, m_links.group(), steadyNow()));
+    execute(operators::committed(m_operators, index, term, applied, m_callbacks.group(),
+                                 steadyNow()));
 }
 
-void OperatorShell::readDone(std::uint64_t call, bool confirmed)
+void OperatorApi::readDone(std::uint64_t call, bool confirmed)
 {
-    carryOut(operators::readDone(m_operators, call, confirmed, m_links.group(), steadyNow()));
+    execute(operators::readDone(m_operators, call, confirmed, m_callbacks.group(), steadyNow()));
 }
 
-void OperatorShell::logReopened()
+void OperatorApi::logReopened()
 {
     operators::logReopened(m_operators);
 }
 
-void OperatorShell::tick(Time now)
+void OperatorApi::tick(Time now)
 {
-    carryOut(operators::tick(m_operators, m_links.group(), now));
+    execute(operators::tick(m_operators, m_callbacks.group(), now));
 }
 
 // [SECTION] Actions
 
-void OperatorShell::carryOut(operators::OperatorActions &&actions)
+void OperatorApi::execute(operators::OperatorActions &&actions)
 {
     for (const eventlog::Event &event : actions.events)
         writeEvent(m_core.log, event);
-    for (const operators::OperatorAnswer &given : actions.answers)
-        answer(given);
+    for (const operators::OperatorAnswer &operatorAnswer : actions.answers)
+        answer(operatorAnswer);
     for (const std::uint64_t number : actions.handOvers)
-        handOver(number);
+        forwardToLeader(number);
     for (const std::uint64_t number : actions.reads)
-        m_links.requestRead(number);
+        m_callbacks.requestRead(number);
     for (const std::uint64_t number : actions.proposals)
         propose(number);
 }
 
-void OperatorShell::propose(std::uint64_t number)
+void OperatorApi::propose(std::uint64_t number)
 {
     const auto call = m_operators.calls.find(number);
     if (call == m_operators.calls.end())
@@ -157,21 +159,21 @@
     if (!command)
         return;
     // With a single voter the entry is committed before this returns.
-    const auto entry = m_links.propose(writeJson(encodeMessage(*command)));
+    const auto entry = m_callbacks.propose(writeJson(encodeMessage(*command)));
     if (entry)
-        carryOut(operators::proposed(m_operators, number, entry->index, entry->term,
-                                     m_links.group(), steadyNow()));
+        execute(operators::proposed(m_operators, number, entry->index, entry->term,
+                                    m_callbacks.group(), steadyNow()));
 }
 
-void OperatorShell::handOver(std::uint64_t number)
+void OperatorApi::forwardToLeader(std::uint64_t number)
 {
     const auto call = m_operators.calls.find(number);
     if (call == m_operators.calls.end())
         return;
-    m_links.sendToLeader(Frame(ForwardedCall { number, encodeFrame(call->second.request) }));
+    m_callbacks.sendToLeader(Frame(ForwardedCall { number, encodeFrame(call->second.request) }));
 }
 
-void OperatorShell::answer(const operators::OperatorAnswer &answer)
+void OperatorApi::answer(const operators::OperatorAnswer &answer)
 {
     const auto found = m_origins.find(answer.number);
     if (found == m_origins.end())
@@ -182,24 +184,25 @@
         return origin.exchange->answer(
                 answer.declared ? m_dialect.writeCatalog(*answer.declared)
                                 : m_dialect.writeOperatorResponse(answer.outcome, answer.reason));
-    ForwardedAnswer forward { origin.peerCall, answer.outcome, answer.reason, {} };
+    ForwardedAnswer forwarded { origin.peerCall, answer.outcome, answer.reason, {} };
     if (answer.declared)
-        forward.declared.push_back(*answer.declared);
-    m_links.sendToNode(origin.connection, Frame(std::move(forward)));
+        forwarded.declared.push_back(*answer.declared);
+    m_callbacks.sendToNode(origin.connection, Frame(std::move(forwarded)));
 }
 
 // [SECTION] Metrics
 
-std::vector<metrics::Sample> OperatorShell::samples() const
+std::vector<metrics::Sample> OperatorApi::samples() const
 {
     const auto count = [](std::uint64_t value) { return static_cast<double>(value); };
     return {
         { "foxwing_operator_accepted_total", "Operators' calls accepted",
           count(m_operators.accepted) },
-        { "foxwing_operator_invalid_total", "Calls refused as invalid", count(m_invalid) },
-        { "foxwing_operator_outdated_total", "Orders given upon cordons that had changed",
+        { "foxwing_operator_invalid_total", "Operators' calls refused as invalid",
+          count(m_invalid) },
+        { "foxwing_operator_outdated_total", "Cordon commands based on an outdated revision",
           count(m_operators.outdated) },
-        { "foxwing_operator_unsure_total", "Calls without a sure answer",
+        { "foxwing_operator_unsure_total", "Operators' calls left unconfirmed",
           count(m_operators.unsure) },
     };
 }
--- a/packages/fleet/src/operatorapi.h
+++ b/packages/fleet/src/operatorapi.h
@@ -2,7 +2,7 @@
     The operators' interface of a control host. Connects operators' HTTP exchanges, and calls that
     other control hosts forward, to the decisions of foxwing/operators.
 
-    [SECTION] Links
+    [SECTION] Callbacks
     [SECTION] Interface
 */
 #pragma once
@@ -14,10 +14,10 @@
 
 namespace foxwing::fleet {
 
-// [SECTION] Links
+// [SECTION] Callbacks
 
 // What the interface needs from its control host.
-struct OperatorLinks
+struct OperatorCallbacks
 {
     std::function<operators::GroupView()> group;
 
@@ -30,17 +30,17 @@
 
 // [SECTION] Interface
 
-class OperatorShell
+class OperatorApi
 {
 public:
-    OperatorShell(Core &core, const Dialect &dialect, OperatorLinks links);
+    OperatorApi(Core &core, const Dialect &dialect, OperatorCallbacks callbacks);
 
     // A call from an operator
     void handle(const fabric::ExchangePtr &exchange);
 
     // A call that another control host forwarded, and the leader's answer to one of this host
-    void handedOver(std::uint64_t connection, const ForwardedCall &forward);
-    void peerAnswered(const ForwardedAnswer &answer);
+    void handleForwarded(std::uint64_t connection, const ForwardedCall &forwarded);
+    void handleForwardedAnswer(const ForwardedAnswer &answer);
 
     void committed(std::uint64_t index, std::uint64_t term, catalog::Applied applied);
     void readDone(std::uint64_t call, bool confirmed);
@@ -58,17 +58,17 @@
         std::uint64_t peerCall = 0;
     };
 
-    std::optional<OperatorRequest> checkedRequest(const fabric::Request &request, Error *reason);
+    std::optional<OperatorRequest> readValidRequest(const fabric::Request &request, Error *reason);
     std::uint64_t add(operators::OperatorCall call, Origin origin);
-    void operatorGone(std::uint64_t number);
-    void carryOut(operators::OperatorActions &&actions);
+    void handleOperatorGone(std::uint64_t number);
+    void execute(operators::OperatorActions &&actions);
     void propose(std::uint64_t number);
-    void handOver(std::uint64_t number);
+    void forwardToLeader(std::uint64_t number);
     void answer(const operators::OperatorAnswer &answer);
 
     Core &m_core;
     const Dialect &m_dialect;
-    OperatorLinks m_links;
+    OperatorCallbacks m_callbacks;
     operators::OperatorState m_operators;
     std::map<std::uint64_t, Origin> m_origins;
     std::uint64_t m_invalid = 0;
--- a/packages/fleet/src/peertable.cpp
+++ b/packages/fleet/src/peertable.cpp
@@ -11,23 +11,23 @@
 
 // [SECTION] Functions
 
-bool keep(PeerBook &book, const std::string &address, Time now)
+bool addPeer(PeerTable &table, const std::string &address, Time now)
 {
-    const auto known = book.peers.find(address);
-    if (known != book.peers.end()) {
+    const auto known = table.peers.find(address);
+    if (known != table.peers.end()) {
         known->second.listedAt = now;
         return false;
     }
-    if (book.peers.size() >= book.settings.mostPeers)
+    if (table.peers.size() >= table.settings.maxPeers)
         return false;
-    book.peers[address].listedAt = now;
+    table.peers[address].listedAt = now;
     return true;
 }
 
-std::vector<std::string> applyUpdate(PeerBook &book, const std::string &from,
+std::vector<std::string> applyUpdate(PeerTable &table, const std::string &from,
                                      const directory::DirectoryUpdate &update, Time now)
 {
-    std::set<std::string> &lists = book.peers[from].lists;
+    std::set<std::string> &lists = table.peers[from].lists;
     if (update.full)
         lists.clear();
     for (const std::string &address : update.removed)
@@ -40,58 +40,58 @@
             continue;
         }
         lists.insert(node.address);
-        if (keep(book, node.address, now))
+        if (addPeer(table, node.address, now))
             added.push_back(node.address);
     }
     return added;
 }
 
-void connected(PeerBook &book, const std::string &address, Time now)
+void connected(PeerTable &table, const std::string &address, Time now)
 {
-    KnownPeer &peer = book.peers[address];
+    KnownPeer &peer = table.peers[address];
     peer.connected = true;
     peer.lastReceivedAt = now;
 }
 
-void heard(PeerBook &book, const std::string &address, Time now)
+void recordReceived(PeerTable &table, const std::string &address, Time now)
 {
-    book.peers[address].lastReceivedAt = now;
+    table.peers[address].lastReceivedAt = now;
 }
 
-void connectionLost(PeerBook &book, const std::string &address)
+void connectionLost(PeerTable &table, const std::string &address)
 {
-    KnownPeer &peer = book.peers[address];
+    KnownPeer &peer = table.peers[address];
     peer.connected = false;
     peer.lists.clear();
 }
 
 namespace {
 
-std::set<std::string> listed(const PeerBook &book)
+std::set<std::string> listed(const PeerTable &table)
 {
     std::set<std::string> all;
-    for (const auto &[address, peer] : book.peers)
+    for (const auto &[address, peer] : table.peers)
         all.insert(peer.lists.begin(), peer.lists.end());
     return all;
 }
 
 } // namespace
 
-PeerChanges tick(PeerBook &book, const std::vector<std::string> &seeds, Time now)
+PeerChanges tick(PeerTable &table, const std::vector<std::string> &seeds, Time now)
 {
     PeerChanges changes;
-    std::set<std::string> wanted = listed(book);
-    wanted.insert(seeds.begin(), seeds.end());
-    for (const auto &[address, peer] : book.peers) {
-        const Milliseconds span = book.settings.forgetAfter;
-        if (!peer.connected && wanted.count(address) == 0 && now >= peer.listedAt + span
-            && now >= peer.lastReceivedAt + span)
+    std::set<std::string> desired = listed(table);
+    desired.insert(seeds.begin(), seeds.end());
+    for (const auto &[address, peer] : table.peers) {
+        const Milliseconds retention = table.settings.retention;
+        if (!peer.connected && desired.count(address) == 0 && now >= peer.listedAt + retention
+            && now >= peer.lastReceivedAt + retention)
             changes.dropped.push_back(address);
     }
     for (const std::string &address : changes.dropped)
-        book.peers.erase(address);
-    for (const std::string &address : wanted) {
-        if (book.peers.count(address) == 0 && keep(book, address, now))
+        table.peers.erase(address);
+    for (const std::string &address : desired) {
+        if (table.peers.count(address) == 0 && addPeer(table, address, now))
             changes.added.push_back(address);
     }
     return changes;
--- a/packages/fleet/src/peertable.h
+++ b/packages/fleet/src/peertable.h
@@ -5,10 +5,10 @@
     The number is limited. A host that was listed while the table was full is added when a place
     becomes free: directory updates are incremental, so it would not be listed again.
 
-        PeerBook book;
-        if (addPeer(book, address, now))
+        PeerTable table;
+        if (addPeer(table, address, now))
             ... dial it ...
-        const PeerChanges changes = tick(book, seeds, now);
+        const PeerChanges changes = tick(table, seeds, now);
 
     [SECTION] State
     [SECTION] Functions
@@ -24,14 +24,14 @@
 
 // [SECTION] State
 
-struct PeerBookSettings
+struct PeerTableSettings
 {
     // Of up to 23 control hosts, any twelve include a member of each majority.
-    std::size_t mostPeers = 12;
+    std::size_t maxPeers = 12;
 
     // A host that is neither a seed nor listed, and was unreachable for this long, is removed.
     // Otherwise replaced hosts would fill the table over time.
-    Milliseconds forgetAfter { 30000 };
+    Milliseconds retention { 30000 };
 };
 
 struct KnownPeer
@@ -46,9 +46,9 @@
     std::set<std::string> lists;
 };
 
-struct PeerBook
+struct PeerTable
 {
-    PeerBookSettings settings;
+    PeerTableSettings settings;
 
     // By address
     std::map<std::string, KnownPeer> peers;
@@ -66,17 +66,17 @@
 // [SECTION] Functions
 
 // Adds a host that was listed or configured; returns true if it is new and the table had a place.
-bool keep(PeerBook &book, const std::string &address, Time now);
+bool addPeer(PeerTable &table, const std::string &address, Time now);
 
 // Applies a peer's directory update; returns the hosts to dial.
-std::vector<std::string> applyUpdate(PeerBook &book, const std::string &from,
+std::vector<std::string> applyUpdate(PeerTable &table, const std::string &from,
                                      const directory::DirectoryUpdate &update, Time now);
 
-void connected(PeerBook &book, const std::string &address, Time now);
-void heard(PeerBook &book, const std::string &address, Time now);
-void connectionLost(PeerBook &book, const std::string &address);
+void connected(PeerTable &table, const std::string &address, Time now);
+void recordReceived(PeerTable &table, const std::string &address, Time now);
+void connectionLost(PeerTable &table, const std::string &address);
 
 // Removes peers past their retention, and adds listed hosts in their places.
-PeerChanges tick(PeerBook &book, const std::vector<std::string> &seeds, Time now);
+PeerChanges tick(PeerTable &table, const std::vector<std::string> &seeds, Time now);
 
 } // namespace foxwing::fleet
--- a/packages/fleet/src/settings.cpp
+++ b/packages/fleet/src/settings.cpp
@@ -17,17 +17,17 @@
 
 namespace {
 
-constexpr int HighestPort = 65535;
+constexpr int MaxPort = 65535;
 
 // Larger consensus groups commit too slowly; packages/quorum itself allows more voters.
-constexpr std::int64_t MostToleratedLosses = 7;
+constexpr std::int64_t MaxToleratedLosses = 7;
 
 // An agent's session timeout and its endpoint's lease must end a run this long before its caller
 // resends the job.
 constexpr Milliseconds ResendMargin { 100 };
 
 // LagSettings::maxDelay caps the measured delay; a limit close to it would rarely be exceeded.
-constexpr Milliseconds MostStandBackAbove { 400 };
+constexpr Milliseconds MaxWithdrawAbove { 400 };
 
 void readNode(TomlReader table, FleetSettings &settings)
 {
@@ -52,11 +52,11 @@
 
 void readCluster(TomlReader table, FleetSettings &settings)
 {
-    table.whole("inner_port", settings.innerPort, 1, HighestPort);
+    table.whole("inner_port", settings.innerPort, 1, MaxPort);
     table.list("seeds", settings.seeds);
     table.list("data_centres", settings.dataCentres);
     table.flag("first_start", settings.firstStart);
-    table.whole("tolerated_losses", settings.toleratedLosses, 0, MostToleratedLosses);
+    table.whole("tolerated_losses", settings.toleratedLosses, 0, MaxToleratedLosses);
     if (settings.innerPort == 0)
         table.refuse("inner_port", "must be the port for connections within the fleet");
     if (settings.seeds.empty())
@@ -89,10 +89,10 @@
 // The platform writes some durations as plain numbers, with the unit in the key.
 void readTiming(TomlReader table, FleetSettings &settings)
 {
-    constexpr double MostSeconds = 600;
+    constexpr double MaxSeconds = 600;
     double grace = std::chrono::duration<double>(settings.stopGrace).count();
     std::int64_t resend = settings.resendAfter.count();
-    table.number("stop_grace_seconds", grace, 0.5, MostSeconds);
+    table.number("stop_grace_seconds", grace, 0.5, MaxSeconds);
     table.whole("resend_after_milliseconds", resend, 1, 600000);
     settings.stopGrace = Milliseconds(static_cast<std::int64_t>(grace * 1000));
     settings.resendAfter = Milliseconds(resend);
@@ -102,7 +102,7 @@
 void readLag(TomlReader &policy, FleetSettings &settings)
 {
     std::int64_t above = settings.lag.withdrawAbove.count();
-    policy.whole("stand_back_above_milliseconds", above, 0, MostStandBackAbove.count());
+    policy.whole("stand_back_above_milliseconds", above, 0, MaxWithdrawAbove.count());
     settings.lag.withdrawAbove = Milliseconds(above);
 }
 
@@ -152,25 +152,26 @@
 }
 
 // Scales the timeouts down where callers resend sooner than the defaults allow.
-void fitToResend(FleetSettings &settings)
+void fitTimeoutsToResend(FleetSettings &settings)
 {
     scheduler::SchedulerSettings &entry = settings.scheduler;
     runner::RunnerSettings &agent = settings.runner;
-    const Milliseconds most = settings.resendAfter - ResendMargin;
-    if (entry.lostRunTimeout <= most || most.count() <= 0)
+    const Milliseconds limit = settings.resendAfter - ResendMargin;
+    if (entry.lostRunTimeout <= limit || limit.count() <= 0)
         return;
-    const double factor = static_cast<double>(most.count())
+    const double factor = static_cast<double>(limit.count())
             / static_cast<double>(entry.lostRunTimeout.count());
-    const auto shrink = [factor](Milliseconds &span) {
-        span = Milliseconds(static_cast<std::int64_t>(static_cast<double>(span.count()) * factor));
+    const auto scale = [factor](Milliseconds &timeout) {
+        timeout = Milliseconds(
+                static_cast<std::int64_t>(static_cast<double>(timeout.count()) * factor));
     };
-    shrink(entry.lostRunTimeout);
-    shrink(entry.agentTimeout);
-    shrink(entry.heartbeatInterval);
-    shrink(entry.suspectAfter);
-    shrink(agent.sessionTimeout);
-    shrink(agent.leaseDuration);
-    shrink(agent.idleUpdateInterval);
+    scale(entry.lostRunTimeout);
+    scale(entry.agentTimeout);
+    scale(entry.heartbeatInterval);
+    scale(entry.suspectAfter);
+    scale(agent.sessionTimeout);
+    scale(agent.leaseDuration);
+    scale(agent.idleUpdateInterval);
 }
 
 } // namespace
@@ -194,7 +195,7 @@
     readPolicy(root.table("policy"), settings);
     if (!root.finish())
         return std::nullopt;
-    fitToResend(settings);
+    fitTimeoutsToResend(settings);
     settings.scheduler.dataCentre = settings.dataCentre;
     return settings;
 }
--- a/packages/fleet/tests/agreedpush_test.cpp
+++ b/packages/fleet/tests/agreedpush_test.cpp
@@ -1,6 +1,6 @@
 /*
-    Control hosts that hold the same tell it in the same bytes: what was read from one need not be
-    read again from the others.
+    Control hosts with the same committed state encode the same bytes, so that receivers can skip
+    decoding the pushes of the others.
 
     [SECTION] Tests
 */
@@ -32,12 +32,12 @@
     return state;
 }
 
-std::string pushOf(const catalog::AgreedState &state)
+std::string encodePush(const catalog::AgreedState &state)
 {
     return encodeFrame(Frame(AgreedPush { state.declared.catalog, state.cordons }));
 }
 
-TEST(AgreedPush, IsTheSameFromAHostThatReadItsSnapshot)
+TEST(AgreedPush, IsIdenticalAfterASnapshotWasRead)
 {
     const catalog::AgreedState state = makeState(260);
     Error reason;
@@ -45,18 +45,18 @@
     ASSERT_TRUE(json) << reason.message;
     catalog::AgreedState read;
     ASSERT_TRUE(fromJson(*json, &read, &reason)) << reason.message;
-    EXPECT_EQ(pushOf(read), pushOf(state));
+    EXPECT_EQ(encodePush(read), encodePush(state));
 }
 
-TEST(AgreedPush, DiffersOnceAnythingHasChanged)
+TEST(AgreedPush, DiffersAfterAnyChange)
 {
     const catalog::AgreedState state = makeState(3);
     catalog::AgreedState changed = state;
     changed.cordons.revision = 4;
-    EXPECT_NE(pushOf(changed), pushOf(state));
+    EXPECT_NE(encodePush(changed), encodePush(state));
     changed = state;
     changed.declared.catalog.queues[1].timeout += Milliseconds(1);
-    EXPECT_NE(pushOf(changed), pushOf(state));
+    EXPECT_NE(encodePush(changed), encodePush(state));
 }
 
 } // namespace
--- a/packages/fleet/tests/entryrole_test.cpp
+++ b/packages/fleet/tests/entryrole_test.cpp
@@ -1,9 +1,9 @@
 /*
-    An entry on real connections, with a pretended control host, agent and caller in the same loop:
-    what it does for a caller whose connection ended while that lay unread.
+    An entry with real connections to a fake control host, agent and caller. Guards against placing
+    tasks for callers whose connections were closed before the entry read that.
 
     [SECTION] Dialect
-    [SECTION] Site
+    [SECTION] Fixture
     [SECTION] Callers
 */
 #include <boost/asio/write.hpp>
@@ -46,9 +46,9 @@
     return dialect;
 }
 
-// [SECTION] Site
+// [SECTION] Fixture
 
-fabric::asio::ip::tcp::acceptor anyPort(fabric::asio::io_context &io)
+fabric::asio::ip::tcp::acceptor listenOnAnyPort(fabric::asio::io_context &io)
 {
     return fabric::asio::ip::tcp::acceptor(io,
                                            fabric::Endpoint(fabric::asio::ip::make_address_v4(
@@ -61,11 +61,11 @@
     return fabric::toString(acceptor.local_endpoint());
 }
 
-// A port that was free a moment ago
+// An address with a free port
 std::string freeAddress()
 {
     fabric::asio::io_context io;
-    return addressOf(anyPort(io));
+    return addressOf(listenOnAnyPort(io));
 }
 
 FleetSettings makeSettings(const std::string &control)
@@ -78,13 +78,13 @@
     return settings;
 }
 
-struct Site
+struct EntryTest
 {
-    Site()
-        : agentAcceptor(anyPort(others))
-        , controlAcceptor(anyPort(others))
+    EntryTest()
+        : agentAcceptor(listenOnAnyPort(peers))
+        , controlAcceptor(listenOnAnyPort(peers))
         , core(makeSettings(addressOf(controlAcceptor)))
-        , entry(makeEntryShell(core, dialect))
+        , entry(makeEntryRole(core, dialect))
     {
         acceptControl();
         acceptAgent();
@@ -92,30 +92,30 @@
 
     void acceptControl()
     {
-        controlAcceptor.async_accept([this](boost::system::error_code wrong, Socket socket) {
-            if (wrong)
+        controlAcceptor.async_accept([this](boost::system::error_code error, Socket socket) {
+            if (error)
                 return;
             control = std::make_unique<Socket>(std::move(socket));
-            write(*control, AgreedPush { catalogOf(), {} });
-            write(*control, directoryOf());
+            write(*control, AgreedPush { makeCatalog(), {} });
+            write(*control, makeDirectory());
         });
     }
 
-    // A session opens: the agent welcomes the entry, and what is to happen at that moment does.
+    // Accepts sessions; closes the caller's connection at the second one if closesAtReset.
     void acceptAgent()
     {
-        agentAcceptor.async_accept([this](boost::system::error_code wrong, Socket socket) {
-            if (wrong)
+        agentAcceptor.async_accept([this](boost::system::error_code error, Socket socket) {
+            if (error)
                 return;
             agent = std::make_unique<Socket>(std::move(socket));
-            agent->async_wait(Socket::wait_read, [this](boost::system::error_code ended) {
-                if (ended)
+            agent->async_wait(Socket::wait_read, [this](boost::system::error_code waitError) {
+                if (waitError)
                     return;
-                write(*agent, welcome());
+                write(*agent, makeAccepted());
                 ++sessions;
-                if (sessions > 1 && leavesAtReset)
+                if (sessions > 1 && closesAtReset)
                     caller->close();
-                std::this_thread::sleep_for(HeldUp);
+                std::this_thread::sleep_for(LoopDelay);
             });
             acceptAgent();
         });
@@ -130,7 +130,7 @@
         fabric::asio::write(socket, fabric::asio::buffer(sent + bytes));
     }
 
-    static catalog::Catalog catalogOf()
+    static catalog::Catalog makeCatalog()
     {
         catalog::Catalog catalog;
         catalog.version = 1;
@@ -145,7 +145,7 @@
         return catalog;
     }
 
-    directory::DirectoryUpdate directoryOf() const
+    directory::DirectoryUpdate makeDirectory() const
     {
         directory::NodeInfo info;
         info.name = "agent";
@@ -160,21 +160,21 @@
         return update;
     }
 
-    jobs::SessionAccepted welcome() const
+    jobs::SessionAccepted makeAccepted() const
     {
-        jobs::SessionAccepted welcome;
-        welcome.endpoint.endpointIncarnation = "life";
-        welcome.endpoint.service = "service";
-        welcome.endpoint.capacity = Capacity;
-        if (sessions > 0 || roomAtOnce)
-            welcome.endpoint.free = Capacity;
-        welcome.endpoint.maxStarts = 100;
-        return welcome;
+        jobs::SessionAccepted accepted;
+        accepted.endpoint.endpointIncarnation = "life";
+        accepted.endpoint.service = "service";
+        accepted.endpoint.capacity = Capacity;
+        if (sessions > 0 || freeAtOnce)
+            accepted.endpoint.free = Capacity;
+        accepted.endpoint.maxStarts = 100;
+        return accepted;
     }
 
     void call()
     {
-        caller = std::make_unique<Socket>(others);
+        caller = std::make_unique<Socket>(peers);
         caller->connect(*fabric::parseEndpoint(core.settings.callers, nullptr));
         const std::string request = "POST /queue/job HTTP/1.1\r\nHost: host\r\n\r\n";
         fabric::asio::write(*caller, fabric::asio::buffer(request));
@@ -190,14 +190,14 @@
         return -1;
     }
 
-    // The two loops take turns; the entry's does all that has come before the others go on.
+    // Runs the loops alternately until the condition holds; returns false after 5 s.
     template<class Done>
-    bool until(Done done)
+    bool runUntil(Done done)
     {
         const Time end = steadyNow() + Milliseconds(5000);
         while (!done() && steadyNow() < end) {
-            others.restart();
-            others.poll();
+            peers.restart();
+            peers.poll();
             core.io.restart();
             core.io.run_for(Milliseconds(1));
             entry->tick(steadyNow());
@@ -205,16 +205,16 @@
         return done();
     }
 
-    // While a welcome lies in the entry's socket its loop is held up: longer than a look at callers
-    // is trusted, and too short to count as a pause.
-    static constexpr Milliseconds HeldUp { 10 };
+    // Delays the entry's loop while a SessionAccepted is unread: longer than the result of a caller
+    // probe is valid, and too short to count as a pause.
+    static constexpr Milliseconds LoopDelay { 10 };
     static inline const jobs::ResourceVector Capacity { 4000, 10000, 0 };
-    bool roomAtOnce = true;
-    bool leavesAtReset = false;
+    bool freeAtOnce = true;
+    bool closesAtReset = false;
     int sessions = 0;
 
-    // Of control, agent and caller, so that the entry's loop holds nothing else
-    fabric::asio::io_context others { 1 };
+    // Event loop of control, agent and caller, separate from the entry's
+    fabric::asio::io_context peers { 1 };
     fabric::asio::ip::tcp::acceptor agentAcceptor;
     fabric::asio::ip::tcp::acceptor controlAcceptor;
     std::unique_ptr<Socket> control;
@@ -222,7 +222,7 @@
     std::unique_ptr<Socket> caller;
     Dialect dialect = makeDialect();
     Core core;
-    std::unique_ptr<RoleShell> entry;
+    std::unique_ptr<NodeRole> entry;
 };
 
 // [SECTION] Callers
@@ -231,57 +231,57 @@
 {
     const char *name;
 
-    // The session is lost while the job waits, and comes back with room.
+    // The session is lost while the job waits, and reopened with free capacity.
     bool reset;
 
-    // The caller's connection ends right behind its request or, with a reset, right behind the
-    // agent's second welcome.
-    bool leaves;
+    // The caller closes its connection right after its request or, with a reset, right after the
+    // agent's second SessionAccepted.
+    bool closes;
     int starts;
-    int foundGone;
+    int callersFoundGone;
 };
 
-std::ostream &operator<<(std::ostream &out, const CallerCase &tested)
+std::ostream &operator<<(std::ostream &out, const CallerCase &given)
 {
-    return out << tested.name;
+    return out << given.name;
 }
 
-class Callers : public testing::TestWithParam<CallerCase>
+class CallerProbes : public testing::TestWithParam<CallerCase>
 { };
 
-TEST_P(Callers, WhoAreGoneGetNothingPlaced)
+TEST_P(CallerProbes, PreventStartsForClosedConnections)
 {
-    Site site;
-    site.roomAtOnce = !GetParam().reset;
-    site.leavesAtReset = GetParam().reset && GetParam().leaves;
+    EntryTest test;
+    test.freeAtOnce = !GetParam().reset;
+    test.closesAtReset = GetParam().reset && GetParam().closes;
     Error reason;
-    ASSERT_TRUE(site.entry->start(&reason)) << reason.message;
-    ASSERT_TRUE(site.until([&] {
-        return site.sample("foxwing_agents") == 1 && site.sample("foxwing_catalog_version") == 1
-                && site.sessions == 1;
+    ASSERT_TRUE(test.entry->start(&reason)) << reason.message;
+    ASSERT_TRUE(test.runUntil([&] {
+        return test.sample("foxwing_agents") == 1 && test.sample("foxwing_catalog_version") == 1
+                && test.sessions == 1;
     }));
-    site.call();
+    test.call();
     if (GetParam().reset) {
-        ASSERT_TRUE(site.until([&] { return site.sample("foxwing_jobs_waiting") == 1; }));
-        site.agent->close();
-    } else if (GetParam().leaves) {
-        site.caller->close();
+        ASSERT_TRUE(test.runUntil([&] { return test.sample("foxwing_jobs_waiting") == 1; }));
+        test.agent->close();
+    } else if (GetParam().closes) {
+        test.caller->close();
     }
-    EXPECT_TRUE(site.until([&] {
-        return site.sample("foxwing_starts_total") + site.sample("foxwing_callers_found_gone_total")
+    EXPECT_TRUE(test.runUntil([&] {
+        return test.sample("foxwing_starts_total") + test.sample("foxwing_callers_found_gone_total")
                 > 0;
     }));
-    EXPECT_EQ(site.sample("foxwing_starts_total"), GetParam().starts);
-    EXPECT_EQ(site.sample("foxwing_callers_found_gone_total"), GetParam().foundGone);
-    EXPECT_EQ(site.sample("foxwing_jobs_open"), GetParam().starts);
+    EXPECT_EQ(test.sample("foxwing_starts_total"), GetParam().starts);
+    EXPECT_EQ(test.sample("foxwing_callers_found_gone_total"), GetParam().callersFoundGone);
+    EXPECT_EQ(test.sample("foxwing_jobs_open"), GetParam().starts);
 }
 
-INSTANTIATE_TEST_SUITE_P(Fleet, Callers,
-                         testing::Values(CallerCase { "Stays", false, false, 1, 0 },
-                                         CallerCase { "GoneAtArrival", false, true, 0, 1 },
-                                         CallerCase { "StaysThroughAReset", true, false, 1, 0 },
-                                         CallerCase { "GoneAtAReset", true, true, 0, 1 }),
-                         [](const auto &tested) { return tested.param.name; });
+INSTANTIATE_TEST_SUITE_P(Fleet, CallerProbes,
+                         testing::Values(CallerCase { "Open", false, false, 1, 0 },
+                                         CallerCase { "ClosedAtArrival", false, true, 0, 1 },
+                                         CallerCase { "OpenAfterReset", true, false, 1, 0 },
+                                         CallerCase { "ClosedAtReset", true, true, 0, 1 }),
+                         [](const auto &given) { return given.param.name; });
 
 } // namespace
 } // namespace foxwing::fleet
--- a/packages/fleet/tests/heldcalls_test.cpp
+++ b/packages/fleet/tests/heldcalls_test.cpp
@@ -1,5 +1,5 @@
 /*
-    Which calls are held until an entry knows its queues, and for how long.
+    Which calls are held until the entry receives the catalog, and for how long.
 
     [SECTION] Calls
 */
@@ -23,47 +23,47 @@
     const char *name;
 
     // After the entry's start
-    Milliseconds cameAfter;
+    Milliseconds arrivesAfter;
 
-    // After the call came
-    Milliseconds knownAfter;
+    // After the arrival of the call
+    Milliseconds catalogAfter;
     bool held;
     bool released;
 };
 
-class Holds : public testing::TestWithParam<HoldCase>
+class CallHolds : public testing::TestWithParam<HoldCase>
 { };
 
-// All processes come back after a loss of power; the queues are known a moment after the call.
-TEST_P(Holds, AreShortAndOnlyAfterAStart)
+// After a power failure the catalog arrives shortly after the first calls.
+TEST_P(CallHolds, AreBoundedAndOnlyAfterStartup)
 {
     HeldCalls held;
     held.startedAt = Time(Seconds(100));
-    const Time receivedAt = held.startedAt + GetParam().cameAfter;
+    const Time receivedAt = held.startedAt + GetParam().arrivesAfter;
     EXPECT_EQ(hold(held, makeCall(), receivedAt), GetParam().held);
-    const std::vector<HeldCall> over = expired(held, receivedAt + GetParam().knownAfter);
-    const std::vector<HeldCall> rest = release(held);
+    const std::vector<HeldCall> timedOut = takeExpired(held, receivedAt + GetParam().catalogAfter);
+    const std::vector<HeldCall> rest = takeAll(held);
     EXPECT_EQ(rest.size(), GetParam().released ? 1U : 0U);
-    EXPECT_EQ(over.size() + rest.size(), GetParam().held ? 1U : 0U);
+    EXPECT_EQ(timedOut.size() + rest.size(), GetParam().held ? 1U : 0U);
     for (const HeldCall &call : rest)
         EXPECT_EQ(call.receivedAt, receivedAt);
     EXPECT_TRUE(held.calls.empty());
 }
 
 INSTANTIATE_TEST_SUITE_P(
-        Fleet, Holds,
+        Fleet, CallHolds,
         testing::Values(HoldCase { "AtOnce", Milliseconds(0), Milliseconds(120), true, true },
                         HoldCase { "Later", Milliseconds(900), Milliseconds(249), true, true },
-                        HoldCase { "ForTooLong", Milliseconds(10), Milliseconds(250), true, false },
-                        HoldCase { "ControlIsDownForLong", Milliseconds(1000), Milliseconds(10),
-                                   false, false }),
-        [](const auto &tested) { return tested.param.name; });
+                        HoldCase { "Expired", Milliseconds(10), Milliseconds(250), true, false },
+                        HoldCase { "AfterStartupGrace", Milliseconds(1000), Milliseconds(10), false,
+                                   false }),
+        [](const auto &given) { return given.param.name; });
 
-TEST(HeldCallsBound, RefusesWhatIsTooMany)
+TEST(HeldCallsLimit, RefusesCallsBeyondIt)
 {
     HeldCalls held;
     held.startedAt = Time(Seconds(100));
-    held.settings.mostCalls = 2;
+    held.settings.maxCalls = 2;
     EXPECT_TRUE(hold(held, makeCall(), held.startedAt));
     EXPECT_TRUE(hold(held, makeCall(), held.startedAt));
     EXPECT_FALSE(hold(held, makeCall(), held.startedAt));
--- a/packages/fleet/tests/peertable_test.cpp
+++ b/packages/fleet/tests/peertable_test.cpp
@@ -1,5 +1,5 @@
 /*
-    Which control hosts get the few places for connections.
+    Which control hosts get the limited places in the peer table.
 
     [SECTION] Helpers
     [SECTION] Places
@@ -13,17 +13,19 @@
 
 // [SECTION] Helpers
 
-struct Desk
+struct TableTest
 {
-    Desk()
+    TableTest()
     {
-        book.settings.mostPeers = 3;
+        table.settings.maxPeers = 3;
         for (const std::string &seed : seeds)
-            keep(book, seed, now);
+            addPeer(table, seed, now);
     }
 
-    std::vector<std::string> told(const std::string &from, const std::vector<std::string> &controls,
-                                  const std::vector<std::string> &removed = {}, bool full = false)
+    std::vector<std::string> applyLists(const std::string &from,
+                                        const std::vector<std::string> &controls,
+                                        const std::vector<std::string> &removed = {},
+                                        bool full = false)
     {
         directory::DirectoryUpdate update;
         update.full = full;
@@ -34,77 +36,77 @@
             node.address = address;
             update.nodes.push_back(node);
         }
-        return applyUpdate(book, from, update, now);
+        return applyUpdate(table, from, update, now);
     }
 
-    PeerChanges pass(Milliseconds span)
+    PeerChanges advance(Milliseconds duration)
     {
-        now += span;
-        return tick(book, seeds, now);
+        now += duration;
+        return tick(table, seeds, now);
     }
 
-    PeerBook book;
+    PeerTable table;
     std::vector<std::string> seeds { "a" };
     Time now { Seconds(100) };
 };
 
 // [SECTION] Places
 
-TEST(PeerBookPlaces, GoToHostsAsTheyAreListed)
+TEST(PeerTablePlaces, AreGivenInOrderOfListing)
 {
-    Desk desk;
-    connected(desk.book, "a", desk.now);
-    EXPECT_EQ(desk.told("a", { "a", "b", "c", "d" }, {}, true),
+    TableTest test;
+    connected(test.table, "a", test.now);
+    EXPECT_EQ(test.applyLists("a", { "a", "b", "c", "d" }, {}, true),
               (std::vector<std::string> { "b", "c" }));
-    EXPECT_EQ(desk.book.peers.count("d"), 0U);
+    EXPECT_EQ(test.table.peers.count("d"), 0U);
 }
 
-// "d" was listed while the places were taken; nobody names it again.
-TEST(PeerBookPlaces, ThatComeFreeGoToWhoWasListedBefore)
+// "d" was listed while the table was full, and is not listed again.
+TEST(PeerTablePlaces, AreReusedForHostsListedBefore)
 {
-    Desk desk;
-    connected(desk.book, "a", desk.now);
-    desk.told("a", { "a", "b", "c", "d" }, {}, true);
-    desk.told("a", {}, { "b" });
-    EXPECT_TRUE(desk.pass(desk.book.settings.forgetAfter - Milliseconds(1)).dropped.empty());
-    const PeerChanges changes = desk.pass(Milliseconds(1));
+    TableTest test;
+    connected(test.table, "a", test.now);
+    test.applyLists("a", { "a", "b", "c", "d" }, {}, true);
+    test.applyLists("a", {}, { "b" });
+    EXPECT_TRUE(test.advance(test.table.settings.retention - Milliseconds(1)).dropped.empty());
+    const PeerChanges changes = test.advance(Milliseconds(1));
     EXPECT_EQ(changes.dropped, std::vector<std::string> { "b" });
     EXPECT_EQ(changes.added, std::vector<std::string> { "d" });
 }
 
-struct ForgetCase
+struct RemovalCase
 {
     const char *name;
     const char *address;
     bool connected;
     bool listed;
-    bool forgotten;
+    bool removed;
 };
 
-class Forgets : public testing::TestWithParam<ForgetCase>
+class PeerRemoval : public testing::TestWithParam<RemovalCase>
 { };
 
-TEST_P(Forgets, OnlyWhoIsGoneForGood)
+TEST_P(PeerRemoval, SparesSeedsListedAndConnectedPeers)
 {
-    Desk desk;
-    connected(desk.book, "a", desk.now);
-    desk.told("a", { "b" }, {}, true);
+    TableTest test;
+    connected(test.table, "a", test.now);
+    test.applyLists("a", { "b" }, {}, true);
     if (!GetParam().listed)
-        desk.told("a", {}, { "b" });
+        test.applyLists("a", {}, { "b" });
     if (GetParam().connected)
-        connected(desk.book, GetParam().address, desk.now);
+        connected(test.table, GetParam().address, test.now);
     else
-        connectionLost(desk.book, GetParam().address);
-    desk.pass(desk.book.settings.forgetAfter);
-    EXPECT_EQ(desk.book.peers.count(GetParam().address) == 0, GetParam().forgotten);
+        connectionLost(test.table, GetParam().address);
+    test.advance(test.table.settings.retention);
+    EXPECT_EQ(test.table.peers.count(GetParam().address) == 0, GetParam().removed);
 }
 
-INSTANTIATE_TEST_SUITE_P(Fleet, Forgets,
-                         testing::Values(ForgetCase { "Gone", "b", false, false, true },
-                                         ForgetCase { "Listed", "b", false, true, false },
-                                         ForgetCase { "Connected", "b", true, false, false },
-                                         ForgetCase { "Seed", "a", false, true, false }),
-                         [](const auto &tested) { return tested.param.name; });
+INSTANTIATE_TEST_SUITE_P(Fleet, PeerRemoval,
+                         testing::Values(RemovalCase { "Gone", "b", false, false, true },
+                                         RemovalCase { "Listed", "b", false, true, false },
+                                         RemovalCase { "Connected", "b", true, false, false },
+                                         RemovalCase { "Seed", "a", false, true, false }),
+                         [](const auto &given) { return given.param.name; });
 
 } // namespace
 } // namespace foxwing::fleet
--- a/packages/fleet/tests/settings_test.cpp
+++ b/packages/fleet/tests/settings_test.cpp
@@ -1,5 +1,5 @@
 /*
-    Which settings files are taken, and how bounds follow from them.
+    Which settings files are valid, and how timeouts are adjusted to them.
 
     [SECTION] Tests
 */
@@ -12,7 +12,7 @@
 
 // [SECTION] Tests
 
-const std::string Good = R"(
+const std::string ValidFile = R"(
 [node]
 name = "front-1"
 role = "entry"
@@ -60,7 +60,7 @@
 TEST(FleetSettingsFile, IsRead)
 {
     Error reason;
-    const auto settings = parseFleetSettings(Good, "node.toml", &reason);
+    const auto settings = parseFleetSettings(ValidFile, "node.toml", &reason);
     ASSERT_TRUE(settings) << reason.message;
     EXPECT_EQ(settings->role, directory::Role::Entry);
     EXPECT_TRUE(settings->firstStart);
@@ -90,7 +90,7 @@
     EXPECT_FALSE(settings->runner.probationEnabled);
 }
 
-struct BadCase
+struct InvalidCase
 {
     const char *name;
     std::string from;
@@ -98,12 +98,12 @@
     const char *reason;
 };
 
-class Bad : public testing::TestWithParam<BadCase>
+class InvalidSettings : public testing::TestWithParam<InvalidCase>
 { };
 
-TEST_P(Bad, IsRefusedWithTheKey)
+TEST_P(InvalidSettings, AreRefusedWithTheKey)
 {
-    std::string text = Good;
+    std::string text = ValidFile;
     const std::size_t at = text.find(GetParam().from);
     ASSERT_NE(at, std::string::npos);
     text.replace(at, GetParam().from.size(), GetParam().to);
@@ -113,31 +113,32 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-        Fleet, Bad,
+        Fleet, InvalidSettings,
         testing::Values(
-                BadCase { "Role", "\"entry\"", "\"boss\"", "role" },
-                BadCase { "NoName", "\"front-1\"", "\"\"", "name" },
-                BadCase { "NoSeeds", R"(["10.1.0.17:8166","10.2.0.34:8166"])", "[]", "seeds" },
-                BadCase { "Port", "7720", "77200", "inner_port" },
-                BadCase { "NoCallers", "callers = \"10.1.0.13:8161\"", "", "callers" },
-                BadCase { "UnknownKey", "first_start = true", "first = true", "first" },
-                BadCase { "AgentWithoutEndpoint", "\"entry\"", "\"agent\"", "control" },
-                BadCase { "ControlWithoutFolder", "\"entry\"", "\"control\"", "data_folder" },
-                BadCase { "Losses", "losses = 1", "losses = 80", "tolerated_losses" },
-                BadCase { "Order", "\"latest-begin\"", "\"sideways\"", "order" },
-                BadCase { "Placement", "\"most-room\"", "\"nowhere\"", "placement" },
-                BadCase { "Wait", "wait_percent = 0", "wait_percent = 101", "wait_percent" },
-                BadCase { "Waiting", "\"all-but-least\"", "\"all\"", "waiting_queues" },
-                BadCase { "Floor", "floor_percent = 65", "floor_percent = 101", "floor_percent" },
-                BadCase { "Away", "= 40", "= -1", "away_percent" },
-                BadCase { "Far", "far_factor = 3", "far_factor = 0.5", "far_factor" },
-                BadCase { "NoSubset", "subset_size = 12", "subset_size = 0", "subset_size" },
-                BadCase { "AtArrival", "= 150", "= -1", "refuse_at_arrival_percent" },
-                BadCase { "StandBack", "milliseconds = 40", "milliseconds = 401",
-                          "stand_back_above_milliseconds" },
-                BadCase { "Margin", "= 20", "= -1", "margin_percent" },
-                BadCase { "Grace", "= 6", "= \"long\"", "stop_grace" }),
-        [](const auto &tested) { return tested.param.name; });
+                InvalidCase { "Role", "\"entry\"", "\"other\"", "role" },
+                InvalidCase { "NoName", "\"front-1\"", "\"\"", "name" },
+                InvalidCase { "NoSeeds", R"(["10.1.0.17:8166","10.2.0.34:8166"])", "[]", "seeds" },
+                InvalidCase { "Port", "7720", "77200", "inner_port" },
+                InvalidCase { "NoCallers", "callers = \"10.1.0.13:8161\"", "", "callers" },
+                InvalidCase { "UnknownKey", "first_start = true", "first = true", "first" },
+                InvalidCase { "AgentWithoutEndpoint", "\"entry\"", "\"agent\"", "control" },
+                InvalidCase { "ControlWithoutFolder", "\"entry\"", "\"control\"", "data_folder" },
+                InvalidCase { "Losses", "losses = 1", "losses = 80", "tolerated_losses" },
+                InvalidCase { "Order", "\"latest-begin\"", "\"other\"", "order" },
+                InvalidCase { "Placement", "\"most-room\"", "\"other\"", "placement" },
+                InvalidCase { "Wait", "wait_percent = 0", "wait_percent = 101", "wait_percent" },
+                InvalidCase { "Waiting", "\"all-but-least\"", "\"all\"", "waiting_queues" },
+                InvalidCase { "Floor", "floor_percent = 65", "floor_percent = 101",
+                              "floor_percent" },
+                InvalidCase { "Away", "= 40", "= -1", "away_percent" },
+                InvalidCase { "Far", "far_factor = 3", "far_factor = 0.5", "far_factor" },
+                InvalidCase { "NoSubset", "subset_size = 12", "subset_size = 0", "subset_size" },
+                InvalidCase { "AtArrival", "= 150", "= -1", "refuse_at_arrival_percent" },
+                InvalidCase { "StandBack", "milliseconds = 40", "milliseconds = 401",
+                              "stand_back_above_milliseconds" },
+                InvalidCase { "Margin", "= 20", "= -1", "margin_percent" },
+                InvalidCase { "Grace", "= 6", "= \"long\"", "stop_grace" }),
+        [](const auto &given) { return given.param.name; });
 
 struct ResendCase
 {
@@ -145,14 +146,14 @@
     int resendMilliseconds;
 };
 
-class Resend : public testing::TestWithParam<ResendCase>
+class ResendDelay : public testing::TestWithParam<ResendCase>
 { };
 
-// Whatever the resend time, a run is certainly over before its caller sends the job again, and an
-// agent's part of that span covers its silence bound and its endpoint's lease.
-TEST_P(Resend, BoundsFit)
+// For any resend delay: a run has certainly stopped before its caller resends the job, and an agent
+// has time for its session timeout and its endpoint's lease.
+TEST_P(ResendDelay, ExceedsTimeouts)
 {
-    std::string text = Good;
+    std::string text = ValidFile;
     text.replace(text.find("1300"), 4, std::to_string(GetParam().resendMilliseconds));
     Error reason;
     const auto settings = parseFleetSettings(text, "node.toml", &reason);
@@ -164,16 +165,16 @@
     EXPECT_LT(entry.agentTimeout, agent.sessionTimeout);
     EXPECT_LT(entry.heartbeatInterval * 2, agent.sessionTimeout);
 
-    // An agent that is there is neither given up nor passed over between two pieces of news.
+    // A connected agent is neither dropped nor suspected between two updates.
     EXPECT_LT(agent.idleUpdateInterval * 2, entry.suspectAfter);
     EXPECT_LT(entry.suspectAfter, entry.agentTimeout);
 }
 
-INSTANTIATE_TEST_SUITE_P(Fleet, Resend,
+INSTANTIATE_TEST_SUITE_P(Fleet, ResendDelay,
                          testing::Values(ResendCase { "Usual", 1300 }, ResendCase { "Short", 900 },
                                          ResendCase { "Shorter", 500 },
                                          ResendCase { "Long", 5000 }),
-                         [](const auto &tested) { return tested.param.name; });
+                         [](const auto &given) { return given.param.name; });
 
 } // namespace
 } // namespace foxwing::fleet
