--- a/tests/fuzz/frames_test.cpp
+++ b/tests/fuzz/frames_test.cpp
@@ -1,6 +1,6 @@
 /*
-    Damaged frames between processes: none crashes, hangs or takes memory beyond the frame, and what
-    is read says the same when it is written again.
+    Mutated frames between processes: the decoder may not crash, hang or allocate more than the frame
+    justifies, and a decoded frame must survive another round trip unchanged.
 
     [SECTION] Frames
 */
@@ -62,7 +62,7 @@
     return frames;
 }
 
-// What is read says the same when it is written and read again: no value was made up on the way.
+// A decoded frame stays the same when encoded and decoded again: the decoder invents no values.
 TEST(Fuzz, FramesAreReadAsTheySayOrNotAtAll)
 {
     Mutator mutator(fuzzSeed(), goldenFrames());
--- a/tests/fuzz/mutations.cpp
+++ b/tests/fuzz/mutations.cpp
@@ -1,5 +1,5 @@
 /*
-    Damage to messages.
+    Seeded mutation of messages, see mutations.h.
 
     [SECTION] Settings
     [SECTION] Values
@@ -37,17 +37,17 @@
 
 namespace {
 
-// What stands in place of a value: other types, borders of number types, and nothing.
+// Replacements for a value: other types, limits of number types, and empty values
 const std::vector<std::string> OddValues {
     "null",       "true", "[]",    "{}",   R"("")",      R"("x")",           "-1",
     "0",          "1.5",  "1e300", "1e-9", "4294967296", "9007199254740993", "18446744073709551616",
     "\"\\u0000\""
 };
 
-// Deeper than any message of ours
+// Deeper than any valid message
 constexpr std::size_t Nesting = 3000;
 
-// The end of the JSON value that begins there; brackets and texts are followed, no more.
+// The end of the JSON value that starts at a position. Only brackets and strings are parsed.
 std::size_t endOfValue(const std::string &text, std::size_t at)
 {
     int depth = 0;
--- a/tests/fuzz/mutations.h
+++ b/tests/fuzz/mutations.h
@@ -1,8 +1,8 @@
 /*
-    Seeded damage to messages, for fuzzing.
+    Seeded mutation of messages, for fuzzing.
 
-        Mutator mutator(seed, goldenTexts);
-        std::string odd = mutator.next();
+        Mutator mutator(seed, corpus);
+        std::string mutated = mutator.next();
 
     [SECTION] Settings
     [SECTION] Mutator
@@ -17,15 +17,15 @@
 
 // [SECTION] Settings
 
-// How many messages a reader gets (FOXWING_FUZZ_MESSAGES, or 20,000), and the seed
-// (FOXWING_FIRST_SEED, or 1).
+// Number of messages for each reader (FOXWING_FUZZ_MESSAGES, default 20,000), and the seed
+// (FOXWING_FIRST_SEED, default 1).
 std::uint64_t fuzzMessages();
 std::uint64_t fuzzSeed();
 
 // [SECTION] Mutator
 
-// Takes one of the golden messages and damages it up to three times: members dropped, repeated or
-// written otherwise, spans cut, two messages spliced, odd bytes, deep nesting.
+// Applies one to three mutations to a message of the corpus: replaces values and bytes, drops
+// members, erases or duplicates ranges, splices two messages, inserts deep nesting.
 class Mutator
 {
 public:
