--- a/tests/fuzz/frames_test.cpp
+++ b/tests/fuzz/frames_test.cpp
@@ -1,6 +1,6 @@
 /*
-    Mutated frames between processes: the decoder may not crash, hang or allocate more than the frame
-    justifies, and a decoded frame must survive another round trip unchanged.
+    Mutated frames between processes: the decoder may not crash, hang or allocate more memory than
+    the frame has, and a decoded frame must survive another round trip unchanged.
 
     [SECTION] Frames
 */
@@ -26,7 +26,7 @@
     return view;
 }
 
-std::vector<std::string> goldenFrames()
+std::vector<std::string> corpusFrames()
 {
     jobs::AgentUpdate update;
     update.endpoint = { makeView() };
@@ -38,9 +38,9 @@
     start.starts = { { 1, 2 }, { 3, 4 } };
     fleet::AgreedPush push;
     push.cordons = { 7, { "north", "south" } };
-    jobs::SessionAccepted welcome;
-    welcome.endpoint = makeView();
-    welcome.crashed = update.crashed;
+    jobs::SessionAccepted sessionAccepted;
+    sessionAccepted.endpoint = makeView();
+    sessionAccepted.crashed = update.crashed;
     directory::NodeInfo node;
     node.name = "n";
     node.role = directory::Role::Agent;
@@ -52,8 +52,8 @@
     node.capacity = { 16000, 32768, 0 };
     std::vector<std::string> frames;
     for (const fleet::Frame &frame :
-         { fleet::Frame(update), fleet::Frame(start), fleet::Frame(push), fleet::Frame(welcome),
-           fleet::Frame(directory::Announce { node }),
+         { fleet::Frame(update), fleet::Frame(start), fleet::Frame(push),
+           fleet::Frame(sessionAccepted), fleet::Frame(directory::Announce { node }),
            fleet::Frame(fleet::OpenSession { "entry-1", { push.cordons } }),
            fleet::Frame(jobs::StopRuns { { { { "job", 0, 0, 1 }, 1 } } }),
            fleet::Frame(
@@ -63,10 +63,10 @@
 }
 
 // A decoded frame stays the same when encoded and decoded again: the decoder invents no values.
-TEST(Fuzz, FramesAreReadAsTheySayOrNotAtAll)
+TEST(Fuzz, DecodedFramesSurviveARoundTrip)
 {
-    Mutator mutator(fuzzSeed(), goldenFrames());
-    std::uint64_t read = 0;
+    Mutator mutator(fuzzSeed(), corpusFrames());
+    std::uint64_t decoded = 0;
     for (std::uint64_t i = 0; i < fuzzMessages(); ++i) {
         const std::string bytes = mutator.next();
         Error reason;
@@ -75,13 +75,13 @@
             EXPECT_FALSE(reason.message.empty());
             continue;
         }
-        ++read;
+        ++decoded;
         const std::string written = encodeFrame(*frame);
         const auto again = decodeFrame<fleet::Frame>(written, &reason);
         ASSERT_TRUE(again) << reason.message;
         ASSERT_EQ(encodeFrame(*again), written);
     }
-    EXPECT_GT(read, fuzzMessages() / 1000);
+    EXPECT_GT(decoded, fuzzMessages() / 1000);
 }
 
 } // namespace
--- a/tests/fuzz/mutations.h
+++ b/tests/fuzz/mutations.h
@@ -29,23 +29,23 @@
 class Mutator
 {
 public:
-    Mutator(std::uint64_t seed, std::vector<std::string> golden);
+    Mutator(std::uint64_t seed, std::vector<std::string> corpus);
 
     std::string next();
 
 private:
-    std::size_t below(std::size_t bound);
-    void damage(std::string &text);
+    std::size_t randomBelow(std::size_t bound);
+    void mutate(std::string &text);
     void replaceValue(std::string &text);
     void dropMember(std::string &text);
-    void cutSpan(std::string &text);
-    void repeatSpan(std::string &text);
-    void changeByte(std::string &text);
+    void eraseRange(std::string &text);
+    void duplicateRange(std::string &text);
+    void replaceByte(std::string &text);
     void splice(std::string &text);
-    void nest(std::string &text);
+    void insertNesting(std::string &text);
 
     std::mt19937_64 m_random;
-    std::vector<std::string> m_golden;
+    std::vector<std::string> m_corpus;
 };
 
 } // namespace foxwing::test
