--- a/packages/fabric/include/foxwing/fabric/httpserver.h
+++ b/packages/fabric/include/foxwing/fabric/httpserver.h
@@ -5,7 +5,7 @@
             exchange->answer(makeResponse(200, "text/plain", "hello"));
         });
 
-    An exchange may be answered at once or later. onGone() tells when the caller closed its
+    An exchange may be answered at once or later. onDisconnect() tells when the caller closed its
     connection before it was answered.
 
     [SECTION] Limits
@@ -41,7 +41,7 @@
     // A connection that carries nothing for this long is closed.
     Milliseconds idleTimeout { 15000 };
 
-    std::size_t mostConnections = 3000;
+    std::size_t maxConnections = 3000;
 };
 
 // [SECTION] Exchange
@@ -58,8 +58,9 @@
     void answer(Response response);
     bool answered() const { return m_answered; }
 
-    // False if the caller has closed its connection already, which onGone() tells a moment later.
-    bool callerIsThere() const;
+    // False if the caller has closed its connection already, which onDisconnect() tells a moment
+    // later.
+    bool isCallerConnected() const;
 
     // How long ago the last bytes of the connection came to this host, whether or not anybody read
     // them, in whole milliseconds; zero if the system can't tell. Asked when the request has just
@@ -67,7 +68,7 @@
     Milliseconds sinceReceived() const;
 
     // Called if the caller goes before the answer.
-    void onGone(std::function<void()> handler) { m_gone = std::move(handler); }
+    void onDisconnect(std::function<void()> handler) { m_gone = std::move(handler); }
 
 private:
     friend class HttpConnection;
@@ -104,7 +105,7 @@
     void stopAccepting();
 
     // Requests read in full and not answered yet, or whose answer is still being written.
-    std::size_t underWay() const;
+    std::size_t pendingRequests() const;
     std::size_t connections() const;
 
 private:
--- a/packages/fabric/include/foxwing/fabric/link.h
+++ b/packages/fabric/include/foxwing/fabric/link.h
@@ -112,8 +112,8 @@
     // Between tries; doubles up to the longest. Hosts that start together must find each other
     // within the time that an election takes, and a try at a host that is down costs next to
     // nothing.
-    Milliseconds firstPause { 20 };
-    Milliseconds longestPause { 100 };
+    Milliseconds minBackoff { 20 };
+    Milliseconds maxBackoff { 100 };
     LinkLimits limits;
 };
 
--- a/packages/fleet/src/agentrole.cpp
+++ b/packages/fleet/src/agentrole.cpp
@@ -105,7 +105,7 @@
     // One for the poll and one for each start that an endpoint has capacity for (10 to 15 tasks),
     // so that unanswered commands don't delay others. Connections are opened on demand.
     fabric::HttpClientSettings settings;
-    settings.mostConnections = 16;
+    settings.maxConnections = 16;
     return settings;
 }
 
--- a/packages/fleet/src/entryrole.cpp
+++ b/packages/fleet/src/entryrole.cpp
@@ -221,7 +221,7 @@
                            .with("calls", std::uint64_t { calls.size() })
                            .with("oldest_ms", steadyNow() - calls.front().receivedAt));
     for (const HeldCall &call : calls) {
-        if (call.exchange->callerIsThere())
+        if (call.exchange->isCallerConnected())
             serveCaller(call.exchange, call.receivedAt);
     }
 }
@@ -297,7 +297,7 @@
     m_waiting[number].push_back(exchange);
     m_queueOf[number] = queue.name;
     m_receivedAt.emplace(number, arrival);
-    exchange->onGone([this, number, weak = std::weak_ptr<fabric::Exchange>(exchange)] {
+    exchange->onDisconnect([this, number, weak = std::weak_ptr<fabric::Exchange>(exchange)] {
         if (const auto gone = weak.lock())
             handleCallerGone(number, gone);
     });
@@ -327,7 +327,7 @@
 
 bool EntryRole::isCallerGone(const ExchangePtr &exchange, const std::string &job)
 {
-    if (exchange->callerIsThere())
+    if (exchange->isCallerConnected())
         return false;
     ++m_callersFoundGone;
     writeEvent(m_core.log, Event("caller-found-gone").with("request", job));
@@ -564,7 +564,7 @@
 bool EntryRole::stopped(Time now)
 {
     const Milliseconds grace = m_core.settings.stopGrace;
-    const bool idle = m_callers->underWay() == 0;
+    const bool idle = m_callers->pendingRequests() == 0;
     if (now >= m_stopStartedAt + DrainDelay && idle && m_callers->connections() == 0)
         return true;
     if (now >= m_stopStartedAt + grace - AcceptMargin)
--- a/packages/fleet/src/operatorapi.cpp
+++ b/packages/fleet/src/operatorapi.cpp
@@ -26,7 +26,7 @@
 void OperatorApi::handle(const ExchangePtr &exchange)
 {
     // The operator may have sent the request to another host after closing this connection.
-    if (!exchange->callerIsThere())
+    if (!exchange->isCallerConnected())
         return;
     Error reason;
     auto request = readValidRequest(exchange->request(), &reason);
@@ -44,7 +44,7 @@
     OperatorCall call;
     call.request = std::move(*request);
     const std::uint64_t number = add(std::move(call), { exchange, 0, 0 });
-    exchange->onGone([this, number] { handleOperatorGone(number); });
+    exchange->onDisconnect([this, number] { handleOperatorGone(number); });
 }
 
 std::optional<OperatorRequest> OperatorApi::readValidRequest(const fabric::Request &request,
