--- a/packages/base/include/foxwing/base/binary.h
+++ b/packages/base/include/foxwing/base/binary.h
@@ -1,14 +1,14 @@
 /*
-    Typed messages to compact bytes and back, through the same describe() as the JSON codec.
+    Compact binary encoding of typed messages, through the same describe() as the JSON codec.
 
         std::string bytes = toBinary(message);
         if (!fromBinary(bytes, &message, &reason))
             ...
 
-    Numbers are variable-length, fields stand in the order of describe(). Both ends must run the
-    same version of a message: a reader takes what is there and leaves later fields at their
-    defaults, so fields may only be added at the end. encodeFrame() and decodeFrame() put the
-    alternative of a std::variant before it.
+    Integers are variable-length, and fields are in the order of describe(). Both ends must run the
+    same version of a message, except that fields may be added at the end: a reader leaves fields
+    that are missing there at their defaults. encodeFrame() and decodeFrame() encode a std::variant
+    and put the index of its alternative first.
 
     [SECTION] Writer
     [SECTION] Reader
@@ -93,7 +93,7 @@
     template<class T>
     void operator()(const char *, T &value)
     {
-        // Fields that an older writer does not know keep their defaults.
+        // Fields that an older writer doesn't know keep their defaults.
         if (m_ok && !m_rest.empty())
             read(value);
     }
@@ -103,7 +103,7 @@
     std::uint64_t readUnsigned()
     {
         std::uint64_t value = 0;
-        // The tenth byte has room for one more bit.
+        // Nine bytes hold 63 bits; the tenth may hold one more.
         constexpr unsigned LastShift = 63;
         for (unsigned shift = 0; shift <= LastShift; shift += 7) {
             if (m_rest.empty())
@@ -151,7 +151,7 @@
         return static_cast<std::int64_t>(raw >> 1U) ^ -static_cast<std::int64_t>(raw & 1U);
     }
 
-    // Cut down to the field's type, damage would pass for a value.
+    // Checks the range: truncated to the field's type, a corrupt number could pass for a valid one.
     template<class T>
     T takeValue()
     {
@@ -175,7 +175,7 @@
     void readVector(std::vector<T> &value)
     {
         const std::uint64_t size = readUnsigned();
-        // Each item takes a byte at least: a larger number is damage, and must not take memory.
+        // Each item has at least one byte, so a larger size is corrupt and must not be allocated.
         if (size > m_rest.size()) {
             m_ok = false;
             return;
@@ -209,7 +209,7 @@
     reader.read(*message);
     if (!reader.ok())
         fail(reason, ErrorKind::BadRequest,
-             "a message is cut short; check that both processes run the same version");
+             "message truncated or invalid; check that both processes run the same version");
     return reader.ok();
 }
 
@@ -227,7 +227,7 @@
 {
     if constexpr (Index == std::variant_size_v<Variant>) {
         return fail(reason, ErrorKind::BadRequest,
-                    "unknown message " + std::to_string(wanted)
+                    "unknown message index " + std::to_string(wanted)
                             + "; upgrade the process that received it");
     } else {
         if (wanted != Index)
@@ -236,7 +236,8 @@
         reader.read(message);
         if (!reader.ok())
             return fail(reason, ErrorKind::BadRequest,
-                        "a message is cut short; check that both processes run the same version");
+                        "message truncated or invalid; check that both processes run the same "
+                        "version");
         return Variant(std::move(message));
     }
 }
--- a/packages/base/include/foxwing/base/clock.h
+++ b/packages/base/include/foxwing/base/clock.h
@@ -1,5 +1,5 @@
 /*
-    Readings of the clocks. Only shells include this: code that decides takes the time as an
+    Reads the clocks. Include this only in code that does I/O: state machines take the time as an
     argument.
 
     [SECTION] Functions
@@ -14,20 +14,20 @@
 
 // [SECTION] Functions
 
-// Now on the host's clock, which goes on while the host is suspended.
+// The current time on the host's clock, which includes the time while the host is suspended.
 //
-// Timers of the libraries stop for that time and fire late; what they wake looks at this clock, so
-// it finds its deadline passed within the timer's own span of the host's return.
+// Library timers stop while the host is suspended, so they fire late. Their handlers compare
+// deadlines with this clock, and so notice a missed one at most one timer interval after resume.
 inline Time steadyNow()
 {
     timespec reading {};
-    // Fails for an unknown clock only.
+    // Fails only for an unknown clock.
     clock_gettime(CLOCK_BOOTTIME, &reading);
     return Time(std::chrono::duration_cast<Microseconds>(
             Seconds(reading.tv_sec) + std::chrono::nanoseconds(reading.tv_nsec)));
 }
 
-// Now as a date; may jump either way.
+// The current date; may jump forward or backward.
 inline WallTime wallClockNow()
 {
     return std::chrono::time_point_cast<Milliseconds>(std::chrono::system_clock::now());
--- a/packages/base/include/foxwing/base/codec.h
+++ b/packages/base/include/foxwing/base/codec.h
@@ -1,5 +1,5 @@
 /*
-    Typed messages to JSON and back, over jsoncpp.
+    JSON encoding of typed messages, over jsoncpp.
 
     A message is a plain struct with a constant Type and a describe() that names each field once:
 
@@ -14,10 +14,10 @@
             fields("number", ping.number);
         }
 
-    toJson(message) and fromJson(json, &message, &reason) then work, as do encodeMessage() and
-    decodeMessage() for a std::variant of such messages. Members that a reader does not know are
-    ignored, so that a newer process can talk to an older one; members that are missing or of the
-    wrong type are errors that name the field.
+    This enables toJson(message) and fromJson(json, &message, &reason), and encodeMessage() and
+    decodeMessage() for a std::variant of such messages. Unknown members are ignored, so that a
+    newer process can talk to an older one; missing members and members of the wrong type are errors
+    that name the field.
 
     [SECTION] Writer
     [SECTION] Ranges
@@ -65,8 +65,8 @@
 
 // [SECTION] Ranges
 
-// Whether a number that was read is a value of the field's type. An enumeration in a message needs
-// lastOf() beside it, which names its last enumerator:
+// Whether a received number is a valid value of type T. An enumeration that is used in a message
+// needs an overload of lastOf() in its namespace that returns its last enumerator:
 //
 //     constexpr Role lastOf(Role) { return Role::Agent; }
 template<class T>
@@ -83,7 +83,7 @@
 class JsonReader
 {
 public:
-    // Reads from an object; the first failure is stored in reason and ends all further reading.
+    // Reads from an object. The first error is stored in reason; after it nothing more is read.
     JsonReader(const Json::Value &json, std::string path, Error *reason);
 
     template<class T>
@@ -222,7 +222,7 @@
 
 // [SECTION] Variants
 
-// {"type": ..., "body": ...} for whichever message the variant holds.
+// {"type": ..., "body": ...} for the message that the variant contains.
 template<class... Messages>
 Json::Value encodeMessage(const std::variant<Messages...> &message)
 {
@@ -262,11 +262,11 @@
 
 // [SECTION] Text
 
-// JSON text without any white space.
+// Writes JSON without white space.
 std::string writeJson(const Json::Value &json);
 
-// Parses one JSON document with a bounded nesting depth. Duplicate keys and trailing text are
-// errors; the reason names line and column.
+// Parses one JSON document. Duplicate keys, trailing text and deep nesting are errors; the reason
+// contains line and column.
 std::optional<Json::Value> parseJson(const std::string &text, Error *reason);
 
 } // namespace foxwing
--- a/packages/base/include/foxwing/base/error.h
+++ b/packages/base/include/foxwing/base/error.h
@@ -1,9 +1,9 @@
 /*
-    Outcomes and typed errors.
+    Outcomes of submitted work and typed errors.
 
-    A function that can fail returns std::optional and fills the Error that its last argument points
-    to ("last reason"). Every Error says which kind it is, what the reader can do about it, and what
-    is known about the work: a caller may repeat the request only when the outcome is NotRun.
+    A function that can fail returns std::optional and fills the Error that its last argument,
+    "reason", points to. Every Error has a kind, a message that says what to do about it, and the
+    outcome of the work: a caller may repeat the request only when the outcome is NotRun.
 
     [SECTION] Outcome
     [SECTION] Error
@@ -19,7 +19,7 @@
 
 // [SECTION] Outcome
 
-// What foxwing knows about submitted work. NotRun is said only with proof.
+// What foxwing knows about submitted work. NotRun is reported only when it is certain.
 enum class Outcome {
     Pending,
     Complete,
@@ -64,37 +64,38 @@
 
 struct Error
 {
-    // What went wrong, for programs.
+    // For programs
     ErrorKind kind = ErrorKind::None;
 
-    // What went wrong and what to do about it, for people. One sentence each.
+    // For people: what went wrong and what to do about it, one sentence each
     std::string message;
 
-    // What is known about the work this error answers.
+    // Outcome of the work that was requested
     Outcome outcome = Outcome::NotRun;
 
-    // When it makes sense to come back; zero where coming back does not help.
+    // Delay after which a retry makes sense; zero if a retry does not help
     std::chrono::milliseconds retryAfter { 0 };
 };
 
 // [SECTION] Functions
 
-// The name of an outcome as callers read it, such as "not run".
+// The name of an outcome in responses, such as "not run".
 const char *toString(Outcome outcome);
 
-// The outcome with that name, or nothing.
+// The outcome with a name, or nothing if there is none.
 std::optional<Outcome> parseOutcome(const std::string &name);
 
-// The name of a kind as callers read it, such as "queue-full".
+// The name of a kind in responses, such as "queue-full".
 const char *toString(ErrorKind kind);
 
-// The kind with that name; Internal for a name this version does not know.
+// The kind with a name; Internal for an unknown name.
 ErrorKind parseErrorKind(const std::string &name);
 
-// The HTTP status code that goes with a kind.
+// The HTTP status code of a kind.
 int httpStatus(ErrorKind kind);
 
-// Stores an error where the caller asked for one, and returns nothing, to be returned in turn.
+// Stores an error in *reason unless reason is null, and returns nullopt, so that a function can end
+// with: return fail(reason, ...);
 std::nullopt_t fail(Error *reason, ErrorKind kind, std::string message,
                     Outcome outcome = Outcome::NotRun);
 
--- a/packages/base/include/foxwing/base/fadingsum.h
+++ b/packages/base/include/foxwing/base/fadingsum.h
@@ -1,8 +1,8 @@
 /*
-    A sum in which old amounts fade: the pace of something that comes in pieces.
+    A sum in which old amounts decay exponentially, to estimate a rate.
 
-        addTo(freed, Milliseconds(300), room, now);
-        const double pace = perSecond(freed, Milliseconds(300), now);
+        addTo(freed, Milliseconds(300), cpu, now);
+        const double rate = perSecond(freed, Milliseconds(300), now);
 
     [SECTION] Sum
 */
@@ -18,7 +18,7 @@
 
 struct FadingSum
 {
-    // Each amount falls to a third within the span that it is kept for
+    // Each amount decays by a factor of e within one window
     double amount = 0;
     Time at {};
 };
--- a/packages/base/include/foxwing/base/guards.h
+++ b/packages/base/include/foxwing/base/guards.h
@@ -1,9 +1,9 @@
 /*
-    Switches that break one safety guard each, for tests only.
+    Disables one safety guard at a time, for tests only.
 
-    A test build defines FOXWING_BROKEN_GUARD as one of the names below; the schedules, or the
-    fuzzing, must then find a violation. A proof that can't fail proves nothing. Shipped builds
-   leave it undefined.
+    A test build defines FOXWING_BROKEN_GUARD as one of the enumerators below; the tests that check
+    the guard must then find a violation, which proves that they can. Release builds leave the macro
+    undefined.
 
     [SECTION] Guards
 */
@@ -32,7 +32,7 @@
 constexpr Guard BrokenGuard = Guard::None;
 #endif
 
-// Whether a guard is in place in this build.
+// Whether a guard is enabled in this build.
 constexpr bool holds(Guard guard)
 {
     return guard != BrokenGuard;
--- a/packages/base/include/foxwing/base/time.h
+++ b/packages/base/include/foxwing/base/time.h
@@ -1,11 +1,12 @@
 /*
-    The two clocks of foxwing, as types.
+    The types of the two clocks of foxwing.
 
-    Use Time for everything that measures a span inside one process: leases, deadlines, retries. It
-    counts the time for which the host was suspended, which the library's steady clock leaves out:
-   an entry that believed its leases after such a pause would start what others have started since.
-    Use WallTime only for what crosses machines as a date: the time inside a submission id.
-    Code that decides takes either as an argument; only the I/O shell reads a clock.
+    Use Time for everything that measures durations inside one process: leases, deadlines, retries.
+    It includes the time while the host was suspended, which std::chrono::steady_clock does not: an
+    entry that trusted its leases after a suspension would start what others have started meanwhile.
+
+    Use WallTime only for dates that are exchanged between hosts, such as the time in a submission
+    id. State machines take either as an argument; only code that does I/O reads a clock.
 
     [SECTION] Types
     [SECTION] Conversions
@@ -23,8 +24,8 @@
 using Milliseconds = std::chrono::milliseconds;
 using Seconds = std::chrono::seconds;
 
-// Rises evenly since the host began, suspended or not. A type of its own, so that the compiler
-// refuses to compare it with readings of a clock that stops.
+// Time since the host's boot, including suspension. A separate type, so that the compiler rejects
+// comparisons with clocks that stop during suspension.
 struct HostClock
 {
     using duration = Microseconds;
@@ -33,15 +34,15 @@
     using time_point = std::chrono::time_point<HostClock, duration>;
 };
 
-// A point on the host's clock. Means nothing to another host.
+// A point on the host's clock, meaningless on another host.
 using Time = HostClock::time_point;
 
-// A date, as far as the hosts' clocks agree. Never used to end a lease.
+// A date, as accurate as the hosts' clocks are synchronized. Never used to end a lease.
 using WallTime = std::chrono::time_point<std::chrono::system_clock, Milliseconds>;
 
 // [SECTION] Conversions
 
-// Milliseconds as a floating number, for people and for plots.
+// Fractional milliseconds, for output.
 inline double toMilliseconds(Microseconds span)
 {
     return std::chrono::duration<double, std::milli>(span).count();
--- a/packages/base/src/codec.cpp
+++ b/packages/base/src/codec.cpp
@@ -1,5 +1,5 @@
 /*
-    The parts of the JSON codec that need no templates.
+    The parts of the JSON codec that are not templates.
 
     [SECTION] Reader
     [SECTION] Text
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Deeper documents than this have no use in any of our messages.
+// No message needs deeper nesting.
 constexpr int MaximumDepth = 32;
 
 } // namespace
@@ -68,7 +68,7 @@
 void JsonReader::readInteger(const Json::Value &json, const std::string &path, std::int64_t &value)
 {
     if (!json.isInt64())
-        return expect(path, "a whole number of 64 bits");
+        return expect(path, "a 64-bit integer");
     value = json.asInt64();
 }
 
@@ -76,7 +76,7 @@
                               std::uint64_t &value)
 {
     if (!json.isUInt64())
-        return expect(path, "a whole number that is not negative");
+        return expect(path, "an integer that is not negative");
     value = json.asUInt64();
 }
 
@@ -111,7 +111,8 @@
     } catch (const std::exception &exception) {
         errors = exception.what(); // jsoncpp throws when the nesting is too deep
     }
-    return fail(reason, ErrorKind::BadRequest, "the JSON text can't be read; mend it: " + errors);
+    return fail(reason, ErrorKind::BadRequest,
+                "the JSON text can't be read; correct it: " + errors);
 }
 
 } // namespace foxwing
--- a/packages/base/src/digest.cpp
+++ b/packages/base/src/digest.cpp
@@ -1,5 +1,5 @@
 /*
-    Digests over OpenSSL, hashes over xxHash.
+    Digests with OpenSSL, hashes with xxHash.
 
     [SECTION] Functions
 */
--- a/packages/base/src/error.cpp
+++ b/packages/base/src/error.cpp
@@ -1,5 +1,5 @@
 /*
-    Names and status codes of outcomes and errors.
+    Names of outcomes and error kinds, and HTTP status codes.
 
     [SECTION] Tables
     [SECTION] Functions
--- a/packages/base/src/submissionid.cpp
+++ b/packages/base/src/submissionid.cpp
@@ -1,5 +1,5 @@
 /*
-    Version 7 UUIDs.
+    Creates and parses version 7 UUIDs.
 
     [SECTION] Functions
 */
--- a/packages/base/tests/binary_test.cpp
+++ b/packages/base/tests/binary_test.cpp
@@ -1,5 +1,5 @@
 /*
-    What the binary codec accepts and what it refuses.
+    Tests of the binary codec: round trips and rejected bytes.
 
     [SECTION] Messages
     [SECTION] Refusals
@@ -77,7 +77,7 @@
 class BinaryRefusals : public testing::TestWithParam<RefusalCase>
 { };
 
-// What does not fit its field is refused, and not cut down to something that does.
+// A value that is out of its field's range must be rejected, not truncated.
 TEST_P(BinaryRefusals, NameNoMessage)
 {
     Error reason;
--- a/packages/base/tests/codec_test.cpp
+++ b/packages/base/tests/codec_test.cpp
@@ -1,5 +1,5 @@
 /*
-    What the codec accepts and what it refuses.
+    Tests of the JSON codec: round trips and rejected documents.
 
     [SECTION] Messages
     [SECTION] Round trips
--- a/packages/base/tests/submissionid_test.cpp
+++ b/packages/base/tests/submissionid_test.cpp
@@ -1,5 +1,5 @@
 /*
-    Submission ids carry their time and nothing else passes.
+    Tests of submission ids: the creation time is read back, and other texts are rejected.
 
     [SECTION] Tests
 */
--- a/packages/eventlog/include/foxwing/eventlog/eventlog.h
+++ b/packages/eventlog/include/foxwing/eventlog/eventlog.h
@@ -1,16 +1,16 @@
 /*
-    Structured lines on standard output that never hold up the process.
+    Structured log on standard output that never blocks the process.
 
         EventLog log("front-1", EventLogSettings());
-        writeEvent(log, now, Event("job-answered").with("request", id).with("waited_ms", 12));
-        flush(log);   // now and then, from the loop
+        writeEvent(log, Event("job-answered").with("request", id).with("waited_ms", 12));
+        flush(log);   // regularly, from the event loop
 
     Each line is a JSON object: time, node, event, then the fields. Lines wait in a bounded buffer
-    until flush() hands them to the kernel without blocking. A process may write a bounded number
-    of lines a second; what comes beyond, or does not fit the buffer, is counted by event and told
-    in one line "lines-left-out" a second later. Lines of the kind Change (start, stop, reload, a
-    lost or regained dependency) have a reserve of their own, so that a flood of requests can't
-    hide them.
+    until flush() writes them without blocking. The number of lines per second is limited. Lines
+    above the limit, or that don't fit the buffer, are dropped; they are counted by event and
+    reported in one line "lines-left-out" in the next second with output. Lines of the kind Change
+    (start, stop, reload, a lost or regained dependency) have a separate limit, so that a flood of
+    requests can't suppress them.
 
     [SECTION] Settings
     [SECTION] Event
@@ -30,14 +30,14 @@
 
 struct EventLogSettings
 {
-    // Lines of requests a second. An entry of the largest site answers 70 jobs a second, 130 in a
-    // burst, with one line each and one for each thing out of the ordinary.
+    // Lines of the kind Request per second. An entry of the largest site answers 70 jobs per
+    // second, 130 in a burst, with one line each and one more for each anomaly.
     std::uint32_t requestLinesPerSecond = 250;
 
-    // Lines of changes a second.
+    // Lines of the kind Change per second
     std::uint32_t changeLinesPerSecond = 100;
 
-    // Lines that the kernel has not taken yet.
+    // Limit of the output that is not written yet
     std::size_t mostBufferedBytes = 256U << 10U;
 };
 
@@ -71,7 +71,7 @@
     std::string m_fields;
 };
 
-// An event that changes what the process believes of itself or of others.
+// An event that reports a change in the state of this process or of another.
 inline Event change(const char *name)
 {
     return Event(name, EventKind::Change);
@@ -86,7 +86,7 @@
     std::string node;
     EventLogSettings settings;
 
-    // Where lines go; made non-blocking.
+    // File descriptor of the output, set to non-blocking
     int output;
 
     std::string buffer;
@@ -94,7 +94,7 @@
     std::uint32_t requestLines = 0;
     std::uint32_t changeLines = 0;
 
-    // Lines left out in this second, by event, and in all.
+    // Lines dropped in this second by event, and in total
     std::map<std::string, std::uint64_t> leftOut;
     std::uint64_t leftOutTotal = 0;
     std::uint64_t written = 0;
@@ -102,10 +102,10 @@
 
 void writeEvent(EventLog &log, Time now, WallTime date, const Event &event);
 
-// The same, with the clocks read here; for shells.
+// Reads the clocks itself; for code that does I/O.
 void writeEvent(EventLog &log, const Event &event);
 
-// Hands to the kernel what it takes without blocking.
+// Writes as much of the buffer as possible without blocking.
 void flush(EventLog &log);
 
 } // namespace foxwing::eventlog
--- a/packages/eventlog/src/eventlog.cpp
+++ b/packages/eventlog/src/eventlog.cpp
@@ -1,5 +1,5 @@
 /*
-    Lines, their limits and their buffer.
+    Formatting, limits and buffer of log lines.
 
     [SECTION] Event
     [SECTION] Log
@@ -112,7 +112,7 @@
     ++log.written;
 }
 
-// A new second: the limits begin anew, and what was left out is told.
+// Resets the limits and reports the lines that were dropped in the previous second.
 void beginSecond(EventLog &log, Time now, WallTime date)
 {
     log.secondBegan = now;
--- a/packages/eventlog/tests/eventlog_test.cpp
+++ b/packages/eventlog/tests/eventlog_test.cpp
@@ -1,5 +1,5 @@
 /*
-    Lines are whole JSON, bounded, and never block.
+    Tests that log lines are valid JSON, are limited per second, and never block.
 
     [SECTION] Lines
     [SECTION] Limits
--- a/packages/fabric/include/foxwing/fabric/address.h
+++ b/packages/fabric/include/foxwing/fabric/address.h
@@ -1,5 +1,5 @@
 /*
-    IPv4 addresses as text, and sockets set up the way this project wants them.
+    Parses and formats IPv4 endpoints, sets socket options and opens listening sockets.
 
         Error reason;
         std::optional<Endpoint> endpoint = parseEndpoint("10.0.0.4:7100", &reason);
@@ -27,19 +27,19 @@
 
 // [SECTION] Functions
 
-// "10.0.0.4:7100". Names are not looked up.
+// Parses an address such as "10.0.0.4:7100". Host names are not resolved.
 std::optional<Endpoint> parseEndpoint(const std::string &text, Error *reason);
 
 std::string toString(const Endpoint &endpoint);
 
-// The part before the colon, or all of it.
+// The part of an address before the colon, or all of it if there is no colon.
 std::string hostOf(const std::string &address);
 
-// No delay for small writes, and an end for connections whose other side is silent: without one, a
-// peer behind a cut would hold its connection open for minutes.
+// Disables Nagle's algorithm, and ends the connection when sent data is not acknowledged within the
+// timeout: otherwise a peer behind a network partition would keep it open for minutes.
 void tune(Socket &socket, Milliseconds silence);
 
-// An acceptor that listens, or nothing with the reason.
+// Opens a listening socket; on failure, returns nothing and stores the reason.
 std::optional<asio::ip::tcp::acceptor> listenAt(asio::io_context &io, const std::string &address,
                                                 Error *reason);
 
--- a/packages/fabric/include/foxwing/fabric/httpclient.h
+++ b/packages/fabric/include/foxwing/fabric/httpclient.h
@@ -1,12 +1,12 @@
 /*
-    HTTP calls to one address over a few kept connections, on the loop's own thread.
+    HTTP client for one address with a pool of persistent connections, on the event loop's thread.
 
         HttpClient client(io, "10.0.0.4:8080", HttpClientSettings());
         client.call(std::move(request), Milliseconds(100), [](CallResult result) { ... });
 
-    Every call ends in exactly one of: an answer, "refused" (the request certainly did not leave,
-    since nobody listens at the address), or "no answer" (it may have been carried out, or may be
-    later). Nothing is sent again here: whether that is safe is for the caller to know.
+    Every call ends in exactly one of: a response, Refused (the request was certainly not sent,
+    since nothing listens at the address), or NoAnswer (it may have been executed, or may be later).
+    The client never retries: only the caller knows whether that is safe.
 
     [SECTION] Settings
     [SECTION] Client
@@ -27,7 +27,7 @@
 
 struct HttpClientSettings
 {
-    // Calls beyond this many wait for a connection.
+    // Calls beyond this number wait for a free connection.
     std::size_t mostConnections = 8;
 
     std::uint64_t maxBodyBytes = 4U << 20U;
@@ -45,7 +45,7 @@
 {
     CallFailure failure = CallFailure::None;
 
-    // Set if there was no failure.
+    // Set if the call did not fail
     std::optional<Response> response;
 };
 
@@ -60,10 +60,10 @@
     HttpClient(const HttpClient &) = delete;
     HttpClient &operator=(const HttpClient &) = delete;
 
-    // The timeout runs from now, waiting for a connection included.
+    // The timeout includes the wait for a free connection.
     void call(Request request, Milliseconds timeout, Done done);
 
-    // Connections opened so far.
+    // Number of connections opened so far
     std::uint64_t opened() const;
 
 private:
--- a/packages/fabric/include/foxwing/fabric/httpserver.h
+++ b/packages/fabric/include/foxwing/fabric/httpserver.h
@@ -1,12 +1,12 @@
 /*
-    An HTTP/1.1 listener on the loop's own thread, over Boost.Beast.
+    HTTP/1.1 server over Boost.Beast, on the event loop's thread.
 
         HttpServer server(io, std::move(*acceptor), HttpLimits(), [](ExchangePtr exchange) {
             exchange->answer(makeResponse(200, "text/plain", "hello"));
         });
 
-    An exchange may be answered at once or later. onGone() tells when the caller closed its
-    connection before it was answered.
+    An exchange may be answered at once or later. The handler set with onGone() is called if the
+    caller closes its connection before that.
 
     [SECTION] Limits
     [SECTION] Exchange
@@ -29,16 +29,17 @@
 using Request = http::request<http::string_body>;
 using Response = http::response<http::string_body>;
 
-// Can be changed while the server runs; in force for the next request of each connection.
+// Can be changed while the server runs; applies from the next request of each connection.
 struct HttpLimits
 {
     std::uint32_t headerBytes = 16384;
     std::uint64_t bodyBytes = 1U << 20U;
 
-    // From the first byte of a request to the last of its header, and as long again for the body.
+    // Time for reading one whole request, from its first byte.
     Milliseconds headerTimeout { 3000 };
 
-    // A connection that carries nothing for this long is closed.
+    // A connection without a request is closed after this time, and so is one that doesn't
+    // acknowledge an answer for this long.
     Milliseconds idleTimeout { 15000 };
 
     std::size_t mostConnections = 3000;
@@ -48,7 +49,7 @@
 
 class HttpConnection;
 
-// One request and the way to answer it, once.
+// One request, which is answered at most once.
 class Exchange
 {
 public:
@@ -58,15 +59,16 @@
     void answer(Response response);
     bool answered() const { return m_answered; }
 
-    // False if the caller has closed its connection already, which onGone() tells a moment later.
+    // Checks the socket, so it is false as soon as the caller has closed its connection, even
+    // before the onGone() handler is called.
     bool callerIsThere() const;
 
-    // How long ago the last bytes of the connection came to this host, whether or not anybody read
-    // them, in whole milliseconds; zero if the system can't tell. Asked when the request has just
-    // been read, it is what the request waited unread.
+    // Time since the kernel received the connection's last bytes, read or unread, in whole
+    // milliseconds; zero if it is unknown. Right after a request was read, this is how long it
+    // waited in the socket buffer.
     Milliseconds sinceReceived() const;
 
-    // Called if the caller goes before the answer.
+    // Sets a handler that is called if the caller closes its connection before the answer.
     void onGone(std::function<void()> handler) { m_gone = std::move(handler); }
 
 private:
@@ -97,13 +99,13 @@
 
     void setLimits(const HttpLimits &limits);
 
-    // While set, each answer asks the caller to use another connection next time.
+    // While set, answers are sent with "Connection: close".
     void setCloseAfterAnswers(bool close);
 
-    // Accepts no more, and closes connections that carry no request.
+    // Stops accepting connections and closes idle ones.
     void stopAccepting();
 
-    // Requests read in full and not answered yet, or whose answer is still being written.
+    // Number of requests that are read completely and whose answer is not written completely yet
     std::size_t underWay() const;
     std::size_t connections() const;
 
--- a/packages/fabric/include/foxwing/fabric/link.h
+++ b/packages/fabric/include/foxwing/fabric/link.h
@@ -1,8 +1,9 @@
 /*
-    A kept connection between two processes that carries frames both ways.
+    Persistent connections between two processes that carry frames in both directions.
 
-    A frame is a length of four bytes and that many bytes. Frames that are sent during one turn of
-    the loop leave in one write. All calls and handlers are on the thread that runs the io_context.
+    A frame is a length of four bytes (little-endian) and as many bytes of payload. Frames sent
+    during one turn of the event loop go out in one write. All calls and handlers run on the thread
+    that runs the io_context.
 
         auto link = std::make_shared<Link>(std::move(socket), LinkLimits());
         link->start([](std::string_view frame) { ... }, [] { ... closed ... });
@@ -29,15 +30,15 @@
 
 struct LinkLimits
 {
-    // Larger frames end the connection: only a broken peer sends them. The largest of ours is a
-    // configuration of 256 KiB, or a snapshot that holds one.
+    // A larger frame closes the connection: only a faulty peer sends one. The largest valid frame
+    // is a configuration of 256 KiB, or a snapshot that contains one.
     std::size_t mostFrameBytes = 8U << 20U;
 
-    // A peer that does not read is cut once so much waits for it.
+    // The connection is closed when more than this is queued for a peer that does not read.
     std::size_t mostQueuedBytes = 16U << 20U;
 
-    // A write that is not acknowledged for this long ends the connection. Three times the longest
-    // beat, so that a single lost packet does not.
+    // The connection is closed when sent data is not acknowledged for this long. Three times the
+    // longest heartbeat interval, so that a single lost packet does not close it.
     Milliseconds silence { 3000 };
 };
 
@@ -54,7 +55,7 @@
     void start(FrameHandler onFrame, ClosedHandler onClosed);
     void send(const std::string &frame);
 
-    // Ends the connection; the closed handler is called from the loop, once.
+    // Closes the connection; the closed handler is called later from the event loop, once.
     void close();
 
     bool open() const { return !m_closed; }
@@ -81,7 +82,7 @@
 
 // [SECTION] Listener
 
-// Accepts connections and hands each over as a link that is not started yet.
+// Accepts connections and passes each to a handler as a link that is not started yet.
 class Listener
 {
 public:
@@ -104,20 +105,20 @@
 
 struct DialerSettings
 {
-    // A connection that is not there after this long is given up: four times the longest round trip
-    // between regions (24 ms). Hosts that start together dial hosts that are still without power,
-    // which say nothing; the kernel itself would ask again only after a second.
+    // Timeout of one attempt: four times the longest round trip between regions (24 ms). Hosts that
+    // start together dial hosts that are still powered off and don't respond; the kernel would
+    // retransmit only after a second.
     Milliseconds connectTimeout { 100 };
 
-    // Between tries; doubles up to the longest. Hosts that start together must find each other
-    // within the time that an election takes, and a try at a host that is down costs next to
-    // nothing.
+    // Delay between attempts, doubled up to the maximum. Kept short: hosts that start together must
+    // connect within the time that an election takes, and an attempt at a host that is down costs
+    // almost nothing.
     Milliseconds firstPause { 20 };
     Milliseconds longestPause { 100 };
     LinkLimits limits;
 };
 
-// Keeps one connection to an address: dials again whenever it is lost, until destroyed.
+// Keeps one connection to an address, and dials again whenever it is lost, until destroyed.
 class Dialer
 {
 public:
@@ -132,11 +133,11 @@
 
     const std::string &address() const;
 
-    // The connection that onConnected handed over is gone: dials anew.
+    // Call when the connection passed to onConnected is lost; dials again after the backoff.
     void lost();
 
-    // The other side is known to be there: dials at once in place of waiting out a pause or a try
-    // that began before. Changes nothing while a connection is there.
+    // Call when the peer is known to be reachable: dials at once instead of waiting for the backoff
+    // or for an earlier attempt. Does nothing while connected.
     void dialNow();
 
 private:
--- a/packages/fabric/src/address.cpp
+++ b/packages/fabric/src/address.cpp
@@ -1,5 +1,5 @@
 /*
-    Addresses and socket options.
+    Addresses, socket options and listening sockets.
 
     [SECTION] Functions
 */
@@ -14,12 +14,12 @@
 
 namespace {
 
-// Connections that wait to be accepted; a burst of reconnecting peers must fit.
+// Large enough for a burst of reconnecting peers.
 constexpr int AcceptBacklog = 512;
 
 void setOption(Socket &socket, int level, int option, int value)
 {
-    // A refused option only costs speed or a later notice; the connection still works.
+    // Without the option the connection is only slower, or its loss is noticed later.
     (void)::setsockopt(socket.native_handle(), level, option, &value, sizeof value);
 }
 
@@ -36,7 +36,7 @@
     const unsigned long number = digits ? std::stoul(port) : 0;
     if (wrong || number == 0 || number > 65535)
         return fail(reason, ErrorKind::BadRequest,
-                    "\"" + text + "\" is no IPv4 number and port; write it as 10.0.0.1:7100");
+                    "\"" + text + "\" is not an IPv4 address and port; write it as 10.0.0.1:7100");
     return Endpoint(address, static_cast<unsigned short>(number));
 }
 
@@ -73,8 +73,8 @@
         acceptor.listen(AcceptBacklog, wrong);
     if (wrong)
         return fail(reason, ErrorKind::Unavailable,
-                    "can't listen at " + address + ": " + wrong.message()
-                            + "; check that the address is this host's and the port is free");
+                    "can't listen on " + address + ": " + wrong.message()
+                            + "; check that the address belongs to this host and the port is free");
     return acceptor;
 }
 
--- a/packages/fabric/src/httpclient.cpp
+++ b/packages/fabric/src/httpclient.cpp
@@ -1,5 +1,5 @@
 /*
-    Kept connections to one HTTP server.
+    Pool of persistent connections to one HTTP server.
 
     [SECTION] State
     [SECTION] Connection
@@ -91,7 +91,7 @@
         write();
     }
 
-    // An idle connection that the server has closed must not take a call.
+    // A call must not be sent on an idle connection that the server has closed.
     bool stillOpen()
     {
         char byte = 0;
@@ -123,7 +123,7 @@
 
     void write()
     {
-        // The request outlives its call: a call that is given up ends before its write does.
+        // The write owns the request: a call that times out ends before its write does.
         const auto request = std::make_shared<Request>(std::move(m_call->request));
         http::async_write(m_socket, *request,
                           [self = shared_from_this(), request](boost::system::error_code wrong,
@@ -227,7 +227,7 @@
             start(std::move(call));
             continue;
         }
-        // Never left this process, but the caller may not care for the difference.
+        // The request was not sent, but reporting a timeout as NoAnswer is safe for the caller.
         CallResult result;
         result.failure = CallFailure::NoAnswer;
         call.done(std::move(result));
--- a/packages/fabric/src/httpserver.cpp
+++ b/packages/fabric/src/httpserver.cpp
@@ -1,5 +1,5 @@
 /*
-    HTTP connections of callers.
+    The server's connections, exchanges and accept loop.
 
     [SECTION] State
     [SECTION] Connection
@@ -108,8 +108,8 @@
     }
 
 private:
-    // One timer a connection; a wait that is over before its time is not cancelled but outlived, so
-    // that a busy connection sets the timer rarely.
+    // One timer per connection. Moving the deadline doesn't re-arm a running timer, which checks
+    // the deadline when it expires: so a busy connection rarely sets it.
     void wakeAfter(Milliseconds span)
     {
         m_deadline = steadyNow() + span;
@@ -165,7 +165,7 @@
             watchCaller();
     }
 
-    // A request that can't be read: what follows on this connection can't be either.
+    // After a malformed request the rest of the stream can't be parsed, so the connection closes.
     void refuse(unsigned status)
     {
         m_keepAlive = false;
@@ -173,7 +173,8 @@
         send(makeResponse(status, "text/plain", ""));
     }
 
-    // While an answer is awaited, readability means that the caller closed, or sent more early.
+    // While a request is pending, the socket becomes readable when the caller closes the
+    // connection, or sends its next request early.
     void watchCaller()
     {
         m_socket.async_wait(Socket::wait_read,
@@ -223,7 +224,7 @@
         m_counted = false;
     }
 
-    // The answer has been written whole; the caller closes once it has read it.
+    // The last answer is written; shutting down lets the caller read it to its end.
     void shutDown()
     {
         boost::system::error_code ignored;
@@ -240,7 +241,7 @@
     std::optional<http::request_parser<http::string_body>> m_parser;
     std::optional<Response> m_response;
     ExchangePtr m_exchange;
-    // Whether this connection's request is in the server's underWay.
+    // Whether this connection's request is counted in the server's underWay
     bool m_counted = false;
     bool m_keepAlive = true;
     bool m_idle = false;
@@ -292,7 +293,7 @@
 
 namespace {
 
-// After an accept that failed for want of descriptors, so that the loop is not kept busy by it.
+// Delay after a failed accept, so that a lack of file descriptors doesn't cause a busy loop.
 constexpr Milliseconds AcceptPause { 100 };
 
 template<class State>
--- a/packages/fabric/src/link.cpp
+++ b/packages/fabric/src/link.cpp
@@ -131,7 +131,7 @@
         return;
     m_closed = true;
     boost::system::error_code ignored;
-    // What is still on its way must not arrive once this side counts the connection as over.
+    // Resets the connection: data in flight must not arrive after this side treats it as closed.
     m_socket.set_option(asio::socket_base::linger(true, 0), ignored);
     m_socket.close(ignored);
     asio::post(m_socket.get_executor(), [self = shared_from_this()] {
@@ -147,7 +147,7 @@
 
 namespace {
 
-// After an accept that failed for want of descriptors, so that the loop is not kept busy by it.
+// Delay after a failed accept, so that a lack of file descriptors doesn't cause a busy loop.
 constexpr Milliseconds AcceptPause { 100 };
 
 } // namespace
@@ -217,7 +217,7 @@
         });
     }
 
-    // Called for the first of: connected, refused, too late.
+    // Only the first result of an attempt counts: connected, refused or timed out.
     void finish(std::uint64_t attempt, bool connected)
     {
         if (stopped || attempt != attempts)
--- a/packages/fabric/tests/http_test.cpp
+++ b/packages/fabric/tests/http_test.cpp
@@ -1,5 +1,5 @@
 /*
-    The HTTP listener and client: limits, slow senders, callers that go, answers that do not come.
+    Tests of the HTTP server and client: limits, slow senders, disconnected callers, timeouts.
 
     [SECTION] Helpers
     [SECTION] Server
@@ -45,7 +45,8 @@
         return condition();
     }
 
-    // What the server sends for this, up to its closing or a whole answer.
+    // Sends the bytes and returns what the server sends back, until it closes the connection or an
+    // answer's header is complete.
     std::string exchangeText(const std::string &sent, Milliseconds patience = Patience)
     {
         Socket socket(io);
@@ -87,7 +88,7 @@
     const char *name;
     std::string sent;
 
-    // The beginning of the answer; empty if the connection is closed without one.
+    // Expected beginning of the answer; empty if the connection closes without one
     const char *answer;
 };
 
@@ -142,11 +143,11 @@
     socket.close();
     EXPECT_TRUE(site.until([&] { return gone; }));
     EXPECT_EQ(site.server.underWay(), 0U);
-    // Nobody is there to take it; it must do no harm.
+    // An answer after the caller disconnected must be ignored.
     site.exchanges[0]->answer(makeResponse(200, "text/plain", ""));
 }
 
-// A caller that sent its request and went before anybody read it: nothing has told of it yet.
+// A caller may disconnect before its request is read; no event reports that.
 TEST(FabricHttpServer, KnowsThatACallerHasGoneWithItsRequest)
 {
     Site site;
@@ -191,14 +192,14 @@
 {
     const char *name;
 
-    // For so long after the request was sent nobody reads
+    // How long the server doesn't read after the request is sent
     Milliseconds stoodStill;
 };
 
 class Unread : public testing::TestWithParam<UnreadCase>
 { };
 
-// The second request on a connection counts from its own bytes.
+// The time of a second request on the connection starts with its own bytes.
 TEST_P(Unread, TimeOfARequestIsKnown)
 {
     constexpr Milliseconds Coarse { 10 };
@@ -233,19 +234,20 @@
 {
     const char *name;
 
-    // Whether answers close, at the first call, before its answer, and at the second call
+    // Whether answers close the connection: at the first call, before its answer, at the second
+    // call
     bool atCall;
     bool atAnswer;
     bool atNext;
 
-    // Connections that the two calls take
+    // Number of connections that the two calls need
     std::size_t opened;
 };
 
 class Closing : public testing::TestWithParam<ClosingCase>
 { };
 
-// What counts is the moment of the answer; a connection that was left open is used again.
+// The setting at the time of the answer applies; a connection that stays open is reused.
 TEST_P(Closing, FollowsTheServersWish)
 {
     Site site;
@@ -334,7 +336,7 @@
                                          FailureCase { "NoAnswer", true, CallFailure::NoAnswer }),
                          [](const auto &tested) { return tested.param.name; });
 
-// The connection must not touch the request of a call that has ended.
+// The write must not access the request of a call that has ended.
 TEST(FabricHttpClient, ACallMayEndWhileItsRequestIsBeingWritten)
 {
     Site site;
--- a/packages/fabric/tests/link_test.cpp
+++ b/packages/fabric/tests/link_test.cpp
@@ -1,5 +1,5 @@
 /*
-    Addresses, frames over kept connections, and what ends a connection.
+    Tests of address parsing, frames on links, limits that close a link, and reconnecting.
 
     [SECTION] Addresses
     [SECTION] Links
@@ -64,7 +64,7 @@
                    [this](const std::shared_ptr<Link> &link) { accepted = link; })
     { }
 
-    // Runs the loop until something holds, or patience ends.
+    // Runs the event loop until the condition is true or the timeout expires.
     template<class Condition>
     bool until(Condition condition)
     {
@@ -148,7 +148,7 @@
     EXPECT_TRUE(pair.until([&] { return connections == 2; }));
 }
 
-// Nobody listens at first, and the pause after that is longer than the test waits.
+// The backoff after the refused first attempt is longer than the test waits.
 TEST(FabricDialer, DialsAtOnceWhenToldThatTheOtherSideIsThere)
 {
     asio::io_context io;
--- a/packages/metrics/include/foxwing/metrics/metrics.h
+++ b/packages/metrics/include/foxwing/metrics/metrics.h
@@ -1,9 +1,9 @@
 /*
-    Counters and histograms, written as text in the exposition format that monitoring systems read.
+    Counters and histograms in the Prometheus text exposition format.
 
-    Histograms are kept for each team and class over Boost.Accumulators, which gives the quantiles;
-    the buckets are for systems that add up many processes. A bounded number of series is kept, so
-    that a team can't fill the memory with names of classes.
+    There is one histogram per metric, team and class. Quantiles are estimated with
+    Boost.Accumulators; buckets allow a monitoring system to aggregate over processes. The number of
+    series is limited, so that a team can't exhaust memory with class names.
 
         Metrics metrics;
         observe(metrics, "foxwing_response_ms", { "team-a", "align" }, 12.5);
@@ -14,7 +14,7 @@
 */
 #pragma once
 
-// Boost 1.74 needs it and does not include it.
+// Boost 1.74 requires it and doesn't include it.
 #include <sstream>
 
 #include <array>
@@ -34,11 +34,11 @@
 
 // [SECTION] Types
 
-// Upper bounds of the buckets, in the unit of what is observed; the last bucket has none.
+// Upper bounds of the buckets, in the unit of the observed values; the last bucket has none.
 constexpr std::array<double, 14> BucketBounds { 1,   2,   5,    10,   20,   50,    100,
                                                 200, 500, 1000, 2000, 5000, 10000, 60000 };
 
-// Series beyond this many are counted under the class "other".
+// Series of a metric above this number are counted under the class "other" of their team.
 constexpr std::size_t MostSeries = 2000;
 
 namespace accumulators = boost::accumulators;
@@ -67,21 +67,21 @@
     Quantiles values;
 };
 
-// One value that is kept elsewhere and only written here.
+// A value that is stored elsewhere and only written here.
 struct Sample
 {
-    // With labels in braces if it has any; series of one name are to follow each other.
+    // Followed by labels in braces, if any. Samples of one name must be adjacent.
     std::string name;
     std::string help;
     double value = 0;
 
-    // A value that can go down.
+    // Whether the value can decrease
     bool gauge = false;
 };
 
 struct Metrics
 {
-    // By name, then by labels.
+    // By name, then by labels
     std::map<std::string, std::map<Labels, Histogram>> histograms;
 };
 
@@ -90,13 +90,13 @@
 // Adds one observation.
 void observe(Metrics &metrics, const std::string &name, const Labels &labels, double value);
 
-// The name of a series with one label, for a sample.
+// The name of a series with one label, for Sample::name.
 std::string labelled(const std::string &name, const std::string &label, const std::string &value);
 
-// The quantile of a histogram: probability 0.5, 0.95 or 0.99.
+// The estimated quantile of a histogram for the probability 0.5, 0.95 or 0.99.
 double quantile(const Histogram &histogram, double probability);
 
-// Everything as text.
+// Writes all histograms and samples as text.
 std::string writeExposition(const Metrics &metrics, const std::vector<Sample> &samples);
 
 } // namespace foxwing::metrics
--- a/packages/metrics/src/metrics.cpp
+++ b/packages/metrics/src/metrics.cpp
@@ -1,5 +1,5 @@
 /*
-    Histograms and their text.
+    Histograms and the text format.
 
     [SECTION] Histograms
     [SECTION] Text
@@ -15,7 +15,8 @@
 
 namespace {
 
-// The estimate of quantiles has a marker for each and two beside it; before it is filled it says 0.
+// The P-square algorithm has markers for each quantile and between them; its estimate is 0 until
+// all of them have a value.
 constexpr std::uint64_t FewestForQuantiles = 10;
 
 constexpr std::array<double, 3> Probabilities { 0.5, 0.95, 0.99 };
@@ -101,7 +102,7 @@
     std::ostringstream out;
     std::string described;
     for (const Sample &sample : samples) {
-        // Series of one name follow each other and are described once.
+        // The header lines are written once for adjacent samples of one name.
         const std::string name = sample.name.substr(0, sample.name.find('{'));
         if (name != described) {
             out << "# HELP " << name << " " << sample.help << "\n";
--- a/packages/metrics/tests/metrics_test.cpp
+++ b/packages/metrics/tests/metrics_test.cpp
@@ -1,5 +1,5 @@
 /*
-    Histograms count what they are given and stay bounded.
+    Tests of histograms, of their limits and of the text format.
 
     [SECTION] Tests
 */
