--- a/packages/agent/src/agent.cpp
+++ b/packages/agent/src/agent.cpp
@@ -112,13 +112,13 @@
 std::optional<RefusalCause> refusalCause(const AgentState &agent, const Start &start)
 {
     const AgentSettings &settings = agent.settings;
-    if (holds(Guard::Incarnation) && start.agentIncarnation != settings.incarnation)
+    if (isEnabled(Guard::Incarnation) && start.agentIncarnation != settings.incarnation)
         return RefusalCause::WrongIncarnation;
     if (!isFromLeaseHolder(agent, start))
         return RefusalCause::WrongLease;
     const auto job = agent.jobs.find(start.ref.job);
     if (job != agent.jobs.end()) {
-        if (holds(Guard::Fence) && start.jobEpoch < job->second.fenceEpoch)
+        if (isEnabled(Guard::Fence) && start.jobEpoch < job->second.fenceEpoch)
             return RefusalCause::Fenced;
         if (otherAttemptStarted(job->second, start.ref))
             return RefusalCause::OtherAttemptStarted;
@@ -167,7 +167,7 @@
 void handleStart(AgentState &agent, const Start &start, Time now, AgentActions &actions)
 {
     Assignment *existing = findAssignment(agent, start.ref);
-    if (existing && !(existing->phase == Phase::Voided && !holds(Guard::Void)))
+    if (existing && !(existing->phase == Phase::Voided && !isEnabled(Guard::Void)))
         return answerDuplicate(agent, start, *existing, now, actions);
     const std::optional<RefusalCause> cause = refusalCause(agent, start);
     if (!cause)
--- a/packages/agent/src/lease.cpp
+++ b/packages/agent/src/lease.cpp
@@ -145,7 +145,7 @@
 
 bool isFromLeaseHolder(const AgentState &agent, const Start &start)
 {
-    if (!holds(Guard::Fence))
+    if (!isEnabled(Guard::Fence))
         return true;
     return start.owner == agent.lease.owner && start.leaseEpoch == agent.lease.epoch
             && start.ownerIncarnation == agent.lease.ownerIncarnation;
--- a/packages/base/include/foxwing/base/fadingsum.h
+++ b/packages/base/include/foxwing/base/decayingsum.h
@@ -16,29 +16,29 @@
 
 // [SECTION] Sum
 
-struct FadingSum
+struct DecayingSum
 {
     // Each amount decays by a factor of e within one window
     double amount = 0;
     Time at {};
 };
 
-inline double fadedAmount(const FadingSum &sum, Milliseconds span, Time now)
+inline double decayedAmount(const DecayingSum &sum, Milliseconds span, Time now)
 {
     const double spans = std::chrono::duration<double>(now - sum.at)
             / std::chrono::duration<double>(span);
     return sum.amount * std::exp(-spans);
 }
 
-inline void addTo(FadingSum &sum, Milliseconds span, double amount, Time now)
+inline void addTo(DecayingSum &sum, Milliseconds span, double amount, Time now)
 {
-    sum.amount = fadedAmount(sum, span, now) + amount;
+    sum.amount = decayedAmount(sum, span, now) + amount;
     sum.at = now;
 }
 
-inline double perSecond(const FadingSum &sum, Milliseconds span, Time now)
+inline double perSecond(const DecayingSum &sum, Milliseconds span, Time now)
 {
-    return fadedAmount(sum, span, now) / std::chrono::duration<double>(span).count();
+    return decayedAmount(sum, span, now) / std::chrono::duration<double>(span).count();
 }
 
 } // namespace foxwing
--- a/packages/base/include/foxwing/base/guards.h
+++ b/packages/base/include/foxwing/base/guards.h
@@ -33,7 +33,7 @@
 #endif
 
 // Whether a guard is enabled in this build.
-constexpr bool holds(Guard guard)
+constexpr bool isEnabled(Guard guard)
 {
     return guard != BrokenGuard;
 }
--- a/packages/claims/src/claims.cpp
+++ b/packages/claims/src/claims.cpp
@@ -236,7 +236,7 @@
     }
     Shard &shard = table.shards[number];
     const auto found = shard.records.find(request.job);
-    if (found == shard.records.end() || !holds(Guard::Claim))
+    if (found == shard.records.end() || !isEnabled(Guard::Claim))
         return handleUnclaimed(table, shard, request, now, wallNow, actions);
     handleClaimed(table, found->second, request, now, actions);
 }
--- a/packages/eventlog/include/foxwing/eventlog/eventlog.h
+++ b/packages/eventlog/include/foxwing/eventlog/eventlog.h
@@ -38,7 +38,7 @@
     std::uint32_t changeLinesPerSecond = 100;
 
     // Limit of the output that is not written yet
-    std::size_t mostBufferedBytes = 256U << 10U;
+    std::size_t maxBufferedBytes = 256U << 10U;
 };
 
 // [SECTION] Event
@@ -95,8 +95,8 @@
     std::uint32_t changeLines = 0;
 
     // Lines dropped in this second by event, and in total
-    std::map<std::string, std::uint64_t> leftOut;
-    std::uint64_t leftOutTotal = 0;
+    std::map<std::string, std::uint64_t> dropped;
+    std::uint64_t droppedTotal = 0;
     std::uint64_t written = 0;
 };
 
--- a/packages/eventlog/src/eventlog.cpp
+++ b/packages/eventlog/src/eventlog.cpp
@@ -118,12 +118,12 @@
     log.secondBegan = now;
     log.requestLines = 0;
     log.changeLines = 0;
-    if (log.leftOut.empty())
+    if (log.dropped.empty())
         return;
     Event told = change("lines-left-out");
-    for (const auto &[name, count] : log.leftOut)
+    for (const auto &[name, count] : log.dropped)
         told.with(name.c_str(), count);
-    log.leftOut.clear();
+    log.dropped.clear();
     append(log, date, told);
 }
 
@@ -137,9 +137,9 @@
     std::uint32_t &lines = isChange ? log.changeLines : log.requestLines;
     const std::uint32_t most = isChange ? log.settings.changeLinesPerSecond
                                         : log.settings.requestLinesPerSecond;
-    if (lines >= most || log.buffer.size() >= log.settings.mostBufferedBytes) {
-        ++log.leftOut[event.name()];
-        ++log.leftOutTotal;
+    if (lines >= most || log.buffer.size() >= log.settings.maxBufferedBytes) {
+        ++log.dropped[event.name()];
+        ++log.droppedTotal;
         return;
     }
     ++lines;
--- a/packages/eventlog/tests/eventlog_test.cpp
+++ b/packages/eventlog/tests/eventlog_test.cpp
@@ -71,7 +71,7 @@
         writeEvent(log, Time(Seconds(5)), WallTime(), Event("answered"));
     writeEvent(log, Time(Seconds(5)), WallTime(), change("reloaded"));
     EXPECT_EQ(log.written, 4U);
-    EXPECT_EQ(log.leftOutTotal, 7U);
+    EXPECT_EQ(log.droppedTotal, 7U);
     writeEvent(log, Time(Seconds(6)), WallTime(), Event("answered"));
     EXPECT_NE(log.buffer.find("\"event\":\"lines-left-out\",\"answered\":7"), std::string::npos);
 }
@@ -86,8 +86,8 @@
         writeEvent(log, Time(Seconds(5)), WallTime(), Event("answered"));
         flush(log);
     }
-    EXPECT_GT(log.leftOutTotal, 0U);
-    EXPECT_LE(log.buffer.size(), settings.mostBufferedBytes + 1000);
+    EXPECT_GT(log.droppedTotal, 0U);
+    EXPECT_LE(log.buffer.size(), settings.maxBufferedBytes + 1000);
 }
 
 } // namespace
--- a/packages/fabric/include/foxwing/fabric/httpclient.h
+++ b/packages/fabric/include/foxwing/fabric/httpclient.h
@@ -28,7 +28,7 @@
 struct HttpClientSettings
 {
     // Calls beyond this number wait for a free connection.
-    std::size_t mostConnections = 8;
+    std::size_t maxConnections = 8;
 
     std::uint64_t maxBodyBytes = 4U << 20U;
 };
--- a/packages/fabric/include/foxwing/fabric/httpserver.h
+++ b/packages/fabric/include/foxwing/fabric/httpserver.h
@@ -5,8 +5,8 @@
             exchange->answer(makeResponse(200, "text/plain", "hello"));
         });
 
-    An exchange may be answered at once or later. The handler set with onGone() is called if the
-    caller closes its connection before that.
+    An exchange may be answered at once or later. The handler set with onDisconnect() is called if
+   the caller closes its connection before that.
 
     [SECTION] Limits
     [SECTION] Exchange
@@ -42,7 +42,7 @@
     // acknowledge an answer for this long.
     Milliseconds idleTimeout { 15000 };
 
-    std::size_t mostConnections = 3000;
+    std::size_t maxConnections = 3000;
 };
 
 // [SECTION] Exchange
@@ -60,8 +60,8 @@
     bool answered() const { return m_answered; }
 
     // Checks the socket, so it is false as soon as the caller has closed its connection, even
-    // before the onGone() handler is called.
-    bool callerIsThere() const;
+    // before the onDisconnect() handler is called.
+    bool isCallerConnected() const;
 
     // Time since the kernel received the connection's last bytes, read or unread, in whole
     // milliseconds; zero if it is unknown. Right after a request was read, this is how long it
@@ -69,7 +69,7 @@
     Milliseconds sinceReceived() const;
 
     // Sets a handler that is called if the caller closes its connection before the answer.
-    void onGone(std::function<void()> handler) { m_gone = std::move(handler); }
+    void onDisconnect(std::function<void()> handler) { m_gone = std::move(handler); }
 
 private:
     friend class HttpConnection;
@@ -106,7 +106,7 @@
     void stopAccepting();
 
     // Number of requests that are read completely and whose answer is not written completely yet
-    std::size_t underWay() const;
+    std::size_t pendingRequests() const;
     std::size_t connections() const;
 
 private:
--- a/packages/fabric/include/foxwing/fabric/link.h
+++ b/packages/fabric/include/foxwing/fabric/link.h
@@ -113,8 +113,8 @@
     // Delay between attempts, doubled up to the maximum. Kept short: hosts that start together must
     // connect within the time that an election takes, and an attempt at a host that is down costs
     // almost nothing.
-    Milliseconds firstPause { 20 };
-    Milliseconds longestPause { 100 };
+    Milliseconds minBackoff { 20 };
+    Milliseconds maxBackoff { 100 };
     LinkLimits limits;
 };
 
@@ -134,7 +134,7 @@
     const std::string &address() const;
 
     // Call when the connection passed to onConnected is lost; dials again after the backoff.
-    void lost();
+    void redial();
 
     // Call when the peer is known to be reachable: dials at once instead of waiting for the backoff
     // or for an earlier attempt. Does nothing while connected.
--- a/packages/fabric/src/httpclient.cpp
+++ b/packages/fabric/src/httpclient.cpp
@@ -219,7 +219,7 @@
     const Time now = steadyNow();
     while (!stopped && !waiting.empty()) {
         const bool late = waiting.front().deadline <= now;
-        if (!late && busy.size() >= settings.mostConnections)
+        if (!late && busy.size() >= settings.maxConnections)
             return;
         PendingCall call = std::move(waiting.front());
         waiting.pop_front();
--- a/packages/fabric/src/httpserver.cpp
+++ b/packages/fabric/src/httpserver.cpp
@@ -36,7 +36,7 @@
     HttpLimits limits;
     Handler handler;
     std::set<std::shared_ptr<HttpConnection>> connections;
-    std::size_t underWay = 0;
+    std::size_t pendingRequests = 0;
     bool closeAfterAnswers = false;
     bool stopped = false;
 };
@@ -181,12 +181,12 @@
                             [self = shared_from_this()](boost::system::error_code wrong) {
                                 if (wrong || self->m_closed || !self->m_exchange)
                                     return;
-                                if (!self->callerIsThere())
+                                if (!self->isCallerConnected())
                                     self->close();
                             });
     }
 
-    bool callerIsThere()
+    bool isCallerConnected()
     {
         char byte = 0;
         const auto got = ::recv(m_socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -213,14 +213,14 @@
     void count()
     {
         m_counted = true;
-        ++m_server->underWay;
+        ++m_server->pendingRequests;
     }
 
     void finishRequest()
     {
         m_exchange.reset();
         if (m_counted)
-            --m_server->underWay;
+            --m_server->pendingRequests;
         m_counted = false;
     }
 
@@ -241,7 +241,7 @@
     std::optional<http::request_parser<http::string_body>> m_parser;
     std::optional<Response> m_response;
     ExchangePtr m_exchange;
-    // Whether this connection's request is counted in the server's underWay
+    // Whether this connection's request is counted in the server's pendingRequests
     bool m_counted = false;
     bool m_keepAlive = true;
     bool m_idle = false;
@@ -256,10 +256,10 @@
     , m_connection(std::move(connection))
 { }
 
-bool Exchange::callerIsThere() const
+bool Exchange::isCallerConnected() const
 {
     const auto connection = m_connection.lock();
-    return connection && !connection->m_closed && connection->callerIsThere();
+    return connection && !connection->m_closed && connection->isCallerConnected();
 }
 
 Milliseconds Exchange::sinceReceived() const
@@ -303,7 +303,7 @@
         if (state->stopped)
             return;
         if (!wrong) {
-            if (state->connections.size() < state->limits.mostConnections) {
+            if (state->connections.size() < state->limits.maxConnections) {
                 auto connection = std::make_shared<HttpConnection>(std::move(socket), state);
                 state->connections.insert(connection);
                 connection->readNext();
@@ -357,9 +357,9 @@
         connection->closeIfIdle();
 }
 
-std::size_t HttpServer::underWay() const
+std::size_t HttpServer::pendingRequests() const
 {
-    return m_state->underWay;
+    return m_state->pendingRequests;
 }
 
 std::size_t HttpServer::connections() const
--- a/packages/fabric/src/link.cpp
+++ b/packages/fabric/src/link.cpp
@@ -194,7 +194,7 @@
         , timer(io)
         , address(std::move(to))
         , settings(with)
-        , pause(with.firstPause)
+        , pause(with.minBackoff)
         , onConnected(std::move(handler))
     { }
 
@@ -227,7 +227,7 @@
         if (!connected)
             return wait();
         linked = true;
-        pause = settings.firstPause;
+        pause = settings.minBackoff;
         onConnected(std::make_shared<Link>(std::move(socket), settings.limits));
     }
 
@@ -238,7 +238,7 @@
         timer.cancel();
         boost::system::error_code ignored;
         socket.close(ignored);
-        pause = settings.firstPause;
+        pause = settings.minBackoff;
         dial();
     }
 
@@ -247,7 +247,7 @@
         boost::system::error_code ignored;
         socket.close(ignored);
         timer.expires_after(pause);
-        pause = std::min(pause * 2, settings.longestPause);
+        pause = std::min(pause * 2, settings.maxBackoff);
         timer.async_wait([self = shared_from_this()](boost::system::error_code ended) {
             if (!ended)
                 self->dial();
@@ -285,7 +285,7 @@
     return m_state->address;
 }
 
-void Dialer::lost()
+void Dialer::redial()
 {
     m_state->linked = false;
     if (!m_state->stopped)
--- a/packages/fabric/tests/http_test.cpp
+++ b/packages/fabric/tests/http_test.cpp
@@ -108,7 +108,7 @@
     if (*GetParam().answer == '\0') {
         EXPECT_TRUE(site.closed);
     }
-    EXPECT_EQ(site.server.underWay(), 0U);
+    EXPECT_EQ(site.server.pendingRequests(), 0U);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -138,11 +138,11 @@
     asio::write(socket, asio::buffer(std::string("GET / HTTP/1.1\r\nHost: a\r\n\r\n")));
     ASSERT_TRUE(site.until([&] { return site.exchanges.size() == 1; }));
     bool gone = false;
-    site.exchanges[0]->onGone([&] { gone = true; });
-    EXPECT_EQ(site.server.underWay(), 1U);
+    site.exchanges[0]->onDisconnect([&] { gone = true; });
+    EXPECT_EQ(site.server.pendingRequests(), 1U);
     socket.close();
     EXPECT_TRUE(site.until([&] { return gone; }));
-    EXPECT_EQ(site.server.underWay(), 0U);
+    EXPECT_EQ(site.server.pendingRequests(), 0U);
     // An answer after the caller disconnected must be ignored.
     site.exchanges[0]->answer(makeResponse(200, "text/plain", ""));
 }
@@ -163,7 +163,7 @@
     std::vector<bool> there;
     site.until([&] {
         while (there.size() < site.exchanges.size())
-            there.push_back(site.exchanges[there.size()]->callerIsThere());
+            there.push_back(site.exchanges[there.size()]->isCallerConnected());
         return there.size() == 2;
     });
     EXPECT_EQ(there, std::vector<bool>({ false, true }));
@@ -358,7 +358,7 @@
     Site site;
     site.answers = false;
     HttpClientSettings settings;
-    settings.mostConnections = 2;
+    settings.maxConnections = 2;
     HttpClient client(site.io, site.address, settings);
     int answered = 0;
     for (int i = 0; i < 5; ++i)
--- a/packages/fabric/tests/link_test.cpp
+++ b/packages/fabric/tests/link_test.cpp
@@ -140,7 +140,7 @@
     Dialer dialer(pair.io, pair.address, {}, [&](const std::shared_ptr<Link> &link) {
         ++connections;
         dialled = link;
-        link->start([](std::string_view) {}, [&] { dialer.lost(); });
+        link->start([](std::string_view) {}, [&] { dialer.redial(); });
     });
     ASSERT_TRUE(pair.until([&] { return connections == 1 && pair.accepted; }));
     pair.accepted->start([](std::string_view) {}, [] {});
@@ -158,7 +158,7 @@
     acceptor.bind(address);
     const std::string name = "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port());
     DialerSettings settings;
-    settings.firstPause = Seconds(600);
+    settings.minBackoff = Seconds(600);
     int connections = 0;
     Dialer dialer(io, name, settings, [&](const std::shared_ptr<Link> &) { ++connections; });
     io.run_for(Milliseconds(20));
--- a/packages/fleet/src/agentlinks.cpp
+++ b/packages/fleet/src/agentlinks.cpp
@@ -63,7 +63,7 @@
     if (peer == m_peers.end() || peer->second.link.get() != link)
         return;
     peer->second.link.reset();
-    peer->second.dialer->lost();
+    peer->second.dialer->redial();
     subset::connectionLost(m_subset, address, steadyNow());
     m_events.lost(address);
 }
--- a/packages/fleet/src/agentrole.cpp
+++ b/packages/fleet/src/agentrole.cpp
@@ -104,7 +104,7 @@
     // One for the look and one for each of the starts that fill an endpoint (10 to 15 tasks), so
     // that orders without an answer hold up no others. Opened only when needed.
     fabric::HttpClientSettings settings;
-    settings.mostConnections = 16;
+    settings.maxConnections = 16;
     return settings;
 }
 
--- a/packages/fleet/src/controlrole.cpp
+++ b/packages/fleet/src/controlrole.cpp
@@ -296,7 +296,7 @@
                                                    .with("heard_ms_ago",
                                                          steadyNow() - lost.lastReceivedAt));
                                 lost.link.reset();
-                                lost.dialer->lost();
+                                lost.dialer->redial();
                             });
                 link->send(encodeFrame(Frame(directory::Announce { m_core.self })));
                 writeEvent(m_core.log, change("control-connected").with("host", address));
--- a/packages/fleet/src/core.cpp
+++ b/packages/fleet/src/core.cpp
@@ -120,7 +120,7 @@
                     peer.link.reset();
                     connectionLost(m_book, peer.dialer->address());
                     peer.wasLost = true;
-                    peer.dialer->lost();
+                    peer.dialer->redial();
                 });
     link->send(encodeFrame(Frame(directory::Announce { m_core.self })));
     writeEvent(m_core.log,
--- a/packages/fleet/src/entryrole.cpp
+++ b/packages/fleet/src/entryrole.cpp
@@ -220,7 +220,7 @@
                            .with("calls", std::uint64_t { calls.size() })
                            .with("oldest_ms", steadyNow() - calls.front().receivedAt));
     for (const HeldCall &call : calls) {
-        if (call.exchange->callerIsThere())
+        if (call.exchange->isCallerConnected())
             serveCaller(call.exchange, call.receivedAt);
     }
 }
@@ -294,7 +294,7 @@
     m_waiting[number].push_back(exchange);
     m_queueOf[number] = queue.name;
     m_cameAt.emplace(number, came);
-    exchange->onGone([this, number, weak = std::weak_ptr<fabric::Exchange>(exchange)] {
+    exchange->onDisconnect([this, number, weak = std::weak_ptr<fabric::Exchange>(exchange)] {
         if (const auto gone = weak.lock())
             callerGone(number, gone);
     });
@@ -324,7 +324,7 @@
 
 bool EntryShell::isFoundGone(const ExchangePtr &exchange, const std::string &job)
 {
-    if (exchange->callerIsThere())
+    if (exchange->isCallerConnected())
         return false;
     ++m_callersFoundGone;
     writeEvent(m_core.log, Event("caller-found-gone").with("request", job));
@@ -561,7 +561,7 @@
 bool EntryShell::stopped(Time now)
 {
     const Milliseconds grace = m_core.settings.stopGrace;
-    const bool quiet = m_callers->underWay() == 0;
+    const bool quiet = m_callers->pendingRequests() == 0;
     if (now >= m_stopBegan + StopNotice && quiet && m_callers->connections() == 0)
         return true;
     if (now >= m_stopBegan + grace - LastJobs)
--- a/packages/fleet/src/node.cpp
+++ b/packages/fleet/src/node.cpp
@@ -79,7 +79,7 @@
                                     static_cast<double>(core.log.written) });
                 samples.push_back({ "foxwing_log_lines_left_out_total",
                                     "Log lines suppressed by the rate limit",
-                                    static_cast<double>(core.log.leftOutTotal) });
+                                    static_cast<double>(core.log.droppedTotal) });
                 exchange->answer(
                         fabric::makeResponse(200, "text/plain; version=0.0.4",
                                              metrics::writeExposition(core.metrics, samples)));
--- a/packages/fleet/src/operatorapi.cpp
+++ b/packages/fleet/src/operatorapi.cpp
@@ -26,7 +26,7 @@
 void OperatorShell::handle(const ExchangePtr &exchange)
 {
     // The operator may have sent the request to another host after closing this connection.
-    if (!exchange->callerIsThere())
+    if (!exchange->isCallerConnected())
         return;
     Error reason;
     auto request = checkedRequest(exchange->request(), &reason);
@@ -44,7 +44,7 @@
     OperatorCall call;
     call.request = std::move(*request);
     const std::uint64_t number = add(std::move(call), { exchange, 0, 0 });
-    exchange->onGone([this, number] { operatorGone(number); });
+    exchange->onDisconnect([this, number] { operatorGone(number); });
 }
 
 std::optional<OperatorRequest> OperatorShell::checkedRequest(const fabric::Request &request,
--- a/packages/metrics/include/foxwing/metrics/metrics.h
+++ b/packages/metrics/include/foxwing/metrics/metrics.h
@@ -39,7 +39,7 @@
                                                 200, 500, 1000, 2000, 5000, 10000, 60000 };
 
 // Series of a metric above this number are counted under the class "other" of their team.
-constexpr std::size_t MostSeries = 2000;
+constexpr std::size_t MaxSeries = 2000;
 
 namespace accumulators = boost::accumulators;
 
--- a/packages/metrics/src/metrics.cpp
+++ b/packages/metrics/src/metrics.cpp
@@ -30,7 +30,7 @@
 void observe(Metrics &metrics, const std::string &name, const Labels &labels, double value)
 {
     std::map<Labels, Histogram> &series = metrics.histograms[name];
-    const bool full = series.size() >= MostSeries && series.find(labels) == series.end();
+    const bool full = series.size() >= MaxSeries && series.find(labels) == series.end();
     Histogram &histogram = series[full ? Labels { labels.team, "other" } : labels];
     const auto bucket = std::lower_bound(BucketBounds.begin(), BucketBounds.end(), value);
     ++histogram.buckets[static_cast<std::size_t>(bucket - BucketBounds.begin())];
--- a/packages/metrics/tests/metrics_test.cpp
+++ b/packages/metrics/tests/metrics_test.cpp
@@ -32,10 +32,10 @@
 TEST(Metrics, NamesOfClassesCanNotFillTheMemory)
 {
     Metrics metrics;
-    for (std::size_t i = 0; i < MostSeries * 2; ++i)
+    for (std::size_t i = 0; i < MaxSeries * 2; ++i)
         observe(metrics, "response_ms", { "a", "class " + std::to_string(i) }, 1);
-    EXPECT_LE(metrics.histograms.at("response_ms").size(), MostSeries + 1);
-    EXPECT_EQ(metrics.histograms.at("response_ms").at({ "a", "other" }).buckets[0], MostSeries);
+    EXPECT_LE(metrics.histograms.at("response_ms").size(), MaxSeries + 1);
+    EXPECT_EQ(metrics.histograms.at("response_ms").at({ "a", "other" }).buckets[0], MaxSeries);
 }
 
 TEST(Metrics, SeriesOfOneNameAreDescribedOnce)
--- a/packages/quorum/src/log.cpp
+++ b/packages/quorum/src/log.cpp
@@ -76,7 +76,7 @@
                    QuorumActions &actions)
 {
     Outgoing outgoing { to, std::move(message) };
-    if (quorum.syncedNumber >= quorum.lastSyncNumber || !holds(Guard::Sync))
+    if (quorum.syncedNumber >= quorum.lastSyncNumber || !isEnabled(Guard::Sync))
         actions.sends.push_back(std::move(outgoing));
     else
         quorum.deferredMessages.push_back({ quorum.lastSyncNumber, std::move(outgoing) });
--- a/packages/quorum/src/quorum.cpp
+++ b/packages/quorum/src/quorum.cpp
@@ -44,7 +44,7 @@
     quorum.term = recovered.vote.term;
     quorum.votedFor = recovered.vote.votedFor;
     const bool newGroup = !settings.initialVoters.empty() && lastIndex(quorum) == 0;
-    quorum.joined = recovered.vote.joined || newGroup || !holds(Guard::CatchUp);
+    quorum.joined = recovered.vote.joined || newGroup || !isEnabled(Guard::CatchUp);
     quorum.snapshot = recovered.snapshot;
     quorum.log.assign(recovered.entries.begin(), recovered.entries.end());
     quorum.commitIndex = quorum.snapshot.index;
@@ -114,7 +114,7 @@
         actions.failedReads.push_back(id);
         return actions;
     }
-    if (!holds(Guard::QuorumCheck)) {
+    if (!isEnabled(Guard::QuorumCheck)) {
         actions.confirmedReads.push_back(id);
         return actions;
     }
--- a/packages/quorum/src/replication.cpp
+++ b/packages/quorum/src/replication.cpp
@@ -233,7 +233,7 @@
     const auto isOnQuorum = [&](std::uint64_t wanted) {
         return majority(quorum, [&](const std::string &voter) {
             if (voter == quorum.settings.self)
-                return !holds(Guard::Sync) || quorum.syncedIndex >= wanted;
+                return !isEnabled(Guard::Sync) || quorum.syncedIndex >= wanted;
             const auto peer = quorum.peers.find(voter);
             return peer != quorum.peers.end() && peer->second.joined
                     && peer->second.matchIndex >= wanted;
@@ -277,7 +277,7 @@
     });
     const bool removed = !isVoter(quorum, quorum.settings.self)
             && quorum.commitIndex >= std::max(quorum.membersIndex, quorum.termStartIndex);
-    if ((!hasQuorum && holds(Guard::QuorumCheck)) || removed)
+    if ((!hasQuorum && isEnabled(Guard::QuorumCheck)) || removed)
         return becomeFollower(quorum, quorum.term, {}, now, actions);
     if (now >= quorum.nextHeartbeat) {
         ++quorum.round;
--- a/packages/runner/include/foxwing/runner/runner.h
+++ b/packages/runner/include/foxwing/runner/runner.h
@@ -33,7 +33,7 @@
 #include <string>
 #include <vector>
 
-#include <foxwing/base/fadingsum.h>
+#include <foxwing/base/decayingsum.h>
 #include <foxwing/catalog/agreedstate.h>
 #include <foxwing/eventlog/eventlog.h>
 #include <foxwing/jobs/messages.h>
@@ -476,7 +476,7 @@
     std::vector<WaitingStart> waiting;
 
     // Capacity freed by ended runs, in thousandths of a core
-    FadingSum freed;
+    DecayingSum freed;
 
     // Polls: number of the last one sent; results of polls up to lastAnsweredPoll are ignored.
     std::uint64_t pollNumber = 0;
--- a/packages/scheduler/include/foxwing/scheduler/scheduler.h
+++ b/packages/scheduler/include/foxwing/scheduler/scheduler.h
@@ -30,7 +30,7 @@
 #include <string>
 #include <vector>
 
-#include <foxwing/base/fadingsum.h>
+#include <foxwing/base/decayingsum.h>
 #include <foxwing/catalog/agreedstate.h>
 #include <foxwing/eventlog/eventlog.h>
 #include <foxwing/forecast/forecast.h>
@@ -427,10 +427,10 @@
 struct FreedCapacity
 {
     // Recently freed for this entry: what waits here can count on it
-    FadingSum recent;
+    DecayingSum recent;
 
     // Freed for this entry by priority, over shareWindow; without failed runs, as agents report it
-    std::map<std::uint32_t, FadingSum> own;
+    std::map<std::uint32_t, DecayingSum> own;
 };
 
 // Reported crashes of endpoints under a job's tasks, run here or for another entry.
@@ -450,7 +450,7 @@
     Time lastSeenAt {};
 
     // Capacity given to late jobs, in millicores, over lateWindow
-    FadingSum granted;
+    DecayingSum granted;
 };
 
 struct SchedulerCounters
@@ -512,7 +512,7 @@
 
     // The same for all entries, as reported by agents, over shareWindow; only maintained if the
     // forecast is used
-    std::map<std::string, FadingSum> reportedFreed;
+    std::map<std::string, DecayingSum> reportedFreed;
     Time reportedFreedAt {};
 
     // By service
--- a/packages/scheduler/src/waitestimate.cpp
+++ b/packages/scheduler/src/waitestimate.cpp
@@ -95,11 +95,11 @@
     if (freed == scheduler.freed.end() || total == scheduler.reportedFreed.end())
         return equalShare;
     const Milliseconds window = scheduler.settings.shareWindow;
-    const double reportedFreed = fadedAmount(total->second, window, now);
+    const double reportedFreed = decayedAmount(total->second, window, now);
     double own = 0;
     for (const auto &[other, sum] : freed->second.own) {
         if (other >= priority || !ordersByPriority(scheduler))
-            own += fadedAmount(sum, window, now);
+            own += decayedAmount(sum, window, now);
     }
     return reportedFreed > 0 ? std::clamp(own / reportedFreed, MinShare, 1.0) : equalShare;
 }
--- a/packages/scheduler/tests/waitestimate_test.cpp
+++ b/packages/scheduler/tests/waitestimate_test.cpp
@@ -170,7 +170,7 @@
     Bench bench({ 1000 }, withForecast(false));
     addTo(bench.scheduler.reportedFreed["align"], bench.scheduler.settings.shareWindow, 4000,
           bench.now);
-    std::map<std::uint32_t, FadingSum> &own = bench.scheduler.freed["align"].own;
+    std::map<std::uint32_t, DecayingSum> &own = bench.scheduler.freed["align"].own;
     const Milliseconds window = bench.scheduler.settings.shareWindow;
     addTo(own[0], window, 1000.0 * GetParam().urgentEnds, bench.now);
     addTo(own[2], window, 1000.0 * GetParam().otherEnds, bench.now);
--- a/tests/agreement/agreement_test.cpp
+++ b/tests/agreement/agreement_test.cpp
@@ -600,12 +600,12 @@
     for (std::uint64_t seed = first; seed < first + count; ++seed) {
         const Simulation simulation = runDiskAndPowerLoss(seed);
         acknowledged += simulation.acknowledged.size();
-        if (!holds(Guard::Sync) && !simulation.violations.empty())
+        if (!isEnabled(Guard::Sync) && !simulation.violations.empty())
             return;
         ASSERT_TRUE(simulation.violations.empty())
                 << "seed " << seed << ": " << simulation.violations[0];
     }
-    EXPECT_TRUE(holds(Guard::Sync)) << "the missing sync was not detected";
+    EXPECT_TRUE(isEnabled(Guard::Sync)) << "the missing sync was not detected";
     EXPECT_GT(acknowledged, count * 10);
 }
 
