--- a/packages/base/include/foxwing/base/binary.h
+++ b/packages/base/include/foxwing/base/binary.h
@@ -127,15 +127,16 @@
             value = T(static_cast<typename T::rep>(readSigned()));
         } else if constexpr (std::is_same_v<T, std::string>) {
             const std::uint64_t size = readUnsigned();
-            value = std::string(takeBytes(size));
+            value = std::string(readBytes(size));
         } else if constexpr (std::is_same_v<T, double>) {
-            const std::string_view raw = takeBytes(sizeof(double));
+            const std::string_view raw = readBytes(sizeof(double));
             if (m_ok)
                 std::memcpy(&value, raw.data(), sizeof(double));
         } else if constexpr (std::is_enum_v<T> || std::is_unsigned_v<T>) {
-            value = takeValue<T>();
+            value = readValue<T>();
         } else if constexpr (std::is_integral_v<T>) {
-            static_assert(sizeof(T) == sizeof(std::int64_t), "narrower ones need a check");
+            static_assert(sizeof(T) == sizeof(std::int64_t),
+                          "narrower signed types need a range check");
             value = static_cast<T>(readSigned());
         } else if constexpr (IsVector<T>::value) {
             readVector(value);
@@ -153,22 +154,22 @@
 
     // Checks the range: truncated to the field's type, a corrupt number could pass for a valid one.
     template<class T>
-    T takeValue()
+    T readValue()
     {
         const std::uint64_t number = readUnsigned();
         m_ok = m_ok && isValueOf<T>(number);
         return m_ok ? static_cast<T>(number) : T {};
     }
 
-    std::string_view takeBytes(std::uint64_t size)
+    std::string_view readBytes(std::uint64_t size)
     {
         if (size > m_rest.size()) {
             m_ok = false;
             return {};
         }
-        const std::string_view taken = m_rest.substr(0, size);
+        const std::string_view bytes = m_rest.substr(0, size);
         m_rest.remove_prefix(size);
-        return taken;
+        return bytes;
     }
 
     template<class T>
@@ -218,20 +219,20 @@
 {
     BinaryWriter writer;
     writer.writeUnsigned(message.index());
-    std::visit([&writer](const auto &held) { writer.write(held); }, message);
+    std::visit([&writer](const auto &alternative) { writer.write(alternative); }, message);
     return writer.take();
 }
 
 template<class Variant, std::size_t Index = 0>
-std::optional<Variant> readAlternative(std::uint64_t wanted, BinaryReader &reader, Error *reason)
+std::optional<Variant> readAlternative(std::uint64_t index, BinaryReader &reader, Error *reason)
 {
     if constexpr (Index == std::variant_size_v<Variant>) {
         return fail(reason, ErrorKind::BadRequest,
-                    "unknown message index " + std::to_string(wanted)
+                    "unknown message index " + std::to_string(index)
                             + "; upgrade the process that received it");
     } else {
-        if (wanted != Index)
-            return readAlternative<Variant, Index + 1>(wanted, reader, reason);
+        if (index != Index)
+            return readAlternative<Variant, Index + 1>(index, reader, reason);
         std::variant_alternative_t<Index, Variant> message;
         reader.read(message);
         if (!reader.ok())
--- a/packages/base/include/foxwing/base/codec.h
+++ b/packages/base/include/foxwing/base/codec.h
@@ -180,7 +180,8 @@
 void JsonReader::read(const Json::Value &json, const std::string &path, T &value)
 {
     if constexpr (std::is_integral_v<T> && std::is_signed_v<T>) {
-        static_assert(sizeof(T) == sizeof(std::int64_t), "narrower ones need a check");
+        static_assert(sizeof(T) == sizeof(std::int64_t),
+                      "narrower signed types need a range check");
         std::int64_t number = 0;
         readInteger(json, path, number);
         if (m_ok)
@@ -228,9 +229,9 @@
 {
     Json::Value json(Json::objectValue);
     std::visit(
-            [&json](const auto &held) {
-                json["type"] = std::decay_t<decltype(held)>::Type;
-                json["body"] = toJson(held);
+            [&json](const auto &alternative) {
+                json["type"] = std::decay_t<decltype(alternative)>::Type;
+                json["body"] = toJson(alternative);
             },
             message);
     return json;
--- a/packages/base/include/foxwing/base/decayingsum.h
+++ b/packages/base/include/foxwing/base/decayingsum.h
@@ -23,22 +23,22 @@
     Time at {};
 };
 
-inline double decayedAmount(const DecayingSum &sum, Milliseconds span, Time now)
+inline double decayedAmount(const DecayingSum &sum, Milliseconds window, Time now)
 {
-    const double spans = std::chrono::duration<double>(now - sum.at)
-            / std::chrono::duration<double>(span);
-    return sum.amount * std::exp(-spans);
+    const double windows = std::chrono::duration<double>(now - sum.at)
+            / std::chrono::duration<double>(window);
+    return sum.amount * std::exp(-windows);
 }
 
-inline void addTo(DecayingSum &sum, Milliseconds span, double amount, Time now)
+inline void addTo(DecayingSum &sum, Milliseconds window, double amount, Time now)
 {
-    sum.amount = decayedAmount(sum, span, now) + amount;
+    sum.amount = decayedAmount(sum, window, now) + amount;
     sum.at = now;
 }
 
-inline double perSecond(const DecayingSum &sum, Milliseconds span, Time now)
+inline double perSecond(const DecayingSum &sum, Milliseconds window, Time now)
 {
-    return decayedAmount(sum, span, now) / std::chrono::duration<double>(span).count();
+    return decayedAmount(sum, window, now) / std::chrono::duration<double>(window).count();
 }
 
 } // namespace foxwing
--- a/packages/base/include/foxwing/base/time.h
+++ b/packages/base/include/foxwing/base/time.h
@@ -43,9 +43,9 @@
 // [SECTION] Conversions
 
 // Fractional milliseconds, for output.
-inline double toMilliseconds(Microseconds span)
+inline double toMilliseconds(Microseconds duration)
 {
-    return std::chrono::duration<double, std::milli>(span).count();
+    return std::chrono::duration<double, std::milli>(duration).count();
 }
 
 } // namespace foxwing
--- a/packages/base/src/codec.cpp
+++ b/packages/base/src/codec.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 // No message needs deeper nesting.
-constexpr int MaximumDepth = 32;
+constexpr int MaxNestingDepth = 32;
 
 } // namespace
 
@@ -85,10 +85,10 @@
 std::string writeJson(const Json::Value &json)
 {
     static const Json::StreamWriterBuilder builder = [] {
-        Json::StreamWriterBuilder made;
-        made["indentation"] = "";
-        made["emitUTF8"] = true;
-        return made;
+        Json::StreamWriterBuilder settings;
+        settings["indentation"] = "";
+        settings["emitUTF8"] = true;
+        return settings;
     }();
     return Json::writeString(builder, json);
 }
@@ -96,11 +96,11 @@
 std::optional<Json::Value> parseJson(const std::string &text, Error *reason)
 {
     static const Json::CharReaderBuilder builder = [] {
-        Json::CharReaderBuilder made;
-        Json::CharReaderBuilder::strictMode(&made.settings_);
-        made["stackLimit"] = MaximumDepth;
-        made["strictRoot"] = false;
-        return made;
+        Json::CharReaderBuilder settings;
+        Json::CharReaderBuilder::strictMode(&settings.settings_);
+        settings["stackLimit"] = MaxNestingDepth;
+        settings["strictRoot"] = false;
+        return settings;
     }();
     const std::unique_ptr<Json::CharReader> reader(builder.newCharReader());
     Json::Value json;
--- a/packages/base/src/error.cpp
+++ b/packages/base/src/error.cpp
@@ -65,45 +65,45 @@
 
 const char *toString(Outcome outcome)
 {
-    for (const OutcomeName &entry : OutcomeNames) {
-        if (entry.outcome == outcome)
-            return entry.name;
+    for (const OutcomeName &row : OutcomeNames) {
+        if (row.outcome == outcome)
+            return row.name;
     }
     return "unknown";
 }
 
 std::optional<Outcome> parseOutcome(const std::string &name)
 {
-    for (const OutcomeName &entry : OutcomeNames) {
-        if (name == entry.name)
-            return entry.outcome;
+    for (const OutcomeName &row : OutcomeNames) {
+        if (name == row.name)
+            return row.outcome;
     }
     return std::nullopt;
 }
 
 const char *toString(ErrorKind kind)
 {
-    for (const KindName &entry : KindNames) {
-        if (entry.kind == kind)
-            return entry.name;
+    for (const KindName &row : KindNames) {
+        if (row.kind == kind)
+            return row.name;
     }
     return "internal";
 }
 
 ErrorKind parseErrorKind(const std::string &name)
 {
-    for (const KindName &entry : KindNames) {
-        if (name == entry.name)
-            return entry.kind;
+    for (const KindName &row : KindNames) {
+        if (name == row.name)
+            return row.kind;
     }
     return ErrorKind::Internal;
 }
 
 int httpStatus(ErrorKind kind)
 {
-    for (const KindName &entry : KindNames) {
-        if (entry.kind == kind)
-            return entry.status;
+    for (const KindName &row : KindNames) {
+        if (row.kind == kind)
+            return row.status;
     }
     return 500;
 }
--- a/packages/base/tests/binary_test.cpp
+++ b/packages/base/tests/binary_test.cpp
@@ -2,7 +2,7 @@
     Tests of the binary codec: round trips and rejected bytes.
 
     [SECTION] Messages
-    [SECTION] Refusals
+    [SECTION] Invalid bytes
 */
 #include <foxwing/base/binary.h>
 
@@ -50,35 +50,35 @@
     return bytes;
 }
 
-TEST(Binary, MessageSurvivesTheWire)
+TEST(Binary, RoundTripPreservesMessage)
 {
     const Mixed mixed {
         4294967295U, true, Colour::Green, std::string("a\0b", 3), { 1, 1ULL << 63U }
     };
     Error reason;
-    const auto read = decodeFrame<AnyMixed>(encodeFrame(AnyMixed(mixed)), &reason);
-    ASSERT_TRUE(read) << reason.message;
-    EXPECT_EQ(encodeFrame(*read), encodeFrame(AnyMixed(mixed)));
+    const auto decoded = decodeFrame<AnyMixed>(encodeFrame(AnyMixed(mixed)), &reason);
+    ASSERT_TRUE(decoded) << reason.message;
+    EXPECT_EQ(encodeFrame(*decoded), encodeFrame(AnyMixed(mixed)));
 }
 
-// [SECTION] Refusals
+// [SECTION] Invalid bytes
 
-struct RefusalCase
+struct InvalidCase
 {
     const char *name;
     std::string bytes;
 };
 
-std::ostream &operator<<(std::ostream &out, const RefusalCase &tested)
+std::ostream &operator<<(std::ostream &out, const InvalidCase &tested)
 {
     return out << tested.name;
 }
 
-class BinaryRefusals : public testing::TestWithParam<RefusalCase>
+class InvalidBytes : public testing::TestWithParam<InvalidCase>
 { };
 
 // A value that is out of its field's range must be rejected, not truncated.
-TEST_P(BinaryRefusals, NameNoMessage)
+TEST_P(InvalidBytes, AreRejected)
 {
     Error reason;
     EXPECT_FALSE(decodeFrame<AnyMixed>(GetParam().bytes, &reason));
@@ -86,18 +86,18 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-        Base, BinaryRefusals,
+        Base, InvalidBytes,
         testing::Values(
-                RefusalCase { "Nothing", "" }, RefusalCase { "UnknownMessage", bytesOf({ 1 }) },
-                RefusalCase { "NumberTooLarge", bytesOf({ 0, 0x80, 0x80, 0x80, 0x80, 0x10 }) },
-                RefusalCase { "NumberCutShort", bytesOf({ 0, 0x80 }) },
-                RefusalCase { "NumberBeyond64Bits",
+                InvalidCase { "Nothing", "" }, InvalidCase { "UnknownMessage", bytesOf({ 1 }) },
+                InvalidCase { "NumberTooLarge", bytesOf({ 0, 0x80, 0x80, 0x80, 0x80, 0x10 }) },
+                InvalidCase { "NumberTruncated", bytesOf({ 0, 0x80 }) },
+                InvalidCase { "NumberBeyond64Bits",
                               bytesOf({ 0, 1, 1, 1, 0, 1, 0x80, 0x80, 0x80, 0x80, 0x80, 0x80, 0x80,
                                         0x80, 0x80, 0x02 }) },
-                RefusalCase { "FlagOfTwo", bytesOf({ 0, 1, 2 }) },
-                RefusalCase { "UnknownEnumerator", bytesOf({ 0, 1, 1, 2 }) },
-                RefusalCase { "TextLongerThanTheRest", bytesOf({ 0, 1, 1, 1, 5, 'a' }) },
-                RefusalCase { "ListLongerThanTheRest", bytesOf({ 0, 1, 1, 1, 0, 0x7f, 1 }) }),
+                InvalidCase { "FlagOutOfRange", bytesOf({ 0, 1, 2 }) },
+                InvalidCase { "UnknownEnumerator", bytesOf({ 0, 1, 1, 2 }) },
+                InvalidCase { "TextLongerThanTheRest", bytesOf({ 0, 1, 1, 1, 5, 'a' }) },
+                InvalidCase { "ListLongerThanTheRest", bytesOf({ 0, 1, 1, 1, 0, 0x7f, 1 }) }),
         [](const auto &tested) { return tested.param.name; });
 
 } // namespace
--- a/packages/base/tests/codec_test.cpp
+++ b/packages/base/tests/codec_test.cpp
@@ -3,7 +3,7 @@
 
     [SECTION] Messages
     [SECTION] Round trips
-    [SECTION] Refusals
+    [SECTION] Invalid documents
 */
 #include <foxwing/base/codec.h>
 
@@ -45,7 +45,7 @@
 
 // [SECTION] Round trips
 
-TEST(Codec, MessageSurvivesTheWire)
+TEST(Codec, RoundTripPreservesMessage)
 {
     Tree tree;
     tree.span = Microseconds(1500);
@@ -54,9 +54,9 @@
     Error reason;
     const auto json = parseJson(writeJson(encodeMessage(AnyMessage(tree))), &reason);
     ASSERT_TRUE(json) << reason.message;
-    const auto read = decodeMessage<AnyMessage>(*json, &reason);
-    ASSERT_TRUE(read) << reason.message;
-    const Tree &copy = std::get<Tree>(*read);
+    const auto decoded = decodeMessage<AnyMessage>(*json, &reason);
+    ASSERT_TRUE(decoded) << reason.message;
+    const Tree &copy = std::get<Tree>(*decoded);
     EXPECT_EQ(copy.span, tree.span);
     EXPECT_TRUE(copy.tall);
     ASSERT_EQ(copy.leaves.size(), 1U);
@@ -64,19 +64,19 @@
     EXPECT_EQ(copy.leaves[0].numbers, tree.leaves[0].numbers);
 }
 
-// [SECTION] Refusals
+// [SECTION] Invalid documents
 
-struct BadText
+struct InvalidText
 {
     const char *name;
     const char *text;
     const char *expected;
 };
 
-class RefusedMessage : public testing::TestWithParam<BadText>
+class InvalidMessage : public testing::TestWithParam<InvalidText>
 { };
 
-TEST_P(RefusedMessage, NamesTheField)
+TEST_P(InvalidMessage, NamesTheField)
 {
     Error reason;
     const auto json = parseJson(GetParam().text, &reason);
@@ -88,26 +88,28 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-        Table, RefusedMessage,
+        Table, InvalidMessage,
         testing::Values(
-                BadText { "Broken", "{\"type\":", "can't be read" },
-                BadText { "Trailing", "{} {}", "can't be read" },
-                BadText { "NoType", "{\"body\":{}}", "\"type\"" },
-                BadText { "UnknownType", R"({"type":"shrub","body":{}})", "shrub" },
-                BadText { "Missing", R"({"type":"tree","body":{"span":1,"tall":true}})", "leaves" },
-                BadText { "WrongType",
-                          R"({"type":"tree","body":{"span":"1","tall":true,"leaves":[]}})",
-                          "span" },
-                BadText { "Nested",
-                          R"({"type":"tree","body":{"span":1,"tall":true,"leaves":[{"name":1}]}})",
-                          "leaves[0].name" },
-                BadText {
+                InvalidText { "Broken", "{\"type\":", "can't be read" },
+                InvalidText { "Trailing", "{} {}", "can't be read" },
+                InvalidText { "NoType", "{\"body\":{}}", "\"type\"" },
+                InvalidText { "UnknownType", R"({"type":"shrub","body":{}})", "shrub" },
+                InvalidText { "Missing", R"({"type":"tree","body":{"span":1,"tall":true}})",
+                              "leaves" },
+                InvalidText { "WrongType",
+                              R"({"type":"tree","body":{"span":"1","tall":true,"leaves":[]}})",
+                              "span" },
+                InvalidText {
+                        "Nested",
+                        R"({"type":"tree","body":{"span":1,"tall":true,"leaves":[{"name":1}]}})",
+                        "leaves[0].name" },
+                InvalidText {
                         "Negative",
                         R"({"type":"tree","body":{"span":1,"tall":true,"leaves":[{"name":"a","numbers":[-1]}]}})",
                         "not negative" }),
-        [](const testing::TestParamInfo<BadText> &given) { return given.param.name; });
+        [](const testing::TestParamInfo<InvalidText> &given) { return given.param.name; });
 
-TEST(Codec, DeepNestingIsRefused)
+TEST(Codec, DeepNestingIsRejected)
 {
     Error reason;
     EXPECT_FALSE(parseJson(std::string(10000, '['), &reason));
--- a/packages/eventlog/include/foxwing/eventlog/eventlog.h
+++ b/packages/eventlog/include/foxwing/eventlog/eventlog.h
@@ -59,7 +59,7 @@
     Event &with(const char *field, std::uint64_t value);
     Event &with(const char *field, int value) { return with(field, std::int64_t { value }); }
     Event &with(const char *field, unsigned value) { return with(field, std::uint64_t { value }); }
-    Event &with(const char *field, Microseconds span);
+    Event &with(const char *field, Microseconds duration);
 
     const char *name() const { return m_name; }
     EventKind kind() const { return m_kind; }
@@ -90,7 +90,7 @@
     int output;
 
     std::string buffer;
-    Time secondBegan {};
+    Time secondStart {};
     std::uint32_t requestLines = 0;
     std::uint32_t changeLines = 0;
 
--- a/packages/eventlog/src/eventlog.cpp
+++ b/packages/eventlog/src/eventlog.cpp
@@ -76,10 +76,10 @@
     return *this;
 }
 
-Event &Event::with(const char *field, Microseconds span)
+Event &Event::with(const char *field, Microseconds duration)
 {
     char text[32];
-    std::snprintf(text, sizeof text, "%.1f", toMilliseconds(span));
+    std::snprintf(text, sizeof text, "%.1f", toMilliseconds(duration));
     appendName(m_fields, field);
     m_fields += text;
     return *this;
@@ -113,31 +113,31 @@
 }
 
 // Resets the limits and reports the lines that were dropped in the previous second.
-void beginSecond(EventLog &log, Time now, WallTime date)
+void startSecond(EventLog &log, Time now, WallTime date)
 {
-    log.secondBegan = now;
+    log.secondStart = now;
     log.requestLines = 0;
     log.changeLines = 0;
     if (log.dropped.empty())
         return;
-    Event told = change("lines-left-out");
+    Event report = change("lines-left-out");
     for (const auto &[name, count] : log.dropped)
-        told.with(name.c_str(), count);
+        report.with(name.c_str(), count);
     log.dropped.clear();
-    append(log, date, told);
+    append(log, date, report);
 }
 
 } // namespace
 
 void writeEvent(EventLog &log, Time now, WallTime date, const Event &event)
 {
-    if (now >= log.secondBegan + Seconds(1))
-        beginSecond(log, now, date);
+    if (now >= log.secondStart + Seconds(1))
+        startSecond(log, now, date);
     const bool isChange = event.kind() == EventKind::Change;
     std::uint32_t &lines = isChange ? log.changeLines : log.requestLines;
-    const std::uint32_t most = isChange ? log.settings.changeLinesPerSecond
-                                        : log.settings.requestLinesPerSecond;
-    if (lines >= most || log.buffer.size() >= log.settings.maxBufferedBytes) {
+    const std::uint32_t limit = isChange ? log.settings.changeLinesPerSecond
+                                         : log.settings.requestLinesPerSecond;
+    if (lines >= limit || log.buffer.size() >= log.settings.maxBufferedBytes) {
         ++log.dropped[event.name()];
         ++log.droppedTotal;
         return;
--- a/packages/eventlog/tests/eventlog_test.cpp
+++ b/packages/eventlog/tests/eventlog_test.cpp
@@ -37,7 +37,7 @@
 class Lines : public testing::TestWithParam<LineCase>
 { };
 
-TEST_P(Lines, AreWholeJson)
+TEST_P(Lines, AreValidJson)
 {
     Pipe pipe;
     EventLog log("node-1", EventLogSettings(), pipe.ends[1]);
@@ -61,7 +61,7 @@
 
 // [SECTION] Limits
 
-TEST(EventLogLimits, TellsWhatWasLeftOut)
+TEST(EventLogLimits, ReportsDroppedLines)
 {
     Pipe pipe;
     EventLogSettings settings;
@@ -76,7 +76,7 @@
     EXPECT_NE(log.buffer.find("\"event\":\"lines-left-out\",\"answered\":7"), std::string::npos);
 }
 
-TEST(EventLogLimits, DoesNotBlockOnAReaderThatDoesNotRead)
+TEST(EventLogLimits, DoesNotBlockOnStalledReader)
 {
     Pipe pipe;
     EventLogSettings settings;
--- a/packages/fabric/include/foxwing/fabric/address.h
+++ b/packages/fabric/include/foxwing/fabric/address.h
@@ -37,7 +37,7 @@
 
 // Disables Nagle's algorithm, and ends the connection when sent data is not acknowledged within the
 // timeout: otherwise a peer behind a network partition would keep it open for minutes.
-void tune(Socket &socket, Milliseconds silence);
+void setSocketOptions(Socket &socket, Milliseconds ackTimeout);
 
 // Opens a listening socket; on failure, returns nothing and stores the reason.
 std::optional<asio::ip::tcp::acceptor> listenAt(asio::io_context &io, const std::string &address,
--- a/packages/fabric/include/foxwing/fabric/httpserver.h
+++ b/packages/fabric/include/foxwing/fabric/httpserver.h
@@ -69,13 +69,13 @@
     Milliseconds sinceReceived() const;
 
     // Sets a handler that is called if the caller closes its connection before the answer.
-    void onDisconnect(std::function<void()> handler) { m_gone = std::move(handler); }
+    void onDisconnect(std::function<void()> handler) { m_onDisconnect = std::move(handler); }
 
 private:
     friend class HttpConnection;
     Request m_request;
     std::weak_ptr<HttpConnection> m_connection;
-    std::function<void()> m_gone;
+    std::function<void()> m_onDisconnect;
     bool m_answered = false;
 };
 
--- a/packages/fabric/include/foxwing/fabric/link.h
+++ b/packages/fabric/include/foxwing/fabric/link.h
@@ -32,14 +32,14 @@
 {
     // A larger frame closes the connection: only a faulty peer sends one. The largest valid frame
     // is a configuration of 256 KiB, or a snapshot that contains one.
-    std::size_t mostFrameBytes = 8U << 20U;
+    std::size_t maxFrameBytes = 8U << 20U;
 
     // The connection is closed when more than this is queued for a peer that does not read.
-    std::size_t mostQueuedBytes = 16U << 20U;
+    std::size_t maxQueuedBytes = 16U << 20U;
 
     // The connection is closed when sent data is not acknowledged for this long. Three times the
     // longest heartbeat interval, so that a single lost packet does not close it.
-    Milliseconds silence { 3000 };
+    Milliseconds ackTimeout { 3000 };
 };
 
 // [SECTION] Link
@@ -63,7 +63,7 @@
 
 private:
     void read();
-    void takeFrames();
+    void handleFrames();
     void flush();
     void fail();
 
@@ -73,7 +73,7 @@
     FrameHandler m_onFrame;
     ClosedHandler m_onClosed;
     std::string m_received;
-    std::size_t m_filled = 0;
+    std::size_t m_receivedSize = 0;
     std::string m_queued;
     std::string m_writing;
     bool m_flushPosted = false;
@@ -96,7 +96,7 @@
     void accept();
 
     asio::ip::tcp::acceptor m_acceptor;
-    asio::steady_timer m_pause;
+    asio::steady_timer m_retryTimer;
     LinkLimits m_limits;
     Accepted m_onAccepted;
 };
--- a/packages/fabric/src/address.cpp
+++ b/packages/fabric/src/address.cpp
@@ -28,13 +28,13 @@
 std::optional<Endpoint> parseEndpoint(const std::string &text, Error *reason)
 {
     const std::size_t colon = text.rfind(':');
-    boost::system::error_code wrong;
-    const auto address = asio::ip::make_address_v4(text.substr(0, colon), wrong);
+    boost::system::error_code error;
+    const auto address = asio::ip::make_address_v4(text.substr(0, colon), error);
     const std::string port = colon == std::string::npos ? "" : text.substr(colon + 1);
     const bool digits = !port.empty() && port.size() < 6
             && port.find_first_not_of("0123456789") == std::string::npos;
     const unsigned long number = digits ? std::stoul(port) : 0;
-    if (wrong || number == 0 || number > 65535)
+    if (error || number == 0 || number > 65535)
         return fail(reason, ErrorKind::BadRequest,
                     "\"" + text + "\" is not an IPv4 address and port; write it as 10.0.0.1:7100");
     return Endpoint(address, static_cast<unsigned short>(number));
@@ -50,10 +50,10 @@
     return address.substr(0, address.rfind(':'));
 }
 
-void tune(Socket &socket, Milliseconds silence)
+void setSocketOptions(Socket &socket, Milliseconds ackTimeout)
 {
     setOption(socket, IPPROTO_TCP, TCP_NODELAY, 1);
-    setOption(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(silence.count()));
+    setOption(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(ackTimeout.count()));
 }
 
 std::optional<asio::ip::tcp::acceptor> listenAt(asio::io_context &io, const std::string &address,
@@ -63,17 +63,17 @@
     if (!endpoint)
         return std::nullopt;
     asio::ip::tcp::acceptor acceptor(io);
-    boost::system::error_code wrong;
-    acceptor.open(endpoint->protocol(), wrong);
-    if (!wrong)
-        acceptor.set_option(asio::socket_base::reuse_address(true), wrong);
-    if (!wrong)
-        acceptor.bind(*endpoint, wrong);
-    if (!wrong)
-        acceptor.listen(AcceptBacklog, wrong);
-    if (wrong)
+    boost::system::error_code error;
+    acceptor.open(endpoint->protocol(), error);
+    if (!error)
+        acceptor.set_option(asio::socket_base::reuse_address(true), error);
+    if (!error)
+        acceptor.bind(*endpoint, error);
+    if (!error)
+        acceptor.listen(AcceptBacklog, error);
+    if (error)
         return fail(reason, ErrorKind::Unavailable,
-                    "can't listen on " + address + ": " + wrong.message()
+                    "can't listen on " + address + ": " + error.message()
                             + "; check that the address belongs to this host and the port is free");
     return acceptor;
 }
--- a/packages/fabric/src/httpclient.cpp
+++ b/packages/fabric/src/httpclient.cpp
@@ -33,16 +33,16 @@
 
 struct HttpClient::State : std::enable_shared_from_this<HttpClient::State>
 {
-    State(asio::io_context &context, std::string to, HttpClientSettings with)
+    State(asio::io_context &context, std::string targetAddress, HttpClientSettings initialSettings)
         : io(context)
-        , address(std::move(to))
-        , settings(with)
+        , address(std::move(targetAddress))
+        , settings(initialSettings)
     { }
 
     asio::io_context &io;
     std::string address;
     HttpClientSettings settings;
-    std::deque<PendingCall> waiting;
+    std::deque<PendingCall> pendingCalls;
     std::vector<std::shared_ptr<ClientConnection>> idle;
     std::set<std::shared_ptr<ClientConnection>> busy;
     std::uint64_t opened = 0;
@@ -65,38 +65,38 @@
     ClientConnection(asio::io_context &io, std::uint64_t maxBodyBytes, Released released)
         : m_socket(io)
         , m_timer(io)
-        , m_mostBodyBytes(maxBodyBytes)
+        , m_maxBodyBytes(maxBodyBytes)
         , m_released(std::move(released))
     { }
 
     void connect(const Endpoint &endpoint, PendingCall call)
     {
-        begin(std::move(call));
+        beginCall(std::move(call));
         m_socket.async_connect(endpoint,
-                               [self = shared_from_this()](boost::system::error_code wrong) {
+                               [self = shared_from_this()](boost::system::error_code error) {
                                    if (!self->m_call)
                                        return;
-                                   if (wrong)
-                                       return self->finish(wrong == asio::error::connection_refused
+                                   if (error)
+                                       return self->finish(error == asio::error::connection_refused
                                                                    ? CallFailure::Refused
                                                                    : CallFailure::NoAnswer);
-                                   tune(self->m_socket, SilenceBeforeClose);
+                                   setSocketOptions(self->m_socket, AckTimeout);
                                    self->write();
                                });
     }
 
     void reuse(PendingCall call)
     {
-        begin(std::move(call));
+        beginCall(std::move(call));
         write();
     }
 
     // A call must not be sent on an idle connection that the server has closed.
-    bool stillOpen()
+    bool isOpen()
     {
         char byte = 0;
-        const auto got = ::recv(m_socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-        return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+        const auto received = ::recv(m_socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+        return received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
     }
 
     void abandon()
@@ -108,17 +108,17 @@
     }
 
 private:
-    static constexpr Milliseconds SilenceBeforeClose { 3000 };
+    static constexpr Milliseconds AckTimeout { 3000 };
 
-    void begin(PendingCall call)
+    void beginCall(PendingCall call)
     {
         m_call.emplace(std::move(call));
         m_timer.expires_after(m_call->deadline - steadyNow());
-        m_timer.async_wait(
-                [self = shared_from_this(), number = ++m_number](boost::system::error_code ended) {
-                    if (!ended && number == self->m_number && self->m_call)
-                        self->finish(CallFailure::NoAnswer);
-                });
+        m_timer.async_wait([self = shared_from_this(),
+                            callNumber = ++m_callNumber](boost::system::error_code waitError) {
+            if (!waitError && callNumber == self->m_callNumber && self->m_call)
+                self->finish(CallFailure::NoAnswer);
+        });
     }
 
     void write()
@@ -126,11 +126,11 @@
         // The write owns the request: a call that times out ends before its write does.
         const auto request = std::make_shared<Request>(std::move(m_call->request));
         http::async_write(m_socket, *request,
-                          [self = shared_from_this(), request](boost::system::error_code wrong,
+                          [self = shared_from_this(), request](boost::system::error_code error,
                                                                std::size_t) {
                               if (!self->m_call)
                                   return;
-                              if (wrong)
+                              if (error)
                                   return self->finish(CallFailure::NoAnswer);
                               self->read();
                           });
@@ -139,12 +139,12 @@
     void read()
     {
         m_parser.emplace();
-        m_parser->body_limit(m_mostBodyBytes);
+        m_parser->body_limit(m_maxBodyBytes);
         http::async_read(m_socket, m_buffer, *m_parser,
-                         [self = shared_from_this()](boost::system::error_code wrong, std::size_t) {
+                         [self = shared_from_this()](boost::system::error_code error, std::size_t) {
                              if (!self->m_call)
                                  return;
-                             self->finish(wrong ? CallFailure::NoAnswer : CallFailure::None);
+                             self->finish(error ? CallFailure::NoAnswer : CallFailure::None);
                          });
     }
 
@@ -168,8 +168,8 @@
 
     Socket m_socket;
     asio::steady_timer m_timer;
-    std::uint64_t m_mostBodyBytes;
-    std::uint64_t m_number = 0;
+    std::uint64_t m_maxBodyBytes;
+    std::uint64_t m_callNumber = 0;
     Released m_released;
     boost::beast::flat_buffer m_buffer;
     std::optional<http::response_parser<http::string_body>> m_parser;
@@ -185,7 +185,7 @@
     while (!idle.empty()) {
         const auto connection = idle.back();
         idle.pop_back();
-        if (!connection->stillOpen())
+        if (!connection->isOpen())
             continue;
         busy.insert(connection);
         return connection->reuse(std::move(call));
@@ -217,13 +217,13 @@
 void HttpClient::State::dispatch()
 {
     const Time now = steadyNow();
-    while (!stopped && !waiting.empty()) {
-        const bool late = waiting.front().deadline <= now;
-        if (!late && busy.size() >= settings.maxConnections)
+    while (!stopped && !pendingCalls.empty()) {
+        const bool timedOut = pendingCalls.front().deadline <= now;
+        if (!timedOut && busy.size() >= settings.maxConnections)
             return;
-        PendingCall call = std::move(waiting.front());
-        waiting.pop_front();
-        if (!late) {
+        PendingCall call = std::move(pendingCalls.front());
+        pendingCalls.pop_front();
+        if (!timedOut) {
             start(std::move(call));
             continue;
         }
@@ -252,7 +252,7 @@
 {
     request.version(11);
     request.prepare_payload();
-    m_state->waiting.push_back({ std::move(request), steadyNow() + timeout, std::move(done) });
+    m_state->pendingCalls.push_back({ std::move(request), steadyNow() + timeout, std::move(done) });
     m_state->dispatch();
 }
 
--- a/packages/fabric/src/httpserver.cpp
+++ b/packages/fabric/src/httpserver.cpp
@@ -23,16 +23,16 @@
 
 struct HttpServer::State
 {
-    State(asio::io_context &io, asio::ip::tcp::acceptor listener, const HttpLimits &with,
-          Handler calls)
-        : acceptor(std::move(listener))
-        , pause(io)
-        , limits(with)
-        , handler(std::move(calls))
+    State(asio::io_context &io, asio::ip::tcp::acceptor listeningSocket,
+          const HttpLimits &initialLimits, Handler requestHandler)
+        : acceptor(std::move(listeningSocket))
+        , retryTimer(io)
+        , limits(initialLimits)
+        , handler(std::move(requestHandler))
     { }
 
     asio::ip::tcp::acceptor acceptor;
-    asio::steady_timer pause;
+    asio::steady_timer retryTimer;
     HttpLimits limits;
     Handler handler;
     std::set<std::shared_ptr<HttpConnection>> connections;
@@ -51,7 +51,7 @@
         , m_timer(m_socket.get_executor())
         , m_server(std::move(server))
     {
-        tune(m_socket, m_server->limits.idleTimeout);
+        setSocketOptions(m_socket, m_server->limits.idleTimeout);
     }
 
     void readNext()
@@ -61,14 +61,14 @@
         m_parser->body_limit(m_server->limits.bodyBytes);
         m_idle = m_buffer.size() == 0;
         if (!m_idle)
-            return readHeader();
-        wakeAfter(m_server->limits.idleTimeout);
+            return readRequest();
+        setDeadline(m_server->limits.idleTimeout);
         m_socket.async_wait(Socket::wait_read,
-                            [self = shared_from_this()](boost::system::error_code wrong) {
-                                if (wrong || self->m_closed)
+                            [self = shared_from_this()](boost::system::error_code error) {
+                                if (error || self->m_closed)
                                     return self->close();
                                 self->m_idle = false;
-                                self->readHeader();
+                                self->readRequest();
                             });
     }
 
@@ -79,10 +79,10 @@
         m_response->keep_alive(m_keepAlive && !m_server->closeAfterAnswers);
         m_response->prepare_payload();
         http::async_write(m_socket, *m_response,
-                          [self = shared_from_this()](boost::system::error_code wrong,
+                          [self = shared_from_this()](boost::system::error_code error,
                                                       std::size_t) {
                               self->finishRequest();
-                              if (wrong || !self->m_response->keep_alive())
+                              if (error || !self->m_response->keep_alive())
                                   return self->shutDown();
                               self->readNext();
                           });
@@ -103,27 +103,27 @@
         boost::system::error_code ignored;
         m_socket.close(ignored);
         if (m_exchange)
-            callerGone();
+            handleDisconnect();
         m_server->connections.erase(shared_from_this());
     }
 
 private:
     // One timer per connection. Moving the deadline doesn't re-arm a running timer, which checks
     // the deadline when it expires: so a busy connection rarely sets it.
-    void wakeAfter(Milliseconds span)
+    void setDeadline(Milliseconds timeout)
     {
-        m_deadline = steadyNow() + span;
-        if (!m_timerRuns)
+        m_deadline = steadyNow() + timeout;
+        if (!m_timerRunning)
             armTimer();
     }
 
     void armTimer()
     {
-        m_timerRuns = true;
+        m_timerRunning = true;
         m_timer.expires_after(m_deadline - steadyNow());
-        m_timer.async_wait([self = shared_from_this()](boost::system::error_code ended) {
-            self->m_timerRuns = false;
-            if (ended || self->m_closed)
+        m_timer.async_wait([self = shared_from_this()](boost::system::error_code waitError) {
+            self->m_timerRunning = false;
+            if (waitError || self->m_closed)
                 return;
             if (steadyNow() < self->m_deadline)
                 return self->armTimer();
@@ -132,54 +132,54 @@
         });
     }
 
-    void readHeader()
+    void readRequest()
     {
-        wakeAfter(m_server->limits.headerTimeout);
+        setDeadline(m_server->limits.headerTimeout);
         http::async_read(m_socket, m_buffer, *m_parser,
-                         [self = shared_from_this()](boost::system::error_code wrong, std::size_t) {
-                             self->handleRead(wrong);
+                         [self = shared_from_this()](boost::system::error_code error, std::size_t) {
+                             self->handleRead(error);
                          });
     }
 
-    void handleRead(boost::system::error_code wrong)
+    void handleRead(boost::system::error_code error)
     {
         if (m_closed)
             return;
-        if (wrong == http::error::header_limit)
+        if (error == http::error::header_limit)
             return refuse(431);
-        if (wrong == http::error::body_limit)
+        if (error == http::error::body_limit)
             return refuse(413);
-        if (wrong
-            && wrong.category() == boost::system::error_code(http::error::bad_method).category()
-            && wrong != http::error::end_of_stream && wrong != http::error::partial_message)
+        if (error
+            && error.category() == boost::system::error_code(http::error::bad_method).category()
+            && error != http::error::end_of_stream && error != http::error::partial_message)
             return refuse(400);
-        if (wrong)
+        if (error)
             return close();
-        wakeAfter(m_server->limits.idleTimeout);
+        setDeadline(m_server->limits.idleTimeout);
         m_keepAlive = m_parser->get().keep_alive();
         m_exchange = std::make_shared<Exchange>(m_parser->release(), weak_from_this());
-        count();
+        countRequest();
         const ExchangePtr exchange = m_exchange;
         m_server->handler(exchange);
         if (!exchange->answered())
-            watchCaller();
+            watchForDisconnect();
     }
 
     // After a malformed request the rest of the stream can't be parsed, so the connection closes.
     void refuse(unsigned status)
     {
         m_keepAlive = false;
-        count();
+        countRequest();
         send(makeResponse(status, "text/plain", ""));
     }
 
     // While a request is pending, the socket becomes readable when the caller closes the
     // connection, or sends its next request early.
-    void watchCaller()
+    void watchForDisconnect()
     {
         m_socket.async_wait(Socket::wait_read,
-                            [self = shared_from_this()](boost::system::error_code wrong) {
-                                if (wrong || self->m_closed || !self->m_exchange)
+                            [self = shared_from_this()](boost::system::error_code error) {
+                                if (error || self->m_closed || !self->m_exchange)
                                     return;
                                 if (!self->isCallerConnected())
                                     self->close();
@@ -189,8 +189,8 @@
     bool isCallerConnected()
     {
         char byte = 0;
-        const auto got = ::recv(m_socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-        return got > 0 || (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK));
+        const auto received = ::recv(m_socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+        return received > 0 || (received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK));
     }
 
     Milliseconds sinceReceived()
@@ -202,15 +202,15 @@
         return Milliseconds(info.tcpi_last_data_recv);
     }
 
-    void callerGone()
+    void handleDisconnect()
     {
         const ExchangePtr exchange = m_exchange;
         finishRequest();
-        if (!exchange->answered() && exchange->m_gone)
-            exchange->m_gone();
+        if (!exchange->answered() && exchange->m_onDisconnect)
+            exchange->m_onDisconnect();
     }
 
-    void count()
+    void countRequest()
     {
         m_counted = true;
         ++m_server->pendingRequests;
@@ -245,7 +245,7 @@
     bool m_counted = false;
     bool m_keepAlive = true;
     bool m_idle = false;
-    bool m_timerRuns = false;
+    bool m_timerRunning = false;
     bool m_closed = false;
 };
 
@@ -274,7 +274,7 @@
     if (m_answered)
         return;
     m_answered = true;
-    m_gone = nullptr;
+    m_onDisconnect = nullptr;
     const auto connection = m_connection.lock();
     if (connection && !connection->m_closed)
         connection->send(std::move(response));
@@ -294,15 +294,15 @@
 namespace {
 
 // Delay after a failed accept, so that a lack of file descriptors doesn't cause a busy loop.
-constexpr Milliseconds AcceptPause { 100 };
+constexpr Milliseconds AcceptRetryDelay { 100 };
 
 template<class State>
 void acceptNext(const std::shared_ptr<State> &state)
 {
-    state->acceptor.async_accept([state](boost::system::error_code wrong, Socket socket) {
+    state->acceptor.async_accept([state](boost::system::error_code error, Socket socket) {
         if (state->stopped)
             return;
-        if (!wrong) {
+        if (!error) {
             if (state->connections.size() < state->limits.maxConnections) {
                 auto connection = std::make_shared<HttpConnection>(std::move(socket), state);
                 state->connections.insert(connection);
@@ -310,9 +310,9 @@
             }
             return acceptNext(state);
         }
-        state->pause.expires_after(AcceptPause);
-        state->pause.async_wait([state](boost::system::error_code ended) {
-            if (!ended)
+        state->retryTimer.expires_after(AcceptRetryDelay);
+        state->retryTimer.async_wait([state](boost::system::error_code waitError) {
+            if (!waitError)
                 acceptNext(state);
         });
     });
@@ -351,7 +351,7 @@
     m_state->stopped = true;
     boost::system::error_code ignored;
     m_state->acceptor.close(ignored);
-    m_state->pause.cancel();
+    m_state->retryTimer.cancel();
     const auto connections = m_state->connections;
     for (const auto &connection : connections)
         connection->closeIfIdle();
--- a/packages/fabric/src/link.cpp
+++ b/packages/fabric/src/link.cpp
@@ -28,7 +28,7 @@
     return header;
 }
 
-std::size_t readHeader(std::string_view bytes)
+std::size_t parseHeader(std::string_view bytes)
 {
     std::size_t size = 0;
     for (std::size_t i = 0; i < HeaderBytes; ++i)
@@ -44,7 +44,7 @@
 {
     boost::system::error_code ignored;
     m_remote = toString(m_socket.remote_endpoint(ignored));
-    tune(m_socket, limits.silence);
+    setSocketOptions(m_socket, limits.ackTimeout);
 }
 
 void Link::start(FrameHandler onFrame, ClosedHandler onClosed)
@@ -60,7 +60,7 @@
         return;
     m_queued += makeHeader(frame.size());
     m_queued += frame;
-    if (m_queued.size() > m_limits.mostQueuedBytes)
+    if (m_queued.size() > m_limits.maxQueuedBytes)
         return fail();
     if (m_flushPosted || !m_writing.empty())
         return;
@@ -77,9 +77,9 @@
         return;
     m_writing.swap(m_queued);
     asio::async_write(m_socket, asio::buffer(m_writing),
-                      [self = shared_from_this()](boost::system::error_code wrong, std::size_t) {
+                      [self = shared_from_this()](boost::system::error_code error, std::size_t) {
                           self->m_writing.clear();
-                          if (wrong)
+                          if (error)
                               self->fail();
                           else
                               self->flush();
@@ -88,36 +88,37 @@
 
 void Link::read()
 {
-    if (m_received.size() < m_filled + ReadBytes)
-        m_received.resize(m_filled + ReadBytes);
-    m_socket.async_read_some(asio::buffer(&m_received[m_filled], m_received.size() - m_filled),
-                             [self = shared_from_this()](boost::system::error_code wrong,
+    if (m_received.size() < m_receivedSize + ReadBytes)
+        m_received.resize(m_receivedSize + ReadBytes);
+    m_socket.async_read_some(asio::buffer(&m_received[m_receivedSize],
+                                          m_received.size() - m_receivedSize),
+                             [self = shared_from_this()](boost::system::error_code error,
                                                          std::size_t count) {
-                                 if (wrong)
+                                 if (error)
                                      return self->fail();
-                                 self->m_filled += count;
-                                 self->takeFrames();
+                                 self->m_receivedSize += count;
+                                 self->handleFrames();
                                  if (!self->m_closed)
                                      self->read();
                              });
 }
 
-void Link::takeFrames()
+void Link::handleFrames()
 {
-    std::size_t taken = 0;
-    while (!m_closed && m_filled - taken >= HeaderBytes) {
-        const std::string_view rest(m_received.data() + taken, m_filled - taken);
-        const std::size_t size = readHeader(rest);
-        if (size > m_limits.mostFrameBytes)
+    std::size_t consumed = 0;
+    while (!m_closed && m_receivedSize - consumed >= HeaderBytes) {
+        const std::string_view rest(m_received.data() + consumed, m_receivedSize - consumed);
+        const std::size_t size = parseHeader(rest);
+        if (size > m_limits.maxFrameBytes)
             return fail();
         if (rest.size() < HeaderBytes + size)
             break;
         m_onFrame(rest.substr(HeaderBytes, size));
-        taken += HeaderBytes + size;
+        consumed += HeaderBytes + size;
     }
-    std::copy(m_received.begin() + static_cast<std::ptrdiff_t>(taken),
-              m_received.begin() + static_cast<std::ptrdiff_t>(m_filled), m_received.begin());
-    m_filled -= taken;
+    std::copy(m_received.begin() + static_cast<std::ptrdiff_t>(consumed),
+              m_received.begin() + static_cast<std::ptrdiff_t>(m_receivedSize), m_received.begin());
+    m_receivedSize -= consumed;
 }
 
 void Link::close()
@@ -148,14 +149,14 @@
 namespace {
 
 // Delay after a failed accept, so that a lack of file descriptors doesn't cause a busy loop.
-constexpr Milliseconds AcceptPause { 100 };
+constexpr Milliseconds AcceptRetryDelay { 100 };
 
 } // namespace
 
 Listener::Listener(asio::io_context &io, asio::ip::tcp::acceptor acceptor, LinkLimits limits,
                    Accepted onAccepted)
     : m_acceptor(std::move(acceptor))
-    , m_pause(io)
+    , m_retryTimer(io)
     , m_limits(limits)
     , m_onAccepted(std::move(onAccepted))
 {
@@ -170,16 +171,16 @@
 
 void Listener::accept()
 {
-    m_acceptor.async_accept([this](boost::system::error_code wrong, Socket socket) {
-        if (wrong == asio::error::operation_aborted || !m_acceptor.is_open())
+    m_acceptor.async_accept([this](boost::system::error_code error, Socket socket) {
+        if (error == asio::error::operation_aborted || !m_acceptor.is_open())
             return;
-        if (!wrong) {
+        if (!error) {
             m_onAccepted(std::make_shared<Link>(std::move(socket), m_limits));
             return accept();
         }
-        m_pause.expires_after(AcceptPause);
-        m_pause.async_wait([this](boost::system::error_code ended) {
-            if (!ended)
+        m_retryTimer.expires_after(AcceptRetryDelay);
+        m_retryTimer.async_wait([this](boost::system::error_code waitError) {
+            if (!waitError)
                 accept();
         });
     });
@@ -189,12 +190,13 @@
 
 struct Dialer::State : std::enable_shared_from_this<Dialer::State>
 {
-    State(asio::io_context &io, std::string to, DialerSettings with, Connected handler)
+    State(asio::io_context &io, std::string targetAddress, DialerSettings initialSettings,
+          Connected handler)
         : socket(io)
         , timer(io)
-        , address(std::move(to))
-        , settings(with)
-        , pause(with.minBackoff)
+        , address(std::move(targetAddress))
+        , settings(initialSettings)
+        , backoff(initialSettings.minBackoff)
         , onConnected(std::move(handler))
     { }
 
@@ -207,49 +209,49 @@
         socket = Socket(timer.get_executor());
         const std::uint64_t attempt = ++attempts;
         socket.async_connect(*endpoint,
-                             [self = shared_from_this(), attempt](boost::system::error_code wrong) {
-                                 self->finish(attempt, !wrong);
+                             [self = shared_from_this(), attempt](boost::system::error_code error) {
+                                 self->finishAttempt(attempt, !error);
                              });
         timer.expires_after(settings.connectTimeout);
-        timer.async_wait([self = shared_from_this(), attempt](boost::system::error_code ended) {
-            if (!ended)
-                self->finish(attempt, false);
+        timer.async_wait([self = shared_from_this(), attempt](boost::system::error_code waitError) {
+            if (!waitError)
+                self->finishAttempt(attempt, false);
         });
     }
 
     // Only the first result of an attempt counts: connected, refused or timed out.
-    void finish(std::uint64_t attempt, bool connected)
+    void finishAttempt(std::uint64_t attempt, bool connected)
     {
         if (stopped || attempt != attempts)
             return;
         ++attempts;
         timer.cancel();
         if (!connected)
-            return wait();
-        linked = true;
-        pause = settings.minBackoff;
+            return retryAfterBackoff();
+        isConnected = true;
+        backoff = settings.minBackoff;
         onConnected(std::make_shared<Link>(std::move(socket), settings.limits));
     }
 
     void dialNow()
     {
-        if (stopped || linked)
+        if (stopped || isConnected)
             return;
         timer.cancel();
         boost::system::error_code ignored;
         socket.close(ignored);
-        pause = settings.minBackoff;
+        backoff = settings.minBackoff;
         dial();
     }
 
-    void wait()
+    void retryAfterBackoff()
     {
         boost::system::error_code ignored;
         socket.close(ignored);
-        timer.expires_after(pause);
-        pause = std::min(pause * 2, settings.maxBackoff);
-        timer.async_wait([self = shared_from_this()](boost::system::error_code ended) {
-            if (!ended)
+        timer.expires_after(backoff);
+        backoff = std::min(backoff * 2, settings.maxBackoff);
+        timer.async_wait([self = shared_from_this()](boost::system::error_code waitError) {
+            if (!waitError)
                 self->dial();
         });
     }
@@ -258,10 +260,10 @@
     asio::steady_timer timer;
     std::string address;
     DialerSettings settings;
-    Milliseconds pause;
+    Milliseconds backoff;
     Connected onConnected;
     std::uint64_t attempts = 0;
-    bool linked = false;
+    bool isConnected = false;
     bool stopped = false;
 };
 
@@ -287,9 +289,9 @@
 
 void Dialer::redial()
 {
-    m_state->linked = false;
+    m_state->isConnected = false;
     if (!m_state->stopped)
-        m_state->wait();
+        m_state->retryAfterBackoff();
 }
 
 void Dialer::dialNow()
--- a/packages/fabric/tests/http_test.cpp
+++ b/packages/fabric/tests/http_test.cpp
@@ -17,14 +17,14 @@
 
 // [SECTION] Helpers
 
-constexpr Milliseconds Patience { 5000 };
+constexpr Milliseconds Timeout { 5000 };
 
-struct Site
+struct TestServer
 {
-    explicit Site(HttpLimits limits = {})
+    explicit TestServer(HttpLimits limits = {})
         : server(io, listen(), limits, [this](const ExchangePtr &exchange) {
             exchanges.push_back(exchange);
-            if (answers)
+            if (answersAtOnce)
                 exchange->answer(makeResponse(200, "text/plain", exchange->request().body()));
         })
     { }
@@ -37,9 +37,9 @@
     }
 
     template<class Condition>
-    bool until(Condition condition, Milliseconds patience = Patience)
+    bool runUntil(Condition condition, Milliseconds timeout = Timeout)
     {
-        const auto end = std::chrono::steady_clock::now() + patience;
+        const auto end = std::chrono::steady_clock::now() + timeout;
         while (!condition() && std::chrono::steady_clock::now() < end)
             io.run_one_for(Milliseconds(5));
         return condition();
@@ -47,35 +47,35 @@
 
     // Sends the bytes and returns what the server sends back, until it closes the connection or an
     // answer's header is complete.
-    std::string exchangeText(const std::string &sent, Milliseconds patience = Patience)
+    std::string sendBytes(const std::string &sent, Milliseconds timeout = Timeout)
     {
         Socket socket(io);
         socket.connect(*parseEndpoint(address, nullptr));
         asio::write(socket, asio::buffer(sent));
-        std::string got;
-        std::array<char, 4096> part {};
+        std::string received;
+        std::array<char, 4096> chunk {};
         bool ended = false;
         std::function<void()> readMore = [&] {
-            socket.async_read_some(asio::buffer(part),
-                                   [&](boost::system::error_code wrong, std::size_t count) {
-                                       got.append(part.data(), count);
-                                       ended = bool(wrong);
-                                       if (!wrong)
+            socket.async_read_some(asio::buffer(chunk),
+                                   [&](boost::system::error_code error, std::size_t count) {
+                                       received.append(chunk.data(), count);
+                                       ended = bool(error);
+                                       if (!error)
                                            readMore();
                                    });
         };
         readMore();
-        until([&] { return ended || got.find("\r\n\r\n") != std::string::npos; }, patience);
+        runUntil([&] { return ended || received.find("\r\n\r\n") != std::string::npos; }, timeout);
         closed = ended;
         boost::system::error_code ignored;
         socket.close(ignored);
-        until([&] { return ended; }, Milliseconds(100));
-        return got;
+        runUntil([&] { return ended; }, Milliseconds(100));
+        return received;
     }
 
     asio::io_context io { 1 };
     std::string address;
-    bool answers = true;
+    bool answersAtOnce = true;
     bool closed = false;
     std::vector<ExchangePtr> exchanges;
     HttpServer server;
@@ -92,31 +92,31 @@
     const char *answer;
 };
 
-class Input : public testing::TestWithParam<InputCase>
+class RequestInput : public testing::TestWithParam<InputCase>
 { };
 
-TEST_P(Input, HasADefinedAnswer)
+TEST_P(RequestInput, IsAnsweredOrClosed)
 {
     HttpLimits limits;
     limits.headerBytes = 1000;
     limits.bodyBytes = 1000;
     limits.headerTimeout = Milliseconds(150);
     limits.idleTimeout = Milliseconds(150);
-    Site site(limits);
-    const std::string got = site.exchangeText(GetParam().sent);
-    EXPECT_EQ(got.substr(0, std::string(GetParam().answer).size()), GetParam().answer);
+    TestServer testServer(limits);
+    const std::string received = testServer.sendBytes(GetParam().sent);
+    EXPECT_EQ(received.substr(0, std::string(GetParam().answer).size()), GetParam().answer);
     if (*GetParam().answer == '\0') {
-        EXPECT_TRUE(site.closed);
+        EXPECT_TRUE(testServer.closed);
     }
-    EXPECT_EQ(site.server.pendingRequests(), 0U);
+    EXPECT_EQ(testServer.server.pendingRequests(), 0U);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-        Fabric, Input,
+        Fabric, RequestInput,
         testing::Values(
-                InputCase { "Whole", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhi",
+                InputCase { "Complete", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhi",
                             "HTTP/1.1 200" },
-                InputCase { "NoHttp", "\x01\x02\x03\r\n\r\n", "HTTP/1.1 400" },
+                InputCase { "NotHttp", "\x01\x02\x03\r\n\r\n", "HTTP/1.1 400" },
                 InputCase { "LongHeader",
                             "GET / HTTP/1.1\r\nA: " + std::string(2000, 'a') + "\r\n\r\n",
                             "HTTP/1.1 431" },
@@ -125,67 +125,67 @@
                 InputCase { "SlowHeader", "GET / HTTP/1.1\r\nHost:", "" },
                 InputCase { "SlowBody", "POST / HTTP/1.1\r\nContent-Length: 10\r\n\r\nhal", "" },
                 InputCase { "Nothing", "", "" },
-                InputCase { "LengthOfText", "POST / HTTP/1.1\r\nContent-Length: x\r\n\r\n",
+                InputCase { "InvalidLength", "POST / HTTP/1.1\r\nContent-Length: x\r\n\r\n",
                             "HTTP/1.1 400" }),
         [](const auto &tested) { return tested.param.name; });
 
-TEST(FabricHttpServer, TellsThatACallerHasGone)
+TEST(FabricHttpServer, ReportsDisconnectedCaller)
 {
-    Site site;
-    site.answers = false;
-    Socket socket(site.io);
-    socket.connect(*parseEndpoint(site.address, nullptr));
+    TestServer testServer;
+    testServer.answersAtOnce = false;
+    Socket socket(testServer.io);
+    socket.connect(*parseEndpoint(testServer.address, nullptr));
     asio::write(socket, asio::buffer(std::string("GET / HTTP/1.1\r\nHost: a\r\n\r\n")));
-    ASSERT_TRUE(site.until([&] { return site.exchanges.size() == 1; }));
-    bool gone = false;
-    site.exchanges[0]->onDisconnect([&] { gone = true; });
-    EXPECT_EQ(site.server.pendingRequests(), 1U);
+    ASSERT_TRUE(testServer.runUntil([&] { return testServer.exchanges.size() == 1; }));
+    bool disconnected = false;
+    testServer.exchanges[0]->onDisconnect([&] { disconnected = true; });
+    EXPECT_EQ(testServer.server.pendingRequests(), 1U);
     socket.close();
-    EXPECT_TRUE(site.until([&] { return gone; }));
-    EXPECT_EQ(site.server.pendingRequests(), 0U);
+    EXPECT_TRUE(testServer.runUntil([&] { return disconnected; }));
+    EXPECT_EQ(testServer.server.pendingRequests(), 0U);
     // An answer after the caller disconnected must be ignored.
-    site.exchanges[0]->answer(makeResponse(200, "text/plain", ""));
+    testServer.exchanges[0]->answer(makeResponse(200, "text/plain", ""));
 }
 
 // A caller may disconnect before its request is read; no event reports that.
-TEST(FabricHttpServer, KnowsThatACallerHasGoneWithItsRequest)
+TEST(FabricHttpServer, DetectsDisconnectBeforeRequestIsRead)
 {
-    Site site;
-    site.answers = false;
-    Socket leaver(site.io);
-    leaver.connect(*parseEndpoint(site.address, nullptr));
-    Socket stayer(site.io);
-    stayer.connect(*parseEndpoint(site.address, nullptr));
+    TestServer testServer;
+    testServer.answersAtOnce = false;
+    Socket closedCaller(testServer.io);
+    closedCaller.connect(*parseEndpoint(testServer.address, nullptr));
+    Socket openCaller(testServer.io);
+    openCaller.connect(*parseEndpoint(testServer.address, nullptr));
     const std::string request = "POST /order HTTP/1.1\r\nHost: a\r\n\r\n";
-    asio::write(leaver, asio::buffer(request));
-    leaver.close();
-    asio::write(stayer, asio::buffer(request));
-    std::vector<bool> there;
-    site.until([&] {
-        while (there.size() < site.exchanges.size())
-            there.push_back(site.exchanges[there.size()]->isCallerConnected());
-        return there.size() == 2;
+    asio::write(closedCaller, asio::buffer(request));
+    closedCaller.close();
+    asio::write(openCaller, asio::buffer(request));
+    std::vector<bool> connected;
+    testServer.runUntil([&] {
+        while (connected.size() < testServer.exchanges.size())
+            connected.push_back(testServer.exchanges[connected.size()]->isCallerConnected());
+        return connected.size() == 2;
     });
-    EXPECT_EQ(there, std::vector<bool>({ false, true }));
+    EXPECT_EQ(connected, std::vector<bool>({ false, true }));
 }
 
-TEST(FabricHttpServer, AnswersWhatIsUnderWayWhenItStopsAccepting)
+TEST(FabricHttpServer, AnswersPendingRequestsAfterStopAccepting)
 {
-    Site site;
-    site.answers = false;
-    HttpClient client(site.io, site.address, {});
+    TestServer testServer;
+    testServer.answersAtOnce = false;
+    HttpClient client(testServer.io, testServer.address, {});
     std::optional<CallResult> result;
-    client.call(Request(http::verb::get, "/", 11), Patience,
-                [&](CallResult got) { result = std::move(got); });
-    ASSERT_TRUE(site.until([&] { return site.exchanges.size() == 1; }));
-    site.server.setCloseAfterAnswers(true);
-    site.server.stopAccepting();
-    site.exchanges[0]->answer(makeResponse(200, "text/plain", "late"));
-    ASSERT_TRUE(site.until([&] { return result.has_value(); }));
+    client.call(Request(http::verb::get, "/", 11), Timeout,
+                [&](CallResult received) { result = std::move(received); });
+    ASSERT_TRUE(testServer.runUntil([&] { return testServer.exchanges.size() == 1; }));
+    testServer.server.setCloseAfterAnswers(true);
+    testServer.server.stopAccepting();
+    testServer.exchanges[0]->answer(makeResponse(200, "text/plain", "late"));
+    ASSERT_TRUE(testServer.runUntil([&] { return result.has_value(); }));
     ASSERT_TRUE(result->response);
     EXPECT_EQ(result->response->body(), "late");
     EXPECT_FALSE(result->response->keep_alive());
-    EXPECT_TRUE(site.until([&] { return site.server.connections() == 0; }));
+    EXPECT_TRUE(testServer.runUntil([&] { return testServer.server.connections() == 0; }));
 }
 
 struct UnreadCase
@@ -193,39 +193,39 @@
     const char *name;
 
     // How long the server doesn't read after the request is sent
-    Milliseconds stoodStill;
+    Milliseconds readDelay;
 };
 
-class Unread : public testing::TestWithParam<UnreadCase>
+class UnreadTime : public testing::TestWithParam<UnreadCase>
 { };
 
 // The time of a second request on the connection starts with its own bytes.
-TEST_P(Unread, TimeOfARequestIsKnown)
+TEST_P(UnreadTime, IsMeasuredPerRequest)
 {
-    constexpr Milliseconds Coarse { 10 };
-    Site site;
-    site.answers = false;
-    Socket socket(site.io);
-    socket.connect(*parseEndpoint(site.address, nullptr));
+    constexpr Milliseconds Tolerance { 10 };
+    TestServer testServer;
+    testServer.answersAtOnce = false;
+    Socket socket(testServer.io);
+    socket.connect(*parseEndpoint(testServer.address, nullptr));
     for (const std::size_t number : { 1U, 2U }) {
         const auto sent = std::chrono::steady_clock::now();
         asio::write(socket, asio::buffer(std::string("GET / HTTP/1.1\r\nHost: a\r\n\r\n")));
-        std::this_thread::sleep_for(GetParam().stoodStill);
-        ASSERT_TRUE(site.until([&] { return site.exchanges.size() == number; }));
-        const Milliseconds unread = site.exchanges.back()->sinceReceived();
-        const auto passed = std::chrono::duration_cast<Milliseconds>(
+        std::this_thread::sleep_for(GetParam().readDelay);
+        ASSERT_TRUE(testServer.runUntil([&] { return testServer.exchanges.size() == number; }));
+        const Milliseconds unread = testServer.exchanges.back()->sinceReceived();
+        const auto elapsed = std::chrono::duration_cast<Milliseconds>(
                 std::chrono::steady_clock::now() - sent);
-        EXPECT_GE(unread + Coarse, GetParam().stoodStill);
-        EXPECT_LE(unread, passed + Coarse);
-        site.exchanges.back()->answer(makeResponse(200, "text/plain", ""));
-        site.until([] { return false; }, Milliseconds(50));
+        EXPECT_GE(unread + Tolerance, GetParam().readDelay);
+        EXPECT_LE(unread, elapsed + Tolerance);
+        testServer.exchanges.back()->answer(makeResponse(200, "text/plain", ""));
+        testServer.runUntil([] { return false; }, Milliseconds(50));
     }
     socket.close();
-    EXPECT_TRUE(site.until([&] { return site.server.connections() == 0; }));
-    EXPECT_EQ(site.exchanges.back()->sinceReceived(), Milliseconds(0));
+    EXPECT_TRUE(testServer.runUntil([&] { return testServer.server.connections() == 0; }));
+    EXPECT_EQ(testServer.exchanges.back()->sinceReceived(), Milliseconds(0));
 }
 
-INSTANTIATE_TEST_SUITE_P(Fabric, Unread,
+INSTANTIATE_TEST_SUITE_P(Fabric, UnreadTime,
                          testing::Values(UnreadCase { "ReadAtOnce", Milliseconds(0) },
                                          UnreadCase { "ReadLate", Milliseconds(120) }),
                          [](const auto &tested) { return tested.param.name; });
@@ -244,54 +244,55 @@
     std::size_t opened;
 };
 
-class Closing : public testing::TestWithParam<ClosingCase>
+class CloseAfterAnswers : public testing::TestWithParam<ClosingCase>
 { };
 
 // The setting at the time of the answer applies; a connection that stays open is reused.
-TEST_P(Closing, FollowsTheServersWish)
+TEST_P(CloseAfterAnswers, AppliesAtTheAnswer)
 {
-    Site site;
-    site.answers = false;
-    HttpClient client(site.io, site.address, {});
-    std::vector<bool> kept;
+    TestServer testServer;
+    testServer.answersAtOnce = false;
+    HttpClient client(testServer.io, testServer.address, {});
+    std::vector<bool> keepAlive;
     const auto call = [&](bool atCall, bool atAnswer) {
-        const std::size_t before = site.exchanges.size();
-        site.server.setCloseAfterAnswers(atCall);
-        client.call(Request(http::verb::get, "/", 11), Patience, [&](const CallResult &result) {
+        const std::size_t before = testServer.exchanges.size();
+        testServer.server.setCloseAfterAnswers(atCall);
+        client.call(Request(http::verb::get, "/", 11), Timeout, [&](const CallResult &result) {
             ASSERT_TRUE(result.response);
-            kept.push_back(result.response->keep_alive());
+            keepAlive.push_back(result.response->keep_alive());
         });
-        ASSERT_TRUE(site.until([&] { return site.exchanges.size() > before; }));
-        site.server.setCloseAfterAnswers(atAnswer);
-        site.exchanges.back()->answer(makeResponse(200, "text/plain", ""));
-        ASSERT_TRUE(site.until([&] { return kept.size() > before; }));
-        EXPECT_TRUE(site.until([&] { return site.server.connections() == (atAnswer ? 0U : 1U); }));
+        ASSERT_TRUE(testServer.runUntil([&] { return testServer.exchanges.size() > before; }));
+        testServer.server.setCloseAfterAnswers(atAnswer);
+        testServer.exchanges.back()->answer(makeResponse(200, "text/plain", ""));
+        ASSERT_TRUE(testServer.runUntil([&] { return keepAlive.size() > before; }));
+        EXPECT_TRUE(testServer.runUntil(
+                [&] { return testServer.server.connections() == (atAnswer ? 0U : 1U); }));
     };
     call(GetParam().atCall, GetParam().atAnswer);
     call(GetParam().atNext, GetParam().atNext);
-    EXPECT_EQ(kept, std::vector<bool>({ !GetParam().atAnswer, !GetParam().atNext }));
+    EXPECT_EQ(keepAlive, std::vector<bool>({ !GetParam().atAnswer, !GetParam().atNext }));
     EXPECT_EQ(client.opened(), GetParam().opened);
 }
 
-INSTANTIATE_TEST_SUITE_P(Fabric, Closing,
+INSTANTIATE_TEST_SUITE_P(Fabric, CloseAfterAnswers,
                          testing::Values(ClosingCase { "Never", false, false, false, 1 },
-                                         ClosingCase { "AndKeepsOpenAgain", true, true, false, 2 },
-                                         ClosingCase { "BegunDuringACall", false, true, true, 2 },
-                                         ClosingCase { "OverBeforeTheAnswer", true, false, false,
-                                                       1 }),
+                                         ClosingCase { "EndsAfterFirstAnswer", true, true, false,
+                                                       2 },
+                                         ClosingCase { "StartsDuringCall", false, true, true, 2 },
+                                         ClosingCase { "EndsBeforeAnswer", true, false, false, 1 }),
                          [](const auto &tested) { return tested.param.name; });
 
 // [SECTION] Client
 
-TEST(FabricHttpClient, KeepsItsConnections)
+TEST(FabricHttpClient, ReusesConnections)
 {
-    Site site;
-    HttpClient client(site.io, site.address, {});
+    TestServer testServer;
+    HttpClient client(testServer.io, testServer.address, {});
     int done = 0;
     std::function<void()> next = [&] {
         Request request(http::verb::post, "/", 11);
         request.body() = std::to_string(done);
-        client.call(std::move(request), Patience, [&](const CallResult &result) {
+        client.call(std::move(request), Timeout, [&](const CallResult &result) {
             ASSERT_TRUE(result.response);
             EXPECT_EQ(result.response->body(), std::to_string(done));
             if (++done < 20)
@@ -299,7 +300,7 @@
         });
     };
     next();
-    ASSERT_TRUE(site.until([&] { return done == 20; }));
+    ASSERT_TRUE(testServer.runUntil([&] { return done == 20; }));
     EXPECT_LE(client.opened(), 2U);
 }
 
@@ -313,35 +314,36 @@
 class Failures : public testing::TestWithParam<FailureCase>
 { };
 
-TEST_P(Failures, AreToldApart)
+TEST_P(Failures, AreDistinguished)
 {
-    Site site;
-    site.answers = false;
-    std::string address = site.address;
+    TestServer testServer;
+    testServer.answersAtOnce = false;
+    std::string address = testServer.address;
     if (!GetParam().listens) {
-        asio::ip::tcp::acceptor free(site.io, Endpoint(asio::ip::make_address_v4("127.0.0.1"), 0));
-        address = toString(free.local_endpoint());
+        asio::ip::tcp::acceptor temporary(testServer.io,
+                                          Endpoint(asio::ip::make_address_v4("127.0.0.1"), 0));
+        address = toString(temporary.local_endpoint());
     }
-    HttpClient client(site.io, address, {});
+    HttpClient client(testServer.io, address, {});
     std::optional<CallFailure> failure;
     client.call(Request(http::verb::get, "/", 11), Milliseconds(100),
                 [&](const CallResult &result) { failure = result.failure; });
-    ASSERT_TRUE(site.until([&] { return failure.has_value(); }));
+    ASSERT_TRUE(testServer.runUntil([&] { return failure.has_value(); }));
     EXPECT_EQ(*failure, GetParam().failure);
 }
 
 INSTANTIATE_TEST_SUITE_P(Fabric, Failures,
-                         testing::Values(FailureCase { "NobodyListens", false,
+                         testing::Values(FailureCase { "ConnectionRefused", false,
                                                        CallFailure::Refused },
                                          FailureCase { "NoAnswer", true, CallFailure::NoAnswer }),
                          [](const auto &tested) { return tested.param.name; });
 
 // The write must not access the request of a call that has ended.
-TEST(FabricHttpClient, ACallMayEndWhileItsRequestIsBeingWritten)
+TEST(FabricHttpClient, CallMayTimeOutDuringWrite)
 {
-    Site site;
-    site.answers = false;
-    HttpClient client(site.io, site.address, {});
+    TestServer testServer;
+    testServer.answersAtOnce = false;
+    HttpClient client(testServer.io, testServer.address, {});
     int ended = 0;
     for (int i = 0; i < 40; ++i) {
         Request request(http::verb::post, "/", 11);
@@ -349,28 +351,29 @@
         client.call(std::move(request), Milliseconds(1 + i % 7),
                     [&](const CallResult &) { ++ended; });
     }
-    EXPECT_TRUE(site.until([&] { return ended == 40; }));
-    site.until([] { return false; }, Milliseconds(50));
+    EXPECT_TRUE(testServer.runUntil([&] { return ended == 40; }));
+    testServer.runUntil([] { return false; }, Milliseconds(50));
 }
 
-TEST(FabricHttpClient, CallsBeyondTheConnectionsWait)
+TEST(FabricHttpClient, QueuesCallsAboveConnectionLimit)
 {
-    Site site;
-    site.answers = false;
+    TestServer testServer;
+    testServer.answersAtOnce = false;
     HttpClientSettings settings;
     settings.maxConnections = 2;
-    HttpClient client(site.io, site.address, settings);
+    HttpClient client(testServer.io, testServer.address, settings);
     int answered = 0;
     for (int i = 0; i < 5; ++i)
-        client.call(Request(http::verb::get, "/", 11), Patience,
+        client.call(Request(http::verb::get, "/", 11), Timeout,
                     [&](const CallResult &result) { answered += result.response ? 1 : 0; });
-    ASSERT_TRUE(site.until([&] { return site.exchanges.size() == 2; }));
-    EXPECT_FALSE(site.until([&] { return site.exchanges.size() > 2; }, Milliseconds(50)));
+    ASSERT_TRUE(testServer.runUntil([&] { return testServer.exchanges.size() == 2; }));
+    EXPECT_FALSE(
+            testServer.runUntil([&] { return testServer.exchanges.size() > 2; }, Milliseconds(50)));
     for (std::size_t i = 0; i < 5; ++i) {
-        ASSERT_TRUE(site.until([&] { return site.exchanges.size() > i; }));
-        site.exchanges[i]->answer(makeResponse(200, "text/plain", ""));
+        ASSERT_TRUE(testServer.runUntil([&] { return testServer.exchanges.size() > i; }));
+        testServer.exchanges[i]->answer(makeResponse(200, "text/plain", ""));
     }
-    EXPECT_TRUE(site.until([&] { return answered == 5; }));
+    EXPECT_TRUE(testServer.runUntil([&] { return answered == 5; }));
 }
 
 } // namespace
--- a/packages/fabric/tests/link_test.cpp
+++ b/packages/fabric/tests/link_test.cpp
@@ -19,38 +19,38 @@
 {
     const char *name;
     const char *text;
-    bool good;
+    bool valid;
 };
 
 class Addresses : public testing::TestWithParam<AddressCase>
 { };
 
-TEST_P(Addresses, AreIpNumbersWithPorts)
+TEST_P(Addresses, RequireIpv4AndPort)
 {
     Error reason;
     const auto endpoint = parseEndpoint(GetParam().text, &reason);
-    EXPECT_EQ(endpoint.has_value(), GetParam().good);
-    EXPECT_EQ(reason.message.empty(), GetParam().good);
+    EXPECT_EQ(endpoint.has_value(), GetParam().valid);
+    EXPECT_EQ(reason.message.empty(), GetParam().valid);
     if (endpoint) {
         EXPECT_EQ(toString(*endpoint), GetParam().text);
     }
 }
 
 INSTANTIATE_TEST_SUITE_P(Fabric, Addresses,
-                         testing::Values(AddressCase { "Good", "10.0.0.4:7100", true },
+                         testing::Values(AddressCase { "Valid", "10.0.0.4:7100", true },
                                          AddressCase { "NoPort", "10.0.0.4", false },
                                          AddressCase { "PortZero", "10.0.0.4:0", false },
                                          AddressCase { "PortTooLarge", "10.0.0.4:65536", false },
-                                         AddressCase { "PortOfText", "10.0.0.4:http", false },
+                                         AddressCase { "PortNotANumber", "10.0.0.4:http", false },
                                          AddressCase { "Name", "localhost:7100", false },
                                          AddressCase { "Empty", "", false }),
                          [](const auto &tested) { return tested.param.name; });
 
 // [SECTION] Links
 
-constexpr Milliseconds Patience { 5000 };
+constexpr Milliseconds Timeout { 5000 };
 
-asio::ip::tcp::acceptor anyPort(asio::io_context &io)
+asio::ip::tcp::acceptor listenOnAnyPort(asio::io_context &io)
 {
     return asio::ip::tcp::acceptor(io, Endpoint(asio::ip::make_address_v4("127.0.0.1"), 0));
 }
@@ -58,7 +58,7 @@
 struct Pair
 {
     Pair(LinkLimits limits = {})
-        : acceptor(anyPort(io))
+        : acceptor(listenOnAnyPort(io))
         , address(toString(acceptor.local_endpoint()))
         , listener(io, std::move(acceptor), limits,
                    [this](const std::shared_ptr<Link> &link) { accepted = link; })
@@ -66,9 +66,9 @@
 
     // Runs the event loop until the condition is true or the timeout expires.
     template<class Condition>
-    bool until(Condition condition)
+    bool runUntil(Condition condition)
     {
-        const auto end = std::chrono::steady_clock::now() + Patience;
+        const auto end = std::chrono::steady_clock::now() + Timeout;
         while (!condition() && std::chrono::steady_clock::now() < end)
             io.run_one_for(Milliseconds(20));
         return condition();
@@ -87,7 +87,7 @@
     std::shared_ptr<Link> dialled;
     Dialer dialer(pair.io, pair.address, {},
                   [&](const std::shared_ptr<Link> &link) { dialled = link; });
-    ASSERT_TRUE(pair.until([&] { return dialled && pair.accepted; }));
+    ASSERT_TRUE(pair.runUntil([&] { return dialled && pair.accepted; }));
     std::vector<std::string> received;
     pair.accepted->start([&](std::string_view frame) { received.emplace_back(frame); }, [] {});
     dialled->start([](std::string_view) {}, [] {});
@@ -95,33 +95,33 @@
                                           std::string(3000000, 'd') };
     for (const std::string &frame : sent)
         dialled->send(frame);
-    ASSERT_TRUE(pair.until([&] { return received.size() == sent.size(); }));
+    ASSERT_TRUE(pair.runUntil([&] { return received.size() == sent.size(); }));
     EXPECT_EQ(received, sent);
 }
 
-TEST(FabricLink, EndsAtAFrameThatIsTooLong)
+TEST(FabricLink, ClosesOnOversizedFrame)
 {
     LinkLimits limits;
-    limits.mostFrameBytes = 100;
+    limits.maxFrameBytes = 100;
     Pair pair(limits);
     Socket socket(pair.io);
     socket.connect(*parseEndpoint(pair.address, nullptr));
-    ASSERT_TRUE(pair.until([&] { return pair.accepted != nullptr; }));
+    ASSERT_TRUE(pair.runUntil([&] { return pair.accepted != nullptr; }));
     bool closed = false;
     pair.accepted->start([](std::string_view) { FAIL(); }, [&] { closed = true; });
     asio::write(socket, asio::buffer("\xff\xff\xff\x7fxxxx", 8));
-    EXPECT_TRUE(pair.until([&] { return closed; }));
+    EXPECT_TRUE(pair.runUntil([&] { return closed; }));
 }
 
-TEST(FabricLink, CutsAPeerThatDoesNotRead)
+TEST(FabricLink, ClosesWhenPeerDoesNotRead)
 {
     Pair pair;
     std::shared_ptr<Link> dialled;
     DialerSettings settings;
-    settings.limits.mostQueuedBytes = 1U << 20U;
+    settings.limits.maxQueuedBytes = 1U << 20U;
     Dialer dialer(pair.io, pair.address, settings,
                   [&](const std::shared_ptr<Link> &link) { dialled = link; });
-    ASSERT_TRUE(pair.until([&] { return dialled && pair.accepted; }));
+    ASSERT_TRUE(pair.runUntil([&] { return dialled && pair.accepted; }));
     bool closed = false;
     dialled->start([](std::string_view) {}, [&] { closed = true; });
     for (int i = 0; i < 40 && dialled->open(); ++i) {
@@ -129,10 +129,10 @@
         pair.io.run_one_for(Milliseconds(1));
     }
     EXPECT_FALSE(dialled->open());
-    EXPECT_TRUE(pair.until([&] { return closed; }));
+    EXPECT_TRUE(pair.runUntil([&] { return closed; }));
 }
 
-TEST(FabricDialer, DialsAgainWhenTheConnectionIsLost)
+TEST(FabricDialer, ReconnectsAfterConnectionLoss)
 {
     Pair pair;
     int connections = 0;
@@ -142,14 +142,14 @@
         dialled = link;
         link->start([](std::string_view) {}, [&] { dialer.redial(); });
     });
-    ASSERT_TRUE(pair.until([&] { return connections == 1 && pair.accepted; }));
+    ASSERT_TRUE(pair.runUntil([&] { return connections == 1 && pair.accepted; }));
     pair.accepted->start([](std::string_view) {}, [] {});
     pair.accepted->close();
-    EXPECT_TRUE(pair.until([&] { return connections == 2; }));
+    EXPECT_TRUE(pair.runUntil([&] { return connections == 2; }));
 }
 
 // The backoff after the refused first attempt is longer than the test waits.
-TEST(FabricDialer, DialsAtOnceWhenToldThatTheOtherSideIsThere)
+TEST(FabricDialer, DialNowSkipsBackoff)
 {
     asio::io_context io;
     asio::ip::tcp::acceptor acceptor(io);
--- a/packages/metrics/src/metrics.cpp
+++ b/packages/metrics/src/metrics.cpp
@@ -17,7 +17,7 @@
 
 // The P-square algorithm has markers for each quantile and between them; its estimate is 0 until
 // all of them have a value.
-constexpr std::uint64_t FewestForQuantiles = 10;
+constexpr std::uint64_t MinQuantileCount = 10;
 
 constexpr std::array<double, 3> Probabilities { 0.5, 0.95, 0.99 };
 
@@ -30,8 +30,8 @@
 void observe(Metrics &metrics, const std::string &name, const Labels &labels, double value)
 {
     std::map<Labels, Histogram> &series = metrics.histograms[name];
-    const bool full = series.size() >= MaxSeries && series.find(labels) == series.end();
-    Histogram &histogram = series[full ? Labels { labels.team, "other" } : labels];
+    const bool limitReached = series.size() >= MaxSeries && series.find(labels) == series.end();
+    Histogram &histogram = series[limitReached ? Labels { labels.team, "other" } : labels];
     const auto bucket = std::lower_bound(BucketBounds.begin(), BucketBounds.end(), value);
     ++histogram.buckets[static_cast<std::size_t>(bucket - BucketBounds.begin())];
     histogram.values(value);
@@ -88,7 +88,7 @@
     }
     out << name << "_sum{" << text << "} " << accumulators::sum(histogram.values) << "\n";
     out << name << "_count{" << text << "} " << total << "\n";
-    if (total < FewestForQuantiles)
+    if (total < MinQuantileCount)
         return;
     for (const double probability : Probabilities)
         out << name << "_quantile{" << text << ",quantile=\"" << probability << "\"} "
@@ -100,15 +100,15 @@
 std::string writeExposition(const Metrics &metrics, const std::vector<Sample> &samples)
 {
     std::ostringstream out;
-    std::string described;
+    std::string lastName;
     for (const Sample &sample : samples) {
         // The header lines are written once for adjacent samples of one name.
         const std::string name = sample.name.substr(0, sample.name.find('{'));
-        if (name != described) {
+        if (name != lastName) {
             out << "# HELP " << name << " " << sample.help << "\n";
             out << "# TYPE " << name << (sample.gauge ? " gauge\n" : " counter\n");
         }
-        described = name;
+        lastName = name;
         out << sample.name << " " << sample.value << "\n";
     }
     for (const auto &histogram : metrics.histograms) {
--- a/packages/metrics/tests/metrics_test.cpp
+++ b/packages/metrics/tests/metrics_test.cpp
@@ -29,7 +29,7 @@
     EXPECT_NE(text.find("# TYPE starts_total counter\nstarts_total 7\n"), std::string::npos);
 }
 
-TEST(Metrics, NamesOfClassesCanNotFillTheMemory)
+TEST(Metrics, SeriesAreLimited)
 {
     Metrics metrics;
     for (std::size_t i = 0; i < MaxSeries * 2; ++i)
