--- a/packages/base/include/foxwing/base/error.h
+++ b/packages/base/include/foxwing/base/error.h
@@ -91,7 +91,6 @@
 // The kind with a name; Internal for an unknown name.
 ErrorKind parseErrorKind(const std::string &name);
 
-// The HTTP status code of a kind.
 int httpStatus(ErrorKind kind);
 
 // Stores an error in *reason unless reason is null, and returns nullopt, so that a function can end
--- a/packages/eventlog/include/foxwing/eventlog/eventlog.h
+++ b/packages/eventlog/include/foxwing/eventlog/eventlog.h
@@ -34,7 +34,6 @@
     // second, 130 in a burst, with one line each and one more for each anomaly.
     std::uint32_t requestLinesPerSecond = 250;
 
-    // Lines of the kind Change per second
     std::uint32_t changeLinesPerSecond = 100;
 
     // Limit of the output that is not written yet
--- a/packages/fabric/src/httpserver.cpp
+++ b/packages/fabric/src/httpserver.cpp
@@ -224,7 +224,7 @@
         m_counted = false;
     }
 
-    // The last answer is written; shutting down lets the caller read it to its end.
+    // Ends the connection after its last answer, which the caller can still read.
     void shutDown()
     {
         boost::system::error_code ignored;
--- a/packages/metrics/include/foxwing/metrics/metrics.h
+++ b/packages/metrics/include/foxwing/metrics/metrics.h
@@ -87,7 +87,6 @@
 
 // [SECTION] Functions
 
-// Adds one observation.
 void observe(Metrics &metrics, const std::string &name, const Labels &labels, double value);
 
 // The name of a series with one label, for Sample::name.
