--- a/packages/fleet/src/controlrole.cpp
+++ b/packages/fleet/src/controlrole.cpp
@@ -251,10 +251,10 @@
 {
     replica::ReplicaEvents events;
     // Callbacks posted by a replaced replica must not run on its successor.
-    events.runOnLoop = [this, number = ++m_replicaNumber](std::function<void()> job) {
-        fabric::asio::post(m_core.io, [this, number, job = std::move(job)] {
+    events.runOnLoop = [this, number = ++m_replicaNumber](std::function<void()> callback) {
+        fabric::asio::post(m_core.io, [this, number, callback = std::move(callback)] {
             if (number == m_replicaNumber)
-                job();
+                callback();
         });
     };
     events.send = [this](const std::string &to, const quorum::QuorumMessage &message) {
--- a/packages/fleet/src/core.cpp
+++ b/packages/fleet/src/core.cpp
@@ -58,7 +58,7 @@
 namespace {
 
 // Heartbeats go both ways; after four missed ones the connection is closed and redialled.
-constexpr Milliseconds HeartbeatInterval { 500 };
+constexpr Milliseconds ControlHeartbeatInterval { 500 };
 constexpr Milliseconds ControlTimeout { 2000 };
 
 } // namespace
@@ -169,7 +169,7 @@
             continue;
         if (now >= peer->lastReceivedAt + ControlTimeout) {
             peer->link->close();
-        } else if (now >= peer->lastSentAt + HeartbeatInterval) {
+        } else if (now >= peer->lastSentAt + ControlHeartbeatInterval) {
             peer->lastSentAt = now;
             peer->link->send(encodeFrame(Frame(directory::NodeHeartbeat {})));
         }
--- a/tests/fleet/endpoint.cpp
+++ b/tests/fleet/endpoint.cpp
@@ -1,8 +1,8 @@
 /*
-    The pretended endpoint.
+    The fake endpoint.
 
     [SECTION] Clock and lease
-    [SECTION] Orders
+    [SECTION] Commands
 */
 #include "endpoint.h"
 
@@ -14,8 +14,8 @@
 
 namespace {
 
-constexpr Milliseconds StopTakes { 50 };
-constexpr Milliseconds LongestLease { 1000 };
+constexpr Milliseconds StopDuration { 50 };
+constexpr Milliseconds MaxLease { 1000 };
 
 } // namespace
 
@@ -27,46 +27,46 @@
     return Milliseconds(static_cast<std::int64_t>(passed)) + m_offset;
 }
 
-void FakeEndpoint::end(const jobs::RunId &id, jobs::RunOutcome how)
+void FakeEndpoint::end(const jobs::RunId &id, jobs::RunOutcome outcome)
 {
     m_runs.erase(id);
     std::uint32_t &highest = m_highestEnded[id.task];
     highest = std::max(highest, id.run);
-    m_ended.push_back({ ++m_lastEnd, id, how });
+    m_ended.push_back({ ++m_lastEnd, id, outcome });
 }
 
 void FakeEndpoint::advance(Time now)
 {
-    std::vector<std::pair<jobs::RunId, jobs::RunOutcome>> over;
-    const bool lapsed = clock(now) > m_leaseUntil;
+    std::vector<std::pair<jobs::RunId, jobs::RunOutcome>> ends;
+    const bool leaseExpired = clock(now) > m_leaseUntil;
     for (const auto &[id, run] : m_runs) {
-        if (lapsed)
-            over.emplace_back(id, jobs::RunOutcome::LeaseExpired);
+        if (leaseExpired)
+            ends.emplace_back(id, jobs::RunOutcome::LeaseExpired);
         else if (now >= run.doneAt && run.stopping)
-            over.emplace_back(id, jobs::RunOutcome::Stopped);
+            ends.emplace_back(id, jobs::RunOutcome::Stopped);
         else if (now >= run.doneAt)
-            over.emplace_back(id, run.fails ? jobs::RunOutcome::Failed : jobs::RunOutcome::Done);
+            ends.emplace_back(id, run.fails ? jobs::RunOutcome::Failed : jobs::RunOutcome::Done);
     }
-    for (const auto &[id, how] : over)
-        end(id, how);
+    for (const auto &[id, outcome] : ends)
+        end(id, outcome);
 }
 
-void FakeEndpoint::crash(std::string nextLife)
+void FakeEndpoint::crash(std::string nextIncarnation)
 {
-    endpointIncarnation = std::move(nextLife);
-    forgetAll();
+    endpointIncarnation = std::move(nextIncarnation);
+    reset();
 }
 
-void FakeEndpoint::beginAgain(Time now)
+void FakeEndpoint::restart(Time now)
 {
-    forgetAll();
+    reset();
     startedAt += Milliseconds(1);
     m_offset -= clock(now);
 }
 
-void FakeEndpoint::forgetAll()
+void FakeEndpoint::reset()
 {
-    beats = 0;
+    heartbeats = 0;
     leaving = false;
     m_runs.clear();
     m_ended.clear();
@@ -76,71 +76,73 @@
     m_leaseUntil = Milliseconds(0);
 }
 
-// [SECTION] Orders
+// [SECTION] Commands
 
-std::optional<CommandStatus> FakeEndpoint::refuse(const std::string &lifeWanted,
+std::optional<CommandStatus> FakeEndpoint::refuse(const std::string &expectedIncarnation,
                                                   std::uint64_t fence)
 {
-    if (lifeWanted != endpointIncarnation)
+    if (expectedIncarnation != endpointIncarnation)
         return CommandStatus::OtherIncarnation;
-    if (keepsFence && fence < m_fence)
+    if (checksFence && fence < m_fence)
         return CommandStatus::Fenced;
     m_fence = fence;
     return std::nullopt;
 }
 
-runner::CommandResult FakeEndpoint::start(const runner::StartCommand &order, Time now,
+runner::CommandResult FakeEndpoint::start(const runner::StartCommand &command, Time now,
                                           Milliseconds work)
 {
     advance(now);
-    if (const auto refused = refuse(order.endpointIncarnation, order.fence))
+    if (const auto refused = refuse(command.endpointIncarnation, command.fence))
         return { *refused, clock(now) };
-    if (order.deadline < clock(now))
+    if (command.deadline < clock(now))
         return { CommandStatus::TooLate, clock(now) };
-    m_leaseUntil = std::max(m_leaseUntil, std::min(order.deadline, clock(now) + LongestLease));
-    if (m_runs.count(order.id) != 0)
+    m_leaseUntil = std::max(m_leaseUntil, std::min(command.deadline, clock(now) + MaxLease));
+    if (m_runs.count(command.id) != 0)
         return { CommandStatus::Ok, clock(now) };
-    const auto highest = m_highestEnded.find(order.id.task);
-    if (highest != m_highestEnded.end() && order.id.run <= highest->second)
+    const auto highest = m_highestEnded.find(command.id.task);
+    if (highest != m_highestEnded.end() && command.id.run <= highest->second)
         return { CommandStatus::StaleRun, clock(now) };
     EndpointRun run;
     run.startedAt = now;
-    const auto takes = std::chrono::duration_cast<Microseconds>(work * slowness);
-    run.doneAt = hangs ? now + std::chrono::hours(1) : now + takes;
+    const auto takes = std::chrono::duration_cast<Microseconds>(work * slowdown);
+    run.doneAt = stalls ? now + std::chrono::hours(1) : now + takes;
     run.fails = failsAll;
-    m_runs.emplace(order.id, run);
+    m_runs.emplace(command.id, run);
     return { CommandStatus::Ok, clock(now) };
 }
 
-runner::CommandResult FakeEndpoint::stop(const runner::StopCommand &order, Time now)
+runner::CommandResult FakeEndpoint::stop(const runner::StopCommand &command, Time now)
 {
     advance(now);
-    if (const auto refused = refuse(order.endpointIncarnation, order.fence))
+    if (const auto refused = refuse(command.endpointIncarnation, command.fence))
         return { *refused, clock(now) };
-    std::uint32_t &highest = m_highestEnded[order.id.task];
-    highest = std::max(highest, order.id.run);
-    const auto run = m_runs.find(order.id);
+    std::uint32_t &highest = m_highestEnded[command.id.task];
+    highest = std::max(highest, command.id.run);
+    const auto run = m_runs.find(command.id);
     if (run != m_runs.end() && !run->second.stopping) {
         run->second.stopping = true;
-        run->second.doneAt = now + StopTakes;
+        run->second.doneAt = now + StopDuration;
     }
     return { CommandStatus::Ok, clock(now) };
 }
 
-runner::PollResult FakeEndpoint::poll(const runner::PollCommand &order, Time now)
+runner::PollResult FakeEndpoint::poll(const runner::PollCommand &command, Time now)
 {
     advance(now);
     runner::PollResult poll;
-    if (const auto refused = refuse(order.endpointIncarnation, order.fence)) {
+    if (const auto refused = refuse(command.endpointIncarnation, command.fence)) {
         poll.result = { *refused, clock(now) };
         return poll;
     }
-    if (order.deadline)
-        m_leaseUntil = std::max(m_leaseUntil, std::min(*order.deadline, clock(now) + LongestLease));
-    const auto seen = [&](const runner::EndedRun &row) { return row.number <= order.lastSeenEnd; };
+    if (command.deadline)
+        m_leaseUntil = std::max(m_leaseUntil, std::min(*command.deadline, clock(now) + MaxLease));
+    const auto seen = [&](const runner::EndedRun &row) {
+        return row.number <= command.lastSeenEnd;
+    };
     m_ended.erase(std::remove_if(m_ended.begin(), m_ended.end(), seen), m_ended.end());
     poll.result = { CommandStatus::Ok, clock(now) };
-    if (tellsBorn)
+    if (reportsStartTime)
         poll.startedAt = startedAt;
     for (const auto &[id, run] : m_runs) {
         const double whole = static_cast<double>((run.doneAt - run.startedAt).count());
--- a/tests/fleet/endpoint.h
+++ b/tests/fleet/endpoint.h
@@ -1,6 +1,6 @@
 /*
-    A pretended endpoint for schedules: runs what it is told while its lease lasts, keeps fences and
-    run numbers, does not keep its room, and may answer late, never, or be slow.
+    A fake endpoint for the simulation. It executes commands while its lease lasts and checks fences
+    and run numbers, but not its capacity. It can be slow or stall.
 
     [SECTION] Endpoint
 */
@@ -27,49 +27,50 @@
 class FakeEndpoint
 {
 public:
-    FakeEndpoint(std::string lifeName, double clockRate, Milliseconds clockOffset)
-        : endpointIncarnation(std::move(lifeName))
+    FakeEndpoint(std::string incarnationName, double clockRate, Milliseconds clockOffset)
+        : endpointIncarnation(std::move(incarnationName))
         , m_rate(clockRate)
         , m_offset(clockOffset)
     { }
 
-    // The endpoint's own clock, which may run slow.
+    // The endpoint's own clock, which may be slow
     Milliseconds clock(Time now) const;
 
-    runner::CommandResult start(const runner::StartCommand &order, Time now, Milliseconds work);
-    runner::CommandResult stop(const runner::StopCommand &order, Time now);
-    runner::PollResult poll(const runner::PollCommand &order, Time now);
+    runner::CommandResult start(const runner::StartCommand &command, Time now, Milliseconds work);
+    runner::CommandResult stop(const runner::StopCommand &command, Time now);
+    runner::PollResult poll(const runner::PollCommand &command, Time now);
 
-    // Ends what is done, stopped, or beyond the lease.
+    // Ends runs that are done, stopped, or past the lease.
     void advance(Time now);
 
-    // Every run that works now, a stopping one included.
+    // Current runs, including those being stopped
     const std::map<jobs::RunId, EndpointRun> &runs() const { return m_runs; }
 
-    // Ends what runs; the next life has another name, or the same one and all counts anew.
-    void crash(std::string nextLife);
-    void beginAgain(Time now);
+    // Both end all runs and reset all counters; restart() keeps the name of the incarnation.
+    void crash(std::string nextIncarnation);
+    void restart(Time now);
 
     std::string endpointIncarnation;
     WallTime startedAt { Milliseconds(1'700'000'000'000) };
 
-    // Checks that a test takes away
-    bool tellsBorn = true;
-    bool keepsFence = true;
+    // Guards that a test can disable
+    bool reportsStartTime = true;
+    bool checksFence = true;
 
-    // Heartbeats of this life
-    std::uint64_t beats = 0;
+    // Heartbeats sent by this incarnation
+    std::uint64_t heartbeats = 0;
     bool leaving = false;
 
-    // Runs that begin from now on never get on.
-    bool hangs = false;
+    // Runs started from now on never make progress.
+    bool stalls = false;
     bool failsAll = false;
-    double slowness = 1.0;
+    double slowdown = 1.0;
 
 private:
-    void forgetAll();
-    void end(const jobs::RunId &id, jobs::RunOutcome how);
-    std::optional<runner::CommandStatus> refuse(const std::string &lifeWanted, std::uint64_t fence);
+    void reset();
+    void end(const jobs::RunId &id, jobs::RunOutcome outcome);
+    std::optional<runner::CommandStatus> refuse(const std::string &expectedIncarnation,
+                                                std::uint64_t fence);
 
     double m_rate;
     Milliseconds m_offset;
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -1,11 +1,11 @@
 /*
-    Promises of a fleet on random schedules of faults, and that each guard is missed when it is
-    taken away.
+    Invariants of a simulated fleet under random faults, and that they are violated when a guard is
+    disabled.
 
-    FOXWING_SEEDS sets how many seeds each row plays; FOXWING_FIRST_SEED where they begin.
+    FOXWING_SEEDS sets the number of seeds for each row, FOXWING_FIRST_SEED the first one.
 
-    [SECTION] Calm
-    [SECTION] Promises
+    [SECTION] Without faults
+    [SECTION] Invariants
     [SECTION] Crashing tasks
     [SECTION] Guards
 */
@@ -17,60 +17,60 @@
 namespace foxwing::test {
 namespace {
 
-std::uint64_t fromEnvironment(const char *name, std::uint64_t otherwise)
+std::uint64_t fromEnvironment(const char *name, std::uint64_t fallback)
 {
     const char *text = std::getenv(name);
-    return text ? std::strtoull(text, nullptr, 10) : otherwise;
+    return text ? std::strtoull(text, nullptr, 10) : fallback;
 }
 
-// [SECTION] Calm
+// [SECTION] Without faults
 
-TEST(FleetCalm, ServesEverything)
+TEST(FleetWithoutFaults, CompletesAllJobs)
 {
-    WorldSettings settings;
-    settings.betweenJobs = Milliseconds(60);
-    const WorldOutcome outcome = World(settings).play();
+    SimulationSettings settings;
+    settings.jobInterval = Milliseconds(60);
+    const SimulationOutcome outcome = Simulation(settings).run();
     EXPECT_GT(outcome.submitted, 100U);
     EXPECT_EQ(outcome.completed, outcome.submitted);
     EXPECT_EQ(outcome.firstViolation, "");
 }
 
-TEST(FleetCalm, RefusesUnderOverloadAndStaysTrue)
+TEST(FleetWithoutFaults, RefusesUnderOverloadWithoutViolations)
 {
-    WorldSettings settings;
-    settings.betweenJobs = Milliseconds(8);
-    const WorldOutcome outcome = World(settings).play();
+    SimulationSettings settings;
+    settings.jobInterval = Milliseconds(8);
+    const SimulationOutcome outcome = Simulation(settings).run();
     EXPECT_GT(outcome.notRun, 0U);
     EXPECT_GT(outcome.completed, 0U);
     EXPECT_EQ(outcome.falseNotRun, 0U);
     EXPECT_EQ(outcome.firstViolation, "");
 }
 
-// [SECTION] Promises
+// [SECTION] Invariants
 
 struct FaultCase
 {
     const char *name;
     std::vector<Fault> faults;
 
-    // Completed of what the same schedules complete without faults, in percent: 2 to 3 under the
-    // mean of 60 seeds
-    std::uint64_t leastPercent;
+    // Minimum of completed jobs relative to the same seeds without faults, in percent: 2 to 3 below
+    // the mean of 60 seeds
+    std::uint64_t minPercent;
 
-    // More than one: busier worlds, in which starts wait at agents for room
+    // With more than one the load is higher, so that starts wait at agents for capacity.
     std::uint32_t priorities = 1;
 };
 
-std::ostream &operator<<(std::ostream &out, const FaultCase &tested)
+std::ostream &operator<<(std::ostream &out, const FaultCase &given)
 {
-    return out << tested.name;
+    return out << given.name;
 }
 
 std::vector<Fault> allFaults()
 {
     std::vector<Fault> faults;
-    faults.reserve(Faults);
-    for (int i = 0; i < Faults; ++i)
+    faults.reserve(CommonFaults);
+    for (int i = 0; i < CommonFaults; ++i)
         faults.push_back(static_cast<Fault>(i));
     return faults;
 }
@@ -82,7 +82,7 @@
     return faults;
 }
 
-class Promises : public testing::TestWithParam<FaultCase>
+class Invariants : public testing::TestWithParam<FaultCase>
 { };
 
 std::uint64_t firstSeed()
@@ -90,134 +90,142 @@
     return fromEnvironment("FOXWING_FIRST_SEED", 1);
 }
 
-std::uint64_t afterLastSeed()
+std::uint64_t endSeed()
 {
     return firstSeed() + fromEnvironment("FOXWING_SEEDS", 12);
 }
 
-// Of the same schedules without any fault
-WorldSettings settingsFor(std::uint64_t seed, std::uint32_t priorities)
+// Without faults
+SimulationSettings settingsFor(std::uint64_t seed, std::uint32_t priorities)
 {
-    constexpr Milliseconds Busy { 15 };
-    WorldSettings settings;
+    constexpr Milliseconds ShortJobInterval { 15 };
+    SimulationSettings settings;
     settings.seed = seed;
     settings.priorities = priorities;
     if (priorities > 1)
-        settings.betweenJobs = Busy;
+        settings.jobInterval = ShortJobInterval;
     return settings;
 }
 
-std::uint64_t completedWhenCalm(std::uint32_t priorities)
+std::uint64_t completedWithoutFaults(std::uint32_t priorities)
 {
     static std::map<std::uint32_t, std::uint64_t> completed;
     const auto known = completed.find(priorities);
     if (known != completed.end())
         return known->second;
     std::uint64_t sum = 0;
-    for (std::uint64_t seed = firstSeed(); seed < afterLastSeed(); ++seed)
-        sum += World(settingsFor(seed, priorities)).play().completed;
+    for (std::uint64_t seed = firstSeed(); seed < endSeed(); ++seed)
+        sum += Simulation(settingsFor(seed, priorities)).run().completed;
     completed[priorities] = sum;
     return sum;
 }
 
-TEST_P(Promises, HoldOnEverySchedule)
+TEST_P(Invariants, HoldOnEverySchedule)
 {
     std::uint64_t completed = 0;
-    for (std::uint64_t seed = firstSeed(); seed < afterLastSeed(); ++seed) {
-        WorldSettings settings = settingsFor(seed, GetParam().priorities);
+    for (std::uint64_t seed = firstSeed(); seed < endSeed(); ++seed) {
+        SimulationSettings settings = settingsFor(seed, GetParam().priorities);
         settings.faults = GetParam().faults;
-        const WorldOutcome outcome = World(settings).play();
+        const SimulationOutcome outcome = Simulation(settings).run();
         ASSERT_EQ(outcome.firstViolation, "") << "seed " << seed;
         ASSERT_EQ(outcome.falseNotRun, 0U) << "seed " << seed;
         completed += outcome.completed;
     }
-    EXPECT_GE(completed * 100, completedWhenCalm(GetParam().priorities) * GetParam().leastPercent);
+    EXPECT_GE(completed * 100,
+              completedWithoutFaults(GetParam().priorities) * GetParam().minPercent);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-        Fleet, Promises,
+        Fleet, Invariants,
         testing::Values(
                 FaultCase { "EntryKill", { Fault::EntryKill }, 90 },
-                FaultCase { "EntryFreeze", { Fault::EntryFreeze }, 78 },
+                FaultCase { "EntrySuspend", { Fault::EntrySuspend }, 78 },
                 FaultCase { "AgentKill", { Fault::AgentKill }, 83 },
-                FaultCase { "AgentFreeze", { Fault::AgentFreeze }, 81 },
-                FaultCase { "Cut", { Fault::Cut }, 81 },
-                FaultCase { "LateOrders", { Fault::LateOrders }, 95 },
+                FaultCase { "AgentSuspend", { Fault::AgentSuspend }, 81 },
+                FaultCase { "Partition", { Fault::Partition }, 81 },
+                FaultCase { "LateCommands", { Fault::LateCommands }, 95 },
                 FaultCase { "EndpointCrash", { Fault::EndpointCrash }, 90 },
-                FaultCase { "EndpointBeginsAgain", { Fault::EndpointAgain }, 90 },
+                FaultCase { "EndpointRestart", { Fault::EndpointRestart }, 90 },
                 FaultCase { "EndpointLeaves", { Fault::EndpointLeaves }, 80 },
-                FaultCase { "EndpointBeginsAgainAndLateOrders",
-                            { Fault::EndpointAgain, Fault::LateOrders },
+                FaultCase { "EndpointRestartAndLateCommands",
+                            { Fault::EndpointRestart, Fault::LateCommands },
                             88 },
-                FaultCase { "EndpointBeginsAgainAndAgentKill",
-                            { Fault::EndpointAgain, Fault::EndpointLeaves, Fault::AgentKill },
+                FaultCase { "EndpointRestartAndAgentKill",
+                            { Fault::EndpointRestart, Fault::EndpointLeaves, Fault::AgentKill },
                             80 },
                 FaultCase { "SessionsReleased", { Fault::SessionsReleased }, 95 },
                 FaultCase { "SessionsReleasedAndAll",
-                            { Fault::SessionsReleased, Fault::EntryKill, Fault::EntryFreeze,
-                              Fault::AgentKill, Fault::AgentFreeze, Fault::Cut, Fault::LateOrders },
+                            { Fault::SessionsReleased, Fault::EntryKill, Fault::EntrySuspend,
+                              Fault::AgentKill, Fault::AgentSuspend, Fault::Partition,
+                              Fault::LateCommands },
                             80 },
                 FaultCase { "SessionsReleasedAndWaiting",
-                            { Fault::SessionsReleased, Fault::Cut, Fault::AgentFreeze },
+                            { Fault::SessionsReleased, Fault::Partition, Fault::AgentSuspend },
                             80,
                             2 },
-                FaultCase {
-                        "HostsSuspended",
-                        { Fault::AgentFreeze, Fault::EntryFreeze, Fault::Cut, Fault::AgentKill },
-                        78 },
-                FaultCase { "EndpointDark", { Fault::EndpointDark }, 83 },
-                FaultCase { "EndpointHang", { Fault::EndpointHang }, 82 },
+                FaultCase { "HostsSuspended",
+                            { Fault::AgentSuspend, Fault::EntrySuspend, Fault::Partition,
+                              Fault::AgentKill },
+                            78 },
+                FaultCase { "EndpointUnreachable", { Fault::EndpointUnreachable }, 83 },
+                FaultCase { "EndpointStall", { Fault::EndpointStall }, 82 },
                 FaultCase { "EndpointSlow", { Fault::EndpointSlow }, 79 },
                 FaultCase { "EndpointFails", { Fault::EndpointFails }, 81 },
-                FaultCase { "CallerLeaves", { Fault::CallerLeaves }, 96 },
-                FaultCase { "LateOrdersAndKills",
-                            { Fault::LateOrders, Fault::AgentKill, Fault::EntryKill },
+                FaultCase { "CallerReconnects", { Fault::CallerReconnects }, 96 },
+                FaultCase { "LateCommandsAndKills",
+                            { Fault::LateCommands, Fault::AgentKill, Fault::EntryKill },
                             91 },
-                FaultCase { "CutsAndLateOrders", { Fault::Cut, Fault::LateOrders }, 88 },
+                FaultCase { "PartitionsAndLateCommands",
+                            { Fault::Partition, Fault::LateCommands },
+                            88 },
                 FaultCase { "All", allFaults(), 85 },
-                FaultCase {
-                        "CancelThenLateStart", { Fault::CallerCancels, Fault::LateOrders }, 95 },
-                FaultCase { "CancelAndAgentGone", { Fault::CallerCancels, Fault::AgentKill }, 83 },
-                FaultCase { "CancelAndEntryGone", { Fault::CallerCancels, Fault::EntryKill }, 88 },
-                FaultCase { "CancelAndCut", { Fault::CallerCancels, Fault::Cut }, 81 },
-                FaultCase { "CancelAndEndpointReborn",
+                FaultCase { "CancelAndLateCommands",
+                            { Fault::CallerCancels, Fault::LateCommands },
+                            95 },
+                FaultCase { "CancelAndAgentKill", { Fault::CallerCancels, Fault::AgentKill }, 83 },
+                FaultCase { "CancelAndEntryKill", { Fault::CallerCancels, Fault::EntryKill }, 88 },
+                FaultCase { "CancelAndPartition", { Fault::CallerCancels, Fault::Partition }, 81 },
+                FaultCase { "CancelAndEndpointCrash",
                             { Fault::CallerCancels, Fault::EndpointCrash },
                             90 },
                 FaultCase { "CancelAndAll", allFaultsAndCancels(), 83 },
-                FaultCase { "AllReset", { Fault::AllReset }, 89 },
-                FaultCase { "AllResetAndWaiting", { Fault::AllReset }, 88, 2 },
-                FaultCase { "CallsHeldUp", { Fault::CallsHeldUp }, 65 },
-                FaultCase { "CallsHeldUpAndAllReset", { Fault::CallsHeldUp, Fault::AllReset }, 50 },
+                FaultCase { "ConnectionsReset", { Fault::ConnectionsReset }, 89 },
+                FaultCase { "ConnectionsResetAndWaiting", { Fault::ConnectionsReset }, 88, 2 },
+                FaultCase { "CallsDelayed", { Fault::CallsDelayed }, 65 },
+                FaultCase { "CallsDelayedAndConnectionsReset",
+                            { Fault::CallsDelayed, Fault::ConnectionsReset },
+                            50 },
                 FaultCase { "Cordon", { Fault::Cordon }, 77 },
                 FaultCase { "CordonAndAgentKill", { Fault::Cordon, Fault::AgentKill }, 78 },
                 FaultCase { "CordonAndEntryKill", { Fault::Cordon, Fault::EntryKill }, 84 },
-                FaultCase { "CordonAndCut", { Fault::Cordon, Fault::Cut }, 79 },
-                FaultCase { "CordonAndFreezes",
-                            { Fault::Cordon, Fault::AgentFreeze, Fault::EntryFreeze },
+                FaultCase { "CordonAndPartition", { Fault::Cordon, Fault::Partition }, 79 },
+                FaultCase { "CordonAndSuspends",
+                            { Fault::Cordon, Fault::AgentSuspend, Fault::EntrySuspend },
                             79 },
-                FaultCase { "CordonAndEndpointReborn",
-                            { Fault::Cordon, Fault::EndpointCrash, Fault::LateOrders },
+                FaultCase { "CordonAndEndpointCrash",
+                            { Fault::Cordon, Fault::EndpointCrash, Fault::LateCommands },
                             86 },
+                FaultCase { "CordonAndControlUnavailable",
+                            { Fault::Cordon, Fault::ControlUnavailable, Fault::AgentKill,
+                              Fault::EntryKill },
+                            85 },
                 FaultCase {
-                        "CordonAndControlAway",
-                        { Fault::Cordon, Fault::ControlAway, Fault::AgentKill, Fault::EntryKill },
-                        85 },
+                        "WaitingAndSuspends", { Fault::AgentSuspend, Fault::EntrySuspend }, 85, 2 },
                 FaultCase {
-                        "WaitingAndFreezes", { Fault::AgentFreeze, Fault::EntryFreeze }, 85, 2 },
-                FaultCase { "WaitingAndCuts", { Fault::Cut, Fault::AgentFreeze }, 83, 2 },
+                        "WaitingAndPartitions", { Fault::Partition, Fault::AgentSuspend }, 83, 2 },
                 FaultCase { "WaitingAndAll", allFaults(), 86, 2 }),
-        [](const auto &tested) { return tested.param.name; });
+        [](const auto &given) { return given.param.name; });
 
 // [SECTION] Crashing tasks
 
-// Few of many jobs crash the endpoints that run them, and are sent again after each answer.
-WorldSettings crashingWorld(std::uint64_t seed)
+// A few of many jobs crash the endpoints that run them, and are resent after each answer.
+SimulationSettings crashingSettings(std::uint64_t seed)
 {
-    WorldSettings settings;
+    SimulationSettings settings;
     settings.seed = seed;
     settings.entries = 6;
     settings.agents = 12;
-    settings.longestTask = 300;
+    settings.maxTaskTime = 300;
     settings.crashingEvery = 200;
     return settings;
 }
@@ -228,48 +236,49 @@
     std::vector<Fault> faults;
 };
 
-std::ostream &operator<<(std::ostream &out, const CrashingCase &tested)
+std::ostream &operator<<(std::ostream &out, const CrashingCase &given)
 {
-    return out << tested.name;
+    return out << given.name;
 }
 
-class Crashing : public testing::TestWithParam<CrashingCase>
+class CrashingTasks : public testing::TestWithParam<CrashingCase>
 { };
 
-TEST_P(Crashing, TasksAreGivenUpByAllEntries)
+TEST_P(CrashingTasks, AreGivenUpByAllEntries)
 {
-    for (std::uint64_t seed = firstSeed(); seed < afterLastSeed(); ++seed) {
-        WorldSettings settings = crashingWorld(seed);
+    for (std::uint64_t seed = firstSeed(); seed < endSeed(); ++seed) {
+        SimulationSettings settings = crashingSettings(seed);
         settings.faults = GetParam().faults;
-        const WorldOutcome outcome = World(settings).play();
+        const SimulationOutcome outcome = Simulation(settings).run();
         ASSERT_EQ(outcome.firstViolation, "") << "seed " << seed;
         ASSERT_EQ(outcome.falseNotRun, 0U) << "seed " << seed;
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(Fleet, Crashing,
-                         testing::Values(CrashingCase { "Calm", {} },
+INSTANTIATE_TEST_SUITE_P(Fleet, CrashingTasks,
+                         testing::Values(CrashingCase { "NoFaults", {} },
                                          CrashingCase { "EntryKill", { Fault::EntryKill } },
-                                         CrashingCase { "AllReset", { Fault::AllReset } },
-                                         CrashingCase { "Cut", { Fault::Cut } }),
-                         [](const auto &tested) { return tested.param.name; });
-
-// Where agents do not tell, jobs that crash endpoints begin anew at each entry, and take more than
-// twice as many others along.
-TEST(FleetCrashing, IsMissedWhereAgentsDoNotTell)
+                                         CrashingCase { "ConnectionsReset",
+                                                        { Fault::ConnectionsReset } },
+                                         CrashingCase { "Partition", { Fault::Partition } }),
+                         [](const auto &given) { return given.param.name; });
+
+// Without crash reports of agents, jobs that crash endpoints are retried at each entry, and make
+// more than twice as many other jobs time out.
+TEST(CrashReports, LimitCrashesOfOtherJobs)
 {
-    WorldOutcome told;
-    WorldOutcome untold;
-    for (std::uint64_t seed = firstSeed(); seed < afterLastSeed(); ++seed) {
-        WorldSettings settings = crashingWorld(seed);
-        told.othersTimedOut += World(settings).play().othersTimedOut;
-        settings.crashesNotTold = true;
-        const WorldOutcome outcome = World(settings).play();
-        untold.othersTimedOut += outcome.othersTimedOut;
-        untold.startsCrashing += outcome.startsCrashing;
+    SimulationOutcome reported;
+    SimulationOutcome unreported;
+    for (std::uint64_t seed = firstSeed(); seed < endSeed(); ++seed) {
+        SimulationSettings settings = crashingSettings(seed);
+        reported.othersTimedOut += Simulation(settings).run().othersTimedOut;
+        settings.crashesNotReported = true;
+        const SimulationOutcome outcome = Simulation(settings).run();
+        unreported.othersTimedOut += outcome.othersTimedOut;
+        unreported.startsCrashing += outcome.startsCrashing;
     }
-    EXPECT_GT(untold.startsCrashing, 0U);
-    EXPECT_LT(told.othersTimedOut * 2, untold.othersTimedOut);
+    EXPECT_GT(unreported.startsCrashing, 0U);
+    EXPECT_LT(reported.othersTimedOut * 2, unreported.othersTimedOut);
 }
 
 // [SECTION] Guards
@@ -277,90 +286,95 @@
 struct GuardCase
 {
     const char *name;
-    std::function<void(WorldSettings &)> takeAway;
+    std::function<void(SimulationSettings &)> disable;
     std::vector<Fault> faults;
 };
 
-std::ostream &operator<<(std::ostream &out, const GuardCase &tested)
+std::ostream &operator<<(std::ostream &out, const GuardCase &given)
 {
-    return out << tested.name;
+    return out << given.name;
 }
 
 class Guards : public testing::TestWithParam<GuardCase>
 { };
 
-TEST_P(Guards, AreMissedWhenTakenAway)
+TEST_P(Guards, AreNeededForInvariants)
 {
     for (std::uint64_t seed = 1; seed < 400; ++seed) {
-        WorldSettings settings;
+        SimulationSettings settings;
         settings.seed = seed;
         settings.faults = GetParam().faults;
-        // Long enough to be still there when its caller sends it again.
-        settings.longestTask = 3000;
-        settings.betweenJobs = Milliseconds(60);
-        GetParam().takeAway(settings);
-        if (!World(settings).play().firstViolation.empty())
+        // Long enough to be still running when its caller resends it
+        settings.maxTaskTime = 3000;
+        settings.jobInterval = Milliseconds(60);
+        GetParam().disable(settings);
+        if (!Simulation(settings).run().firstViolation.empty())
             return;
     }
-    FAIL() << "nobody missed the guard";
+    FAIL() << "no invariant was violated without the guard";
 }
 
 INSTANTIATE_TEST_SUITE_P(
         Fleet, Guards,
         testing::Values(
-                // An agent that never counts its entry as silent runs on for a dead one.
-                GuardCase {
-                        "OwnerSilence",
-                        [](WorldSettings &s) { s.runner.sessionTimeout = std::chrono::hours(1); },
-                        { Fault::EntryKill } },
-                // An entry that has not read that its callers are gone places their jobs again.
-                GuardCase { "CallersSeen",
-                            [](WorldSettings &s) { s.callersNotSeen = true; },
-                            { Fault::AllReset } },
-                // The same with calls that came after they had been given up
-                GuardCase { "CallersSeenAtArrival",
-                            [](WorldSettings &s) { s.callersNotSeen = true; },
-                            { Fault::CallsHeldUp } },
-                // A lost agent's runs are started again before it has stopped them.
-                GuardCase { "CertainSilence",
-                            [](WorldSettings &s) { s.scheduler.lostRunTimeout = Milliseconds(50); },
-                            { Fault::Cut } },
-                // An agent that starts before it knows the cordons, or does not look at them.
+                // Without a session timeout an agent continues the runs of a dead entry.
+                GuardCase { "SessionTimeout",
+                            [](SimulationSettings &s) {
+                                s.runner.sessionTimeout = std::chrono::hours(1);
+                            },
+                            { Fault::EntryKill } },
+                // An entry that has not read that its callers disconnected places their jobs again.
+                GuardCase { "CallerProbes",
+                            [](SimulationSettings &s) { s.callersNotProbed = true; },
+                            { Fault::ConnectionsReset } },
+                // The same with calls that arrive after their callers timed out
+                GuardCase { "CallerProbesAtArrival",
+                            [](SimulationSettings &s) { s.callersNotProbed = true; },
+                            { Fault::CallsDelayed } },
+                // A lost agent's tasks are restarted elsewhere before it has stopped their runs.
+                GuardCase { "LostRunTimeout",
+                            [](SimulationSettings &s) {
+                                s.scheduler.lostRunTimeout = Milliseconds(50);
+                            },
+                            { Fault::Partition } },
+                // An agent that does not check cordons starts tasks in a cordoned data centre.
                 GuardCase { "Cordons",
-                            [](WorldSettings &s) { s.agentsIgnoreCordons = true; },
-                            { Fault::Cordon, Fault::EntryFreeze } },
-                // Lives that can't be told apart: counts of one are held against the next.
-                GuardCase { "DateOfLife",
-                            [](WorldSettings &s) { s.livesHaveNoDate = true; },
-                            { Fault::EndpointAgain } },
-                // What was ordered for the life before begins in the next one.
-                GuardCase { "FenceOfLife",
-                            [](WorldSettings &s) { s.fencesIgnored = true; },
-                            { Fault::EndpointAgain, Fault::LateOrders } },
-                // A long lease outlives the agent that was killed.
-                GuardCase { "Lease",
-                            [](WorldSettings &s) { s.runner.leaseDuration = Milliseconds(5000); },
-                            { Fault::AgentKill } },
-                // A clock that stops while the host is suspended: an agent that comes back believes
-                // that it has just heard its entries, and its endpoint.
+                            [](SimulationSettings &s) { s.agentsIgnoreCordons = true; },
+                            { Fault::Cordon, Fault::EntrySuspend } },
+                // Without start times, counters of one incarnation are compared with those of the
+                // next.
+                GuardCase { "StartTime",
+                            [](SimulationSettings &s) { s.startTimesNotReported = true; },
+                            { Fault::EndpointRestart } },
+                // Commands sent to the previous incarnation are executed by the next one.
+                GuardCase { "FenceOfIncarnation",
+                            [](SimulationSettings &s) { s.fencesIgnored = true; },
+                            { Fault::EndpointRestart, Fault::LateCommands } },
+                // A long lease outlives a killed agent.
+                GuardCase {
+                        "Lease",
+                        [](SimulationSettings &s) { s.runner.leaseDuration = Milliseconds(5000); },
+                        { Fault::AgentKill } },
+                // With a clock that stops while the host is suspended, a resumed agent takes old
+                // messages of its entries and its endpoint for recent ones.
                 GuardCase { "ClockCountsSuspension",
-                            [](WorldSettings &s) { s.clocksStopAsleep = true; },
-                            { Fault::AgentFreeze, Fault::EntryFreeze } },
-                // The same where nobody sends the cancelled job again.
+                            [](SimulationSettings &s) { s.clocksStopWhenSuspended = true; },
+                            { Fault::AgentSuspend, Fault::EntrySuspend } },
+                // The same when the cancelled job is not resent
                 GuardCase { "LeaseAfterCancel",
-                            [](WorldSettings &s) {
+                            [](SimulationSettings &s) {
                                 s.runner.leaseDuration = Milliseconds(5000);
-                                s.mostFaults = 12;
+                                s.maxFaults = 12;
                             },
                             { Fault::CallerCancels, Fault::AgentKill } },
-                // Starts of an earlier life of the agent are carried out late.
+                // Start commands of a previous incarnation of the agent are executed late.
                 GuardCase { "Deadline",
-                            [](WorldSettings &s) {
+                            [](SimulationSettings &s) {
                                 s.runner.leaseDuration = std::chrono::minutes(1);
-                                s.fenceRises = false;
+                                s.fenceIncreases = false;
                             },
-                            { Fault::LateOrders, Fault::AgentKill } }),
-        [](const auto &tested) { return tested.param.name; });
+                            { Fault::LateCommands, Fault::AgentKill } }),
+        [](const auto &given) { return given.param.name; });
 
 } // namespace
 } // namespace foxwing::test
--- a/tests/fleet/replay_test.cpp
+++ b/tests/fleet/replay_test.cpp
@@ -1,19 +1,18 @@
 /*
-    Replays of whole sessions: wire messages in, wire messages out, through the adapter and the
-    decisions, in virtual time.
+    Replays recorded sessions in virtual time: HTTP messages go through the platform's dialect, the
+    scheduler and the runner, and the messages sent are compared with the recorded ones.
 
-    A session file holds lines of what comes in; below each stands what went out, indented:
+    A session file has input lines, each followed by the indented lines sent in response:
 
-        wait 20                          time goes by, in milliseconds, with ticks every 20
-        beat PUT /instances/i-1 {...}    the endpoint calls its agent
-        call POST /q/ID {...}            a caller calls the entry
+        wait 20                          advances the time (milliseconds), with ticks every 20
+        beat PUT /instances/i-1 {...}    a request of the endpoint to its agent
+        call POST /q/ID {...}            a request of a caller to the entry
         gone                             the last caller closes its connection
-        order 200 {...}                  the endpoint answers its oldest order under way
-        order none                       that order gets no answer
-        look 200 {...}                   the endpoint answers the look under way
+        order 200 {...}                  the endpoint's response to its oldest pending command
+        order none                       that command gets no response
+        look 200 {...}                   the endpoint's response to the pending poll
 
-    FOXWING_UPDATE=1 writes what goes out now into the files; read the difference before you keep
-   it.
+    FOXWING_UPDATE=1 rewrites the files; review the difference before committing it.
 
     [SECTION] Session
     [SECTION] Tests
@@ -31,11 +30,11 @@
 
 // [SECTION] Session
 
-constexpr std::uint64_t TheSession = 1;
-const char *const TheAgent = "agent-1";
+constexpr std::uint64_t SessionNumber = 1;
+const char *const AgentName = "agent-1";
 
-// An order that the endpoint has not answered yet.
-struct PendingOrder
+// A command that the endpoint has not answered yet
+struct PendingCommand
 {
     bool isStart = false;
     jobs::RunId id;
@@ -57,32 +56,33 @@
         queue.timeout = Milliseconds(1500);
         m_catalog.version = 1;
         m_catalog.queues = { queue };
-        carryOut(scheduler::agentConnected(m_entry, TheAgent, m_now));
-        carryOut(runner::handleCordons(m_agent, {}, runner::CordonSource::Control, m_now));
-        carryOut(runner::openSession(m_agent, TheSession, "entry-1", m_now));
+        execute(scheduler::agentConnected(m_entry, AgentName, m_now));
+        execute(runner::handleCordons(m_agent, {}, runner::CordonSource::Control, m_now));
+        execute(runner::openSession(m_agent, SessionNumber, "entry-1", m_now));
     }
 
-    // One line of input; what goes out, a line each.
-    std::vector<std::string> take(const std::string &line)
+    // Handles one line of input; returns the lines sent.
+    std::vector<std::string> handle(const std::string &line)
     {
         m_out.clear();
         std::istringstream words(line);
-        std::string what;
-        words >> what;
-        if (what == "wait")
+        std::string kind;
+        words >> kind;
+        if (kind == "wait")
             wait(words);
-        else if (what == "beat")
+        else if (kind == "beat")
             heartbeat(readRequest(words));
-        else if (what == "call")
+        else if (kind == "call")
             call(readRequest(words));
-        else if (what == "gone")
-            carryOut(scheduler::abandon(m_entry, m_number, m_now));
-        else if (what == "order")
-            answerOrder(words);
-        else if (what == "look")
-            answerLook(words);
+        else if (kind == "gone")
+            execute(scheduler::abandon(m_entry, m_number, m_now));
+        else if (kind == "order")
+            answerCommand(words);
+        else if (kind == "look")
+            answerPoll(words);
         else
-            ADD_FAILURE() << "unknown line: " << line << "; see the head of this file";
+            ADD_FAILURE() << "unknown line: " << line
+                          << "; see the comment at the top of this file";
         return m_out;
     }
 
@@ -114,34 +114,36 @@
 
     void wait(std::istringstream &words)
     {
-        std::int64_t span = 0;
-        words >> span;
-        const Time end = m_now + Milliseconds(span);
+        std::int64_t duration = 0;
+        words >> duration;
+        const Time end = m_now + Milliseconds(duration);
         while (m_now < end) {
             m_now = std::min(end, m_now + Milliseconds(20));
-            carryOut(scheduler::tick(m_entry, m_now));
-            carryOut(runner::tick(m_agent, m_now));
+            execute(scheduler::tick(m_entry, m_now));
+            execute(runner::tick(m_agent, m_now));
         }
     }
 
     void heartbeat(const fabric::Request &request)
     {
         Error reason;
-        const auto heard = platform::dialect().readEndpointRequest(request, &reason);
-        write(platform::dialect().writeEndpointResponse(heard.has_value(), reason.message));
-        if (heard)
-            carryOut(runner::handleHeartbeat(m_agent, heard->report, m_now));
+        const auto endpointRequest = platform::dialect().readEndpointRequest(request, &reason);
+        write(platform::dialect().writeEndpointResponse(endpointRequest.has_value(),
+                                                        reason.message));
+        if (endpointRequest)
+            execute(runner::handleHeartbeat(m_agent, endpointRequest->report, m_now));
     }
 
     void call(const fabric::Request &request)
     {
         const fleet::Dialect &dialect = platform::dialect();
-        const fleet::CallerRequest call = dialect.readCallerRequest(request);
-        const auto *queue = catalog::findQueue(m_catalog, call.host, call.path);
+        const fleet::CallerRequest callerRequest = dialect.readCallerRequest(request);
+        const auto *queue = catalog::findQueue(m_catalog, callerRequest.host, callerRequest.path);
         if (!queue)
             return write(dialect.writeRefusal(fleet::CallerRefusal::NoSuchQueue, "no queue"));
         Error reason;
-        const auto job = dialect.readJob(request, call.path.substr(queue->prefix.size()), &reason);
+        const auto job = dialect.readJob(request, callerRequest.path.substr(queue->prefix.size()),
+                                         &reason);
         if (!job)
             return write(dialect.writeRefusal(fleet::CallerRefusal::BadRequest, reason.message));
         scheduler::JobOptions options;
@@ -151,28 +153,28 @@
         options.stretch = queue->stretch;
         options.targetLatency = queue->targetLatency;
         options.startDeadline = m_now + queue->timeout;
-        carryOut(scheduler::submit(m_entry, *job, options, m_now, &m_number));
+        execute(scheduler::submit(m_entry, *job, options, m_now, &m_number));
     }
 
-    void answerOrder(std::istringstream &words)
+    void answerCommand(std::istringstream &words)
     {
-        ASSERT_FALSE(m_orders.empty()) << "no order is under way";
-        const PendingOrder order = m_orders.front();
-        m_orders.pop_front();
+        ASSERT_FALSE(m_commands.empty()) << "no command is pending";
+        const PendingCommand command = m_commands.front();
+        m_commands.pop_front();
         const auto response = readResponse(words);
         const runner::CommandResult result = response
                 ? platform::dialect().readCommandResult(*response)
                 : runner::CommandResult();
-        carryOut(order.isStart ? runner::handleStartResult(m_agent, order.id, result, m_now)
-                               : runner::handleStopResult(m_agent, order.id, result, m_now));
+        execute(command.isStart ? runner::handleStartResult(m_agent, command.id, result, m_now)
+                                : runner::handleStopResult(m_agent, command.id, result, m_now));
     }
 
-    void answerLook(std::istringstream &words)
+    void answerPoll(std::istringstream &words)
     {
         const auto response = readResponse(words);
         const runner::PollResult poll = response ? platform::dialect().readPollResult(*response)
                                                  : runner::PollResult();
-        carryOut(runner::handlePollResult(m_agent, m_agent.pollNumber, poll, m_now));
+        execute(runner::handlePollResult(m_agent, m_agent.pollNumber, poll, m_now));
     }
 
     void write(const fabric::Request &request)
@@ -185,36 +187,36 @@
         m_out.push_back("-> " + std::to_string(response.result_int()) + " " + response.body());
     }
 
-    void carryOut(const runner::RunnerActions &actions)
+    void execute(const runner::RunnerActions &actions)
     {
         const fleet::Dialect &dialect = platform::dialect();
-        for (const runner::StopCommand &order : actions.stops) {
-            m_orders.push_back({ false, order.id });
-            write(dialect.writeStop(order));
+        for (const runner::StopCommand &command : actions.stops) {
+            m_commands.push_back({ false, command.id });
+            write(dialect.writeStop(command));
         }
-        for (const runner::StartCommand &order : actions.starts) {
-            m_orders.push_back({ true, order.id });
-            write(dialect.writeStart(order));
+        for (const runner::StartCommand &command : actions.starts) {
+            m_commands.push_back({ true, command.id });
+            write(dialect.writeStart(command));
         }
         if (actions.poll)
             write(dialect.writePoll(*actions.poll));
-        for (const auto &[session, welcome] : actions.acceptances)
-            carryOut(scheduler::agentAccepted(m_entry, TheAgent, welcome, m_now));
+        for (const auto &[session, accepted] : actions.acceptances)
+            execute(scheduler::agentAccepted(m_entry, AgentName, accepted, m_now));
         for (const auto &[session, update] : actions.updates)
-            carryOut(scheduler::agentUpdated(m_entry, TheAgent, update, m_now));
+            execute(scheduler::agentUpdated(m_entry, AgentName, update, m_now));
     }
 
-    void carryOut(const scheduler::SchedulerActions &actions)
+    void execute(const scheduler::SchedulerActions &actions)
     {
         for (const scheduler::JobAnswer &answer : actions.answers)
             write(platform::dialect().writeJobAnswer(answer));
         for (const scheduler::AgentSend &send : actions.sends) {
             if (const auto *start = std::get_if<jobs::StartTasks>(&send.message))
-                carryOut(runner::startTasks(m_agent, TheSession, *start, m_now));
+                execute(runner::startTasks(m_agent, SessionNumber, *start, m_now));
             else if (const auto *stop = std::get_if<jobs::StopRuns>(&send.message))
-                carryOut(runner::stopRuns(m_agent, TheSession, *stop, m_now));
+                execute(runner::stopRuns(m_agent, SessionNumber, *stop, m_now));
             else if (const auto *heartbeat = std::get_if<jobs::SessionHeartbeat>(&send.message))
-                carryOut(runner::handleSessionHeartbeat(m_agent, TheSession, *heartbeat, m_now));
+                execute(runner::handleSessionHeartbeat(m_agent, SessionNumber, *heartbeat, m_now));
         }
     }
 
@@ -222,7 +224,7 @@
     catalog::Catalog m_catalog;
     scheduler::SchedulerState m_entry = scheduler::makeScheduler({});
     runner::RunnerState m_agent = runner::makeRunner({}, 1, 1000);
-    std::deque<PendingOrder> m_orders;
+    std::deque<PendingCommand> m_commands;
     std::uint64_t m_number = 0;
     std::vector<std::string> m_out;
 };
@@ -232,35 +234,35 @@
 class Replay : public testing::TestWithParam<const char *>
 { };
 
-TEST_P(Replay, GivesWhatWasRecorded)
+TEST_P(Replay, MatchesRecordedOutput)
 {
     const std::string path = std::string("tests/fleet/sessions/") + GetParam() + ".txt";
     std::ifstream file(path);
-    ASSERT_TRUE(file) << path << ": run this from the top of the project";
+    ASSERT_TRUE(file) << path << ": run this from the project's root folder";
     Session session;
     std::string recorded;
-    std::string played;
+    std::string replayed;
     for (std::string line; std::getline(file, line);) {
         recorded += line + "\n";
         if (line.rfind("    ", 0) == 0)
             continue;
-        played += line + "\n";
+        replayed += line + "\n";
         if (line.empty() || line.front() == '#')
             continue;
-        for (const std::string &out : session.take(line))
-            played += "    " + out + "\n";
+        for (const std::string &out : session.handle(line))
+            replayed += "    " + out + "\n";
     }
     file.close();
     if (std::getenv("FOXWING_UPDATE"))
-        std::ofstream(path) << played;
+        std::ofstream(path) << replayed;
     else
-        EXPECT_EQ(played, recorded);
+        EXPECT_EQ(replayed, recorded);
 }
 
 INSTANTIATE_TEST_SUITE_P(Fleet, Replay,
                          testing::Values("served", "fails_then_served", "unanswered",
                                          "never_answered", "caller_gone", "draining", "refused"),
-                         [](const auto &tested) { return std::string(tested.param); });
+                         [](const auto &given) { return std::string(given.param); });
 
 } // namespace
 } // namespace foxwing::test
--- a/tests/fleet/simulation.cpp
+++ b/tests/fleet/simulation.cpp
@@ -1,7 +1,7 @@
 /*
-    The fleet in virtual time: its callers, entries and agents.
+    The simulated fleet: callers, entries and agents.
 
-    [SECTION] World
+    [SECTION] Simulation
     [SECTION] Events
     [SECTION] Callers
     [SECTION] Entries
@@ -13,13 +13,13 @@
 
 namespace foxwing::test {
 
-// [SECTION] World
+// [SECTION] Simulation
 
-World::World(const WorldSettings &settings)
+Simulation::Simulation(const SimulationSettings &settings)
     : m_settings(settings)
     , m_random(settings.seed)
 {
-    m_end = m_now + settings.length;
+    m_end = m_now + settings.duration;
     for (int i = 0; i < settings.entries; ++i) {
         m_entries.push_back(std::make_unique<Entry>());
         m_entries.back()->sessions.resize(static_cast<std::size_t>(settings.agents));
@@ -29,93 +29,93 @@
         m_agents.push_back(std::make_unique<Agent>());
         const double rate = i % 2 == 0 ? 1.0 : 0.98;
         m_agents.back()->endpoint =
-                std::make_unique<FakeEndpoint>("life-" + std::to_string(++m_lastLife), rate,
+                std::make_unique<FakeEndpoint>("life-" + std::to_string(++m_lastIncarnation), rate,
                                                Milliseconds(offset(m_random)));
-        m_agents.back()->endpoint->tellsBorn = !settings.livesHaveNoDate;
-        m_agents.back()->endpoint->keepsFence = !settings.fencesIgnored;
+        m_agents.back()->endpoint->reportsStartTime = !settings.startTimesNotReported;
+        m_agents.back()->endpoint->checksFence = !settings.fencesIgnored;
     }
 }
 
-World::~World() = default;
+Simulation::~Simulation() = default;
 
 // [SECTION] Events
 
-void World::at(Time when, std::function<void()> job)
+void Simulation::at(Time when, std::function<void()> callback)
 {
-    m_events.push({ when, ++m_order, std::move(job) });
+    m_events.push({ when, ++m_lastSequence, std::move(callback) });
 }
 
-Time World::clockOf(const Process &process) const
+Time Simulation::clockOf(const Process &process) const
 {
-    return m_now - process.slept;
+    return m_now - process.suspendedTime;
 }
 
-// What a process does for a while is put off until its host goes on.
-void World::suspend(Process &process, Milliseconds span)
+// Delays all events of the process until its host resumes.
+void Simulation::suspend(Process &process, Milliseconds duration)
 {
-    process.frozenUntil = m_now + span;
-    if (m_settings.clocksStopAsleep)
-        process.slept += span;
+    process.suspendedUntil = m_now + duration;
+    if (m_settings.clocksStopWhenSuspended)
+        process.suspendedTime += duration;
 }
 
-void World::on(Process &process, Milliseconds delay, std::function<void()> job)
+void Simulation::on(Process &process, Milliseconds delay, std::function<void()> callback)
 {
-    const std::uint64_t endpointIncarnation = process.endpointIncarnation;
-    at(m_now + delay, [this, &process, endpointIncarnation, job = std::move(job)]() mutable {
-        if (!process.up || process.endpointIncarnation != endpointIncarnation)
+    const std::uint64_t incarnation = process.incarnation;
+    at(m_now + delay, [this, &process, incarnation, callback = std::move(callback)]() mutable {
+        if (!process.up || process.incarnation != incarnation)
             return;
-        if (m_now < process.frozenUntil)
-            return at(process.frozenUntil,
-                      [this, &process, endpointIncarnation, job = std::move(job)] {
-                          if (process.up && process.endpointIncarnation == endpointIncarnation)
-                              on(process, Milliseconds(0), job);
+        if (m_now < process.suspendedUntil)
+            return at(process.suspendedUntil,
+                      [this, &process, incarnation, callback = std::move(callback)] {
+                          if (process.up && process.incarnation == incarnation)
+                              on(process, Milliseconds(0), callback);
                       });
-        job();
+        callback();
     });
 }
 
-WorldOutcome World::play()
+SimulationOutcome Simulation::run()
 {
     for (int i = 0; i < m_settings.entries; ++i)
         restartEntry(i, Milliseconds(0));
     for (int i = 0; i < m_settings.agents; ++i)
         restartAgent(i, Milliseconds(0));
     at(m_now + Milliseconds(2000), [this] { submitJobs(); });
-    drawFaults();
-    while (!m_events.empty() && m_now < m_end + Tail) {
+    scheduleFaults();
+    while (!m_events.empty() && m_now < m_end + DrainTime) {
         const Event event = m_events.top();
         m_events.pop();
         m_now = std::max(m_now, event.when);
-        event.job();
-        check();
+        event.callback();
+        checkInvariants();
     }
     return m_outcome;
 }
 
 // [SECTION] Callers
 
-void World::submitJobs()
+void Simulation::submitJobs()
 {
     if (m_now >= m_end)
         return;
     std::uniform_int_distribution<int> tasks(1, 8);
-    std::uniform_int_distribution<int> span(40, m_settings.longestTask);
+    std::uniform_int_distribution<int> taskTime(40, m_settings.maxTaskTime);
     std::uniform_int_distribution<int> cores(1000, 2200);
     jobs::JobSpec spec;
-    spec.id = nameOf("job", static_cast<int>(++m_lastJob));
+    spec.id = makeName("job", static_cast<int>(++m_lastJob));
     spec.traits.durable = false;
     jobs::StepSpec step;
     step.tasks = static_cast<std::uint32_t>(tasks(m_random));
-    step.estimate = Milliseconds(span(m_random));
+    step.estimate = Milliseconds(taskTime(m_random));
     step.demand = { cores(m_random), 64, 0 };
     spec.steps = { step };
     m_specs[spec.id] = spec;
     ++m_outcome.submitted;
     submit(spec, m_now);
-    at(m_now + m_settings.betweenJobs, [this] { submitJobs(); });
+    at(m_now + m_settings.jobInterval, [this] { submitJobs(); });
 }
 
-void World::submit(const jobs::JobSpec &spec, Time firstSent)
+void Simulation::submit(const jobs::JobSpec &spec, Time firstSent)
 {
     std::uniform_int_distribution<int> any(0, m_settings.entries - 1);
     const int chosen = any(m_random);
@@ -128,33 +128,34 @@
         });
     m_calls[call] = { spec, chosen, m_now > firstSent };
     ++m_callers[spec.id];
-    on(entry, wayOfCall(call, chosen), [this, call, chosen, spec] { takeIn(chosen, call, spec); });
+    on(entry, callDelay(call, chosen),
+       [this, call, chosen, spec] { receiveCall(chosen, call, spec); });
 }
 
-// How long the call is on its way. One that is held up is given up by its caller before it comes,
-// and the end of its connection comes with it.
-Milliseconds World::wayOfCall(std::uint64_t call, int entry)
+// Network delay of the call. The caller of a delayed call times out before it arrives; the call and
+// the close of the connection then arrive together.
+Milliseconds Simulation::callDelay(std::uint64_t call, int entry)
 {
-    if (m_now >= m_callsHeldUntil)
+    if (m_now >= m_callsDelayedUntil)
         return LinkDelay;
-    at(m_now + HeldCallGivenUp, [this, call, entry] {
-        m_entries[static_cast<std::size_t>(entry)]->endsUnread.insert(call);
-        callerLost(call);
+    at(m_now + CallerTimeout, [this, call, entry] {
+        m_entries[static_cast<std::size_t>(entry)]->unreadCloses.insert(call);
+        closeAndResend(call);
     });
-    std::uniform_int_distribution<std::int64_t> way(HeldCallGivenUp.count() + 1,
-                                                    LongestHeldCall.count());
-    return Milliseconds(way(m_random));
+    std::uniform_int_distribution<std::int64_t> delay(CallerTimeout.count() + 1,
+                                                      MaxCallDelay.count());
+    return Milliseconds(delay(m_random));
 }
 
-void World::takeIn(int number, std::uint64_t call, const jobs::JobSpec &spec)
+void Simulation::receiveCall(int number, std::uint64_t call, const jobs::JobSpec &spec)
 {
     Entry &entry = *m_entries[static_cast<std::size_t>(number)];
-    const bool gone = entry.endsUnread.count(call) != 0;
-    if (gone && !m_settings.callersNotSeen)
+    const bool gone = entry.unreadCloses.count(call) != 0;
+    if (gone && !m_settings.callersNotProbed)
         return;
-    seeCallers(number);
+    probeCallers(number);
     scheduler::JobOptions options;
-    // By the job's number, so that it stays the same when it is sent again
+    // Derived from the job's number, so that a resent job keeps its priority
     options.priority = static_cast<std::uint32_t>(std::stoul(spec.id.substr(spec.id.find('-') + 1)))
             % m_settings.priorities;
     options.queue = "queue-" + std::to_string(options.priority);
@@ -167,11 +168,11 @@
     const auto actions = scheduler::submit(entry.state, spec, options, clockOf(entry), &job);
     entry.calls[job] = call;
     if (gone)
-        readEndLater(number, job, call);
-    carryOut(number, actions);
+        handleClosedLater(number, job, call);
+    execute(number, actions);
 }
 
-void World::callerLost(std::uint64_t call)
+void Simulation::closeAndResend(std::uint64_t call)
 {
     const auto found = m_calls.find(call);
     if (found == m_calls.end())
@@ -181,7 +182,7 @@
     at(m_now + ResendAfter, [this, spec, sent = m_now] { submit(spec, sent); });
 }
 
-void World::closeCall(std::uint64_t call)
+void Simulation::closeCall(std::uint64_t call)
 {
     const auto found = m_calls.find(call);
     if (found == m_calls.end())
@@ -192,7 +193,7 @@
     m_calls.erase(found);
 }
 
-void World::answered(int number, const scheduler::JobAnswer &answer)
+void Simulation::handleAnswer(int number, const scheduler::JobAnswer &answer)
 {
     Entry &entry = *m_entries[static_cast<std::size_t>(number)];
     const auto call = entry.calls.find(answer.number);
@@ -209,13 +210,13 @@
         break;
     case scheduler::JobOutcome::NotRun:
         ++m_outcome.notRun;
-        if (m_began.count(id) != 0 && !found->second.resent)
+        if (m_startedJobs.count(id) != 0 && !found->second.resent)
             ++m_outcome.falseNotRun;
         break;
     case scheduler::JobOutcome::TimedOut:
         ++m_outcome.timedOut;
         m_outcome.othersTimedOut += id.empty() || isCrashing(id) ? 0 : 1;
-        // After such an answer the job is sent again, as after none.
+        // A job that crashes endpoints is resent after this answer, as if it had not been answered.
         if (!id.empty() && isCrashing(id) && m_now < m_end)
             at(m_now + ResendAfter,
                [this, spec = m_specs.at(id), sent = m_now] { submit(spec, sent); });
@@ -227,77 +228,77 @@
 
 // [SECTION] Entries
 
-void World::restartEntry(int number, Milliseconds after)
+void Simulation::restartEntry(int number, Milliseconds after)
 {
     at(m_now + after, [this, number] {
         Entry &entry = *m_entries[static_cast<std::size_t>(number)];
         entry.up = true;
-        ++entry.endpointIncarnation;
-        entry.lastTurn = clockOf(entry);
+        ++entry.incarnation;
+        entry.lastTickAt = clockOf(entry);
         scheduler::SchedulerSettings settings = m_settings.scheduler;
         settings.seed = m_random();
         entry.state = scheduler::makeScheduler(settings);
         entry.state.entryCount = static_cast<std::uint32_t>(m_settings.entries);
         entry.calls.clear();
-        entry.endsUnread.clear();
-        entry.watch = {};
+        entry.unreadCloses.clear();
+        entry.probes = {};
         entry.knowsCordons = false;
-        tellEntry(number);
+        sendCordonsToEntry(number);
         for (Session &session : entry.sessions)
             session.open = false;
         tickEntry(number);
     });
 }
 
-void World::tickEntry(int number)
+void Simulation::tickEntry(int number)
 {
     Entry &entry = *m_entries[static_cast<std::size_t>(number)];
-    // As the daemon's shell does after a pause.
-    if (clockOf(entry) - entry.lastTurn >= Milliseconds(400)) {
-        carryOut(number, scheduler::closeAllJobs(entry.state, "stood still", clockOf(entry)));
+    // As the daemon does after a pause (checkPause() in entryrole.cpp)
+    if (clockOf(entry) - entry.lastTickAt >= Milliseconds(400)) {
+        execute(number, scheduler::closeAllJobs(entry.state, "entry was paused", clockOf(entry)));
         for (int agent = 0; agent < m_settings.agents; ++agent)
             disconnect(number, agent);
     }
-    entry.lastTurn = clockOf(entry);
+    entry.lastTickAt = clockOf(entry);
     for (int agent = 0; agent < m_settings.agents; ++agent)
         connect(number, agent);
-    seeCallers(number);
-    carryOut(number, scheduler::tick(entry.state, clockOf(entry)));
+    probeCallers(number);
+    execute(number, scheduler::tick(entry.state, clockOf(entry)));
     on(entry, TickInterval, [this, number] { tickEntry(number); });
 }
 
-bool World::pathOpen(int entry, int agent) const
+bool Simulation::isReachable(int entry, int agent) const
 {
     const Agent &to = *m_agents[static_cast<std::size_t>(agent)];
-    return m_entries[static_cast<std::size_t>(entry)]->up && to.up && m_now >= to.cutUntil;
+    return m_entries[static_cast<std::size_t>(entry)]->up && to.up && m_now >= to.partitionedUntil;
 }
 
-void World::connect(int number, int agentNumber)
+void Simulation::connect(int number, int agentNumber)
 {
     Entry &entry = *m_entries[static_cast<std::size_t>(number)];
     Agent &agent = *m_agents[static_cast<std::size_t>(agentNumber)];
     Session &session = entry.sessions[static_cast<std::size_t>(agentNumber)];
-    if (session.open || m_now < session.backAt || !pathOpen(number, agentNumber))
+    if (session.open || m_now < session.reopenAt || !isReachable(number, agentNumber))
         return;
     session.open = true;
     session.number = ++m_lastSession;
-    carryOut(number,
-             scheduler::agentConnected(entry.state, nameOf("agent", agentNumber), clockOf(entry)));
+    execute(number,
+            scheduler::agentConnected(entry.state, makeName("agent", agentNumber), clockOf(entry)));
     std::optional<catalog::Cordons> known;
     if (entry.knowsCordons)
         known = entry.state.cordons;
     on(agent, LinkDelay, [this, agentNumber, number, known, id = session.number] {
         Agent &opened = *m_agents[static_cast<std::size_t>(agentNumber)];
         if (known)
-            carryOut(agentNumber,
-                     runner::handleCordons(opened.state, *known, runner::CordonSource::Entry,
-                                           clockOf(opened)));
-        carryOut(agentNumber,
-                 runner::openSession(opened.state, id, nameOf("entry", number), clockOf(opened)));
+            execute(agentNumber,
+                    runner::handleCordons(opened.state, *known, runner::CordonSource::Entry,
+                                          clockOf(opened)));
+        execute(agentNumber,
+                runner::openSession(opened.state, id, makeName("entry", number), clockOf(opened)));
     });
 }
 
-void World::disconnect(int number, int agentNumber)
+void Simulation::disconnect(int number, int agentNumber)
 {
     Entry &entry = *m_entries[static_cast<std::size_t>(number)];
     Session &session = entry.sessions[static_cast<std::size_t>(agentNumber)];
@@ -306,47 +307,48 @@
     session.open = false;
     if (entry.up)
         on(entry, Milliseconds(0), [this, number, agentNumber] {
-            Entry &told = *m_entries[static_cast<std::size_t>(number)];
-            scheduler::recordSessionLost(told.watch, clockOf(told));
-            carryOut(number,
-                     scheduler::agentLost(told.state, nameOf("agent", agentNumber), clockOf(told)));
+            Entry &target = *m_entries[static_cast<std::size_t>(number)];
+            scheduler::recordSessionLost(target.probes, clockOf(target));
+            execute(number,
+                    scheduler::agentLost(target.state, makeName("agent", agentNumber),
+                                         clockOf(target)));
         });
-    // Behind a cut the agent learns nothing of it.
-    if (pathOpen(number, agentNumber))
+    // A partitioned agent does not notice it.
+    if (isReachable(number, agentNumber))
         on(*m_agents[static_cast<std::size_t>(agentNumber)], LinkDelay,
            [this, agentNumber, id = session.number] {
-               Agent &told = *m_agents[static_cast<std::size_t>(agentNumber)];
-               carryOut(agentNumber, runner::closeSession(told.state, id, clockOf(told)));
+               Agent &target = *m_agents[static_cast<std::size_t>(agentNumber)];
+               execute(agentNumber, runner::closeSession(target.state, id, clockOf(target)));
            });
 }
 
-// Every few turns for a while; the next turn of the entry connects again.
-void World::releaseSessions(int number, int turns)
+// Repeats every three ticks; the next tick of the entry reconnects.
+void Simulation::releaseSessions(int number, int rounds)
 {
     Entry &entry = *m_entries[static_cast<std::size_t>(number)];
-    if (turns == 0)
+    if (rounds == 0)
         return;
     for (int agent = 0; agent < m_settings.agents; ++agent) {
         Session &session = entry.sessions[static_cast<std::size_t>(agent)];
-        if (!session.open || !scheduler::releaseAgent(entry.state, nameOf("agent", agent)))
+        if (!session.open || !scheduler::releaseAgent(entry.state, makeName("agent", agent)))
             continue;
         session.open = false;
-        if (pathOpen(number, agent))
+        if (isReachable(number, agent))
             on(*m_agents[static_cast<std::size_t>(agent)], LinkDelay,
                [this, agent, id = session.number] {
-                   Agent &told = *m_agents[static_cast<std::size_t>(agent)];
-                   carryOut(agent, runner::closeSession(told.state, id, clockOf(told)));
+                   Agent &target = *m_agents[static_cast<std::size_t>(agent)];
+                   execute(agent, runner::closeSession(target.state, id, clockOf(target)));
                });
     }
-    on(entry, TickInterval * 3, [this, number, turns] { releaseSessions(number, turns - 1); });
+    on(entry, TickInterval * 3, [this, number, rounds] { releaseSessions(number, rounds - 1); });
 }
 
-void World::sendToAgent(int number, const scheduler::AgentSend &send)
+void Simulation::sendToAgent(int number, const scheduler::AgentSend &send)
 {
     const int agentNumber = std::stoi(send.agent.substr(send.agent.find('-') + 1));
     const Session session = m_entries[static_cast<std::size_t>(number)]
                                     ->sessions[static_cast<std::size_t>(agentNumber)];
-    if (!session.open || !pathOpen(number, agentNumber))
+    if (!session.open || !isReachable(number, agentNumber))
         return;
     on(*m_agents[static_cast<std::size_t>(agentNumber)], LinkDelay,
        [this, agentNumber, id = session.number, message = send.message] {
@@ -354,177 +356,179 @@
            runner::RunnerState &state = taker.state;
            const Time now = clockOf(taker);
            if (const auto *start = std::get_if<jobs::StartTasks>(&message))
-               carryOut(agentNumber, runner::startTasks(state, id, *start, now));
+               execute(agentNumber, runner::startTasks(state, id, *start, now));
            else if (const auto *stop = std::get_if<jobs::StopRuns>(&message))
-               carryOut(agentNumber, runner::stopRuns(state, id, *stop, now));
+               execute(agentNumber, runner::stopRuns(state, id, *stop, now));
            else
-               carryOut(agentNumber,
-                        runner::handleSessionHeartbeat(state, id,
-                                                       std::get<jobs::SessionHeartbeat>(message),
-                                                       now));
+               execute(agentNumber,
+                       runner::handleSessionHeartbeat(state, id,
+                                                      std::get<jobs::SessionHeartbeat>(message),
+                                                      now));
        });
 }
 
-void World::carryOut(int number, const scheduler::SchedulerActions &actions)
+void Simulation::execute(int number, const scheduler::SchedulerActions &actions)
 {
     for (const scheduler::AgentSend &send : actions.sends)
         sendToAgent(number, send);
     for (const scheduler::JobAnswer &answer : actions.answers)
-        answered(number, answer);
+        handleAnswer(number, answer);
     for (const std::string &name : actions.closes)
         disconnect(number, std::stoi(name.substr(name.find('-') + 1)));
 }
 
 // [SECTION] Agents
 
-void World::restartAgent(int number, Milliseconds after)
+void Simulation::restartAgent(int number, Milliseconds after)
 {
     at(m_now + after, [this, number] {
         Agent &agent = *m_agents[static_cast<std::size_t>(number)];
         agent.up = true;
-        ++agent.endpointIncarnation;
-        // Without a disk a new life can only guess a higher fence; the endpoint corrects it.
-        m_lastFence += m_settings.fenceRises ? 1000 : 0;
-        agent.state = runner::makeRunner(m_settings.runner, agent.endpointIncarnation, m_lastFence);
-        agent.toldLeavingAt.reset();
-        tellAgent(number);
-        heartbeat(number);
+        ++agent.incarnation;
+        // Agents store no fence; a new incarnation starts with a higher one, which the endpoint may
+        // correct.
+        m_lastFence += m_settings.fenceIncreases ? 1000 : 0;
+        agent.state = runner::makeRunner(m_settings.runner, agent.incarnation, m_lastFence);
+        agent.leavingAcknowledgedAt.reset();
+        sendCordonsToAgent(number);
+        startHeartbeats(number);
         tickAgent(number);
     });
 }
 
-void World::tickAgent(int number)
+void Simulation::tickAgent(int number)
 {
     Agent &agent = *m_agents[static_cast<std::size_t>(number)];
-    carryOut(number, runner::tick(agent.state, clockOf(agent)));
+    execute(number, runner::tick(agent.state, clockOf(agent)));
     on(agent, TickInterval, [this, number] { tickAgent(number); });
 }
 
-void World::heartbeat(int number)
+void Simulation::startHeartbeats(int number)
 {
-    report(number);
-    on(*m_agents[static_cast<std::size_t>(number)], BeatInterval,
-       [this, number] { heartbeat(number); });
+    sendHeartbeat(number);
+    on(*m_agents[static_cast<std::size_t>(number)], HeartbeatInterval,
+       [this, number] { startHeartbeats(number); });
 }
 
-// One heartbeat, which the agent acknowledges.
-void World::report(int number)
+// One heartbeat of the endpoint, acknowledged by the agent
+void Simulation::sendHeartbeat(int number)
 {
     Agent &agent = *m_agents[static_cast<std::size_t>(number)];
     FakeEndpoint &endpoint = *agent.endpoint;
-    if (agent.dark)
+    if (agent.unreachable)
         return;
     runner::EndpointReport report;
     report.endpointIncarnation.id = endpoint.endpointIncarnation;
-    if (endpoint.tellsBorn)
+    if (endpoint.reportsStartTime)
         report.endpointIncarnation.startedAt = endpoint.startedAt;
     report.service = "service";
     report.dataCentre = m_settings.agentsIgnoreCordons ? "" : dataCentreOf(number);
     report.capacity = Capacity;
-    report.sequence = ++endpoint.beats;
+    report.sequence = ++endpoint.heartbeats;
     report.clock = endpoint.clock(m_now);
     report.leaving = endpoint.leaving;
-    carryOut(number, runner::handleHeartbeat(agent.state, report, clockOf(agent)));
-    if (endpoint.leaving && !agent.toldLeavingAt)
-        agent.toldLeavingAt = m_now;
+    execute(number, runner::handleHeartbeat(agent.state, report, clockOf(agent)));
+    if (endpoint.leaving && !agent.leavingAcknowledgedAt)
+        agent.leavingAcknowledgedAt = m_now;
 }
 
-// An order goes out, may be done late and unanswered, and is result once.
-template<class Order, class Do, class Answered>
-void World::order(int number, const Order &order, Milliseconds wait, Do run, Answered back)
+// Sends a command to the endpoint. It may be executed late and unanswered; handle is called once.
+template<class Command, class Do, class Handler>
+void Simulation::sendCommand(int number, const Command &command, Milliseconds wait, Do run,
+                             Handler handle)
 {
     Agent &agent = *m_agents[static_cast<std::size_t>(number)];
     std::uniform_int_distribution<int> percent(0, 99);
     std::uniform_int_distribution<int> lateBy(2000, 12000);
     const bool late = m_now < agent.lateUntil && percent(m_random) < 40;
-    const bool lost = late || agent.dark;
-    const Time doneAt = m_now + (late ? Milliseconds(lateBy(m_random)) : OrderDelay + wait);
-    if (!agent.dark)
-        at(doneAt, [this, number, order, run, back, lost] {
+    const bool lost = late || agent.unreachable;
+    const Time doneAt = m_now + (late ? Milliseconds(lateBy(m_random)) : CommandDelay + wait);
+    if (!agent.unreachable)
+        at(doneAt, [this, number, command, run, handle, lost] {
             Agent &here = *m_agents[static_cast<std::size_t>(number)];
-            if (here.dark && !lost)
-                on(here, OrderTimeout, [back] { back({}); });
-            if (here.dark)
+            if (here.unreachable && !lost)
+                on(here, CommandTimeout, [handle] { handle({}); });
+            if (here.unreachable)
                 return;
-            const auto result = run(*here.endpoint, order);
+            const auto result = run(*here.endpoint, command);
             if (!lost)
-                on(here, OrderDelay, [back, result] { back(result); });
+                on(here, CommandDelay, [handle, result] { handle(result); });
         });
     if (lost)
-        on(agent, wait + OrderTimeout, [back] { back({}); });
+        on(agent, wait + CommandTimeout, [handle] { handle({}); });
 }
 
-void World::carryOut(int number, const runner::RunnerActions &actions)
+void Simulation::execute(int number, const runner::RunnerActions &actions)
 {
     for (const runner::StopCommand &stop : actions.stops)
-        order(
+        sendCommand(
                 number, stop, Milliseconds(0),
-                [this](FakeEndpoint &endpoint, const runner::StopCommand &wanted) {
-                    return endpoint.stop(wanted, m_now);
+                [this](FakeEndpoint &endpoint, const runner::StopCommand &command) {
+                    return endpoint.stop(command, m_now);
                 },
                 [this, number, id = stop.id](const runner::CommandResult &result) {
                     Agent &agent = *m_agents[static_cast<std::size_t>(number)];
-                    carryOut(number,
-                             runner::handleStopResult(agent.state, id, result, clockOf(agent)));
+                    execute(number,
+                            runner::handleStopResult(agent.state, id, result, clockOf(agent)));
                 });
     for (const runner::StartCommand &start : actions.starts)
-        order(
+        sendCommand(
                 number, start, Milliseconds(0),
-                [this, number](FakeEndpoint &endpoint, const runner::StartCommand &wanted) {
-                    const Milliseconds work = m_specs.at(wanted.id.task.job).steps[0].estimate;
-                    const bool wasThere = endpoint.runs().count(wanted.id) != 0;
-                    const auto result = endpoint.start(wanted, m_now, work);
+                [this, number](FakeEndpoint &endpoint, const runner::StartCommand &command) {
+                    const Milliseconds work = m_specs.at(command.id.task.job).steps[0].estimate;
+                    const bool wasThere = endpoint.runs().count(command.id) != 0;
+                    const auto result = endpoint.start(command, m_now, work);
                     if (result.status == runner::CommandStatus::Ok && !wasThere)
-                        noteCrashing(number, wanted.id);
+                        recordCrashingStart(number, command.id);
                     if (result.status == runner::CommandStatus::Ok)
-                        m_began.insert(wanted.id.task.job);
+                        m_startedJobs.insert(command.id.task.job);
                     if (result.status == runner::CommandStatus::Ok)
-                        noteStart(number);
+                        recordStart(number);
                     return result;
                 },
                 [this, number, id = start.id](const runner::CommandResult &result) {
                     Agent &agent = *m_agents[static_cast<std::size_t>(number)];
-                    carryOut(number,
-                             runner::handleStartResult(agent.state, id, result, clockOf(agent)));
+                    execute(number,
+                            runner::handleStartResult(agent.state, id, result, clockOf(agent)));
                 });
     if (actions.poll) {
         const runner::PollCommand &poll = *actions.poll;
-        order(
+        sendCommand(
                 number, poll, std::min(poll.wait, Milliseconds(30)),
-                [this](FakeEndpoint &endpoint, const runner::PollCommand &wanted) {
-                    return endpoint.poll(wanted, m_now);
+                [this](FakeEndpoint &endpoint, const runner::PollCommand &command) {
+                    return endpoint.poll(command, m_now);
                 },
                 [this, number, id = poll.number](const runner::PollResult &seen) {
                     Agent &agent = *m_agents[static_cast<std::size_t>(number)];
-                    carryOut(number,
-                             runner::handlePollResult(agent.state, id, seen, clockOf(agent)));
+                    execute(number,
+                            runner::handlePollResult(agent.state, id, seen, clockOf(agent)));
                 });
     }
     const auto deliver = [&](std::uint64_t session, auto message, auto handle) {
         for (int i = 0; i < m_settings.entries; ++i) {
             Entry &entry = *m_entries[static_cast<std::size_t>(i)];
             const Session &known = entry.sessions[static_cast<std::size_t>(number)];
-            if (!known.open || known.number != session || !pathOpen(i, number))
+            if (!known.open || known.number != session || !isReachable(i, number))
                 continue;
             on(entry, LinkDelay, [this, i, number, session, message, handle] {
                 Entry &to = *m_entries[static_cast<std::size_t>(i)];
                 const Session &now = to.sessions[static_cast<std::size_t>(number)];
                 if (!now.open || now.number != session)
                     return;
-                seeCallers(i);
-                carryOut(i, handle(to.state, nameOf("agent", number), message, clockOf(to)));
+                probeCallers(i);
+                execute(i, handle(to.state, makeName("agent", number), message, clockOf(to)));
             });
         }
     };
-    const auto told = [this](auto message) {
-        if (m_settings.crashesNotTold)
+    const auto asReported = [this](auto message) {
+        if (m_settings.crashesNotReported)
             message.crashed.clear();
         return message;
     };
     for (const auto &[session, message] : actions.acceptances)
-        deliver(session, told(message), scheduler::agentAccepted);
+        deliver(session, asReported(message), scheduler::agentAccepted);
     for (const auto &[session, message] : actions.updates)
-        deliver(session, told(message), scheduler::agentUpdated);
+        deliver(session, asReported(message), scheduler::agentUpdated);
     for (const std::uint64_t session : actions.closes) {
         for (int i = 0; i < m_settings.entries; ++i) {
             const Session &known = m_entries[static_cast<std::size_t>(i)]
--- a/tests/fleet/simulation.h
+++ b/tests/fleet/simulation.h
@@ -1,13 +1,13 @@
 /*
-    A small fleet in virtual time: entries, agents and pretended endpoints, with callers that send a
-    job again after they have lost their entry, and faults drawn from a seed.
+    Simulation of a small fleet in virtual time: entries, agents and fake endpoints, callers that
+    resend a job after losing their entry, and faults drawn from a seed.
 
-    Everything that decides is the code that the daemon runs. After each step the promises are
-    checked from what the endpoints run: room is never exceeded, no task has two runs at once, and
-    none goes on once nobody waits for its job.
+    The scheduler and the runner are those of the daemon. After each step invariants are checked on
+    the runs at the endpoints: capacity is never exceeded, no task has two runs at once, and no run
+    goes on long after the last caller stopped waiting for its job.
 
     [SECTION] Settings
-    [SECTION] World
+    [SECTION] Simulation
 */
 #pragma once
 
@@ -26,95 +26,96 @@
 
 enum class Fault {
     EntryKill,
-    EntryFreeze,
+    EntrySuspend,
     AgentKill,
-    AgentFreeze,
-    Cut,
-    LateOrders,
+    AgentSuspend,
+    Partition,
+    LateCommands,
     EndpointCrash,
-    EndpointDark,
-    EndpointHang,
+    EndpointUnreachable,
+    EndpointStall,
     EndpointSlow,
     EndpointFails,
-    CallerLeaves,
+    CallerReconnects,
 
-    // A caller goes and does not come back.
+    // A caller disconnects and doesn't resend its job.
     CallerCancels,
 
     // A data centre is cordoned for a while.
     Cordon,
 
-    // Control tells nobody anything, and agrees on nothing.
-    ControlAway,
+    // Control commits nothing and sends no updates.
+    ControlUnavailable,
 
-    // An endpoint crashes and begins again under its name, with all counts and its clock anew.
-    EndpointAgain,
+    // An endpoint restarts under the same name, with its counters and clock reset.
+    EndpointRestart,
 
-    // It says that it leaves, serves on for a while, and begins again.
+    // It reports that it leaves, continues to work for a while, and restarts.
     EndpointLeaves,
 
-    // An entry gives up its idle sessions, again and again, as one does whose subset changes.
+    // An entry repeatedly releases its idle sessions, as after changes of its subset.
     SessionsReleased,
 
-    // Callers lose their entries without a sign to these; as they are about to send their jobs
-    // again, all connections are reset. Entries read late or never which callers are gone, and
-    // their sessions come back one by one.
-    AllReset,
+    // Callers lose their entries unnoticed; just before they resend their jobs, all connections are
+    // reset. Entries read late or never which callers have disconnected, and their sessions are
+    // reopened one by one.
+    ConnectionsReset,
 
-    // Calls come to their entries only after their callers have given them up.
-    CallsHeldUp,
+    // Calls reach their entries only after their callers have timed out.
+    CallsDelayed,
 };
 
-// Drawn together as "all": those after which every job is sent again until it is answered
-constexpr int Faults = 12;
+// The first of the enumeration, drawn together by allFaults(): after these every job is resent
+// until it is answered.
+constexpr int CommonFaults = 12;
 
-struct WorldSettings
+struct SimulationSettings
 {
     std::uint64_t seed = 1;
     int entries = 2;
     int agents = 4;
-    Milliseconds length { 12000 };
-    Milliseconds betweenJobs { 25 };
+    Milliseconds duration { 12000 };
+    Milliseconds jobInterval { 25 };
 
     // In milliseconds
-    int longestTask = 600;
+    int maxTaskTime = 600;
 
-    // Queues of different priorities; with more than one, starts of the most urgent wait at agents.
+    // Number of priorities; with more than one, starts of the most urgent are queued at agents.
     std::uint32_t priorities = 1;
 
-    // Every so manieth job crashes each endpoint that runs it; 0: none does.
+    // Each job with a number divisible by this crashes the endpoints that run it; 0: none.
     std::uint64_t crashingEvery = 0;
 
-    // None in a calm world
+    // Empty: no faults
     std::vector<Fault> faults;
-    int mostFaults = 6;
+    int maxFaults = 6;
 
-    // Guards that a test takes away to see them missed
+    // Guards: tests change or disable these to check that invariants are violated without them.
     runner::RunnerSettings runner;
     scheduler::SchedulerSettings scheduler;
-    bool fenceRises = true;
+    bool fenceIncreases = true;
 
-    // Agents do not look at cordons.
+    // Agents ignore cordons.
     bool agentsIgnoreCordons = false;
 
-    // Endpoints do not tell when their lives began, though ids come again.
-    bool livesHaveNoDate = false;
+    // Endpoints don't report when their incarnation started, though names are reused.
+    bool startTimesNotReported = false;
 
-    // Processes tell time by a clock that stops while their host is suspended.
-    bool clocksStopAsleep = false;
+    // The clocks of processes stop while their host is suspended.
+    bool clocksStopWhenSuspended = false;
 
-    // Agents do not tell under which tasks their endpoints crashed.
-    bool crashesNotTold = false;
+    // Agents don't report which tasks were running when their endpoints crashed.
+    bool crashesNotReported = false;
 
-    // Entries take in calls, and place work after a loss of sessions, without a look whether the
-    // caller is there.
-    bool callersNotSeen = false;
+    // Entries don't probe callers when a call arrives, or before placing tasks after a loss of
+    // sessions.
+    bool callersNotProbed = false;
 
-    // Endpoints carry out what has a lower fence than what they have seen.
+    // Endpoints execute commands with lower fences than they have seen.
     bool fencesIgnored = false;
 };
 
-struct WorldOutcome
+struct SimulationOutcome
 {
     std::uint64_t submitted = 0;
     std::uint64_t completed = 0;
@@ -122,40 +123,40 @@
     std::uint64_t notRun = 0;
     std::uint64_t timedOut = 0;
 
-    // Calls answered as not run though a task of theirs had begun
+    // Jobs answered as not run though a task had started
     std::uint64_t falseNotRun = 0;
-    std::uint64_t roomExceeded = 0;
+    std::uint64_t capacityExceeded = 0;
     std::uint64_t runsOverlapped = 0;
 
-    // Runs that went on long after nobody waited for their job
+    // Runs that went on long after the last caller stopped waiting for their job
     std::uint64_t runsUnwanted = 0;
 
-    // Starts in a data centre that had been cordoned for longer than the news of it takes
+    // Starts in a data centre that had been cordoned for longer than updates take
     std::uint64_t startsCordoned = 0;
 
     // Starts at an endpoint long after its agent had acknowledged that it leaves
     std::uint64_t startsLeaving = 0;
 
-    // Runs for which an agent held room long after they were over
+    // Runs for which an agent held capacity long after they ended
     std::uint64_t runsHeld = 0;
 
-    // Starts of a task under which three endpoints had crashed, beyond two
+    // Starts of a task that had crashed CrashLimit endpoints, beyond StartsAfterLimit
     std::uint64_t startsCrashing = 0;
 
-    // Begun jobs given up that crash nothing themselves
+    // Jobs that timed out though they don't crash endpoints themselves
     std::uint64_t othersTimedOut = 0;
     std::string firstViolation;
 };
 
-// [SECTION] World
+// [SECTION] Simulation
 
-class World
+class Simulation
 {
 public:
-    explicit World(const WorldSettings &settings);
-    ~World();
+    explicit Simulation(const SimulationSettings &settings);
+    ~Simulation();
 
-    WorldOutcome play();
+    SimulationOutcome run();
 
 private:
     struct Process;
@@ -164,72 +165,72 @@
     struct Call;
     struct Session;
 
-    void at(Time when, std::function<void()> job);
-    void on(Process &process, Milliseconds delay, std::function<void()> job);
+    void at(Time when, std::function<void()> callback);
+    void on(Process &process, Milliseconds delay, std::function<void()> callback);
     Time clockOf(const Process &process) const;
-    void suspend(Process &process, Milliseconds span);
+    void suspend(Process &process, Milliseconds duration);
 
     void submitJobs();
     void submit(const jobs::JobSpec &spec, Time firstSent);
-    Milliseconds wayOfCall(std::uint64_t call, int entry);
-    void takeIn(int entry, std::uint64_t call, const jobs::JobSpec &spec);
-    void callerLost(std::uint64_t call);
+    Milliseconds callDelay(std::uint64_t call, int entry);
+    void receiveCall(int entry, std::uint64_t call, const jobs::JobSpec &spec);
+    void closeAndResend(std::uint64_t call);
     void closeCall(std::uint64_t call);
-    void callerGoes(int entry, bool comesBack);
-    void callersLostInSilence();
+    void disconnectCaller(int entry, bool resends);
+    void loseCallersSilently();
     void resetAll();
     void resetCallers(int entry);
     void resetSessions(int entry);
-    void readEndLater(int entry, std::uint64_t job, std::uint64_t call);
-    void readEnd(int entry, std::uint64_t job, std::uint64_t call);
-    void seeCallers(int entry);
+    void handleClosedLater(int entry, std::uint64_t job, std::uint64_t call);
+    void handleClosed(int entry, std::uint64_t job, std::uint64_t call);
+    void probeCallers(int entry);
     void tickEntry(int entry);
     void tickAgent(int agent);
     void connect(int entry, int agent);
     void disconnect(int entry, int agent);
-    void releaseSessions(int entry, int turns);
-    bool pathOpen(int entry, int agent) const;
-    void carryOut(int entry, const scheduler::SchedulerActions &actions);
-    void carryOut(int agent, const runner::RunnerActions &actions);
+    void releaseSessions(int entry, int rounds);
+    bool isReachable(int entry, int agent) const;
+    void execute(int entry, const scheduler::SchedulerActions &actions);
+    void execute(int agent, const runner::RunnerActions &actions);
     void sendToAgent(int entry, const scheduler::AgentSend &send);
-    void answered(int entry, const scheduler::JobAnswer &answer);
-    template<class Order, class Do, class Answered>
-    void order(int agent, const Order &order, Milliseconds wait, Do run, Answered back);
-    void heartbeat(int agent);
-    void report(int agent);
+    void handleAnswer(int entry, const scheduler::JobAnswer &answer);
+    template<class Command, class Do, class Handler>
+    void sendCommand(int agent, const Command &command, Milliseconds wait, Do run, Handler handle);
+    void startHeartbeats(int agent);
+    void sendHeartbeat(int agent);
 
-    // Control, which knows the cordons
+    // Control and cordons
     std::string dataCentreOf(int agent) const;
     void changeCordon(const std::string &dataCentre, bool cordoned);
-    void tellAgent(int agent);
-    void tellEntry(int entry);
-    void noteStart(int agent);
+    void sendCordonsToAgent(int agent);
+    void sendCordonsToEntry(int entry);
+    void recordStart(int agent);
     bool isCrashing(const std::string &job) const;
-    void noteCrashing(int agent, const jobs::RunId &id);
-    void crashUnder(int agent, const jobs::RunId &id);
+    void recordCrashingStart(int agent, const jobs::RunId &id);
+    void crashEndpoint(int agent, const jobs::RunId &id);
 
-    void drawFaults();
-    void strike(Fault fault);
+    void scheduleFaults();
+    void injectFault(Fault fault);
     void restartEntry(int entry, Milliseconds after);
     void restartAgent(int agent, Milliseconds after);
-    void endpointBeginsAgain(int agent);
-    void check();
+    void restartEndpoint(int agent);
+    void checkInvariants();
     void checkHeldRuns(Agent &agent);
-    void violate(std::uint64_t &counter, const std::string &what);
+    void recordViolation(std::uint64_t &counter, const std::string &what);
 
-    WorldSettings m_settings;
+    SimulationSettings m_settings;
     std::mt19937_64 m_random;
     Time m_now { Seconds(1000) };
     Time m_end {};
-    std::uint64_t m_order = 0;
+    std::uint64_t m_lastSequence = 0;
     struct Event
     {
         Time when {};
-        std::uint64_t order = 0;
-        std::function<void()> job;
+        std::uint64_t sequence = 0;
+        std::function<void()> callback;
         bool operator<(const Event &other) const
         {
-            return std::tie(other.when, other.order) < std::tie(when, order);
+            return std::tie(other.when, other.sequence) < std::tie(when, sequence);
         }
     };
     std::priority_queue<Event> m_events;
@@ -239,27 +240,28 @@
     std::uint64_t m_lastCall = 0;
     std::uint64_t m_lastSession = 0;
     std::uint64_t m_lastJob = 0;
-    std::uint64_t m_lastLife = 0;
+    std::uint64_t m_lastIncarnation = 0;
     std::uint64_t m_lastFence = 1000;
 
-    // Tasks' rooms and work, by job
+    // Tasks' demands and work, by job
     std::map<std::string, jobs::JobSpec> m_specs;
-    std::set<std::string> m_began;
+    std::set<std::string> m_startedJobs;
 
-    // Crashes of endpoints under a task that crashes them, and its starts after the third
+    // By task: endpoints that it crashed, and its starts after CrashLimit crashes
     std::map<jobs::TaskId, int> m_crashes;
-    std::map<jobs::TaskId, int> m_startsBeyond;
+    std::map<jobs::TaskId, int> m_startsAfterLimit;
 
-    // By job: callers that wait for it, and when the last one ceased to
+    // By job: callers that wait for it, and when the last one stopped waiting
     std::map<std::string, int> m_callers;
     std::map<std::string, Time> m_unwantedSince;
 
-    // Control: what is agreed, since when each data centre is cordoned, and until when it is away
+    // Control: committed cordons, since when each data centre is cordoned, and until when control
+    // is unavailable
     catalog::Cordons m_cordons;
     std::map<std::string, Time> m_cordonedSince;
-    Time m_controlAwayUntil {};
-    Time m_callsHeldUntil {};
-    WorldOutcome m_outcome;
+    Time m_controlUnavailableUntil {};
+    Time m_callsDelayedUntil {};
+    SimulationOutcome m_outcome;
 };
 
 } // namespace foxwing::test
--- a/tests/fleet/simulationparts.h
+++ b/tests/fleet/simulationparts.h
@@ -1,7 +1,7 @@
 /*
-    Inside the fleet in virtual time: what its files share.
+    Internals that the source files of the simulation share.
 
-    [SECTION] Spans
+    [SECTION] Durations
     [SECTION] Processes
 */
 #pragma once
@@ -10,116 +10,119 @@
 
 namespace foxwing::test {
 
-// [SECTION] Spans
+// [SECTION] Durations
 
 constexpr Milliseconds LinkDelay { 1 };
-constexpr Milliseconds OrderDelay { 1 };
-constexpr Milliseconds OrderTimeout { 60 };
+constexpr Milliseconds CommandDelay { 1 };
+constexpr Milliseconds CommandTimeout { 60 };
 constexpr Milliseconds TickInterval { 20 };
-constexpr Milliseconds BeatInterval { 1500 };
+constexpr Milliseconds HeartbeatInterval { 1500 };
 constexpr Milliseconds ResendAfter { 1300 };
 
-// Within it a run ends whose job nobody waits for: the entry is silent for 450 ms, then the lease
-// ends after 400 ms and 2 percent, and a stop takes 50 ms; less than after which a caller that lost
-// its entry sends the job again.
-constexpr Milliseconds UnwantedRunBound { 1300 };
+// A run ends within this time after the last caller stopped waiting for its job: the session times
+// out after 450 ms, the lease ends after 400 ms and 2 percent, and a stop takes 50 ms. Must not
+// exceed ResendAfter.
+constexpr Milliseconds MaxUnwantedRun { 1300 };
 
-// All connections are reset so long before the callers that lost their entries send again: agents
-// have stopped the runs of the sessions that were reset by then.
+// Connections are reset this long before callers resend their jobs. By then agents have stopped the
+// runs of the sessions that were reset.
 constexpr Milliseconds ResetBeforeResend { 100 };
 
-// A session comes back, and an entry reads that a caller is gone, within these after the reset.
-constexpr Milliseconds LastSessionBack { 300 };
-constexpr Milliseconds LastEndRead { 1000 };
+// After a reset a session is reopened, and an entry reads that a caller has disconnected, within
+// these delays.
+constexpr Milliseconds MaxReconnectDelay { 300 };
+constexpr Milliseconds MaxCloseReadDelay { 1000 };
 
-// A call that is held up comes between these after it was sent, and was given up before.
-constexpr Milliseconds HeldCallGivenUp { 300 };
-constexpr Milliseconds LongestHeldCall { 3000 };
+// The caller of a delayed call times out after the first; the call arrives between the two.
+constexpr Milliseconds CallerTimeout { 300 };
+constexpr Milliseconds MaxCallDelay { 3000 };
 
-// From a change of the cordons until all who are in touch with control know it: the longest way of
-// the news, and a lease of the endpoint for starts that were ordered before.
-constexpr Milliseconds LongestNews { 50 };
-constexpr Milliseconds CordonBound { 500 };
+// From a change of the cordons until no more tasks start there: the longest delay of the update,
+// and a lease of the endpoint, for start commands sent before.
+constexpr Milliseconds MaxUpdateDelay { 50 };
+constexpr Milliseconds MaxCordonDelay { 500 };
 constexpr int DataCentres = 2;
 
-// A start that was ordered before its endpoint said that it leaves begins within this.
-constexpr Milliseconds LeavingBound { 500 };
+// A start command sent before its endpoint reported that it leaves is executed within this.
+constexpr Milliseconds MaxLeavingDelay { 500 };
 
-// Within it an agent in reach of its endpoint learns that a run is over: looks come every 60 ms.
-constexpr Milliseconds LearnsOfEndBound { 2000 };
+// An agent learns that a run has ended within this time if the endpoint is reachable; polls follow
+// each other every 60 ms.
+constexpr Milliseconds MaxEndReportDelay { 2000 };
 inline const jobs::ResourceVector Capacity { 16000, 65536, 0 };
 
-// Starts of a task that crashes endpoints may be under way when the third has crashed.
-constexpr int CrashesEnough = 3;
-constexpr int StartsBeyond = 2;
+// Once a task has crashed CrashLimit endpoints, StartsAfterLimit of its starts may still be in
+// flight.
+constexpr int CrashLimit = 3;
+constexpr int StartsAfterLimit = 2;
 
-// Work after the last job came, so that every answer is out.
-constexpr Milliseconds Tail { 20000 };
+// Simulated time after the last job was submitted, so that all jobs are answered.
+constexpr Milliseconds DrainTime { 20000 };
 
-inline std::string nameOf(const char *kind, int number)
+inline std::string makeName(const char *kind, int number)
 {
     return std::string(kind) + "-" + std::to_string(number);
 }
 
 // [SECTION] Processes
 
-// Something that can be killed or stand still; what is for a killed life of it is dropped, what
-// comes while it stands still is done when it goes on.
-struct World::Process
+// A process that can be killed or suspended. Events for a killed incarnation are dropped; events
+// during a suspension are handled when it resumes.
+struct Simulation::Process
 {
     bool up = false;
-    std::uint64_t endpointIncarnation = 0;
-    Time frozenUntil {};
+    std::uint64_t incarnation = 0;
+    Time suspendedUntil {};
 
-    // Suspended time that its clock has left out
-    Microseconds slept { 0 };
+    // Time that its clock did not count while suspended
+    Microseconds suspendedTime { 0 };
 };
 
-struct World::Session
+struct Simulation::Session
 {
     std::uint64_t number = 0;
     bool open = false;
 
-    // After a reset, when it can be opened again
-    Time backAt {};
+    // After a reset, when it can be reopened
+    Time reopenAt {};
 };
 
-struct World::Entry : World::Process
+struct Simulation::Entry : Simulation::Process
 {
     scheduler::SchedulerState state;
-    Time lastTurn {};
+    Time lastTickAt {};
     bool knowsCordons = false;
 
     // To each agent
     std::vector<Session> sessions;
     std::map<std::uint64_t, std::uint64_t> calls;
 
-    // Calls whose callers are gone, which the entry has not read yet
-    std::set<std::uint64_t> endsUnread;
-    scheduler::CallerProbeState watch;
+    // Calls whose callers have disconnected, which the entry has not read yet
+    std::set<std::uint64_t> unreadCloses;
+    scheduler::CallerProbeState probes;
 };
 
-struct World::Agent : World::Process
+struct Simulation::Agent : Simulation::Process
 {
     runner::RunnerState state;
     std::unique_ptr<FakeEndpoint> endpoint;
-    bool dark = false;
+    bool unreachable = false;
     Time lateUntil {};
-    Time cutUntil {};
+    Time partitionedUntil {};
 
     // When it acknowledged that its endpoint leaves
-    std::optional<Time> toldLeavingAt;
+    std::optional<Time> leavingAcknowledgedAt;
 
-    // Runs that it holds and its endpoint does not, and since when
-    std::map<jobs::RunId, Time> overSince;
+    // Runs that the agent still has but its endpoint does not, and since when
+    std::map<jobs::RunId, Time> endedSince;
 };
 
-struct World::Call
+struct Simulation::Call
 {
     jobs::JobSpec spec;
     int entry = 0;
 
-    // Sent before, to an entry that was lost: what began there does not speak against this one.
+    // Resent after its entry was lost: tasks may have started there.
     bool resent = false;
 };
 
--- a/tests/fleet/size_test.cpp
+++ b/tests/fleet/size_test.cpp
@@ -1,9 +1,9 @@
 /*
-    What one host of a fleet spends on sessions, at ten times the hosts: the decisions that the
-    daemon runs, in virtual time, with every message counted.
+    The cost of sessions for one host must not grow with the size of the fleet. Runs the scheduler
+    and the runner of the daemon in virtual time and counts all messages.
 
-    One entry is played with all agents that it chose, and one agent with all entries that chose it,
-    the busiest of each kind. Both carry the same load at every size.
+    Simulates the entry with the largest subset and all its agents, and an agent with the average
+    number of sessions (rounded up). Both have the same load at every size.
 
     [SECTION] Fleet
     [SECTION] Costs
@@ -18,8 +18,8 @@
 namespace {
 
 const Time Start { Seconds(1000) };
-constexpr Milliseconds Turn { 20 };
-constexpr Milliseconds Span { 5000 };
+constexpr Milliseconds TickInterval { 20 };
+constexpr Milliseconds Duration { 5000 };
 constexpr std::size_t DataCentres = 5;
 
 // [SECTION] Fleet
@@ -35,7 +35,7 @@
     return "agent-" + std::to_string(number);
 }
 
-directory::DirectoryUpdate listOf(const FleetSize &size)
+directory::DirectoryUpdate makeDirectoryUpdate(const FleetSize &size)
 {
     directory::DirectoryUpdate update;
     update.entries = static_cast<std::uint32_t>(size.entries);
@@ -50,13 +50,13 @@
     return update;
 }
 
-std::vector<std::string> chosenBy(std::size_t entry, const directory::DirectoryUpdate &list)
+std::vector<std::string> chooseAgents(std::size_t entry, const directory::DirectoryUpdate &update)
 {
     subset::SubsetState subset = subset::makeSubset(subset::SubsetSettings(),
                                                     "entry-" + std::to_string(entry),
                                                     "dc-" + std::to_string(entry % DataCentres));
-    subset::applyUpdate(subset, "control", list);
-    // It grows in steps, up to all agents.
+    subset::applyUpdate(subset, "control", update);
+    // The subset grows in steps, up to its final size.
     std::vector<std::string> chosen;
     std::vector<std::string> added;
     Time now = Start;
@@ -70,7 +70,7 @@
     return chosen;
 }
 
-jobs::EndpointView viewOfEndpoint()
+jobs::EndpointView makeEndpointView()
 {
     jobs::EndpointView view;
     view.endpointIncarnation = "life";
@@ -87,12 +87,12 @@
 {
     std::size_t sessions = 0;
     std::size_t sent = 0;
-    std::size_t heard = 0;
+    std::size_t received = 0;
 
-    // Endpoints that were looked at for the work of one entry
+    // Endpoints examined to place the tasks of one entry
     std::uint64_t endpointsTried = 0;
 
-    std::size_t messages() const { return sent + heard; }
+    std::size_t messages() const { return sent + received; }
 };
 
 void answerSends(scheduler::SchedulerState &entry, const scheduler::SchedulerActions &actions,
@@ -101,8 +101,8 @@
     for (const scheduler::AgentSend &send : actions.sends) {
         ++cost.sent;
         jobs::AgentUpdate update;
-        update.free = viewOfEndpoint().free;
-        update.maxStarts = viewOfEndpoint().maxStarts;
+        update.free = makeEndpointView().free;
+        update.maxStarts = makeEndpointView().maxStarts;
         if (const auto *start = std::get_if<jobs::StartTasks>(&send.message)) {
             update.startsHandled = entry.agents.at(send.agent).startsSent;
             for (const jobs::StartTasks::Start &started : start->starts)
@@ -112,12 +112,12 @@
                           jobs::StartRefusal::None,
                           start->estimate });
         }
-        ++cost.heard;
+        ++cost.received;
         scheduler::agentUpdated(entry, send.agent, update, now);
     }
 }
 
-// An entry, busy if it is sent a job of eight tasks in each turn.
+// A busy entry gets a job of eight tasks in each tick.
 HostCost costOfEntry(const std::vector<std::string> &agents, bool busy)
 {
     HostCost cost;
@@ -125,10 +125,10 @@
     scheduler::SchedulerState entry = scheduler::makeScheduler(scheduler::SchedulerSettings());
     for (const std::string &agent : agents) {
         scheduler::agentConnected(entry, agent, Start);
-        scheduler::agentAccepted(entry, agent, { 1, viewOfEndpoint(), {} }, Start);
+        scheduler::agentAccepted(entry, agent, { 1, makeEndpointView(), {} }, Start);
     }
     int jobs = 0;
-    for (Time now = Start; now < Start + Span; now += Turn) {
+    for (Time now = Start; now < Start + Duration; now += TickInterval) {
         answerSends(entry, scheduler::tick(entry, now), now, cost);
         if (!busy)
             continue;
@@ -151,7 +151,7 @@
     return cost;
 }
 
-// An agent whose entries beat as entries do.
+// An agent with heartbeats from all its entries
 HostCost costOfAgent(std::size_t sessions)
 {
     HostCost cost;
@@ -164,19 +164,19 @@
     agent.endpointIncarnation.clockSampledAt = Start;
     agent.cordonsKnown = true;
     agent.endpoint.endpointIncarnation.id = "life";
-    agent.endpoint.capacity = viewOfEndpoint().capacity;
+    agent.endpoint.capacity = makeEndpointView().capacity;
     std::uint64_t heartbeat = 0;
-    Time nextBeat = Start;
+    Time nextHeartbeat = Start;
     for (std::uint64_t session = 1; session <= sessions; ++session)
         runner::openSession(agent, session, "entry-" + std::to_string(session), Start);
-    for (Time now = Start; now < Start + Span; now += Turn) {
+    for (Time now = Start; now < Start + Duration; now += TickInterval) {
         cost.sent += runner::tick(agent, now).updates.size();
-        if (now < nextBeat)
+        if (now < nextHeartbeat)
             continue;
-        nextBeat += heartbeatInterval;
+        nextHeartbeat += heartbeatInterval;
         ++heartbeat;
         for (std::uint64_t session = 1; session <= sessions; ++session) {
-            ++cost.heard;
+            ++cost.received;
             cost.sent += runner::handleSessionHeartbeat(agent, session, { heartbeat, false }, now)
                                  .updates.size();
         }
@@ -193,74 +193,74 @@
 
 CountedCost costOf(const FleetSize &size)
 {
-    const directory::DirectoryUpdate list = listOf(size);
-    std::map<std::string, std::size_t> reachedBy;
-    std::vector<std::string> most;
+    const directory::DirectoryUpdate update = makeDirectoryUpdate(size);
+    std::map<std::string, std::size_t> sessionsByAgent;
+    std::vector<std::string> largest;
     for (std::size_t entry = 0; entry < size.entries; ++entry) {
-        const std::vector<std::string> chosen = chosenBy(entry, list);
+        const std::vector<std::string> chosen = chooseAgents(entry, update);
         for (const std::string &agent : chosen)
-            ++reachedBy[agent];
-        if (chosen.size() > most.size())
-            most = chosen;
+            ++sessionsByAgent[agent];
+        if (chosen.size() > largest.size())
+            largest = chosen;
     }
     std::size_t sessions = 0;
-    for (const auto &[agent, count] : reachedBy)
+    for (const auto &[agent, count] : sessionsByAgent)
         sessions += count;
     CountedCost cost;
-    cost.busyEntry = costOfEntry(most, true);
-    cost.idleEntry = costOfEntry(most, false);
+    cost.busyEntry = costOfEntry(largest, true);
+    cost.idleEntry = costOfEntry(largest, false);
     cost.agent = costOfAgent((sessions + size.agents - 1) / size.agents);
     return cost;
 }
 
 // [SECTION] Tests
 
-// The aim for a host of a fleet ten times as large, at the same load a host, in percent.
-constexpr std::size_t MostGrowthPercent = 130;
+// Allowed cost of a host in a fleet ten times as large, at the same load per host, in percent
+constexpr std::size_t MaxGrowthPercent = 130;
 
-TEST(FleetSize, AHostOfTwoThousandCostsWhatOneOfTwoHundredDoes)
+TEST(FleetSize, CostPerHostIsIndependentOfSize)
 {
     const CountedCost small = costOf({ 36, 164 });
     const CountedCost large = costOf({ 360, 1640 });
     EXPECT_GT(small.busyEntry.messages(), 0U);
     EXPECT_GT(small.agent.messages(), 0U);
-    EXPECT_LE(large.busyEntry.messages() * 100, small.busyEntry.messages() * MostGrowthPercent);
+    EXPECT_LE(large.busyEntry.messages() * 100, small.busyEntry.messages() * MaxGrowthPercent);
     EXPECT_LE(large.busyEntry.endpointsTried * 100,
-              small.busyEntry.endpointsTried * MostGrowthPercent);
-    EXPECT_LE(large.agent.messages() * 100, small.agent.messages() * MostGrowthPercent);
-    EXPECT_LE(large.agent.sessions * 100, small.agent.sessions * MostGrowthPercent);
+              small.busyEntry.endpointsTried * MaxGrowthPercent);
+    EXPECT_LE(large.agent.messages() * 100, small.agent.messages() * MaxGrowthPercent);
+    EXPECT_LE(large.agent.sessions * 100, small.agent.sessions * MaxGrowthPercent);
 }
 
-// What the capacity page foretells, by size of the fleet.
-class Foretold : public testing::TestWithParam<FleetSize>
+// The cost model that the capacity page uses, by size of the fleet
+class PredictedCost : public testing::TestWithParam<FleetSize>
 { };
 
-TEST_P(Foretold, IsWhatIsCountedAtRest)
+TEST_P(PredictedCost, MatchesCountedCostAtRest)
 {
     const CountedCost counted = costOf(GetParam());
     load::FleetShape shape;
     shape.entries = GetParam().entries;
     shape.agents = GetParam().agents;
     shape.controlHosts = 0;
-    const load::FleetCost foretold = load::costAtRest(shape);
-    EXPECT_EQ(static_cast<double>(counted.idleEntry.sessions), foretold.entry.sessions);
-    const double span = std::chrono::duration<double>(Span).count();
-    const auto within = [&](const HostCost &host, double messagesPerSecond) {
-        EXPECT_NEAR(static_cast<double>(host.messages()) / span, messagesPerSecond,
+    const load::FleetCost predicted = load::costAtRest(shape);
+    EXPECT_EQ(static_cast<double>(counted.idleEntry.sessions), predicted.entry.sessions);
+    const double seconds = std::chrono::duration<double>(Duration).count();
+    const auto expectNear = [&](const HostCost &host, double messagesPerSecond) {
+        EXPECT_NEAR(static_cast<double>(host.messages()) / seconds, messagesPerSecond,
                     messagesPerSecond * 0.1);
     };
-    within(counted.idleEntry, foretold.entry.messagesPerSecond);
-    // The busiest agent's sessions are whole.
-    within(counted.agent,
-           foretold.agent.messagesPerSecond * static_cast<double>(counted.agent.sessions)
-                   / foretold.agent.sessions);
+    expectNear(counted.idleEntry, predicted.entry.messagesPerSecond);
+    // The number of sessions is rounded up to a whole number; the prediction is not.
+    expectNear(counted.agent,
+               predicted.agent.messagesPerSecond * static_cast<double>(counted.agent.sessions)
+                       / predicted.agent.sessions);
 }
 
-INSTANTIATE_TEST_SUITE_P(FleetSize, Foretold,
+INSTANTIATE_TEST_SUITE_P(FleetSize, PredictedCost,
                          testing::Values(FleetSize { 6, 24 }, FleetSize { 55, 240 },
                                          FleetSize { 360, 1640 }, FleetSize { 60, 2000 }),
-                         [](const auto &tested) {
-                             return "Agents" + std::to_string(tested.param.agents);
+                         [](const auto &given) {
+                             return "Agents" + std::to_string(given.param.agents);
                          });
 
 } // namespace
