--- a/packages/agent/include/foxwing/agent/agent.h
+++ b/packages/agent/include/foxwing/agent/agent.h
@@ -170,7 +170,7 @@
     std::deque<SettledResult> settled;
     std::size_t settledBytes = 0;
 
-    // Measures
+    // Metrics
     std::unordered_map<std::string, TeamUsage> usage;
     AgentCounters counters;
 };
--- a/packages/agent/include/foxwing/agent/messages.h
+++ b/packages/agent/include/foxwing/agent/messages.h
@@ -110,7 +110,7 @@
     TaskRef ref;
     std::string team;
 
-    // Sender, and the epochs that authorise it
+    // Sender, and the epochs that authorize it
     std::string owner;
     std::uint64_t ownerIncarnation = 0;
     std::uint64_t jobEpoch = 0;
--- a/packages/agent/src/agent.cpp
+++ b/packages/agent/src/agent.cpp
@@ -4,8 +4,8 @@
     [SECTION] Records
     [SECTION] Answers
     [SECTION] Messages
-    [SECTION] Endpoint
     [SECTION] Resending and expiry
+    [SECTION] Endpoint
 */
 #include <foxwing/agent/agent.h>
 
@@ -190,7 +190,7 @@
                 AgentActions &actions)
 {
     if (message.agentIncarnation != agent.settings.incarnation)
-        return; // the next offer shows the owner that the earlier incarnation is gone
+        return; // the next offer shows the owner that the earlier incarnation has ended
     const Assignment *existing = findAssignment(agent, message.ref);
     if (!existing)
         recordVoid(agent, message.ref, now);
--- a/packages/agent/src/lease.h
+++ b/packages/agent/src/lease.h
@@ -14,7 +14,7 @@
 // Extends the lease when its owner confirms that it holds the current epoch.
 void handleLeaseAccepted(AgentState &agent, const LeaseAccepted &accepted, Time now);
 
-// Moves the lease from an owner that is gone or does not answer, and sends offers when due.
+// Moves the lease away from an owner that is lost or does not answer, and sends offers when due.
 void renewLease(AgentState &agent, Time now, AgentActions &actions);
 
 // Whether a start comes from the owner in the current epoch.
--- a/packages/agent/tests/agent_test.cpp
+++ b/packages/agent/tests/agent_test.cpp
@@ -15,7 +15,7 @@
 
 // [SECTION] Helpers
 
-constexpr Time Begin { Milliseconds(1000) };
+constexpr Time StartTime { Milliseconds(1000) };
 
 AgentState leasedAgent()
 {
@@ -25,7 +25,7 @@
     settings.service = "svc";
     settings.slots = 2;
     AgentState agent = makeAgent(settings);
-    setEntries(agent, { { "entry-a", 1, "" } }, Begin);
+    setEntries(agent, { { "entry-a", 1, "" } }, StartTime);
     return agent;
 }
 
@@ -66,7 +66,7 @@
     AgentState agent = leasedAgent();
     Start start = validStart();
     GetParam().modify(agent, start);
-    AgentActions actions = handle(agent, start, Begin);
+    AgentActions actions = handle(agent, start, StartTime);
     EXPECT_TRUE(actions.calls.empty());
     const auto *refused = onlyMessage<NotStarted>(actions);
     ASSERT_NE(refused, nullptr);
@@ -76,7 +76,7 @@
     agent.leaving = false;
     agent.running.clear();
     agent.unsettledBytes = 0;
-    actions = handle(agent, validStart(), Begin);
+    actions = handle(agent, validStart(), StartTime);
     EXPECT_TRUE(actions.calls.empty());
 }
 
@@ -97,28 +97,29 @@
                                RefusalCause::WrongLease },
                 StartRefusal { "Fenced",
                                [](AgentState &agent, Start &) {
-                                   handle(agent, Fence { "team/job", 2, "entry-b" }, Begin);
+                                   handle(agent, Fence { "team/job", 2, "entry-b" }, StartTime);
                                },
                                RefusalCause::Fenced },
                 StartRefusal { "Voided",
                                [](AgentState &agent, Start &start) {
-                                   handle(agent, Void { "entry-a", start.ref, 7 }, Begin);
+                                   handle(agent, Void { "entry-a", start.ref, 7 }, StartTime);
                                },
                                RefusalCause::AlreadyVoided },
                 StartRefusal { "Cancelled",
                                [](AgentState &agent, Start &start) {
-                                   handle(agent, Cancel { "entry-a", { start.ref }, 7 }, Begin);
+                                   handle(agent, Cancel { "entry-a", { start.ref }, 7 }, StartTime);
                                },
                                RefusalCause::AlreadyVoided },
-                StartRefusal { "Leaving", [](AgentState &agent, Start &) { leave(agent, Begin); },
+                StartRefusal { "Leaving",
+                               [](AgentState &agent, Start &) { leave(agent, StartTime); },
                                RefusalCause::Leaving },
                 StartRefusal { "NoTimeLeft",
                                [](AgentState &, Start &start) { start.timeLeft = Microseconds(0); },
                                RefusalCause::DeadlinePassed },
                 StartRefusal { "NoSlot",
                                [](AgentState &agent, Start &) {
-                                   handle(agent, validStart(1), Begin);
-                                   handle(agent, validStart(2), Begin);
+                                   handle(agent, validStart(1), StartTime);
+                                   handle(agent, validStart(2), StartTime);
                                },
                                RefusalCause::NoFreeSlot },
                 StartRefusal { "TooManyResults",
@@ -133,10 +134,10 @@
 TEST(Agent, RunsDuplicateStartsOnce)
 {
     AgentState agent = leasedAgent();
-    EXPECT_EQ(handle(agent, validStart(), Begin).calls.size(), 1U);
-    EXPECT_TRUE(handle(agent, validStart(), Begin).calls.empty());
-    endpointDone(agent, validStart().ref, TaskEnd::Succeeded, "result", Begin);
-    const AgentActions repeated = handle(agent, validStart(), Begin);
+    EXPECT_EQ(handle(agent, validStart(), StartTime).calls.size(), 1U);
+    EXPECT_TRUE(handle(agent, validStart(), StartTime).calls.empty());
+    endpointDone(agent, validStart().ref, TaskEnd::Succeeded, "result", StartTime);
+    const AgentActions repeated = handle(agent, validStart(), StartTime);
     EXPECT_TRUE(repeated.calls.empty());
     const auto *finished = onlyMessage<Finished>(repeated);
     ASSERT_NE(finished, nullptr);
@@ -147,16 +148,16 @@
 TEST(Agent, ResendsResultsUntilSettled)
 {
     AgentState agent = leasedAgent();
-    handle(agent, validStart(), Begin);
-    endpointDone(agent, validStart().ref, TaskEnd::Succeeded, "result", Begin);
+    handle(agent, validStart(), StartTime);
+    endpointDone(agent, validStart().ref, TaskEnd::Succeeded, "result", StartTime);
     EXPECT_FALSE(drained(agent));
     int resends = 0;
-    for (Time now = Begin; now < Begin + Seconds(10); now += Milliseconds(50)) {
+    for (Time now = StartTime; now < StartTime + Seconds(10); now += Milliseconds(50)) {
         for (const Outgoing &send : tick(agent, now).sends)
             resends += std::holds_alternative<Finished>(send.message) ? 1 : 0;
     }
     EXPECT_EQ(resends, 4); // after 0.5, 1.5, 3.5 and 7.5 seconds
-    handle(agent, Settle { { validStart().ref } }, Begin + Seconds(10));
+    handle(agent, Settle { { validStart().ref } }, StartTime + Seconds(10));
     EXPECT_TRUE(drained(agent));
     EXPECT_EQ(agent.unsettledBytes, 0U);
 }
@@ -164,11 +165,11 @@
 TEST(Agent, ReportsTasksToANewOwner)
 {
     AgentState agent = leasedAgent();
-    handle(agent, validStart(0), Begin);
-    handle(agent, validStart(1), Begin);
-    endpointDone(agent, validStart(0).ref, TaskEnd::Succeeded, "result", Begin);
-    handle(agent, Settle { { validStart(0).ref } }, Begin);
-    const AgentActions actions = handle(agent, Fence { "team/job", 2, "entry-b" }, Begin);
+    handle(agent, validStart(0), StartTime);
+    handle(agent, validStart(1), StartTime);
+    endpointDone(agent, validStart(0).ref, TaskEnd::Succeeded, "result", StartTime);
+    handle(agent, Settle { { validStart(0).ref } }, StartTime);
+    const AgentActions actions = handle(agent, Fence { "team/job", 2, "entry-b" }, StartTime);
     const auto *fenced = onlyMessage<Fenced>(actions);
     ASSERT_NE(fenced, nullptr);
     ASSERT_EQ(fenced->tasks.size(), 2U);
@@ -176,14 +177,14 @@
     EXPECT_EQ(fenced->tasks[0].body, "result") << "settled results are kept for a takeover";
     EXPECT_FALSE(fenced->tasks[1].finished);
     const AgentActions done = endpointDone(agent, validStart(1).ref, TaskEnd::Succeeded, "late",
-                                           Begin);
+                                           StartTime);
     EXPECT_EQ(done.sends.at(0).to, "entry-b");
 }
 
 TEST(Agent, ExpiresJobsAndSettledResults)
 {
     AgentState agent = leasedAgent();
-    Time now = Begin;
+    Time now = StartTime;
     for (int i = 0; i < 2000; ++i) {
         Start start = validStart();
         start.ref.job = "team/job" + std::to_string(i);
@@ -200,12 +201,13 @@
 TEST(Agent, StopsOverdueTasks)
 {
     AgentState agent = leasedAgent();
-    handle(agent, validStart(), Begin);
-    EXPECT_TRUE(tick(agent, Begin + Milliseconds(999)).stops.empty());
-    EXPECT_EQ(tick(agent, Begin + Milliseconds(1000)).stops.size(), 1U);
-    EXPECT_TRUE(tick(agent, Begin + Milliseconds(1010)).stops.empty()) << "the stop is sent once";
+    handle(agent, validStart(), StartTime);
+    EXPECT_TRUE(tick(agent, StartTime + Milliseconds(999)).stops.empty());
+    EXPECT_EQ(tick(agent, StartTime + Milliseconds(1000)).stops.size(), 1U);
+    EXPECT_TRUE(tick(agent, StartTime + Milliseconds(1010)).stops.empty())
+            << "the stop is sent once";
     const AgentActions done = endpointDone(agent, validStart().ref, TaskEnd::Cancelled, "",
-                                           Begin + Milliseconds(1020));
+                                           StartTime + Milliseconds(1020));
     EXPECT_EQ(onlyMessage<Finished>(done)->end, TaskEnd::DeadlinePassed);
 }
 
@@ -214,10 +216,10 @@
 TEST(Agent, MovesLeaseFromUnresponsiveOwner)
 {
     AgentState agent = leasedAgent();
-    setEntries(agent, { { "entry-a", 1, "" }, { "entry-b", 1, "" } }, Begin);
+    setEntries(agent, { { "entry-a", 1, "" }, { "entry-b", 1, "" } }, StartTime);
     const std::string first = agent.lease.owner;
     const std::uint64_t epoch = agent.lease.epoch;
-    for (Time now = Begin; now < Begin + Milliseconds(1600); now += Milliseconds(50))
+    for (Time now = StartTime; now < StartTime + Milliseconds(1600); now += Milliseconds(50))
         tick(agent, now);
     EXPECT_NE(agent.lease.owner, first);
     EXPECT_GT(agent.lease.epoch, epoch);
@@ -226,15 +228,15 @@
 TEST(Agent, TransfersLeaseOnlyForItsOwner)
 {
     AgentState agent = leasedAgent();
-    setEntries(agent, { { "entry-a", 1, "" }, { "entry-b", 1, "" } }, Begin);
+    setEntries(agent, { { "entry-a", 1, "" }, { "entry-b", 1, "" } }, StartTime);
     const std::string owner = agent.lease.owner;
     const std::string other = owner == "entry-a" ? "entry-b" : "entry-a";
     const std::uint64_t epoch = agent.lease.epoch;
-    handle(agent, TransferLease { other, other, epoch, 7 }, Begin);
-    handle(agent, TransferLease { owner, other, epoch - 1, 7 }, Begin);
-    handle(agent, TransferLease { owner, "nobody", epoch, 7 }, Begin);
+    handle(agent, TransferLease { other, other, epoch, 7 }, StartTime);
+    handle(agent, TransferLease { owner, other, epoch - 1, 7 }, StartTime);
+    handle(agent, TransferLease { owner, "nobody", epoch, 7 }, StartTime);
     EXPECT_EQ(agent.lease.owner, owner);
-    handle(agent, TransferLease { owner, other, epoch, 7 }, Begin);
+    handle(agent, TransferLease { owner, other, epoch, 7 }, StartTime);
     EXPECT_EQ(agent.lease.owner, other);
     EXPECT_EQ(agent.lease.epoch, epoch + 1);
 }
--- a/packages/catalog/tests/catalog_test.cpp
+++ b/packages/catalog/tests/catalog_test.cpp
@@ -135,8 +135,7 @@
                                          LookupCase { "NoPath", "a.example", "/z/1", "" }),
                          [](const auto &tested) { return tested.param.name; });
 
-// An endpoint whose service no queue names gets no work until a catalog names it, and is set aside
-// again when a later catalog does not.
+// Endpoints get work only while a queue of the current catalog names their service.
 TEST(CatalogServices, AreInUseWhileAQueueNamesThem)
 {
     Catalog catalog;
--- a/packages/claims/include/foxwing/claims/claims.h
+++ b/packages/claims/include/foxwing/claims/claims.h
@@ -3,9 +3,9 @@
 
     An entry sends a request to the primary of the submission's shard. The primary makes a record,
     replicates it, and grants the claim once all replicas have it; that costs one round trip within
-    the region and no synchronous write to disk. When an entry dies, control makes a new view and
-    the surviving replicas transfer the shards. An owner that died is replaced by the next entry
-    that requests the claim, in a higher epoch. If all replicas of a shard are lost, ids created
+    the region and no synchronous write to disk. When an entry is lost, control makes a new view and
+    the surviving replicas transfer the shards. A lost owner is replaced by the next entry that
+    requests the claim, in a higher epoch. If all replicas of a shard are lost, ids created
     before the loss are answered "unknown" and never started.
 
         ClaimTable table = makeClaimTable(settings);
@@ -43,7 +43,7 @@
     Milliseconds clockSkew { 2000 };
 
     // A primary that got no answer from control for this long grants no claims. Must be shorter
-    // than the time after which control declares an entry dead.
+    // than the time after which control considers an entry lost.
     Milliseconds controlLease { 1500 };
 
     // Unacknowledged records and shard parts are resent after this interval.
@@ -125,9 +125,9 @@
     // Replicas of each shard in the current view.
     std::vector<std::vector<EntryIdentity>> replicas { ShardCount };
 
-    // When the last request that control answered was sent.
-    Time controlHeardAt {};
-    bool controlHeard = false;
+    // When the last request that control answered was sent, and whether there was one.
+    Time controlConfirmedAt {};
+    bool controlConfirmed = false;
 
     std::vector<std::string> uncommitted;
     std::vector<OutgoingPart> outgoing;
--- a/packages/claims/src/claims.cpp
+++ b/packages/claims/src/claims.cpp
@@ -2,10 +2,10 @@
     Granting, replicating and expiring claims.
 
     [SECTION] Checks
-    [SECTION] Answers
+    [SECTION] Responses
     [SECTION] Replication
     [SECTION] Requests
-    [SECTION] Entry points
+    [SECTION] Public functions
 */
 #include <foxwing/claims/claims.h>
 
@@ -24,7 +24,7 @@
 
 bool hasControlLease(const ClaimTable &table, Time now)
 {
-    return table.controlHeard && now < table.controlHeardAt + table.settings.controlLease;
+    return table.controlConfirmed && now < table.controlConfirmedAt + table.settings.controlLease;
 }
 
 // Creation time that the id in "team/submission" contains; none if it is not a submission id.
@@ -46,7 +46,7 @@
             || *created + table.settings.retention <= wallNow;
 }
 
-// [SECTION] Answers
+// [SECTION] Responses
 
 void sendResponse(const Waiter &waiter, const RecordState &state, const EntryIdentity &requester,
                   ClaimActions &actions)
@@ -295,7 +295,7 @@
 
 } // namespace
 
-// [SECTION] Entry points
+// [SECTION] Public functions
 
 ClaimTable makeClaimTable(const ClaimSettings &settings)
 {
@@ -319,8 +319,8 @@
 
 void renewControlLease(ClaimTable &table, Time now)
 {
-    table.controlHeard = true;
-    table.controlHeardAt = now;
+    table.controlConfirmed = true;
+    table.controlConfirmedAt = now;
 }
 
 ClaimActions handle(ClaimTable &table, const ClaimMessage &message, Time now, WallTime wallNow)
--- a/packages/control/include/foxwing/control/cluster.h
+++ b/packages/control/include/foxwing/control/cluster.h
@@ -2,7 +2,7 @@
     The replicated state of control: declared resources and the view of the entries.
 
     All state that must survive a restart or a change of leader is in ClusterState. It changes only
-    by commands, applied in the order of the journal.
+    by commands, applied in the order of the consensus group's log.
 
     [SECTION] Commands
     [SECTION] State
@@ -54,7 +54,7 @@
 
 // [SECTION] Functions
 
-// Applies the next command of the journal. Deterministic. The result is empty except for
+// Applies the next command of the log. Deterministic. The result is empty except for
 // DeclareCommand.
 ChangeResult applyCommand(ClusterState &cluster, const Command &command);
 
--- a/packages/control/include/foxwing/control/control.h
+++ b/packages/control/include/foxwing/control/control.h
@@ -1,9 +1,9 @@
 /*
-    Control: which nodes are live, what is declared, and which nodes apply it.
+    Control: which nodes are live, what is declared, and which nodes have applied it.
 
-    The leader feeds in heartbeats, operators' changes and ticks, and gets updates for nodes and
-    commands for the journal. A command takes effect when committed() is called with it, after the
-    journal has committed it.
+    The leader passes in heartbeats and ticks, and gets updates for nodes and commands to propose to
+    the consensus group. A command takes effect when committed() is called with it, after the group
+    has committed it.
 
         ControlState control = makeControl(settings, cluster, now, wallNow);
         ControlActions actions = handleHeartbeat(control, heartbeat, now, wallNow);
@@ -34,6 +34,7 @@
 {
     // Id of this host
     std::string self;
+
     // A node without a heartbeat for this long is lost. Must exceed the entries' control lease.
     Milliseconds nodeTimeout { 2500 };
 
@@ -41,13 +42,13 @@
     // it share one new view.
     Milliseconds minViewInterval { 300 };
 
-    // Entries that hold each claim
+    // Number of entries that store each claim
     std::uint32_t replicaCount = 2;
 
     // Upper bound of the difference between hosts' clocks; added to the time of a loss.
     Milliseconds clockSkew { 2000 };
 
-    // A node that is cut off from control accepts new work for this long.
+    // A node that is disconnected from control accepts new work for this long.
     Milliseconds configurationLease { 10000 };
 
     // How long a lost agent stays listed: as long as agents retain what they started.
@@ -64,7 +65,7 @@
 
     // When an incarnation of this node ended last; milliseconds since 1970
     std::int64_t lostAt = 0;
-    Time deadSince {};
+    Time lostSince {};
 };
 
 struct ControlCounters
@@ -137,7 +138,7 @@
 ControlActions handleHeartbeat(ControlState &control, const Heartbeat &heartbeat, Time now,
                                WallTime wallNow);
 
-// Applies a command that this host's journal has committed.
+// Applies a command that the consensus group has committed.
 ChangeResult committed(ControlState &control, const Command &command);
 
 ControlActions tick(ControlState &control, Time now, WallTime wallNow);
--- a/packages/control/include/foxwing/control/messages.h
+++ b/packages/control/include/foxwing/control/messages.h
@@ -54,7 +54,7 @@
     // Entries only: teams with a quota for which something changed or tasks wait
     std::vector<ShareReport> shares;
 
-    // The node shuts down with nothing left to do: there is nothing to wait for.
+    // The node has drained and shuts down: control need not wait for the node timeout.
     bool leaving = false;
 };
 template<class Fields>
--- a/packages/control/include/foxwing/control/reporter.h
+++ b/packages/control/include/foxwing/control/reporter.h
@@ -44,7 +44,7 @@
     std::uint64_t viewUpdate = 0;
     std::uint64_t agentsVersion = 0;
 
-    // When the heartbeat was sent that control answered last.
+    // When the last heartbeat that control answered was sent, and whether there was one.
     Time confirmedAt {};
     bool confirmed = false;
 };
@@ -55,8 +55,9 @@
 
 Heartbeat nextHeartbeat(Reporter &reporter, Time now);
 
-// The time at which the heartbeat was sent that this update answers, if the update is current and
-// not older than what the node has; the caller must then apply it. Otherwise nothing.
+// Accepts an update that answers a current heartbeat and is not older than what the node has.
+// Returns when that heartbeat was sent, and the caller must apply the update; otherwise returns
+// nothing.
 std::optional<Time> acceptUpdate(Reporter &reporter, const Update &update);
 
 // Whether control has not confirmed the configuration within the lease.
--- a/packages/control/src/control.cpp
+++ b/packages/control/src/control.cpp
@@ -4,7 +4,7 @@
     [SECTION] Nodes
     [SECTION] Updates
     [SECTION] Views
-    [SECTION] Entry points
+    [SECTION] Public functions
 */
 #include <foxwing/control/control.h>
 #include <foxwing/control/validation.h>
@@ -26,7 +26,7 @@
 void markLost(ControlState &control, NodeRecord &node, Time now, WallTime wallNow)
 {
     node.live = false;
-    node.deadSince = now;
+    node.lostSince = now;
     node.lostAt = wallNow.time_since_epoch().count();
     ++control.agentsVersion;
 }
@@ -64,8 +64,8 @@
 
 void detectLostNodes(ControlState &control, Time now, WallTime wallNow)
 {
-    for (auto &entry : control.nodes) {
-        NodeRecord &node = entry.second;
+    for (auto &item : control.nodes) {
+        NodeRecord &node = item.second;
         if (!node.live || now < node.lastReceivedAt + control.settings.nodeTimeout)
             continue;
         ++control.counters.nodesLost;
@@ -77,7 +77,7 @@
 {
     for (auto it = control.nodes.begin(); it != control.nodes.end();) {
         const bool expired = !it->second.live
-                && now >= it->second.deadSince + control.settings.agentRetention;
+                && now >= it->second.lostSince + control.settings.agentRetention;
         it = expired ? control.nodes.erase(it) : std::next(it);
     }
 }
@@ -91,8 +91,8 @@
     control.lastTickAt = now;
     if (gap < MaxTickGap)
         return;
-    for (auto &entry : control.nodes)
-        entry.second.lastReceivedAt += gap;
+    for (auto &item : control.nodes)
+        item.second.lastReceivedAt += gap;
 }
 
 // [SECTION] Updates
@@ -149,12 +149,12 @@
         return;
     update.hasAgents = true;
     update.agentsCompleteSince = control.agentsCompleteSince;
-    for (const auto &entry : control.nodes) {
-        const NodeRecord &node = entry.second;
+    for (const auto &item : control.nodes) {
+        const NodeRecord &node = item.second;
         if (!node.last.isAgent)
             continue;
         update.agents.push_back(
-                { entry.first, node.last.address, node.last.service, node.lostAt, node.live });
+                { item.first, node.last.address, node.last.service, node.lostAt, node.live });
     }
 }
 
@@ -210,9 +210,9 @@
 std::vector<claims::Member> liveEntries(const ControlState &control)
 {
     std::vector<claims::Member> members;
-    for (const auto &entry : control.nodes) {
-        const Heartbeat &last = entry.second.last;
-        if (entry.second.live && last.isEntry)
+    for (const auto &item : control.nodes) {
+        const Heartbeat &last = item.second.last;
+        if (item.second.live && last.isEntry)
             members.push_back({ { last.id, last.incarnation }, last.address, last.dataCentre });
     }
     return members;
@@ -271,7 +271,7 @@
 
 } // namespace
 
-// [SECTION] Entry points
+// [SECTION] Public functions
 
 ControlState makeControl(const ControlSettings &settings, ClusterState cluster, Time now,
                          WallTime wallNow)
@@ -335,12 +335,12 @@
 {
     RolloutStatus status;
     status.revision = revision;
-    for (const auto &entry : control.nodes) {
-        if (!entry.second.live)
+    for (const auto &item : control.nodes) {
+        if (!item.second.live)
             continue;
         ++status.nodes;
-        if (entry.second.last.revision < revision)
-            status.lagging.push_back(entry.first);
+        if (item.second.last.revision < revision)
+            status.lagging.push_back(item.first);
     }
     return status;
 }
--- a/packages/control/src/reporter.cpp
+++ b/packages/control/src/reporter.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Bound of the heartbeats that are remembered without an answer.
+// Maximum number of unanswered heartbeats that are kept.
 constexpr std::size_t MaxUnanswered = 1000;
 
 } // namespace
--- a/packages/control/tests/quota_test.cpp
+++ b/packages/control/tests/quota_test.cpp
@@ -14,7 +14,7 @@
 
 // [SECTION] Helpers
 
-constexpr Time Start { Milliseconds(1000) };
+constexpr Time StartTime { Milliseconds(1000) };
 const std::vector<std::string> Entries { "a", "b", "c" };
 const std::vector<TeamQuota> Quotas { { "team", 30 } };
 
@@ -31,7 +31,7 @@
 {
     ShareTable table;
     for (const std::string &entry : Entries)
-        EXPECT_EQ(heartbeat(table, entry, {}, Start), 10U);
+        EXPECT_EQ(heartbeat(table, entry, {}, StartTime), 10U);
 }
 
 TEST(Quota, UnusedShareMovesWithinTwoHeartbeats)
@@ -39,8 +39,8 @@
     ShareTable table;
     std::map<std::string, std::uint32_t> shares;
     for (const std::string &entry : Entries)
-        shares[entry] = heartbeat(table, entry, {}, Start);
-    Time now = Start;
+        shares[entry] = heartbeat(table, entry, {}, StartTime);
+    Time now = StartTime;
     for (int round = 0; round < 3; ++round) {
         now += Seconds(1);
         for (const std::string &entry : Entries) {
@@ -56,45 +56,45 @@
 {
     ShareTable table;
     for (const std::string &entry : Entries)
-        heartbeat(table, entry, {}, Start);
-    heartbeat(table, "c", { "", 10, 10, 0 }, Start + Milliseconds(500));
+        heartbeat(table, entry, {}, StartTime);
+    heartbeat(table, "c", { "", 10, 10, 0 }, StartTime + Milliseconds(500));
     std::uint32_t own = 10;
     std::uint32_t other = 10;
-    for (Time now = Start + Seconds(1); now < Start + Seconds(13); now += Seconds(1)) {
+    for (Time now = StartTime + Seconds(1); now < StartTime + Seconds(13); now += Seconds(1)) {
         other = heartbeat(table, "b", { "", other, 0, 0 }, now);
         own = heartbeat(table, "a", { "", own, own, 100 }, now);
         EXPECT_LE(own + other, 20U) << "c may still run 10";
     }
     EXPECT_GT(own, 15U) << "the unused share of b is granted before the lease of c expires";
-    heartbeat(table, "b", { "", other, 0, 0 }, Start + Milliseconds(13001));
-    own = heartbeat(table, "a", { "", own, own, 100 }, Start + Milliseconds(13001));
+    heartbeat(table, "b", { "", other, 0, 0 }, StartTime + Milliseconds(13001));
+    own = heartbeat(table, "a", { "", own, own, 100 }, StartTime + Milliseconds(13001));
     EXPECT_GT(own, 20U);
 }
 
 TEST(Quota, NewLeaderOnlyConfirmsSharesAtFirst)
 {
     ShareTable table;
-    table.grantsAllowedAt = Start + Seconds(13);
-    EXPECT_EQ(heartbeat(table, "a", { "", 4, 4, 50 }, Start), 4U);
-    EXPECT_GT(heartbeat(table, "a", { "", 4, 4, 50 }, Start + Seconds(13)), 4U);
+    table.grantsAllowedAt = StartTime + Seconds(13);
+    EXPECT_EQ(heartbeat(table, "a", { "", 4, 4, 50 }, StartTime), 4U);
+    EXPECT_GT(heartbeat(table, "a", { "", 4, 4, 50 }, StartTime + Seconds(13)), 4U);
 }
 
-// Heartbeats and answers are lost at random; entries start tasks up to their current share.
+// Heartbeats and updates are lost at random; entries start tasks up to their current share.
 TEST(Quota, SumStaysWithinQuotaWhenMessagesAreLost)
 {
     for (std::uint64_t seed = 1; seed <= 500; ++seed) {
         std::mt19937_64 random(seed);
         ShareTable table;
         std::map<std::string, ShareReport> state;
-        Time now = Start;
-        std::map<std::string, Time> lastReplyAt;
+        Time now = StartTime;
+        std::map<std::string, Time> lastUpdateAt;
         for (int step = 0; step < 300; ++step) {
             now += Milliseconds(200);
             for (const std::string &entry : Entries) {
                 ShareReport &own = state[entry];
                 own.team = "team";
                 own.waiting = static_cast<std::uint32_t>(random() % 40);
-                if (now >= lastReplyAt[entry] + Seconds(10))
+                if (now >= lastUpdateAt[entry] + Seconds(10))
                     own.share = 0;
                 if (random() % 3 == 0)
                     own.running = own.running / 2;
@@ -106,9 +106,9 @@
                 applyShareReports(table, entry, { own }, now);
                 const auto grants = grantShares(table, entry, Entries, Quotas, now);
                 if (random() % 4 == 0)
-                    continue; // the answer is lost
+                    continue; // the update is lost
                 own.share = grants.at(0).share;
-                lastReplyAt[entry] = now;
+                lastUpdateAt[entry] = now;
             }
             std::uint32_t sum = 0;
             for (const auto &own : state)
--- a/packages/directory/include/foxwing/directory/directory.h
+++ b/packages/directory/include/foxwing/directory/directory.h
@@ -9,9 +9,8 @@
         nodeAnnounced(directory, connection, info);
         DirectoryUpdate update = updateFor(directory, Role::Entry, sentRevision);
 
-    A process first receives the full list, then only the changes that concern its role. A fleet of
-    300 that starts ten at a time lists 300 nodes to each entry this way; full lists would come to
-    4,650.
+    A process first receives the full list, then only the changes that concern its role. So a fleet
+    that starts is listed to each entry once, not again with every group of new nodes.
 
     [SECTION] Nodes
     [SECTION] Messages
--- a/packages/directory/tests/directory_test.cpp
+++ b/packages/directory/tests/directory_test.cpp
@@ -1,6 +1,7 @@
 /*
     Which nodes each role receives, and how long a node stays listed.
 
+    [SECTION] Helpers
     [SECTION] Tests
 */
 #include <functional>
@@ -11,7 +12,7 @@
 namespace foxwing::directory {
 namespace {
 
-// [SECTION] Tests
+// [SECTION] Helpers
 
 NodeInfo makeNode(const std::string &address, Role role, std::uint64_t incarnation = 1)
 {
@@ -32,6 +33,8 @@
     return directory;
 }
 
+// [SECTION] Tests
+
 struct RoleCase
 {
     const char *name;
@@ -171,7 +174,7 @@
                              1, 0, 1, true, true }),
         [](const auto &tested) { return tested.param.name; });
 
-// Guards against full lists while a fleet starts: 300 nodes, ten at a time, would come to 4,650.
+// Guards against sending the full list with every group of new nodes while a fleet starts.
 TEST(Directory, StartingFleetIsListedOnceToEachEntry)
 {
     DirectoryState directory;
--- a/packages/dispatch/include/foxwing/dispatch/dispatcher.h
+++ b/packages/dispatch/include/foxwing/dispatch/dispatcher.h
@@ -12,7 +12,8 @@
 
     A task is sent to one worker at a time, and to another one only after proof that the previous
     attempt never started: the agent refused or voided it. Losing a worker fails the jobs that had
-    tasks on it, except repeatable single requests, which are retried until their deadline.
+    tasks on it, except repeatable single requests, which are retried until their deadline and
+    within a retry budget.
 
     [SECTION] Settings
     [SECTION] State
@@ -150,6 +151,8 @@
     // Tasks that may be on a worker.
     std::vector<agent::TaskRef> outstanding;
     std::set<DeadlineOrder> deadlines;
+
+    // Jobs in backoff after a refusal, and jobs in JobState::Collecting.
     std::vector<std::string> backoffJobs;
     std::vector<std::string> collecting;
 
--- a/packages/dispatch/include/foxwing/dispatch/job.h
+++ b/packages/dispatch/include/foxwing/dispatch/job.h
@@ -99,7 +99,7 @@
 };
 
 enum class JobState {
-    // A takeover waits for what the agents know; no task is sent.
+    // A takeover waits until the agents have reported its tasks; no task is sent.
     Collecting,
     Active,
     Ended,
--- a/packages/dispatch/src/dispatcher.cpp
+++ b/packages/dispatch/src/dispatcher.cpp
@@ -310,10 +310,10 @@
 void tickWorkers(Dispatcher &dispatcher, ServiceState &service, Time now, Actions &actions)
 {
     std::vector<std::string> lost;
-    for (auto &entry : service.pool.workers) {
-        tickWorker(dispatcher, service, entry.second, now);
-        if (now >= entry.second.lastReceivedAt + dispatcher.settings.workerTimeout)
-            lost.push_back(entry.first);
+    for (auto &item : service.pool.workers) {
+        tickWorker(dispatcher, service, item.second, now);
+        if (now >= item.second.lastReceivedAt + dispatcher.settings.workerTimeout)
+            lost.push_back(item.first);
     }
     for (const std::string &id : lost) {
         ++dispatcher.counters.workersLost;
@@ -603,8 +603,8 @@
     Actions actions;
     WorkerPool &pool = findOrAddService(dispatcher, serviceName).pool;
     Worker *chosen = nullptr;
-    for (auto &entry : pool.workers) {
-        Worker &worker = entry.second;
+    for (auto &item : pool.workers) {
+        Worker &worker = item.second;
         const bool near = worker.dataCentre == successorDataCentre
                 || worker.dataCentre != pool.dataCentre || successorStarved;
         const bool spare = worker.ownTasks == 0 || successorStarved;
--- a/packages/dispatch/src/takeover.h
+++ b/packages/dispatch/src/takeover.h
@@ -14,7 +14,7 @@
 // Sends the fence to every agent that has not acknowledged it, at most once per fence interval.
 void sendFences(Dispatcher &dispatcher, Job &job, Time now, Actions &actions);
 
-// Applies what one agent knows. Ends the collection if it was the last one.
+// Applies the task states that one agent reports. Ends the collection if it was the last agent.
 void handleFenced(Dispatcher &dispatcher, Job &job, const agent::Fenced &fenced, Time now,
                   Actions &actions);
 
--- a/packages/dispatch/tests/dispatcher_test.cpp
+++ b/packages/dispatch/tests/dispatcher_test.cpp
@@ -1,6 +1,7 @@
 /*
     Tests of the dispatcher with lost, late and unexpected messages. Each step between the start of
-    a task and its settlement fails once; the outcome must match what may have happened.
+    a task and its settlement fails once. The outcome must be "not run" only if no task can have
+    started.
 
     [SECTION] Helpers
     [SECTION] Failures of single steps
@@ -98,7 +99,7 @@
 
 // [SECTION] Failures of single steps
 
-struct Step
+struct FailureCase
 {
     const char *name;
     void (*run)(Fixture &);
@@ -106,7 +107,7 @@
     std::size_t starts;
 };
 
-class SingleFailure : public testing::TestWithParam<Step>
+class SingleFailure : public testing::TestWithParam<FailureCase>
 { };
 
 TEST_P(SingleFailure, HasTheRightOutcome)
@@ -125,112 +126,115 @@
 INSTANTIATE_TEST_SUITE_P(
         Table, SingleFailure,
         testing::Values(
-                Step { "NoWorkerUntilTheDeadline",
-                       [](Fixture &fixture) {
-                           fixture.advance(Milliseconds(2000), false);
-                           fixture.submit("team/job", 1);
-                           fixture.advance(Milliseconds(10050), false);
-                       },
-                       Outcome::NotRun, 0 },
-                Step { "CancelledBeforeAnyStart",
-                       [](Fixture &fixture) {
-                           fixture.advance(Milliseconds(2000), false);
-                           fixture.submit("team/job", 1);
-                           fixture.record(cancelJob(fixture.dispatcher, "team/job", fixture.now));
-                       },
-                       Outcome::NotRun, 0 },
-                Step { "StartLostWithItsWorker",
-                       [](Fixture &fixture) {
-                           fixture.submit("team/job", 1);
-                           fixture.advance(Milliseconds(5000), false);
-                       },
-                       Outcome::Failed, 1 },
-                Step { "WorkerRestarted",
-                       [](Fixture &fixture) {
-                           fixture.submit("team/job", 1);
-                           fixture.offer("worker-1", 2);
-                       },
-                       Outcome::Failed, 1 },
-                Step { "RefusalOfAnotherIncarnationIsNoProof",
-                       [](Fixture &fixture) {
-                           fixture.submit("team/job", 1);
-                           agent::NotStarted late = refusal(fixture.starts[0],
-                                                            agent::RefusalCause::WrongIncarnation);
-                           late.agentIncarnation = 2;
-                           fixture.record(handle(fixture.dispatcher, late, fixture.now));
-                           fixture.record(cancelJob(fixture.dispatcher, "team/job", fixture.now));
-                       },
-                       Outcome::Failed, 1 },
-                Step { "RefusedThenCancelled",
-                       [](Fixture &fixture) {
-                           fixture.submit("team/job", 1);
-                           fixture.record(handle(fixture.dispatcher,
-                                                 refusal(fixture.starts[0],
-                                                         agent::RefusalCause::NoFreeSlot),
-                                                 fixture.now));
-                           fixture.record(cancelJob(fixture.dispatcher, "team/job", fixture.now));
-                       },
-                       Outcome::NotRun, 1 },
-                Step { "RefusedThenStartedElsewhere",
-                       [](Fixture &fixture) {
-                           fixture.submit("team/job", 1);
-                           fixture.record(handle(fixture.dispatcher,
-                                                 refusal(fixture.starts[0],
-                                                         agent::RefusalCause::WrongLease),
-                                                 fixture.now));
-                           fixture.advance(Milliseconds(100), true);
-                           fixture.finish(fixture.starts.back(), "result");
-                       },
-                       Outcome::Complete, 2 },
-                Step { "FencedByAnotherOwner",
-                       [](Fixture &fixture) {
-                           fixture.submit("team/job", 1);
-                           fixture.record(
-                                   handle(fixture.dispatcher,
-                                          refusal(fixture.starts[0], agent::RefusalCause::Fenced),
-                                          fixture.now));
-                       },
-                       Outcome::Failed, 1 },
-                Step { "EndpointReportsFailure",
-                       [](Fixture &fixture) {
-                           fixture.submit("team/job", 2);
-                           fixture.finish(fixture.starts[0], "no", agent::TaskEnd::Failed);
-                       },
-                       Outcome::Failed, 2 },
-                Step { "DeadlineWhileItRuns",
-                       [](Fixture &fixture) {
-                           fixture.submit("team/job", 1);
-                           fixture.advance(Milliseconds(10050), true);
-                       },
-                       Outcome::Failed, 1 },
-                Step { "ResultArrivesTwice",
-                       [](Fixture &fixture) {
-                           fixture.submit("team/job", 2);
-                           fixture.finish(fixture.starts[0], "result");
-                           fixture.finish(fixture.starts[0], "result");
-                           fixture.finish(fixture.starts[1], "result");
-                       },
-                       Outcome::Complete, 2 },
-                Step { "RepeatableRequestIsRetried",
-                       [](Fixture &fixture) {
-                           fixture.submit("team/job", 1, true, true);
-                           fixture.offer("worker-1", 2);
-                           fixture.finish(fixture.starts.back(), "result");
-                       },
-                       Outcome::Complete, 2 },
-                Step { "UnrepeatableRequestIsNotRetried",
-                       [](Fixture &fixture) {
-                           fixture.submit("team/job", 1, true, false);
-                           fixture.offer("worker-1", 2);
-                       },
-                       Outcome::Failed, 1 },
-                Step { "RepeatableJobIsNotRetried",
-                       [](Fixture &fixture) {
-                           fixture.submit("team/job", 1, false, true);
-                           fixture.offer("worker-1", 2);
-                       },
-                       Outcome::Failed, 1 }),
-        [](const testing::TestParamInfo<Step> &given) { return given.param.name; });
+                FailureCase { "NoWorkerUntilTheDeadline",
+                              [](Fixture &fixture) {
+                                  fixture.advance(Milliseconds(2000), false);
+                                  fixture.submit("team/job", 1);
+                                  fixture.advance(Milliseconds(10050), false);
+                              },
+                              Outcome::NotRun, 0 },
+                FailureCase { "CancelledBeforeAnyStart",
+                              [](Fixture &fixture) {
+                                  fixture.advance(Milliseconds(2000), false);
+                                  fixture.submit("team/job", 1);
+                                  fixture.record(
+                                          cancelJob(fixture.dispatcher, "team/job", fixture.now));
+                              },
+                              Outcome::NotRun, 0 },
+                FailureCase { "StartLostWithItsWorker",
+                              [](Fixture &fixture) {
+                                  fixture.submit("team/job", 1);
+                                  fixture.advance(Milliseconds(5000), false);
+                              },
+                              Outcome::Failed, 1 },
+                FailureCase { "WorkerRestarted",
+                              [](Fixture &fixture) {
+                                  fixture.submit("team/job", 1);
+                                  fixture.offer("worker-1", 2);
+                              },
+                              Outcome::Failed, 1 },
+                FailureCase {
+                        "RefusalOfAnotherIncarnationIsNoProof",
+                        [](Fixture &fixture) {
+                            fixture.submit("team/job", 1);
+                            agent::NotStarted late = refusal(fixture.starts[0],
+                                                             agent::RefusalCause::WrongIncarnation);
+                            late.agentIncarnation = 2;
+                            fixture.record(handle(fixture.dispatcher, late, fixture.now));
+                            fixture.record(cancelJob(fixture.dispatcher, "team/job", fixture.now));
+                        },
+                        Outcome::Failed, 1 },
+                FailureCase { "RefusedThenCancelled",
+                              [](Fixture &fixture) {
+                                  fixture.submit("team/job", 1);
+                                  fixture.record(handle(fixture.dispatcher,
+                                                        refusal(fixture.starts[0],
+                                                                agent::RefusalCause::NoFreeSlot),
+                                                        fixture.now));
+                                  fixture.record(
+                                          cancelJob(fixture.dispatcher, "team/job", fixture.now));
+                              },
+                              Outcome::NotRun, 1 },
+                FailureCase { "RefusedThenStartedElsewhere",
+                              [](Fixture &fixture) {
+                                  fixture.submit("team/job", 1);
+                                  fixture.record(handle(fixture.dispatcher,
+                                                        refusal(fixture.starts[0],
+                                                                agent::RefusalCause::WrongLease),
+                                                        fixture.now));
+                                  fixture.advance(Milliseconds(100), true);
+                                  fixture.finish(fixture.starts.back(), "result");
+                              },
+                              Outcome::Complete, 2 },
+                FailureCase { "FencedByAnotherOwner",
+                              [](Fixture &fixture) {
+                                  fixture.submit("team/job", 1);
+                                  fixture.record(handle(fixture.dispatcher,
+                                                        refusal(fixture.starts[0],
+                                                                agent::RefusalCause::Fenced),
+                                                        fixture.now));
+                              },
+                              Outcome::Failed, 1 },
+                FailureCase { "EndpointReportsFailure",
+                              [](Fixture &fixture) {
+                                  fixture.submit("team/job", 2);
+                                  fixture.finish(fixture.starts[0], "no", agent::TaskEnd::Failed);
+                              },
+                              Outcome::Failed, 2 },
+                FailureCase { "DeadlineWhileItRuns",
+                              [](Fixture &fixture) {
+                                  fixture.submit("team/job", 1);
+                                  fixture.advance(Milliseconds(10050), true);
+                              },
+                              Outcome::Failed, 1 },
+                FailureCase { "ResultArrivesTwice",
+                              [](Fixture &fixture) {
+                                  fixture.submit("team/job", 2);
+                                  fixture.finish(fixture.starts[0], "result");
+                                  fixture.finish(fixture.starts[0], "result");
+                                  fixture.finish(fixture.starts[1], "result");
+                              },
+                              Outcome::Complete, 2 },
+                FailureCase { "RepeatableRequestIsRetried",
+                              [](Fixture &fixture) {
+                                  fixture.submit("team/job", 1, true, true);
+                                  fixture.offer("worker-1", 2);
+                                  fixture.finish(fixture.starts.back(), "result");
+                              },
+                              Outcome::Complete, 2 },
+                FailureCase { "UnrepeatableRequestIsNotRetried",
+                              [](Fixture &fixture) {
+                                  fixture.submit("team/job", 1, true, false);
+                                  fixture.offer("worker-1", 2);
+                              },
+                              Outcome::Failed, 1 },
+                FailureCase { "RepeatableJobIsNotRetried",
+                              [](Fixture &fixture) {
+                                  fixture.submit("team/job", 1, false, true);
+                                  fixture.offer("worker-1", 2);
+                              },
+                              Outcome::Failed, 1 }),
+        [](const testing::TestParamInfo<FailureCase> &given) { return given.param.name; });
 
 // [SECTION] Answers
 
--- a/packages/entry/include/foxwing/entry/entry.h
+++ b/packages/entry/include/foxwing/entry/entry.h
@@ -56,7 +56,7 @@
     // answer is "unknown".
     Milliseconds releaseTimeout { 1000 };
 
-    // No new work is accepted if control has not been heard from for this long.
+    // No new work is accepted if control has not confirmed the configuration for this long.
     Milliseconds configurationLease { 10000 };
 
     // Callers that may wait at the same time
@@ -85,6 +85,8 @@
     Microseconds declaredTime { 0 };
     Microseconds timeLeft { 0 };
     bool repeatable = false;
+
+    // A single request, not a job
     bool request = false;
 };
 
@@ -103,6 +105,7 @@
     Releasing,
 };
 
+// A submission that is not answered yet.
 struct Pending
 {
     SubmitRequest request;
@@ -112,7 +115,7 @@
     bool lookupOnly = false;
     bool cancel = false;
 
-    // Handed to another entry; the body is kept in case that entry is lost.
+    // Handed off to another entry; the body is kept in case that entry is lost.
     bool handedOff = false;
 
     // Set if already refused; the claim then only ensures that no other entry runs it.
@@ -231,7 +234,7 @@
 
 EntryState makeEntry(const EntrySettings &settings);
 
-// Takes a submission of an authenticated team. Answered by exactly one Reply, now or later.
+// Handles a submission of an authenticated team. It is answered by exactly one Reply, now or later.
 EntryActions submit(EntryState &entry, const SubmitRequest &request, Time now, WallTime wallNow);
 
 // Waits for the answer of an earlier submission of the same team.
@@ -262,7 +265,7 @@
 // have been active. Stays true across view changes, or all entries would turn unready at once.
 bool ready(const EntryState &entry, Time now);
 
-// Whether control was heard from within the configuration lease.
+// Whether control has confirmed the configuration within its lease.
 bool hasFreshConfiguration(const EntryState &entry, Time now);
 
 // Whether no job is active and no submission is pending.
--- a/packages/entry/include/foxwing/entry/placement.h
+++ b/packages/entry/include/foxwing/entry/placement.h
@@ -1,10 +1,10 @@
 /*
     Load balancing between entries: chooses the owner of a new job, and moves workers.
 
-    Every worker is leased to one entry, so a job is best run by an entry with free slots. Entries
-    exchange load reports. A job that can't start at once goes as a whole to the entry with the
-    shortest expected wait. Workers follow demand more slowly: idle ones move to entries that have
-    fewer, and one moves at once to an entry that has work waiting and no worker.
+    Each worker is leased to one entry, and an entry can only use its own workers. Entries exchange
+    load reports. A job that can't start at once goes as a whole to the entry with the shortest
+    expected wait. Workers are moved more slowly: idle ones to entries that have fewer, and one at
+    once to an entry that has work waiting but no worker.
 
         std::string owner = chooseOwner(placement, "svc", own, 8, now);
 
@@ -46,7 +46,7 @@
     // Older reports are ignored.
     Milliseconds maxReportAge { 2500 };
 
-    // Shortest time between two workers that are given away
+    // Shortest time between two transfers of workers
     Milliseconds transferInterval { 200 };
 };
 
@@ -68,7 +68,7 @@
     Time nextTransfer {};
 };
 
-// A worker of this service should move to the successor.
+// One worker of this service should be transferred to another entry, its successor as owner.
 struct WorkerTransfer
 {
     std::string service;
--- a/packages/entry/src/claiming.cpp
+++ b/packages/entry/src/claiming.cpp
@@ -2,7 +2,7 @@
     Handles the replies of a claim's primary: runs, joins, takes over or answers the submission.
 
     [SECTION] Takeover
-    [SECTION] Claim answers
+    [SECTION] Claim responses
     [SECTION] Ends of jobs
 */
 #include "internal.h"
@@ -17,7 +17,7 @@
 
 namespace {
 
-// An agent that control declared dead may go on for a while if it was only partitioned.
+// An agent that control reports as lost may start tasks for a while if it is only partitioned.
 bool mayHaveStarted(const EntryState &entry, const KnownAgent &known, const Pending &pending)
 {
     const Milliseconds margin = entry.settings.configurationLease + entry.settings.claims.clockSkew;
@@ -27,12 +27,12 @@
 
 // A takeover queries every agent, so it needs a list from after the grant: an agent that joined
 // just before may have worked for the lost owner.
-void awaitAgentList(EntryState &entry, const claims::ClaimResponse &answer, Pending &pending,
+void awaitAgentList(EntryState &entry, const claims::ClaimResponse &response, Pending &pending,
                     Time now)
 {
     pending.state = PendingState::Refreshing;
     pending.grantedAt = now;
-    pending.claimedAt = answer.claimedAt;
+    pending.claimedAt = response.claimedAt;
     entry.heartbeatRequested = true;
 }
 
@@ -56,14 +56,14 @@
                   actions);
 }
 
-// [SECTION] Claim answers
+// [SECTION] Claim responses
 
 namespace {
 
 void handleOwned(EntryState &entry, const std::string &key, Pending &pending,
-                 const claims::ClaimResponse &answer, Time now, EntryActions &actions)
+                 const claims::ClaimResponse &response, Time now, EntryActions &actions)
 {
-    if (answer.owner == entry.settings.self) {
+    if (response.owner == entry.settings.self) {
         const dispatch::Job *job = dispatch::findJob(entry.dispatcher, key);
         const dispatch::Answer retained = job && job->state == dispatch::JobState::Ended
                 ? job->answer
@@ -73,20 +73,20 @@
     }
     ++entry.counters.joins;
     pending.state = PendingState::Joined;
-    pending.owner = answer.owner;
+    pending.owner = response.owner;
     pending.resendDelay = entry.settings.joinInterval;
     sendJoin(entry, key, pending, now, actions);
 }
 
 void handleGrant(EntryState &entry, const std::string &key, Pending &pending,
-                 const claims::ClaimResponse &answer, Time now, EntryActions &actions)
+                 const claims::ClaimResponse &response, Time now, EntryActions &actions)
 {
-    pending.epoch = answer.epoch;
+    pending.epoch = response.epoch;
     // A grant for a job that this incarnation already ran means a fault elsewhere.
     if (dispatch::findJob(entry.dispatcher, key))
-        return handleOwned(entry, key, pending, answer, now, actions);
-    if (answer.epoch > 1)
-        awaitAgentList(entry, answer, pending, now);
+        return handleOwned(entry, key, pending, response, now, actions);
+    if (response.epoch > 1)
+        awaitAgentList(entry, response, pending, now);
     else
         runLocally(entry, key, pending, now, actions);
 }
@@ -119,48 +119,50 @@
 }
 
 // Releases a grant that arrived after its request expired, so that the job ends as "not run".
-void releaseLateGrant(EntryState &entry, const claims::ClaimResponse &answer, EntryActions &actions)
+void releaseLateGrant(EntryState &entry, const claims::ClaimResponse &response,
+                      EntryActions &actions)
 {
     // Work taken over from a lost owner may have run, so only a first grant can be released.
-    if (answer.status != claims::ClaimStatus::Granted || answer.epoch != 1)
+    if (response.status != claims::ClaimStatus::Granted || response.epoch != 1)
         return;
     std::deque<AbandonedClaim> &abandoned = entry.abandonedClaims;
     const auto found = std::find_if(abandoned.begin(), abandoned.end(),
                                     [&](const AbandonedClaim &claim) {
-                                        return claim.job == answer.job
-                                                && claim.nonce == answer.nonce;
+                                        return claim.job == response.job
+                                                && claim.nonce == response.nonce;
                                     });
     if (found == abandoned.end())
         return;
     abandoned.erase(found);
-    const claims::Release release { entry.settings.self, answer.job, answer.epoch };
+    const claims::Release release { entry.settings.self, response.job, response.epoch };
     actions.sends.push_back(
-            { claims::primaryOf(entry.claims, answer.job).id, claims::ClaimMessage(release) });
+            { claims::primaryOf(entry.claims, response.job).id, claims::ClaimMessage(release) });
 }
 
 } // namespace
 
-void handleClaimResponse(EntryState &entry, const claims::ClaimResponse &answer, Time now,
+void handleClaimResponse(EntryState &entry, const claims::ClaimResponse &response, Time now,
                          EntryActions &actions)
 {
-    const auto found = entry.pending.find(answer.job);
+    const auto found = entry.pending.find(response.job);
     const bool awaited = found != entry.pending.end()
-            && found->second.state == PendingState::Claiming && found->second.nonce == answer.nonce;
-    // A late answer to an earlier incarnation of this entry can carry the same nonce.
-    if (answer.status == claims::ClaimStatus::Granted && !(answer.owner == entry.settings.self))
+            && found->second.state == PendingState::Claiming
+            && found->second.nonce == response.nonce;
+    // A late response to an earlier incarnation of this entry can have the same nonce.
+    if (response.status == claims::ClaimStatus::Granted && !(response.owner == entry.settings.self))
         return;
     if (!awaited)
-        return releaseLateGrant(entry, answer, actions);
+        return releaseLateGrant(entry, response, actions);
     Pending &pending = found->second;
-    if (answer.status == claims::ClaimStatus::Retry)
+    if (response.status == claims::ClaimStatus::Retry)
         return; // resent when due
-    if (answer.status == claims::ClaimStatus::Granted)
-        return handleGrant(entry, answer.job, pending, answer, now, actions);
-    if (answer.status == claims::ClaimStatus::OwnedByOther)
-        return handleOwned(entry, answer.job, pending, answer, now, actions);
+    if (response.status == claims::ClaimStatus::Granted)
+        return handleGrant(entry, response.job, pending, response, now, actions);
+    if (response.status == claims::ClaimStatus::OwnedByOther)
+        return handleOwned(entry, response.job, pending, response, now, actions);
     if (pending.refusal.kind != ErrorKind::None)
         ++entry.counters.refusals;
-    finishPending(entry, answer.job, statusAnswer(pending, answer.status), actions);
+    finishPending(entry, response.job, statusAnswer(pending, response.status), actions);
 }
 
 void handleReleased(EntryState &entry, const claims::Released &released, EntryActions &actions)
--- a/packages/entry/src/entry.cpp
+++ b/packages/entry/src/entry.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-// Bounds the claim requests that are kept to recognise late grants.
+// Maximum number of claim requests that are kept to recognize late grants.
 constexpr std::size_t MaxAbandonedClaims = 10000;
 
 // Nonces start at incarnation << NonceBits, so that they differ from earlier incarnations'.
@@ -194,7 +194,7 @@
     if (ownerLost)
         restartClaim(entry, key, pending, now, actions);
     if (pending.state == PendingState::Refreshing) {
-        const bool refreshed = entry.claims.controlHeardAt > pending.grantedAt;
+        const bool refreshed = entry.claims.controlConfirmedAt > pending.grantedAt;
         if (refreshed)
             takeOver(entry, key, pending, now, actions);
         return !refreshed;
@@ -338,8 +338,8 @@
                          WallTime wallNow)
 {
     EntryActions actions;
-    if (const auto *answer = std::get_if<claims::ClaimResponse>(&message))
-        handleClaimResponse(entry, *answer, now, actions);
+    if (const auto *response = std::get_if<claims::ClaimResponse>(&message))
+        handleClaimResponse(entry, *response, now, actions);
     else if (const auto *released = std::get_if<claims::Released>(&message))
         handleReleased(entry, *released, actions);
     else
@@ -393,8 +393,8 @@
 
 bool hasFreshConfiguration(const EntryState &entry, Time now)
 {
-    return entry.claims.controlHeard
-            && now < entry.claims.controlHeardAt + entry.settings.configurationLease;
+    return entry.claims.controlConfirmed
+            && now < entry.claims.controlConfirmedAt + entry.settings.configurationLease;
 }
 
 bool ready(const EntryState &entry, Time now)
--- a/packages/entry/src/internal.h
+++ b/packages/entry/src/internal.h
@@ -52,13 +52,13 @@
 
 // [SECTION] Claims
 
-// Requests the claim again after the owner was lost or refused the handoff. If the body is at hand,
-// this entry can take the job over.
+// Requests the claim again after the owner was lost or refused the handoff. If this entry has the
+// body, it can take the job over.
 void restartClaim(EntryState &entry, const std::string &key, Pending &pending, Time now,
                   EntryActions &actions);
 
 // Handles the reply of a claim's primary.
-void handleClaimResponse(EntryState &entry, const claims::ClaimResponse &answer, Time now,
+void handleClaimResponse(EntryState &entry, const claims::ClaimResponse &response, Time now,
                          EntryActions &actions);
 
 // The primary recorded that the job never runs, or found that another entry owns it by now.
@@ -83,7 +83,7 @@
 void handOff(EntryState &entry, SubmitRequest request, const claims::EntryIdentity &owner, Time now,
              WallTime wallNow, EntryActions &actions);
 
-// Accepts work from a peer. It is claimed like any other, and never handed on.
+// Accepts work from a peer. It is claimed like any other, and never handed off again.
 void handleHandoff(EntryState &entry, const Handoff &handoff, Time now, EntryActions &actions);
 
 // Handles the answer of the entry that runs a job for callers of this one.
--- a/packages/entry/src/placement.cpp
+++ b/packages/entry/src/placement.cpp
@@ -52,7 +52,7 @@
     return wanted <= slots ? 0 : static_cast<double>(wanted - slots) / slots;
 }
 
-// A handoff costs two messages and a little time, so it must shorten the wait by at least this.
+// A handoff costs two messages and their delay, so it must shorten the wait by at least this.
 constexpr double MinWaitGain = 0.05;
 
 } // namespace
--- a/packages/entry/tests/entry_test.cpp
+++ b/packages/entry/tests/entry_test.cpp
@@ -16,7 +16,7 @@
 
 // [SECTION] Helpers
 
-constexpr Time Begin { Milliseconds(1000) };
+constexpr Time StartTime { Milliseconds(1000) };
 const WallTime Wall { Milliseconds(1'796'000'000'000) };
 
 EntryState configuredEntry()
@@ -26,7 +26,7 @@
     EntryState entry = makeEntry(settings);
     entry.registry.services["svc"] = { "svc", 10, 100, Milliseconds(5000) };
     entry.registry.teams["team"] = { "team", "salt-salt", hashSecret("salt-salt", "secret"), 1, 0 };
-    claims::renewControlLease(entry.claims, Begin);
+    claims::renewControlLease(entry.claims, StartTime);
     return entry;
 }
 
@@ -60,7 +60,7 @@
     EntryState entry = configuredEntry();
     SubmitRequest request = validRequest();
     GetParam().mutate(entry, request);
-    const EntryActions actions = submit(entry, request, Begin, Wall);
+    const EntryActions actions = submit(entry, request, StartTime, Wall);
     EXPECT_TRUE(actions.sends.empty());
     ASSERT_EQ(actions.replies.size(), 1U);
     const dispatch::Answer &answer = actions.replies[0].answer;
@@ -118,7 +118,7 @@
                                 ErrorKind::BadRequest, "set the clock" },
                 BadSubmission { "NotConfigured",
                                 [](EntryState &entry, SubmitRequest &) {
-                                    entry.claims.controlHeard = false;
+                                    entry.claims.controlConfirmed = false;
                                 },
                                 ErrorKind::NotReady, "another one" },
                 BadSubmission { "Leaving",
@@ -132,11 +132,11 @@
     for (const bool leaving : { true, false }) {
         EntryState entry = configuredEntry();
         entry.leaving = leaving;
-        entry.claims.controlHeard = leaving;
+        entry.claims.controlConfirmed = leaving;
         SubmitRequest request = validRequest();
         std::mt19937_64 random(1);
         request.submission = makeSubmissionId(Wall, random);
-        const EntryActions actions = submit(entry, request, Begin, Wall);
+        const EntryActions actions = submit(entry, request, StartTime, Wall);
         ASSERT_EQ(actions.replies.size(), 1U);
         EXPECT_EQ(actions.replies[0].answer.outcome, Outcome::Unknown);
     }
@@ -146,21 +146,21 @@
 TEST(Entry, StaysReadyWhileShardsMove)
 {
     EntryState entry = configuredEntry();
-    EXPECT_FALSE(ready(entry, Begin));
+    EXPECT_FALSE(ready(entry, StartTime));
     claims::View view;
     view.number = 1;
     view.members = { { { "entry-a", 1 }, "", "" } };
     view.bases.resize(claims::ShardCount);
     for (claims::ShardBase &base : view.bases)
         base.lastActiveView = 1;
-    setView(entry, view, Begin);
-    tick(entry, Begin, Wall);
-    EXPECT_TRUE(ready(entry, Begin));
+    setView(entry, view, StartTime);
+    tick(entry, StartTime, Wall);
+    EXPECT_TRUE(ready(entry, StartTime));
     view.number = 2;
-    setView(entry, view, Begin);
-    tick(entry, Begin, Wall);
-    EXPECT_TRUE(ready(entry, Begin)) << "unready although only the shards move";
-    EXPECT_FALSE(ready(entry, Begin + Seconds(11)))
+    setView(entry, view, StartTime);
+    tick(entry, StartTime, Wall);
+    EXPECT_TRUE(ready(entry, StartTime)) << "unready although only the shards move";
+    EXPECT_FALSE(ready(entry, StartTime + Seconds(11)))
             << "ready after the configuration lease expired";
 }
 
@@ -196,7 +196,7 @@
 
 // [SECTION] Placement
 
-struct Choice
+struct OwnerCase
 {
     const char *name;
     dispatch::ServiceLoad own;
@@ -205,50 +205,50 @@
     const char *expected;
 };
 
-class Owner : public testing::TestWithParam<Choice>
+class Owner : public testing::TestWithParam<OwnerCase>
 { };
 
 TEST_P(Owner, IsTheEntryWithTheShortestWait)
 {
     Placement placement;
     placement.settings.self = "entry-a";
-    handleLoadReport(placement, { "entry-b", "", false, { GetParam().peer } }, Begin);
-    EXPECT_EQ(chooseOwner(placement, "svc", GetParam().own, 4, Begin + GetParam().age),
+    handleLoadReport(placement, { "entry-b", "", false, { GetParam().peer } }, StartTime);
+    EXPECT_EQ(chooseOwner(placement, "svc", GetParam().own, 4, StartTime + GetParam().age),
               GetParam().expected);
 }
 
 INSTANTIATE_TEST_SUITE_P(Table, Owner,
-                         testing::Values(Choice { "OwnSlotsFree",
-                                                  { 8, 4, 0 },
-                                                  { "svc", 80, 0, 0 },
-                                                  Milliseconds(0),
-                                                  "entry-a" },
-                                         Choice { "OwnFullPeerFree",
-                                                  { 8, 8, 0 },
-                                                  { "svc", 8, 0, 0 },
-                                                  Milliseconds(0),
-                                                  "entry-b" },
-                                         Choice { "BothFullPeerWorse",
-                                                  { 8, 8, 0 },
-                                                  { "svc", 8, 8, 9 },
-                                                  Milliseconds(0),
-                                                  "entry-a" },
-                                         Choice { "NoLocalWorker",
-                                                  { 0, 0, 0 },
-                                                  { "svc", 8, 8, 40 },
-                                                  Milliseconds(0),
-                                                  "entry-b" },
-                                         Choice { "NoWorkerAnywhere",
-                                                  { 0, 0, 0 },
-                                                  { "svc", 0, 0, 0 },
-                                                  Milliseconds(0),
-                                                  "entry-a" },
-                                         Choice { "StaleReport",
-                                                  { 8, 8, 0 },
-                                                  { "svc", 8, 0, 0 },
-                                                  Milliseconds(3000),
-                                                  "entry-a" }),
-                         [](const testing::TestParamInfo<Choice> &given) {
+                         testing::Values(OwnerCase { "OwnSlotsFree",
+                                                     { 8, 4, 0 },
+                                                     { "svc", 80, 0, 0 },
+                                                     Milliseconds(0),
+                                                     "entry-a" },
+                                         OwnerCase { "OwnFullPeerFree",
+                                                     { 8, 8, 0 },
+                                                     { "svc", 8, 0, 0 },
+                                                     Milliseconds(0),
+                                                     "entry-b" },
+                                         OwnerCase { "BothFullPeerWorse",
+                                                     { 8, 8, 0 },
+                                                     { "svc", 8, 8, 9 },
+                                                     Milliseconds(0),
+                                                     "entry-a" },
+                                         OwnerCase { "NoLocalWorker",
+                                                     { 0, 0, 0 },
+                                                     { "svc", 8, 8, 40 },
+                                                     Milliseconds(0),
+                                                     "entry-b" },
+                                         OwnerCase { "NoWorkerAnywhere",
+                                                     { 0, 0, 0 },
+                                                     { "svc", 0, 0, 0 },
+                                                     Milliseconds(0),
+                                                     "entry-a" },
+                                         OwnerCase { "StaleReport",
+                                                     { 8, 8, 0 },
+                                                     { "svc", 8, 0, 0 },
+                                                     Milliseconds(3000),
+                                                     "entry-a" }),
+                         [](const testing::TestParamInfo<OwnerCase> &given) {
                              return given.param.name;
                          });
 
@@ -257,10 +257,10 @@
     Placement placement;
     placement.settings.self = "entry-a";
     for (const char *peer : { "entry-b", "entry-c" })
-        handleLoadReport(placement, { peer, "", false, { { "svc", 8, 0, 0 } } }, Begin);
+        handleLoadReport(placement, { peer, "", false, { { "svc", 8, 0, 0 } } }, StartTime);
     std::map<std::string, int> chosen;
     for (int i = 0; i < 4; ++i)
-        ++chosen[chooseOwner(placement, "svc", { 8, 8, 8 }, 4, Begin)];
+        ++chosen[chooseOwner(placement, "svc", { 8, 8, 8 }, 4, StartTime)];
     EXPECT_EQ(chosen["entry-b"], 2);
     EXPECT_EQ(chosen["entry-c"], 2);
 }
--- a/packages/operators/include/foxwing/operators/operators.h
+++ b/packages/operators/include/foxwing/operators/operators.h
@@ -10,12 +10,12 @@
     A late catalog is recognized by its version. A cordon command has no version, so it is valid
     only while its operator waits for the answer: the host that received the call bases the command
     on its current revision of the cordons, and reissues it if they change before it is committed.
-    What remains of a command whose operator has gone is based on an older revision and changes
-    nothing.
+    A command still in flight after its operator stopped waiting is based on an older revision and
+    changes nothing.
 
         OperatorState operators;
         OperatorActions actions = addCall(operators, call, group, now, &number);
-        ... execute actions: propose, read, forward; then call proposed(), readDone(), ... ...
+        ... execute actions, then call proposed(), readDone() or peerAnswered() for each ...
         actions = committed(operators, index, term, applied, group, now);
 
     [SECTION] Calls
--- a/packages/operators/src/operators.cpp
+++ b/packages/operators/src/operators.cpp
@@ -4,7 +4,7 @@
     [SECTION] Requests
     [SECTION] Answers
     [SECTION] Attempts
-    [SECTION] Events
+    [SECTION] Public functions
 */
 #include <foxwing/operators/operators.h>
 
@@ -115,7 +115,7 @@
         command->basedOn = group.agreed->cordons.revision;
 }
 
-// A higher or equal version is committed already, and versions never go back.
+// Whether a higher or equal version is committed already. Versions never decrease.
 bool isSuperseded(const OperatorCall &call, const GroupStatus &group)
 {
     const auto *declared = std::get_if<DeclaredCatalog>(&call.request);
@@ -169,7 +169,7 @@
 
 } // namespace
 
-// [SECTION] Events
+// [SECTION] Public functions
 
 OperatorActions addCall(OperatorState &operators, OperatorCall call, const GroupStatus &group,
                         Time now, std::uint64_t *number)
--- a/packages/operators/tests/operators_test.cpp
+++ b/packages/operators/tests/operators_test.cpp
@@ -360,7 +360,7 @@
     EXPECT_EQ(actions.answers.at(0).outcome, OperatorOutcome::Unconfirmed);
 }
 
-TEST(OperatorsCordon, OfAnOperatorThatHasGoneIsNotReissued)
+TEST(OperatorsCordon, OfAnOperatorThatStoppedWaitingIsNotReissued)
 {
     CordonHost host(Role::Leader);
     host.cordon();
@@ -382,8 +382,8 @@
 class Pauses : public testing::TestWithParam<PauseCase>
 { };
 
-// A call that is read after a pause was sent before it. Its operator may have tried another host
-// since, and ordered the opposite there.
+// A call that is read after a pause may have been sent before it. Its operator may have tried
+// another host since, and issued the opposite command there.
 TEST_P(Pauses, RejectCordonCommands)
 {
     CordonHost host(Role::Leader);
@@ -402,12 +402,12 @@
     EXPECT_EQ(host.cordon().proposals.size(), 1U);
 }
 
-INSTANTIATE_TEST_SUITE_P(Operators, Pauses,
-                         testing::Values(PauseCase { "BusyTurn", Milliseconds(150), false, true },
-                                         PauseCase { "Paused", Milliseconds(1500), false, false },
-                                         PauseCase { "PausedThenTicked", Milliseconds(1500), true,
-                                                     false }),
-                         [](const auto &tested) { return tested.param.name; });
+INSTANTIATE_TEST_SUITE_P(
+        Operators, Pauses,
+        testing::Values(PauseCase { "BusyEventLoop", Milliseconds(150), false, true },
+                        PauseCase { "Paused", Milliseconds(1500), false, false },
+                        PauseCase { "PausedThenTicked", Milliseconds(1500), true, false }),
+        [](const auto &tested) { return tested.param.name; });
 
 } // namespace
 } // namespace foxwing::operators
--- a/packages/operators/tests/orders_test.cpp
+++ b/packages/operators/tests/orders_test.cpp
@@ -89,13 +89,13 @@
         events.push({ now + delay, ++sequence, std::move(action) });
     }
 
-    // On a host, as soon as it is not paused.
-    void on(int host, Microseconds delay, const std::function<void()> &action)
+    // Runs an action on a host once it is not paused.
+    void runOn(int host, Microseconds delay, const std::function<void()> &action)
     {
         after(delay, [this, host, action] {
             const Time until = hosts[static_cast<std::size_t>(host)].pausedUntil;
             if (now < until)
-                return on(host, until - now, action);
+                return runOn(host, until - now, action);
             action();
         });
     }
@@ -180,8 +180,8 @@
         simulation.violations.emplace_back("an outdated command undid an acknowledged one");
     simulation.log.emplace_back(command, simulation.term);
     for (int i = 0; i < HostCount; ++i)
-        simulation.on(i, Milliseconds(simulation.between(1, 90)),
-                      [&simulation, i] { applyCommitted(simulation, i); });
+        simulation.runOn(i, Milliseconds(simulation.between(1, 90)),
+                         [&simulation, i] { applyCommitted(simulation, i); });
 }
 
 // Proposals of the previous leader are either committed now or never.
@@ -242,16 +242,17 @@
     OperatorCall forwardedCall;
     forwardedCall.request = host.operators.calls.at(call).request;
     forwardedCall.fromPeer = true;
-    simulation.on(simulation.leader, simulation.messageDelay(),
-                  [&simulation, number, call, forwardedCall, to = simulation.leader] {
-                      receiveCall(simulation, to, forwardedCall, 0, std::make_pair(number, call));
-                  });
+    simulation.runOn(simulation.leader, simulation.messageDelay(),
+                     [&simulation, number, call, forwardedCall, to = simulation.leader] {
+                         receiveCall(simulation, to, forwardedCall, 0,
+                                     std::make_pair(number, call));
+                     });
 }
 
 void answerPeer(Simulation &simulation, std::pair<int, std::uint64_t> peer, OperatorAnswer answer)
 {
     answer.number = peer.second;
-    simulation.on(peer.first, simulation.messageDelay(), [&simulation, peer, answer] {
+    simulation.runOn(peer.first, simulation.messageDelay(), [&simulation, peer, answer] {
         ControlHost &forwarder = simulation.hosts[static_cast<std::size_t>(peer.first)];
         execute(simulation, peer.first,
                 peerAnswered(forwarder.operators, answer, groupOf(simulation, peer.first),
@@ -280,22 +281,22 @@
 void tickHost(Simulation &simulation, int number)
 {
     ControlHost &host = simulation.hosts[static_cast<std::size_t>(number)];
-    // A connection that the operator has closed is noticed within one turn of the event loop.
+    // A connection that the operator has closed is noticed within one event loop iteration.
     for (const auto &[call, request] : host.requests) {
         if (request != simulation.request && simulation.disabled != Guard::CallerCheck)
             dropCall(host.operators, call);
     }
     execute(simulation, number, tick(host.operators, groupOf(simulation, number), simulation.now));
-    simulation.on(number, TickInterval, [&simulation, number] { tickHost(simulation, number); });
+    simulation.runOn(number, TickInterval, [&simulation, number] { tickHost(simulation, number); });
 }
 
-void pauseOne(Simulation &simulation)
+void pauseRandomHost(Simulation &simulation)
 {
     ControlHost &host =
             simulation.hosts[static_cast<std::size_t>(simulation.between(0, HostCount - 1))];
     host.pausedUntil = simulation.now + Milliseconds(simulation.between(100, 4000));
     simulation.after(Milliseconds(simulation.between(500, 5000)),
-                     [&simulation] { pauseOne(simulation); });
+                     [&simulation] { pauseRandomHost(simulation); });
 }
 
 // [SECTION] Operator
@@ -309,8 +310,9 @@
     sendRequest(simulation);
 }
 
-// Sends a new request on a new connection; the previous connection is closed. Its end is seen along
-// with delayed requests on it, unless the host was paused and has not read it yet.
+// Sends a request on a new connection and closes the previous one. A host that receives a delayed
+// request on a closed connection also notices the close, unless it was paused in between and has
+// not read the close yet.
 void sendRequest(Simulation &simulation)
 {
     if (simulation.now >= simulation.issuedAt + CommandTimeout) {
@@ -329,13 +331,13 @@
             return;
         const bool paused = simulation.now
                 < simulation.hosts[static_cast<std::size_t>(number)].pausedUntil;
-        simulation.on(number, Milliseconds(0),
-                      [&simulation, number, call, request, paused, closeIsSeen] {
-                          if (request != simulation.request && (!paused || closeIsSeen)
-                              && simulation.disabled != Guard::CallerCheck)
-                              return;
-                          receiveCall(simulation, number, call, request, std::nullopt);
-                      });
+        simulation.runOn(number, Milliseconds(0),
+                         [&simulation, number, call, request, paused, closeIsSeen] {
+                             if (request != simulation.request && (!paused || closeIsSeen)
+                                 && simulation.disabled != Guard::CallerCheck)
+                                 return;
+                             receiveCall(simulation, number, call, request, std::nullopt);
+                         });
     });
     simulation.after(AnswerTimeout, [&simulation, request] {
         if (request == simulation.request)
@@ -375,7 +377,7 @@
     for (int i = 0; i < HostCount; ++i)
         tickHost(simulation, i);
     changeLeader(simulation);
-    pauseOne(simulation);
+    pauseRandomHost(simulation);
     issueNextCommand(simulation);
     while (!simulation.events.empty() && simulation.events.top().when < end) {
         const Simulation::Event event = simulation.events.top();
--- a/packages/quorum/include/foxwing/quorum/quorum.h
+++ b/packages/quorum/include/foxwing/quorum/quorum.h
@@ -45,14 +45,14 @@
     Milliseconds heartbeatInterval { 120 };
 
     // Timeout of the first election after a start. May be short, since the pre-vote keeps the host
-    // from disrupting an existing leader.
-    // Also the upper bound of the random delay after which a host without a leader tries again on a
-    // change in its favour: a voter was connected, or it refused its vote to an older log.
+    // from disrupting an existing leader. Also bounds the random delay before a host without a
+    // leader retries because its chances have improved: a voter was connected, or a host with an
+    // older log requested its vote.
     Milliseconds firstElectionTimeout { 100 };
 
     // A host without a leader that has granted a pre-vote delays its own by at least this much, as
     // simultaneous candidates can split the vote and lose a whole election timeout. Must exceed two
-    // disk syncs (9 ms each) and a round trip.
+    // disk syncs and a round trip.
     Milliseconds preVoteBackoff { 50 };
 
     // Per Append message
@@ -67,15 +67,15 @@
     Milliseconds learnerTimeout { 20000 };
 
     // All available hosts vote, so that the group makes progress while a majority of them is
-    // connected. A voter that has been silent for this long is removed if the remaining ones could
-    // not tolerate the loss of minVoters / 2 more and number at least minVoters: a replaced
-    // host must not use up the failures that the group tolerates. A host that returns is added
+    // connected. A voter that has been silent for this long is removed if at least minVoters others
+    // are up and the group could not tolerate the loss of minVoters / 2 of them: a replaced host
+    // must not count as one of the failures that the group tolerates. A host that returns is added
     // again. Must exceed the TCP retransmission of a lost heartbeat (1 s) and stay well below the
-    // 4 s within which a replacement must count in full.
+    // 4 s within which a replacement must restore the group's fault tolerance.
     Milliseconds voterTimeout { 1500 };
 
-    // Used instead while the group can tolerate that loss: the voter may only be restarting, and
-    // without it the group would depend on fewer hosts.
+    // Used instead of voterTimeout while the group can tolerate that loss: the voter may only be
+    // restarting, and without it the group would depend on fewer hosts.
     Milliseconds longVoterTimeout { 30000 };
 
     // A self-managed group removes a silent voter only while at least this many others are up. Five
--- a/packages/quorum/src/election.cpp
+++ b/packages/quorum/src/election.cpp
@@ -42,8 +42,8 @@
 
 // Besides voters: a host removed by a membership change that it does not know to be committed, and
 // a learner with a newer log than a voter that requested its vote. Either may have the only copy of
-// the newest entries. Only voters' votes count. A host whose removal is committed must not stand,
-// as it would become leader and step down repeatedly.
+// the newest entries. Only voters' votes count. A host whose removal is committed must not become a
+// candidate, as it would become leader and step down repeatedly.
 static bool canBeCandidate(const QuorumState &quorum)
 {
     const std::vector<std::string> &learners = quorum.members.learners;
@@ -110,7 +110,7 @@
     requestVotes(quorum, false, actions);
     scheduleElection(quorum, now, quorum.settings.electionTimeout);
     if (hasWon(quorum))
-        startLeading(quorum, now, actions);
+        becomeLeader(quorum, now, actions);
 }
 
 } // namespace
@@ -147,7 +147,7 @@
     if (reply.preVote)
         startElection(quorum, now, actions);
     else
-        startLeading(quorum, now, actions);
+        becomeLeader(quorum, now, actions);
 }
 
 // [SECTION] Voting
--- a/packages/quorum/src/internal.h
+++ b/packages/quorum/src/internal.h
@@ -43,13 +43,13 @@
 // Recomputes members and membersIndex from snapshot and log.
 void refreshMembers(QuorumState &quorum);
 
-// Whether the test is true for a majority of the voters.
-template<class Test>
-bool majority(const QuorumState &quorum, Test test)
+// Whether the predicate is true for a majority of the voters.
+template<class Predicate>
+bool majority(const QuorumState &quorum, Predicate predicate)
 {
     std::size_t count = 0;
     for (const std::string &voter : quorum.members.voters)
-        count += test(voter) ? 1 : 0;
+        count += predicate(voter) ? 1 : 0;
     return count * 2 > quorum.members.voters.size();
 }
 
@@ -61,12 +61,13 @@
                        QuorumActions &actions);
 void handleVoteReply(QuorumState &quorum, const VoteReply &reply, Time now, QuorumActions &actions);
 void tickElection(QuorumState &quorum, Time now, QuorumActions &actions);
+
 // Schedules the next election after one to two timeouts.
 void scheduleElection(QuorumState &quorum, Time now, Microseconds timeout);
 
 // [SECTION] Replication
 
-void startLeading(QuorumState &quorum, Time now, QuorumActions &actions);
+void becomeLeader(QuorumState &quorum, Time now, QuorumActions &actions);
 void handleAppend(QuorumState &quorum, const Append &append, Time now, QuorumActions &actions);
 void handleAppendReply(QuorumState &quorum, const AppendReply &reply, Time now,
                        QuorumActions &actions);
@@ -74,8 +75,8 @@
                    QuorumActions &actions);
 void tickLeader(QuorumState &quorum, Time now, QuorumActions &actions);
 
-// Sends each member the entries it lacks; with heartbeat also to members that lack none or have a
-// message in flight.
+// Sends each member the entries it lacks. A heartbeat is also sent to members that lack none or
+// have a message in flight.
 void replicateAll(QuorumState &quorum, bool heartbeat, Time now, QuorumActions &actions);
 
 // Commits the entries that a quorum has on disk.
--- a/packages/quorum/src/quorum.cpp
+++ b/packages/quorum/src/quorum.cpp
@@ -2,7 +2,7 @@
     Public functions of the consensus group.
 
     [SECTION] Start
-    [SECTION] Messages and time
+    [SECTION] Messages and ticks
     [SECTION] Proposals and reads
 */
 #include <foxwing/quorum/quorum.h>
@@ -60,7 +60,7 @@
     return quorum.role == Role::Leader;
 }
 
-// [SECTION] Messages and time
+// [SECTION] Messages and ticks
 
 QuorumActions handle(QuorumState &quorum, const QuorumMessage &message, Time now)
 {
--- a/packages/quorum/src/replication.cpp
+++ b/packages/quorum/src/replication.cpp
@@ -4,7 +4,7 @@
     [SECTION] Sending
     [SECTION] Receiving
     [SECTION] Replies
-    [SECTION] Time
+    [SECTION] Timers
 */
 #include "internal.h"
 
@@ -85,7 +85,7 @@
         replicate(quorum, id, heartbeat, now, actions);
 }
 
-void startLeading(QuorumState &quorum, Time now, QuorumActions &actions)
+void becomeLeader(QuorumState &quorum, Time now, QuorumActions &actions)
 {
     quorum.role = Role::Leader;
     quorum.leader = quorum.settings.self;
@@ -264,7 +264,7 @@
     }
 }
 
-// [SECTION] Time
+// [SECTION] Timers
 
 void tickLeader(QuorumState &quorum, Time now, QuorumActions &actions)
 {
--- a/packages/quorum/tests/election_test.cpp
+++ b/packages/quorum/tests/election_test.cpp
@@ -13,7 +13,7 @@
 
 // [SECTION] Helpers
 
-const Time Start { Seconds(100) };
+const Time StartTime { Seconds(100) };
 
 // One of three voters, with three log entries of term 2.
 QuorumState makeVoter()
@@ -32,7 +32,7 @@
         entry.term = 2;
         recovered.entries.push_back(entry);
     }
-    return makeQuorum(settings, recovered, Start);
+    return makeQuorum(settings, recovered, StartTime);
 }
 
 VoteRequest makePreVoteRequest(std::uint64_t lastIndex)
@@ -49,7 +49,7 @@
 // A first pre-vote without an answer; the next is at least one election timeout away.
 Time startFailedPreVote(QuorumState &quorum)
 {
-    const Time later = Start + Milliseconds(40);
+    const Time later = StartTime + Milliseconds(40);
     tick(quorum, later);
     EXPECT_EQ(quorum.role, Role::PreCandidate);
     EXPECT_GE(quorum.electionDeadline, later + Milliseconds(400));
@@ -145,7 +145,7 @@
     QuorumState quorum = makeVoter();
     quorum.settings.self = "d";
     quorum.members = { { "a", "b", "c" }, { "d" } };
-    const Time later = Start + Milliseconds(200);
+    const Time later = StartTime + Milliseconds(200);
     EXPECT_FALSE(requestsVotes(tick(quorum, later)));
     handle(quorum, makePreVoteRequest(2), later);
     EXPECT_TRUE(requestsVotes(tick(quorum, later + Milliseconds(20))));
@@ -164,21 +164,22 @@
     EXPECT_TRUE(isLeader(quorum));
 }
 
-// Its removal is committed, so that a vote request with an older log makes no difference.
+// Its removal is committed, so a vote request of a host with an older log doesn't make it a
+// candidate.
 TEST(QuorumElection, RemovedHostNeverRequestsVotes)
 {
     QuorumState quorum = makeVoter();
     quorum.settings.self = "d";
     quorum.commitIndex = 3;
-    handle(quorum, makePreVoteRequest(2), Start);
-    EXPECT_FALSE(requestsVotes(tick(quorum, Start + Seconds(2))));
+    handle(quorum, makePreVoteRequest(2), StartTime);
+    EXPECT_FALSE(requestsVotes(tick(quorum, StartTime + Seconds(2))));
 }
 
 // Guards against split votes between hosts that start at the same moment.
 TEST(QuorumElection, HostThatGrantedAPreVoteDelaysItsOwn)
 {
     QuorumState quorum = makeVoter();
-    const Time grantedAt = Start + Milliseconds(19);
+    const Time grantedAt = StartTime + Milliseconds(19);
     handle(quorum, makePreVoteRequest(3), grantedAt);
     EXPECT_FALSE(requestsVotes(
             tick(quorum, grantedAt + quorum.settings.preVoteBackoff - Milliseconds(1))));
--- a/packages/quorum/tests/members_test.cpp
+++ b/packages/quorum/tests/members_test.cpp
@@ -1,6 +1,7 @@
 /*
     Membership changes of a self-managed group.
 
+    [SECTION] Helpers
     [SECTION] Tests
 */
 #include <gtest/gtest.h>
@@ -10,7 +11,7 @@
 namespace foxwing::quorum {
 namespace {
 
-// [SECTION] Tests
+// [SECTION] Helpers
 
 const Time Now { Seconds(100) };
 
@@ -44,6 +45,8 @@
     return result;
 }
 
+// [SECTION] Tests
+
 struct NextMembersCase
 {
     const char *name;
--- a/packages/replica/include/foxwing/replica/replica.h
+++ b/packages/replica/include/foxwing/replica/replica.h
@@ -113,7 +113,7 @@
 
 private:
     // Records to append, then a snapshot that replaces the journal unless it is empty.
-    struct WriteJob
+    struct PendingWrite
     {
         std::vector<std::string> records;
         std::string snapshot;
@@ -125,7 +125,7 @@
     void applyCommitted(const std::vector<quorum::LogEntry> &entries);
     std::string persistentState() const;
     void runWriter();
-    bool write(const std::vector<WriteJob> &jobs, Error *reason);
+    bool write(const std::vector<PendingWrite> &writes, Error *reason);
     void fail(const Error &reason);
 
     ReplicaSettings m_settings;
@@ -137,7 +137,7 @@
 
     std::mutex m_mutex;
     std::condition_variable m_wakeUp;
-    std::vector<WriteJob> m_jobs;
+    std::vector<PendingWrite> m_pendingWrites;
     bool m_stopping = false;
     std::thread m_writer;
 };
--- a/packages/replica/src/replica.cpp
+++ b/packages/replica/src/replica.cpp
@@ -96,17 +96,17 @@
 
 void Replica::queueWrite(quorum::QuorumActions &actions)
 {
-    WriteJob job;
-    job.syncNumber = actions.syncNumber;
+    PendingWrite pending;
+    pending.syncNumber = actions.syncNumber;
     for (const quorum::Record &record : actions.records) {
         if (std::holds_alternative<quorum::SnapshotRecord>(record))
-            job.snapshot = persistentState();
+            pending.snapshot = persistentState();
         else
-            job.records.push_back(writeJson(encodeMessage(record)));
+            pending.records.push_back(writeJson(encodeMessage(record)));
     }
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        m_jobs.push_back(std::move(job));
+        m_pendingWrites.push_back(std::move(pending));
     }
     m_wakeUp.notify_one();
 }
@@ -151,15 +151,15 @@
 
 // [SECTION] Writer
 
-bool Replica::write(const std::vector<WriteJob> &jobs, Error *reason)
+bool Replica::write(const std::vector<PendingWrite> &writes, Error *reason)
 {
-    for (const WriteJob &job : jobs) {
-        for (const std::string &record : job.records)
+    for (const PendingWrite &pending : writes) {
+        for (const std::string &record : pending.records)
             m_journal->append(record);
-        if (job.snapshot.empty())
+        if (pending.snapshot.empty())
             continue;
-        // The snapshot includes the records of its job, so they must be synced first.
-        if (!m_journal->sync(reason) || !m_journal->replaceWithSnapshot(job.snapshot, reason))
+        // The snapshot includes the effect of these records, so they must be synced first.
+        if (!m_journal->sync(reason) || !m_journal->replaceWithSnapshot(pending.snapshot, reason))
             return false;
     }
     if (m_settings.addedDelay.count() > 0)
@@ -171,15 +171,15 @@
 {
     std::unique_lock<std::mutex> lock(m_mutex);
     while (!m_stopping) {
-        m_wakeUp.wait(lock, [this] { return m_stopping || !m_jobs.empty(); });
-        std::vector<WriteJob> jobs;
-        jobs.swap(m_jobs);
-        if (jobs.empty())
+        m_wakeUp.wait(lock, [this] { return m_stopping || !m_pendingWrites.empty(); });
+        std::vector<PendingWrite> writes;
+        writes.swap(m_pendingWrites);
+        if (writes.empty())
             continue;
         lock.unlock();
         Error reason;
-        if (write(jobs, &reason)) {
-            m_events.runOnLoop([this, number = jobs.back().syncNumber] {
+        if (write(writes, &reason)) {
+            m_events.runOnLoop([this, number = writes.back().syncNumber] {
                 execute(quorum::synced(m_state, number, steadyNow()));
             });
         } else {
