--- a/packages/dispatch/include/foxwing/dispatch/health.h
+++ b/packages/dispatch/include/foxwing/dispatch/health.h
@@ -78,7 +78,7 @@
 // Puts a worker whose ejection is over on probation. Returns true if its status changed.
 bool endEjection(WorkerHealth &worker, Time now);
 
-// Takes a worker that leaves the service out of the counts.
+// Removes a worker that leaves the service from the counts.
 void forgetWorker(ServiceHealth &service, const WorkerHealth &worker);
 
 } // namespace foxwing::dispatch
--- a/packages/dispatch/src/dispatcher.cpp
+++ b/packages/dispatch/src/dispatcher.cpp
@@ -605,11 +605,12 @@
     Worker *chosen = nullptr;
     for (auto &item : pool.workers) {
         Worker &worker = item.second;
-        const bool near = worker.dataCentre == successorDataCentre
+        // A worker in this entry's data centre is kept, unless the successor is in it or starved.
+        const bool dataCentreFits = worker.dataCentre == successorDataCentre
                 || worker.dataCentre != pool.dataCentre || successorStarved;
-        const bool spare = worker.ownTasks == 0 || successorStarved;
+        const bool canSpare = worker.ownTasks == 0 || successorStarved;
         const bool better = !chosen || worker.ownTasks < chosen->ownTasks;
-        if (worker.leased && !worker.leaving && near && spare && better)
+        if (worker.leased && !worker.leaving && dataCentreFits && canSpare && better)
             chosen = &worker;
     }
     if (!chosen)
--- a/packages/entry/src/claiming.cpp
+++ b/packages/entry/src/claiming.cpp
@@ -185,7 +185,7 @@
 
 namespace {
 
-// Requests without an id run without a claim.
+// A request without an id that runs here gets one that starts with "~", and needs no claim.
 bool hasClaim(const Pending &pending)
 {
     return pending.request.submission.compare(0, 1, "~") != 0;
--- a/packages/quorum/include/foxwing/quorum/quorum.h
+++ b/packages/quorum/include/foxwing/quorum/quorum.h
@@ -133,6 +133,8 @@
     // Persistent
     std::uint64_t term = 0;
     std::string votedFor;
+
+    // Whether this host may vote; see VoteRecord.
     bool joined = false;
     SnapshotRecord snapshot;
     std::deque<LogEntry> log;
@@ -150,6 +152,8 @@
     std::uint64_t leaderCommit = 0;
     std::uint64_t appliedIndex = 0;
     Time electionDeadline {};
+
+    // After a granted pre-vote no election is started before this.
     Time backoffUntil {};
 
     // A host with an older log has requested a vote since this host last had a leader.
@@ -178,6 +182,8 @@
     std::uint64_t round = 0;
     Time nextHeartbeat {};
     std::deque<PendingRead> reads;
+
+    // Index of the first entry that this leader appended
     std::uint64_t termStartIndex = 0;
 };
 
