--- a/packages/dispatch/src/dispatcher.cpp
+++ b/packages/dispatch/src/dispatcher.cpp
@@ -310,10 +310,10 @@
 void tickWorkers(Dispatcher &dispatcher, ServiceState &service, Time now, Actions &actions)
 {
     std::vector<std::string> lost;
-    for (auto &entry : service.pool.workers) {
-        tickWorker(dispatcher, service, entry.second, now);
-        if (now >= entry.second.lastReceivedAt + dispatcher.settings.workerTimeout)
-            lost.push_back(entry.first);
+    for (auto &item : service.pool.workers) {
+        tickWorker(dispatcher, service, item.second, now);
+        if (now >= item.second.lastReceivedAt + dispatcher.settings.workerTimeout)
+            lost.push_back(item.first);
     }
     for (const std::string &id : lost) {
         ++dispatcher.counters.workersLost;
@@ -603,13 +603,14 @@
     Actions actions;
     WorkerPool &pool = findOrAddService(dispatcher, serviceName).pool;
     Worker *chosen = nullptr;
-    for (auto &entry : pool.workers) {
-        Worker &worker = entry.second;
-        const bool near = worker.dataCentre == successorDataCentre
+    for (auto &item : pool.workers) {
+        Worker &worker = item.second;
+        // A worker in this entry's data centre is kept, unless the successor is in it or starved.
+        const bool dataCentreFits = worker.dataCentre == successorDataCentre
                 || worker.dataCentre != pool.dataCentre || successorStarved;
-        const bool spare = worker.ownTasks == 0 || successorStarved;
+        const bool canSpare = worker.ownTasks == 0 || successorStarved;
         const bool better = !chosen || worker.ownTasks < chosen->ownTasks;
-        if (worker.leased && !worker.leaving && near && spare && better)
+        if (worker.leased && !worker.leaving && dataCentreFits && canSpare && better)
             chosen = &worker;
     }
     if (!chosen)
