--- a/packages/fleet/src/agentrole.cpp
+++ b/packages/fleet/src/agentrole.cpp
@@ -21,7 +21,8 @@
 
 namespace {
 
-// The endpoint is on the same host and answers commands within a few milliseconds.
+// The endpoint is on the same host and answers commands within a few milliseconds. A later answer
+// counts as none.
 constexpr Milliseconds CommandTimeout { 25 };
 
 // Added to the time that a poll may wait at the endpoint.
--- a/tests/fleet/endpoint.cpp
+++ b/tests/fleet/endpoint.cpp
@@ -105,8 +105,8 @@
         return { CommandStatus::StaleRun, clock(now) };
     EndpointRun run;
     run.startedAt = now;
-    const auto takes = std::chrono::duration_cast<Microseconds>(work * slowdown);
-    run.doneAt = stalls ? now + std::chrono::hours(1) : now + takes;
+    const auto runTime = std::chrono::duration_cast<Microseconds>(work * slowdown);
+    run.doneAt = stalls ? now + std::chrono::hours(1) : now + runTime;
     run.fails = failsAll;
     m_runs.emplace(command.id, run);
     return { CommandStatus::Ok, clock(now) };
@@ -145,10 +145,10 @@
     if (reportsStartTime)
         poll.startedAt = startedAt;
     for (const auto &[id, run] : m_runs) {
-        const double whole = static_cast<double>((run.doneAt - run.startedAt).count());
-        const double ran = static_cast<double>((now - run.startedAt).count());
+        const double total = static_cast<double>((run.doneAt - run.startedAt).count());
+        const double elapsed = static_cast<double>((now - run.startedAt).count());
         poll.running.push_back(
-                { id, static_cast<std::uint32_t>(100 * ran / std::max(1.0, whole)) });
+                { id, static_cast<std::uint32_t>(100 * elapsed / std::max(1.0, total)) });
     }
     poll.ended = m_ended;
     return poll;
