--- a/apps/foxwing/callercommands.cpp
+++ b/apps/foxwing/callercommands.cpp
@@ -22,16 +22,16 @@
     body["repeatable"] = options.repeatable;
     if (!options.workClass.empty())
         body["class"] = options.workClass;
-    if (options.declaredMs > 0)
-        body["declaredMs"] = static_cast<Json::Int64>(options.declaredMs);
+    if (options.estimateMs > 0)
+        body["declaredMs"] = static_cast<Json::Int64>(options.estimateMs);
     return body;
 }
 
 // A word that is JSON goes as JSON, any other as a string.
-Json::Value payload(const std::string &word)
+Json::Value payload(const std::string &argument)
 {
     Error ignored;
-    return parseJson(word, &ignored).value_or(Json::Value(word));
+    return parseJson(argument, &ignored).value_or(Json::Value(argument));
 }
 
 std::string query(const Options &options)
@@ -39,12 +39,13 @@
     return options.waitMs < 0 ? std::string() : "?wait=" + std::to_string(options.waitMs);
 }
 
-int lookUp(const Options &options, const char *method)
+int callSubmission(const Options &options, const char *method)
 {
-    if (options.words.size() != 2)
-        return wrongUse(options.words[0] + " needs one submission id");
+    if (options.arguments.size() != 2)
+        return usageError(options.arguments[0] + " needs one submission id");
     return printReply(options,
-                      call(options, method, "/v1/jobs/" + options.words[1] + query(options), {}));
+                      call(options, method, "/v1/jobs/" + options.arguments[1] + query(options),
+                           {}));
 }
 
 } // namespace
@@ -53,36 +54,36 @@
 
 int runSubmit(const Options &options)
 {
-    if (options.words.size() < 2 || options.service.empty())
-        return wrongUse("submit needs --service and one payload for each task");
+    if (options.arguments.size() < 2 || options.service.empty())
+        return usageError("submit needs --service and one payload for each task");
     Json::Value body = commonBody(options);
     body["submission"] = options.submission.empty() ? makeId() : options.submission;
     body["tasks"] = Json::Value(Json::arrayValue);
-    for (std::size_t i = 1; i < options.words.size(); ++i)
-        body["tasks"].append(payload(options.words[i]));
+    for (std::size_t i = 1; i < options.arguments.size(); ++i)
+        body["tasks"].append(payload(options.arguments[i]));
     return printReply(options, call(options, "POST", "/v1/jobs" + query(options), writeJson(body)));
 }
 
 int runRequest(const Options &options)
 {
-    if (options.words.size() != 2 || options.service.empty())
-        return wrongUse("request needs --service and one payload");
+    if (options.arguments.size() != 2 || options.service.empty())
+        return usageError("request needs --service and one payload");
     Json::Value body = commonBody(options);
     if (!options.submission.empty())
         body["submission"] = options.submission;
-    body["payload"] = payload(options.words[1]);
+    body["payload"] = payload(options.arguments[1]);
     return printReply(options,
                       call(options, "POST", "/v1/requests" + query(options), writeJson(body)));
 }
 
 int runFetch(const Options &options)
 {
-    return lookUp(options, "GET");
+    return callSubmission(options, "GET");
 }
 
 int runCancel(const Options &options)
 {
-    return lookUp(options, "DELETE");
+    return callSubmission(options, "DELETE");
 }
 
 } // namespace foxwing::cli
--- a/apps/foxwing/commandline.cpp
+++ b/apps/foxwing/commandline.cpp
@@ -22,7 +22,7 @@
 
 namespace {
 
-edge::HttpReply callOne(const Options &options, const std::string &url, const std::string &method,
+edge::HttpReply callUrl(const Options &options, const std::string &url, const std::string &method,
                         const std::string &path, const std::string &body)
 {
     edge::HttpClientSettings settings;
@@ -34,7 +34,7 @@
 }
 
 // A host that is down, or that does not lead: another one may answer.
-bool shouldAskAnother(const edge::HttpReply &reply)
+bool shouldTryNext(const edge::HttpReply &reply)
 {
     return reply.status == 0 || reply.status == 503;
 }
@@ -48,8 +48,8 @@
     std::istringstream urls(options.url);
     std::string url;
     while (std::getline(urls, url, ',')) {
-        reply = callOne(options, url, method, path, body);
-        if (!shouldAskAnother(reply))
+        reply = callUrl(options, url, method, path, body);
+        if (!shouldTryNext(reply))
             return reply;
     }
     if (reply.status == 0)
@@ -80,7 +80,7 @@
 int exitCode(const edge::HttpReply &reply, const Json::Value &json)
 {
     if (reply.status >= 200 && reply.status < 300)
-        return ExitDone;
+        return ExitSuccess;
     const bool notRun = json.isObject() && json["outcome"].asString() == "not run";
     return notRun ? ExitNotRun : ExitFailed;
 }
@@ -105,10 +105,10 @@
     return exitCode(reply, *json);
 }
 
-int wrongUse(const std::string &message)
+int usageError(const std::string &message)
 {
     std::fprintf(stderr, "foxwing: %s; see foxwing --help\n", message.c_str());
-    return ExitWrongUse;
+    return ExitUsageError;
 }
 
 // [SECTION] Input
--- a/apps/foxwing/commandline.h
+++ b/apps/foxwing/commandline.h
@@ -20,10 +20,10 @@
 
 // [SECTION] Exit codes
 
-constexpr int ExitDone = 0;
+constexpr int ExitSuccess = 0;
 // The work failed, or may have run without an answer.
 constexpr int ExitFailed = 1;
-constexpr int ExitWrongUse = 2;
+constexpr int ExitUsageError = 2;
 // Certain not to have run or not to have been changed.
 constexpr int ExitNotRun = 3;
 constexpr int ExitUnreachable = 4;
@@ -45,7 +45,7 @@
     std::string workClass;
     std::string submission;
     long deadlineMs = 60000;
-    long declaredMs = 0;
+    long estimateMs = 0;
     bool repeatable = false;
     long waitMs = -1;
 
@@ -61,7 +61,7 @@
     std::string outcomesFile;
 
     // The command and what follows it
-    std::vector<std::string> words;
+    std::vector<std::string> arguments;
 };
 
 // [SECTION] Commands
@@ -92,7 +92,7 @@
 // Reads a whole file, or standard input for "-".
 std::optional<std::string> readText(const std::string &path, Error *reason);
 
-int wrongUse(const std::string &message);
+int usageError(const std::string &message);
 
 // A new id, for submissions and changes.
 std::string makeId();
--- a/apps/foxwing/loadcommand.cpp
+++ b/apps/foxwing/loadcommand.cpp
@@ -28,7 +28,7 @@
 
 // [SECTION] Run
 
-Microseconds since(Clock::time_point start)
+Microseconds elapsedSince(Clock::time_point start)
 {
     return std::chrono::duration_cast<Microseconds>(Clock::now() - start);
 }
@@ -37,14 +37,14 @@
 class Balancer
 {
 public:
-    Balancer(const std::vector<std::string> &urls, bool follow)
+    Balancer(const std::vector<std::string> &urls, bool followReady)
         : m_ready(urls.size())
-        , m_lives(urls.size())
+        , m_incarnations(urls.size())
     {
         for (std::atomic<bool> &ready : m_ready)
             ready = true;
-        for (std::size_t i = 0; follow && i < urls.size(); ++i)
-            m_threads.emplace_back([this, i, url = urls[i]] { watch(i, url); });
+        for (std::size_t i = 0; followReady && i < urls.size(); ++i)
+            m_threads.emplace_back([this, i, url = urls[i]] { pollReadiness(i, url); });
     }
 
     ~Balancer()
@@ -55,21 +55,21 @@
     }
 
     // The first ready entry from this one on; this one if none is.
-    std::size_t pick(std::size_t wanted) const
+    std::size_t pick(std::size_t preferred) const
     {
         for (std::size_t i = 0; i < m_ready.size(); ++i) {
-            const std::size_t at = (wanted + i) % m_ready.size();
-            if (m_ready[at])
-                return at;
+            const std::size_t candidate = (preferred + i) % m_ready.size();
+            if (m_ready[candidate])
+                return candidate;
         }
-        return wanted % m_ready.size();
+        return preferred % m_ready.size();
     }
 
     // How often an entry became ready again: connections to its earlier lives are of no use.
-    int life(std::size_t number) const { return m_lives[number]; }
+    int incarnation(std::size_t number) const { return m_incarnations[number]; }
 
 private:
-    void watch(std::size_t number, const std::string &url)
+    void pollReadiness(std::size_t number, const std::string &url)
     {
         constexpr Milliseconds Interval { 200 };
         edge::HttpClientSettings settings;
@@ -78,14 +78,14 @@
         while (!m_stopping) {
             const bool ready = client.callAndWait("GET", "/readyz", {}, {}).status == 200;
             if (ready && !m_ready[number])
-                ++m_lives[number];
+                ++m_incarnations[number];
             m_ready[number] = ready;
             std::this_thread::sleep_for(Interval);
         }
     }
 
     std::vector<std::atomic<bool>> m_ready;
-    std::vector<std::atomic<int>> m_lives;
+    std::vector<std::atomic<int>> m_incarnations;
     std::atomic<bool> m_stopping { false };
     std::vector<std::thread> m_threads;
 };
@@ -112,11 +112,11 @@
             submit(i);
         }
         std::unique_lock<std::mutex> lock(m_mutex);
-        m_idle.wait_for(lock, m_experiment.drain, [this] { return m_open == 0; });
+        m_idle.wait_for(lock, m_experiment.drain, [this] { return m_openCount == 0; });
         load::Summary summary = load::summarize(m_samples);
         summary.violations = m_violations;
-        summary.unanswered = m_open;
-        summary.elapsed = std::chrono::duration_cast<Milliseconds>(since(start));
+        summary.unanswered = m_openCount;
+        summary.elapsed = std::chrono::duration_cast<Milliseconds>(elapsedSince(start));
         return summary;
     }
 
@@ -125,7 +125,7 @@
 private:
     struct Client
     {
-        int life = -1;
+        int incarnation = -1;
         std::shared_ptr<edge::HttpClient> http;
     };
 
@@ -133,34 +133,34 @@
     edge::HttpClient &client(std::size_t number)
     {
         Client &client = m_clients[number];
-        const int life = m_balancer.life(number);
-        if (client.life == life)
+        const int incarnation = m_balancer.incarnation(number);
+        if (client.incarnation == incarnation)
             return *client.http;
         if (client.http)
-            m_oldClients.push_back(client.http); // answers may still come through it
+            m_previousClients.push_back(client.http); // answers may still come through it
         edge::HttpClientSettings settings;
         settings.timeout = Milliseconds(300000);
-        client.life = life;
+        client.incarnation = incarnation;
         client.http = std::make_shared<edge::HttpClient>(m_experiment.urls[number], settings);
         return *client.http;
     }
 
-    struct Sent
+    struct SentRequest
     {
         std::size_t job = 0;
         std::string id;
         std::size_t client = 0;
         Clock::time_point at;
-        bool again = false;
+        bool resubmitted = false;
     };
 
     // The echo that a task of this submission must bring back.
-    static std::string echoOf(std::size_t job, std::size_t task)
+    static std::string expectedEcho(std::size_t job, std::size_t task)
     {
         return "job " + std::to_string(job) + " task " + std::to_string(task);
     }
 
-    std::string bodyOf(std::size_t number, const std::string &id) const
+    std::string makeBody(std::size_t number, const std::string &id) const
     {
         const load::PlannedJob &job = m_plan[number];
         const load::Mix &mix = m_experiment.mixes[job.mix];
@@ -177,7 +177,7 @@
         for (std::size_t i = 0; i < job.tasks.size(); ++i) {
             Json::Value payload(Json::objectValue);
             payload["sleepMs"] = static_cast<Json::Int64>(job.tasks[i].count());
-            payload["echo"] = echoOf(number, i);
+            payload["echo"] = expectedEcho(number, i);
             tasks.append(payload);
         }
         if (mix.request)
@@ -202,17 +202,17 @@
             cancel(id, number);
     }
 
-    void send(const Sent &sent)
+    void send(const SentRequest &sent)
     {
         const load::Mix &mix = m_experiment.mixes[m_plan[sent.job].mix];
         {
             const std::lock_guard<std::mutex> lock(m_mutex);
-            ++m_open;
+            ++m_openCount;
         }
         client(sent.client)
-                .call("POST", mix.request ? "/v1/requests" : "/v1/jobs", bodyOf(sent.job, sent.id),
-                      { { "Authorization", "Bearer " + mix.token } },
-                      [this, sent](edge::HttpReply &&reply) { take(sent, reply); });
+                .call("POST", mix.request ? "/v1/requests" : "/v1/jobs",
+                      makeBody(sent.job, sent.id), { { "Authorization", "Bearer " + mix.token } },
+                      [this, sent](edge::HttpReply &&reply) { handleReply(sent, reply); });
     }
 
     void cancel(const std::string &id, std::size_t number)
@@ -223,12 +223,12 @@
                       { { "Authorization", "Bearer " + mix.token } }, [](edge::HttpReply &&) {});
     }
 
-    void take(const Sent &sent, const edge::HttpReply &reply)
+    void handleReply(const SentRequest &sent, const edge::HttpReply &reply)
     {
         const load::PlannedJob &job = m_plan[sent.job];
         load::Sample sample;
         sample.workClass = m_experiment.mixes[job.mix].workClass;
-        sample.response = since(sent.at);
+        sample.response = elapsedSince(sent.at);
         sample.ideal = load::idealTime(job);
         sample.tasks = static_cast<std::uint32_t>(job.tasks.size());
         Error ignored;
@@ -245,15 +245,15 @@
         if (!sent.id.empty() && !outcome.empty())
             m_outcomes += sent.id + "," + outcome + "," + kind + "\n";
         if (sample.outcome == Outcome::Complete)
-            check(sent, (*json)["results"]);
-        const bool counts = !sent.again && job.at >= m_experiment.warmUp;
-        if (counts)
+            checkResults(sent, (*json)["results"]);
+        const bool sampled = !sent.resubmitted && job.at >= m_experiment.warmUp;
+        if (sampled)
             m_samples.push_back(sample);
-        if (--m_open == 0)
+        if (--m_openCount == 0)
             m_idle.notify_all();
     }
 
-    void check(const Sent &sent, const Json::Value &results)
+    void checkResults(const SentRequest &sent, const Json::Value &results)
     {
         const std::size_t tasks = m_plan[sent.job].tasks.size();
         if (results.size() != tasks) {
@@ -261,9 +261,9 @@
             return;
         }
         for (std::size_t i = 0; i < tasks; ++i) {
-            const std::string got = results[static_cast<Json::ArrayIndex>(i)].asString();
-            if (got != echoOf(sent.job, i))
-                m_violations.push_back("foreign answer to " + sent.id + ": " + got);
+            const std::string actual = results[static_cast<Json::ArrayIndex>(i)].asString();
+            if (actual != expectedEcho(sent.job, i))
+                m_violations.push_back("foreign answer to " + sent.id + ": " + actual);
         }
     }
 
@@ -272,10 +272,10 @@
     std::mt19937_64 m_random;
     Balancer m_balancer;
     std::vector<Client> m_clients;
-    std::vector<std::shared_ptr<edge::HttpClient>> m_oldClients;
+    std::vector<std::shared_ptr<edge::HttpClient>> m_previousClients;
     std::mutex m_mutex;
     std::condition_variable m_idle;
-    std::size_t m_open = 0;
+    std::size_t m_openCount = 0;
     std::vector<load::Sample> m_samples;
     std::vector<std::string> m_violations;
 
@@ -285,26 +285,26 @@
 
 // [SECTION] Measures
 
-struct Counted
+struct MessageCounts
 {
     double starts = 0;
     double messages = 0;
     double wasted = 0;
 };
 
-Counted countMessages(const load::Experiment &experiment)
+MessageCounts readMessageCounts(const load::Experiment &experiment)
 {
-    Counted counted;
+    MessageCounts counts;
     for (const std::string &url : experiment.metricsUrls) {
         edge::HttpClient client(url, {});
         auto sums = load::readExposition(client.callAndWait("GET", "/metrics", {}, {}).body);
-        counted.starts += sums["foxwing_agent_starts_total"];
-        counted.messages += sums["foxwing_messages_sent_total"];
-        counted.wasted += sums["foxwing_agent_refusals_total"] + sums["foxwing_agent_voids_total"]
+        counts.starts += sums["foxwing_agent_starts_total"];
+        counts.messages += sums["foxwing_messages_sent_total"];
+        counts.wasted += sums["foxwing_agent_refusals_total"] + sums["foxwing_agent_voids_total"]
                 + sums["foxwing_verifications_total"] + sums["foxwing_results_foreign_total"]
                 + sums["foxwing_agent_resends_total"];
     }
-    return counted;
+    return counts;
 }
 
 // The median of some direct calls with the first mix's run time, one after the other.
@@ -314,16 +314,16 @@
     if (experiment.baselineUrl.empty())
         return 0;
     edge::HttpClient client(experiment.baselineUrl, {});
-    std::vector<double> spans;
+    std::vector<double> durations;
     const std::string body = "{\"sleepMs\":" + std::to_string(experiment.mixes[0].mean.count())
             + "}";
     for (int i = 0; i < Calls; ++i) {
         const Clock::time_point start = Clock::now();
         client.callAndWait("POST", "/tasks/baseline/" + std::to_string(i), body, {});
-        spans.push_back(toMilliseconds(since(start)));
+        durations.push_back(toMilliseconds(elapsedSince(start)));
     }
-    std::sort(spans.begin(), spans.end());
-    return load::quantileOf(spans, 0.5);
+    std::sort(durations.begin(), durations.end());
+    return load::quantileOf(durations, 0.5);
 }
 
 } // namespace
@@ -332,18 +332,18 @@
 
 int runLoad(const Options &options)
 {
-    if (options.words.size() != 2)
-        return wrongUse("load needs one experiment file");
+    if (options.arguments.size() != 2)
+        return usageError("load needs one experiment file");
     Error reason;
-    const auto experiment = load::readExperiment(options.words[1], &reason);
+    const auto experiment = load::readExperiment(options.arguments[1], &reason);
     auto plan = experiment ? load::makePlan(*experiment, &reason) : std::nullopt;
     if (!plan)
-        return wrongUse(reason.message);
+        return usageError(reason.message);
     const double baseline = measureBaseline(*experiment);
-    const Counted before = countMessages(*experiment);
+    const MessageCounts before = readMessageCounts(*experiment);
     LoadRun run(*experiment, std::move(*plan));
     load::Summary summary = run.run();
-    const Counted after = countMessages(*experiment);
+    const MessageCounts after = readMessageCounts(*experiment);
     summary.baselineMs = baseline;
     summary.starts = after.starts - before.starts;
     summary.messages = after.messages - before.messages;
@@ -356,7 +356,7 @@
         std::ofstream(options.plotFile) << load::writePlot(summary);
     if (!options.outcomesFile.empty())
         std::ofstream(options.outcomesFile) << run.outcomes();
-    return summary.violations.empty() ? ExitDone : ExitFailed;
+    return summary.violations.empty() ? ExitSuccess : ExitFailed;
 }
 
 } // namespace foxwing::cli
--- a/apps/foxwing/main.cpp
+++ b/apps/foxwing/main.cpp
@@ -76,7 +76,7 @@
     int help = 0;
 };
 
-void take(char *&raw, std::string &value)
+void moveString(char *&raw, std::string &value)
 {
     if (raw)
         value = raw;
@@ -86,15 +86,15 @@
 
 void moveOptions(RawOptions &raw, Options &options)
 {
-    take(raw.url, options.url);
-    take(raw.token, options.token);
-    take(raw.service, options.service);
-    take(raw.workClass, options.workClass);
-    take(raw.submission, options.submission);
-    take(raw.version, options.version);
-    take(raw.requestId, options.requestId);
-    take(raw.plotFile, options.plotFile);
-    take(raw.outcomesFile, options.outcomesFile);
+    moveString(raw.url, options.url);
+    moveString(raw.token, options.token);
+    moveString(raw.service, options.service);
+    moveString(raw.workClass, options.workClass);
+    moveString(raw.submission, options.submission);
+    moveString(raw.version, options.version);
+    moveString(raw.requestId, options.requestId);
+    moveString(raw.plotFile, options.plotFile);
+    moveString(raw.outcomesFile, options.outcomesFile);
     options.insecure = raw.insecure != 0;
     options.json = raw.json != 0;
     options.repeatable = raw.repeatable != 0;
@@ -123,7 +123,7 @@
         { "class", 'c', POPT_ARG_STRING, &raw.workClass, 0, "sort of work", "NAME" },
         { "submission", 0, POPT_ARG_STRING, &raw.submission, 0, "id to submit under", "UUID" },
         { "deadline", 'd', POPT_ARG_LONG, &options.deadlineMs, 0, "time allowed", "MS" },
-        { "declared", 0, POPT_ARG_LONG, &options.declaredMs, 0, "expected time of a task", "MS" },
+        { "declared", 0, POPT_ARG_LONG, &options.estimateMs, 0, "expected time of a task", "MS" },
         { "repeatable", 'r', POPT_ARG_NONE, &raw.repeatable, 0, "may run twice", nullptr },
         { "wait", 'w', POPT_ARG_LONG, &options.waitMs, 0, "wait for the answer", "MS" },
         { "if-version", 0, POPT_ARG_STRING, &raw.version, 0, "change only this version", "N" },
@@ -142,26 +142,26 @@
                                          0);
     poptSetOtherOptionHelp(context, "COMMAND [OPTIONS] ARGUMENTS");
     const int result = poptGetNextOpt(context);
-    while (const char *word = poptGetArg(context))
-        options.words.emplace_back(word);
+    while (const char *argument = poptGetArg(context))
+        options.arguments.emplace_back(argument);
     moveOptions(raw, options);
     if (raw.help != 0)
         poptPrintHelp(context, stdout, 0);
     poptFreeContext(context);
     if (raw.help != 0) {
         printCommands(stdout);
-        return ExitDone;
+        return ExitSuccess;
     }
     if (raw.showVersion != 0) {
         std::printf("foxwing %s\n", FOXWING_VERSION);
-        return ExitDone;
+        return ExitSuccess;
     }
     if (result < -1)
-        return wrongUse(poptStrerror(result));
+        return usageError(poptStrerror(result));
     for (const Command &command : Commands) {
-        if (!options.words.empty() && options.words[0] == command.name)
+        if (!options.arguments.empty() && options.arguments[0] == command.name)
             return command.run(options);
     }
     printCommands(stderr);
-    return wrongUse("name one of the commands");
+    return usageError("name one of the commands");
 }
--- a/apps/foxwing/operatorcommands.cpp
+++ b/apps/foxwing/operatorcommands.cpp
@@ -84,11 +84,11 @@
     const Json::Value items = list ? (*json)["resource"] : Json::Value(Json::arrayValue);
     std::vector<Declaration> declarations;
     const auto add = [&](const Json::Value &item) {
-        const bool whole = item.isObject() && item["kind"].isString() && item["name"].isString();
-        if (whole)
+        const bool valid = item.isObject() && item["kind"].isString() && item["name"].isString();
+        if (valid)
             declarations.push_back({ item["kind"].asString(), item["name"].asString(),
                                      item.get("spec", Json::Value(Json::objectValue)) });
-        return whole;
+        return valid;
     };
     bool ok = list || add(*json);
     for (const Json::Value &item : items)
@@ -113,11 +113,11 @@
 edge::HttpReply change(const Options &options, const char *method, const std::string &resource,
                        const std::string &body)
 {
-    constexpr int Tries = 3;
+    constexpr int MaxAttempts = 3;
     const std::string id = options.requestId.empty() ? makeId() : options.requestId;
     const std::string path = "/v1/resources/" + resource + changeQuery(options, id);
     edge::HttpReply reply;
-    for (int i = 0; i < Tries && reply.status == 0; ++i)
+    for (int i = 0; i < MaxAttempts && reply.status == 0; ++i)
         reply = call(options, method, path, body);
     return reply;
 }
@@ -131,7 +131,7 @@
     std::printf("%s version %s revision %s%s\n", resource.c_str(),
                 (*json)["version"].asString().c_str(), (*json)["revision"].asString().c_str(),
                 options.dryRun ? " (dry run, nothing changed)" : "");
-    return ExitDone;
+    return ExitSuccess;
 }
 
 } // namespace
@@ -140,15 +140,15 @@
 
 int runApply(const Options &options)
 {
-    if (options.words.size() < 2)
-        return wrongUse("apply needs files or folders");
-    int worst = ExitDone;
-    for (std::size_t i = 1; i < options.words.size(); ++i) {
-        for (const std::string &file : listFiles(options.words[i])) {
+    if (options.arguments.size() < 2)
+        return usageError("apply needs files or folders");
+    int worst = ExitSuccess;
+    for (std::size_t i = 1; i < options.arguments.size(); ++i) {
+        for (const std::string &file : listFiles(options.arguments[i])) {
             Error reason;
             const auto declarations = readDeclarations(file, &reason);
             if (!declarations)
-                return wrongUse(reason.message);
+                return usageError(reason.message);
             for (const Declaration &declared : *declarations) {
                 const std::string resource = declared.kind + "/" + declared.name;
                 const edge::HttpReply reply = change(options, "PUT", resource,
@@ -162,38 +162,40 @@
 
 int runShow(const Options &options)
 {
-    if (options.words.size() != 2)
-        return wrongUse("show needs KIND, KIND/NAME or all");
-    const edge::HttpReply reply = call(options, "GET", "/v1/resources/" + options.words[1], {});
+    if (options.arguments.size() != 2)
+        return usageError("show needs KIND, KIND/NAME or all");
+    const edge::HttpReply reply = call(options, "GET", "/v1/resources/" + options.arguments[1], {});
     Error ignored;
     const auto json = parseJson(reply.body, &ignored);
     if (options.json || !json || reply.status != 200)
         return printReply(options, reply);
-    const Json::Value &one = *json;
-    const Json::Value items = one.isMember("items") ? one["items"] : Json::Value(Json::arrayValue);
+    const Json::Value &root = *json;
+    const Json::Value items = root.isMember("items") ? root["items"]
+                                                     : Json::Value(Json::arrayValue);
     for (const Json::Value &item : items)
         std::printf("%s/%s version %s revision %s %s\n", item["kind"].asString().c_str(),
                     item["name"].asString().c_str(), item["version"].asString().c_str(),
                     item["revision"].asString().c_str(), writeJson(item["spec"]).c_str());
-    if (!one.isMember("items"))
-        std::printf("%s\n", one.toStyledString().c_str());
-    return ExitDone;
+    if (!root.isMember("items"))
+        std::printf("%s\n", root.toStyledString().c_str());
+    return ExitSuccess;
 }
 
 int runDelete(const Options &options)
 {
-    if (options.words.size() != 2 || options.words[1].find('/') == std::string::npos)
-        return wrongUse("delete needs KIND/NAME");
-    return printChange(options, options.words[1], change(options, "DELETE", options.words[1], {}));
+    if (options.arguments.size() != 2 || options.arguments[1].find('/') == std::string::npos)
+        return usageError("delete needs KIND/NAME");
+    return printChange(options, options.arguments[1],
+                       change(options, "DELETE", options.arguments[1], {}));
 }
 
 // [SECTION] Watch
 
 namespace {
 
-constexpr Milliseconds WatchPause { 200 };
+constexpr Milliseconds WatchRetryDelay { 200 };
 
-std::optional<std::uint64_t> presentRevision(const Options &options)
+std::optional<std::uint64_t> currentRevision(const Options &options)
 {
     const edge::HttpReply reply = call(options, "GET", "/v1/resources/all", {});
     Error ignored;
@@ -203,10 +205,10 @@
     return (*json)["revision"].asUInt64();
 }
 
-void printChanges(const Options &options, const Json::Value &changes, long *seen)
+void printChanges(const Options &options, const Json::Value &changes, long *printed)
 {
     for (const Json::Value &item : changes) {
-        ++*seen;
+        ++*printed;
         if (options.json) {
             std::printf("%s\n", writeJson(item).c_str());
             continue;
@@ -224,34 +226,34 @@
 int runWatch(const Options &options)
 {
     std::uint64_t revision = static_cast<std::uint64_t>(options.from);
-    long seen = 0;
-    while (options.count == 0 || seen < options.count) {
+    long printed = 0;
+    while (options.count == 0 || printed < options.count) {
         const std::string path = "/v1/watch?wait=20000&from=" + std::to_string(revision);
         const edge::HttpReply reply = call(options, "GET", path, {});
         Error ignored;
         const auto json = parseJson(reply.body, &ignored);
         if (reply.status == 410) {
             // Too far behind: list, say so, and go on from there.
-            const auto present = presentRevision(options);
-            if (!present)
+            const auto current = currentRevision(options);
+            if (!current)
                 return ExitUnreachable;
             std::printf("revision %llu: changes were missed; list with: foxwing show all\n",
-                        static_cast<unsigned long long>(*present));
-            revision = *present;
+                        static_cast<unsigned long long>(*current));
+            revision = *current;
             continue;
         }
         if (reply.status == 0 || reply.status == 503) {
             // No leader at present. Nothing is missed: the next one is asked from the same
             // revision.
-            std::this_thread::sleep_for(WatchPause);
+            std::this_thread::sleep_for(WatchRetryDelay);
             continue;
         }
         if (reply.status != 200 || !json)
             return printReply(options, reply);
-        printChanges(options, (*json)["changes"], &seen);
+        printChanges(options, (*json)["changes"], &printed);
         revision = (*json)["revision"].asUInt64();
     }
-    return ExitDone;
+    return ExitSuccess;
 }
 
 // [SECTION] Tools
@@ -271,12 +273,12 @@
                     node["agent"].asBool() ? (" agent of " + node["service"].asString()).c_str()
                                            : "",
                     node["revision"].asString().c_str(), node["silentMs"].asDouble());
-    return ExitDone;
+    return ExitSuccess;
 }
 
 int runMembers(const Options &options)
 {
-    if (options.words.size() == 1)
+    if (options.arguments.size() == 1)
         return printReply(options, call(options, "GET", "/v1/members", {}));
     const auto list = [](const std::string &text) {
         Json::Value names(Json::arrayValue);
@@ -287,8 +289,8 @@
         return names;
     };
     Json::Value body(Json::objectValue);
-    body["voters"] = list(options.words[1]);
-    body["learners"] = list(options.words.size() > 2 ? options.words[2] : std::string());
+    body["voters"] = list(options.arguments[1]);
+    body["learners"] = list(options.arguments.size() > 2 ? options.arguments[2] : std::string());
     return printReply(options, call(options, "PUT", "/v1/members", writeJson(body)));
 }
 
@@ -306,18 +308,19 @@
     };
     const std::string secret = randomHex(6);
     const std::string salt = randomHex(2);
-    const std::string team = options.words.size() > 1 ? options.words[1] + "." : std::string();
+    const std::string team = options.arguments.size() > 1 ? options.arguments[1] + "."
+                                                          : std::string();
     std::printf("token     %s%s\nsalt      %s\ntokenHash %s\n", team.c_str(), secret.c_str(),
                 salt.c_str(), entry::hashSecret(salt, secret).c_str());
-    return ExitDone;
+    return ExitSuccess;
 }
 
 int runJournal(const Options &options)
 {
-    if (options.words.size() != 2)
-        return wrongUse("journal needs the data folder of a stopped control host");
+    if (options.arguments.size() != 2)
+        return usageError("journal needs the data folder of a stopped control host");
     Error reason;
-    const auto found = journal::Journal::inspect(options.words[1], &reason);
+    const auto found = journal::Journal::inspect(options.arguments[1], &reason);
     if (!found) {
         std::fprintf(stderr, "foxwing: %s\n", reason.message.c_str());
         return ExitFailed;
@@ -328,7 +331,7 @@
     for (const journal::Entry &entry : found->entries)
         std::printf("%llu %s\n", static_cast<unsigned long long>(entry.index),
                     entry.payload.c_str());
-    return ExitDone;
+    return ExitSuccess;
 }
 
 } // namespace foxwing::cli
--- a/apps/foxwingd/main.cpp
+++ b/apps/foxwingd/main.cpp
@@ -26,8 +26,8 @@
 
 namespace {
 
-constexpr int ExitCantStart = 1;
-constexpr int ExitWrongUse = 2;
+constexpr int ExitStartFailed = 1;
+constexpr int ExitUsageError = 2;
 
 // [SECTION] Command line
 
@@ -58,13 +58,13 @@
     };
     poptContext context = poptGetContext("foxwingd", count, arguments, table, 0);
     const int result = poptGetNextOpt(context);
-    const char *extra = poptGetArg(context);
+    const char *extraArgument = poptGetArg(context);
     Options options;
     options.fleet = fleetFile != nullptr;
     options.settingsFile = fleetFile ? fleetFile : file ? file : "";
     options.check = check != 0;
     options.version = version != 0;
-    const bool ok = result == -1 && !extra && (!file != !fleetFile || version != 0);
+    const bool ok = result == -1 && !extraArgument && (!file != !fleetFile || version != 0);
     if (!ok)
         std::fprintf(stderr,
                      "foxwingd: %s; use: foxwingd --settings FILE | --fleet FILE [--check]\n",
@@ -78,7 +78,7 @@
 // [SECTION] Signals
 
 // Waits for a signal on a thread of its own, since little may be done in a handler.
-void watchSignals(const sigset_t &signals, foxwing::node::Node &node)
+void startSignalThread(const sigset_t &signals, foxwing::node::Node &node)
 {
     std::thread([signals, &node] {
         int received = 0;
@@ -95,7 +95,7 @@
     const auto settings = foxwing::fleet::readFleetSettings(options.settingsFile, &reason);
     if (!settings) {
         std::fprintf(stderr, "foxwingd: %s\n", reason.message.c_str());
-        return ExitWrongUse;
+        return ExitUsageError;
     }
     if (options.check) {
         std::printf("%s: good\n", options.settingsFile.c_str());
@@ -105,7 +105,7 @@
     foxwing::fleet::Node node(*settings, options.settingsFile, foxwing::platform::dialect());
     if (!node.start(&reason)) {
         std::fprintf(stderr, "foxwingd: %s\n", reason.message.c_str());
-        std::_Exit(ExitCantStart);
+        std::_Exit(ExitStartFailed);
     }
     node.run();
     // A sync that hangs on its disk must not hold up the end.
@@ -120,7 +120,7 @@
 {
     const auto options = readOptions(argc, const_cast<const char **>(argv));
     if (!options)
-        return ExitWrongUse;
+        return ExitUsageError;
     if (options->version) {
         std::printf("foxwingd %s\n", FOXWING_VERSION);
         return EXIT_SUCCESS;
@@ -131,7 +131,7 @@
     const auto settings = foxwing::settings::readSettings(options->settingsFile, &reason);
     if (!settings) {
         std::fprintf(stderr, "foxwingd: %s\n", reason.message.c_str());
-        return ExitWrongUse;
+        return ExitUsageError;
     }
     if (options->check) {
         std::printf("%s: good\n", options->settingsFile.c_str());
@@ -147,9 +147,9 @@
     foxwing::node::Node node(*settings);
     if (!node.start(&reason)) {
         std::fprintf(stderr, "foxwingd: %s\n", reason.message.c_str());
-        std::_Exit(ExitCantStart);
+        std::_Exit(ExitStartFailed);
     }
-    watchSignals(signals, node);
+    startSignalThread(signals, node);
     node.run();
     // Calls to a dead endpoint may still be open in cpprestsdk; nobody waits for them.
     std::_Exit(EXIT_SUCCESS);
--- a/bench/beats.cpp
+++ b/bench/beats.cpp
@@ -30,15 +30,15 @@
 
 // [SECTION] Agents
 
-struct StandIn
+struct FakeAgent
 {
     control::Reporter reporter;
 };
 
-class Fleet
+class FakeAgents
 {
 public:
-    Fleet(std::size_t count, const std::string &address)
+    FakeAgents(std::size_t count, const std::string &address)
         : m_agents(count)
     {
         for (std::size_t i = 0; i < count; ++i) {
@@ -54,19 +54,19 @@
         }
     }
 
-    control::Heartbeat beat(std::size_t number)
+    control::Heartbeat nextHeartbeat(std::size_t number)
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
         return control::nextHeartbeat(m_agents[number].reporter, steadyNow());
     }
 
     // Updates do not name the agent; here its incarnation does.
-    void take(const wire::Envelope &envelope)
+    void handleReply(const wire::Envelope &envelope)
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
         for (const Json::Value &message : envelope.messages) {
-            ++answers;
-            answerBytes += writeJson(message).size();
+            ++replies;
+            replyBytes += writeJson(message).size();
             Error ignored;
             const auto decoded = decodeMessage<control::FromControl>(message, &ignored);
             if (!decoded)
@@ -77,12 +77,12 @@
         }
     }
 
-    std::atomic<std::uint64_t> answers { 0 };
-    std::atomic<std::uint64_t> answerBytes { 0 };
+    std::atomic<std::uint64_t> replies { 0 };
+    std::atomic<std::uint64_t> replyBytes { 0 };
 
 private:
     std::mutex m_mutex;
-    std::vector<StandIn> m_agents;
+    std::vector<FakeAgent> m_agents;
 };
 
 } // namespace
@@ -99,12 +99,12 @@
     const auto count = static_cast<std::size_t>(std::atol(argv[3]));
     const int seconds = std::atoi(argv[4]);
     const std::string address = std::string("127.0.0.1:") + argv[5];
-    Fleet fleet(count, address);
+    FakeAgents agents(count, address);
     wire::RpcServerSettings serverSettings;
     serverSettings.port = std::atoi(argv[5]);
     serverSettings.secret = argv[2];
     wire::RpcServer server(serverSettings,
-                           [&](wire::Envelope &&envelope) { fleet.take(envelope); });
+                           [&](wire::Envelope &&envelope) { agents.handleReply(envelope); });
     Error reason;
     if (!server.start(&reason)) {
         std::fprintf(stderr, "%s\n", reason.message.c_str());
@@ -124,26 +124,26 @@
                                                            [](const std::string &,
                                                               std::vector<Json::Value> &&) {}));
     }
-    std::uint64_t beats = 0;
-    std::uint64_t beatBytes = 0;
-    const auto begin = std::chrono::steady_clock::now();
-    const auto gap = std::chrono::nanoseconds(1000000000LL / static_cast<std::int64_t>(count));
+    std::uint64_t heartbeats = 0;
+    std::uint64_t heartbeatBytes = 0;
+    const auto start = std::chrono::steady_clock::now();
+    const auto interval = std::chrono::nanoseconds(1000000000LL / static_cast<std::int64_t>(count));
     const auto total = static_cast<std::size_t>(seconds) * count;
     for (std::size_t i = 0; i < total; ++i) {
-        std::this_thread::sleep_until(begin + gap * static_cast<std::int64_t>(i));
-        std::variant<control::Heartbeat> message = fleet.beat(i % count);
+        std::this_thread::sleep_until(start + interval * static_cast<std::int64_t>(i));
+        std::variant<control::Heartbeat> message = agents.nextHeartbeat(i % count);
         Json::Value json = encodeMessage(message);
-        beatBytes += writeJson(json).size();
-        ++beats;
+        heartbeatBytes += writeJson(json).size();
+        ++heartbeats;
         pools[i % pools.size()]->send(control, std::move(json));
     }
     std::this_thread::sleep_for(std::chrono::seconds(1));
     const double nodeSeconds = static_cast<double>(count) * seconds;
     std::printf("agents %zu beats %llu answers %llu, bytes a node and second: sent %.0f received "
                 "%.0f\n",
-                count, static_cast<unsigned long long>(beats),
-                static_cast<unsigned long long>(fleet.answers.load()),
-                static_cast<double>(beatBytes) / nodeSeconds,
-                static_cast<double>(fleet.answerBytes.load()) / nodeSeconds);
+                count, static_cast<unsigned long long>(heartbeats),
+                static_cast<unsigned long long>(agents.replies.load()),
+                static_cast<double>(heartbeatBytes) / nodeSeconds,
+                static_cast<double>(agents.replyBytes.load()) / nodeSeconds);
     return 0;
 }
--- a/tests/rig/main.cpp
+++ b/tests/rig/main.cpp
@@ -19,7 +19,7 @@
 
 // [SECTION] Ways
 
-struct Way
+struct Variant
 {
     const char *name;
     std::function<void(RigSettings &)> change;
@@ -30,7 +30,7 @@
     settings.scheduler.serveLate = true;
 }
 
-Way floorWay(const char *name, std::uint32_t percent)
+Variant guaranteeVariant(const char *name, std::uint32_t percent)
 {
     return { name, [percent](RigSettings &s) {
                 s.scheduler.waitingQueues = foxwing::scheduler::WaitingQueues::AllButLeast;
@@ -38,7 +38,7 @@
             } };
 }
 
-std::vector<Way> ways()
+std::vector<Variant> variants()
 {
     using foxwing::scheduler::Order;
     return {
@@ -47,10 +47,10 @@
           [](RigSettings &s) {
               s.scheduler.waitingQueues = foxwing::scheduler::WaitingQueues::AllButLeast;
           } },
-        floorWay("all but the least urgent queue wait at agents, floor 50 percent", 50),
-        floorWay("all but the least urgent queue wait at agents, floor 60 percent", 60),
-        floorWay("all but the least urgent queue wait at agents, floor 70 percent", 70),
-        floorWay("all but the least urgent queue wait at agents, floor 80 percent", 80),
+        guaranteeVariant("all but the least urgent queue wait at agents, floor 50 percent", 50),
+        guaranteeVariant("all but the least urgent queue wait at agents, floor 60 percent", 60),
+        guaranteeVariant("all but the least urgent queue wait at agents, floor 70 percent", 70),
+        guaranteeVariant("all but the least urgent queue wait at agents, floor 80 percent", 80),
         { "late jobs wait on", [](RigSettings &s) { s.scheduler.refuseLate = false; } },
         { "forecast", [](RigSettings &s) { s.scheduler.forecast = true; } },
         { "forecast at 100 percent",
@@ -89,39 +89,40 @@
 
 void addQueue(foxwing::test::QueueReport &total, const foxwing::test::QueueReport &queue)
 {
-    total.asked += queue.asked;
-    total.inAim += queue.inAim;
+    total.submitted += queue.submitted;
+    total.onTime += queue.onTime;
     total.late += queue.late;
     total.refused += queue.refused;
     total.failed += queue.failed;
-    total.largeAsked += queue.largeAsked;
-    total.largeInAim += queue.largeInAim;
+    total.largeSubmitted += queue.largeSubmitted;
+    total.largeOnTime += queue.largeOnTime;
     total.largeRefused += queue.largeRefused;
     for (const auto &[number, entry] : queue.entries) {
-        total.entries[number].asked += entry.asked;
+        total.entries[number].submitted += entry.submitted;
         total.entries[number].refused += entry.refused;
     }
-    total.refusedAfter.insert(total.refusedAfter.end(), queue.refusedAfter.begin(),
-                              queue.refusedAfter.end());
+    total.refusalDelays.insert(total.refusalDelays.end(), queue.refusalDelays.begin(),
+                               queue.refusalDelays.end());
 }
 
 // The reports of all seeds, added up.
-RigReport playSeeds(RigSettings (*spell)(std::uint64_t), const Way &way, std::uint64_t seeds)
+RigReport replaySeeds(RigSettings (*scenario)(std::uint64_t), const Variant &variant,
+                      std::uint64_t seeds)
 {
     RigReport sum;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        RigSettings settings = spell(seed);
-        way.change(settings);
-        const RigReport one = foxwing::test::play(settings);
+        RigSettings settings = scenario(seed);
+        variant.change(settings);
+        const RigReport one = foxwing::test::replay(settings);
         const double wrong = foxwing::test::wronglyRefusedPercent(settings, one);
         const auto part = 1.0 / static_cast<double>(seeds);
         sum.creditPercent += part * one.creditPercent;
         sum.servedPercent += part * one.servedPercent;
-        sum.refusedAtOncePercent += part * one.refusedAtOncePercent;
+        sum.refusedImmediatelyPercent += part * one.refusedImmediatelyPercent;
         sum.wronglyRefusedPercent += part * wrong;
         sum.startsPerTask += part * one.startsPerTask;
-        sum.idleWhileWaiting += part * one.idleWhileWaiting;
-        sum.refusedWithRoom += one.refusedWithRoom;
+        sum.idleWhileWaitingPercent += part * one.idleWhileWaitingPercent;
+        sum.refusedDespiteCapacity += one.refusedDespiteCapacity;
         for (const auto &[name, queue] : one.queues)
             addQueue(sum.queues[name], queue);
     }
@@ -129,13 +130,13 @@
 }
 
 // Prints what the ways whose names contain the text have done in one spell.
-void printSpell(const char *name, RigSettings (*spell)(std::uint64_t), std::uint64_t seeds,
-                const std::string &only)
+void printScenario(const char *name, RigSettings (*scenario)(std::uint64_t), std::uint64_t seeds,
+                   const std::string &filter)
 {
     std::vector<std::pair<std::string, RigReport>> rows;
-    for (const Way &way : ways()) {
-        if (std::string(way.name).find(only) != std::string::npos)
-            rows.emplace_back(way.name, playSeeds(spell, way, seeds));
+    for (const Variant &variant : variants()) {
+        if (std::string(variant.name).find(filter) != std::string::npos)
+            rows.emplace_back(variant.name, replaySeeds(scenario, variant, seeds));
     }
     std::printf("%s, %llu seeds\n\n%s\n", name, static_cast<unsigned long long>(seeds),
                 foxwing::test::table(rows).c_str());
@@ -147,24 +148,24 @@
 
 int main(int count, char **arguments)
 {
-    struct Spell
+    struct Scenario
     {
         const char *name;
         RigSettings (*settings)(std::uint64_t);
     };
-    const std::vector<Spell> spells {
-        { "Busy spell", foxwing::test::busySpell },
-        { "A third cordoned", foxwing::test::cordonedThird },
-        { "Short spell", foxwing::test::shortSpell },
+    const std::vector<Scenario> scenarios {
+        { "Busy spell", foxwing::test::longOverload },
+        { "A third cordoned", foxwing::test::cordonedDataCentre },
+        { "Short spell", foxwing::test::shortOverload },
         { "Competing queues", foxwing::test::competingQueues },
         { "Uneven endpoints", foxwing::test::unevenEndpoints },
     };
     const std::uint64_t seeds = count > 1 ? std::strtoull(arguments[1], nullptr, 10) : 3;
-    const std::string onlySpell = count > 2 ? arguments[2] : "";
-    const std::string onlyWay = count > 3 ? arguments[3] : "";
-    for (const Spell &spell : spells) {
-        if (std::string(spell.name).find(onlySpell) != std::string::npos)
-            printSpell(spell.name, spell.settings, seeds, onlyWay);
+    const std::string scenarioFilter = count > 2 ? arguments[2] : "";
+    const std::string variantFilter = count > 3 ? arguments[3] : "";
+    for (const Scenario &scenario : scenarios) {
+        if (std::string(scenario.name).find(scenarioFilter) != std::string::npos)
+            printScenario(scenario.name, scenario.settings, seeds, variantFilter);
     }
     return 0;
 }
--- a/tests/rig/report.cpp
+++ b/tests/rig/report.cpp
@@ -21,12 +21,12 @@
             / static_cast<double>(std::max<std::uint64_t>(1, whole));
 }
 
-double medianMilliseconds(std::vector<Microseconds> spans)
+double medianMilliseconds(std::vector<Microseconds> delays)
 {
-    if (spans.empty())
+    if (delays.empty())
         return 0;
-    std::sort(spans.begin(), spans.end());
-    return toMilliseconds(spans[spans.size() / 2]);
+    std::sort(delays.begin(), delays.end());
+    return toMilliseconds(delays[delays.size() / 2]);
 }
 
 } // namespace
@@ -36,12 +36,12 @@
     RigSettings other = settings;
     other.scheduler.maxWaitPercent = 0;
     other.scheduler.maxWaitFactor = 1e6;
-    const std::set<std::string> completed = play(other).completed;
-    const auto wrong = std::count_if(report.refusedAtOnce.begin(), report.refusedAtOnce.end(),
-                                     [&](const std::string &id) {
+    const std::set<std::string> completed = replay(other).completed;
+    const auto wrong = std::count_if(report.refusedImmediately.begin(),
+                                     report.refusedImmediately.end(), [&](const std::string &id) {
                                          return completed.count(id) != 0;
                                      });
-    return percentOf(static_cast<std::uint64_t>(wrong), report.refusedAtOnce.size());
+    return percentOf(static_cast<std::uint64_t>(wrong), report.refusedImmediately.size());
 }
 
 std::pair<double, double> refusedByEntry(const QueueReport &queue)
@@ -49,7 +49,7 @@
     double least = 100;
     double most = 0;
     for (const auto &[number, entry] : queue.entries) {
-        const double percent = percentOf(entry.refused, entry.asked);
+        const double percent = percentOf(entry.refused, entry.submitted);
         least = std::min(least, percent);
         most = std::max(most, percent);
     }
@@ -71,20 +71,22 @@
         std::snprintf(line, sizeof line,
                       "| %s | %.2f %% | %.2f %% | %.0f %% | %.1f %% | %.2f | %llu | %.1f %% |",
                       name.c_str(), report.creditPercent, report.servedPercent,
-                      report.refusedAtOncePercent, report.wronglyRefusedPercent,
-                      report.startsPerTask, static_cast<unsigned long long>(report.refusedWithRoom),
-                      report.idleWhileWaiting);
+                      report.refusedImmediatelyPercent, report.wronglyRefusedPercent,
+                      report.startsPerTask,
+                      static_cast<unsigned long long>(report.refusedDespiteCapacity),
+                      report.idleWhileWaitingPercent);
         text += line;
         for (const auto &[queue, one] : report.queues) {
             std::snprintf(line, sizeof line,
                           " %s: %.2f %%, %.2f %%, %.2f %%, %.2f %%, %.2f %%, %.0f to %.0f %%,"
                           " %.2f %%, %.0f ms;",
-                          queue.c_str(), percentOf(one.inAim, one.asked),
-                          percentOf(one.largeInAim, one.largeAsked), percentOf(one.late, one.asked),
-                          percentOf(one.refused, one.asked),
-                          percentOf(one.largeRefused, one.largeAsked), refusedByEntry(one).first,
-                          refusedByEntry(one).second, percentOf(one.failed, one.asked),
-                          medianMilliseconds(one.refusedAfter));
+                          queue.c_str(), percentOf(one.onTime, one.submitted),
+                          percentOf(one.largeOnTime, one.largeSubmitted),
+                          percentOf(one.late, one.submitted), percentOf(one.refused, one.submitted),
+                          percentOf(one.largeRefused, one.largeSubmitted),
+                          refusedByEntry(one).first, refusedByEntry(one).second,
+                          percentOf(one.failed, one.submitted),
+                          medianMilliseconds(one.refusalDelays));
             text += line;
         }
         text += " |\n";
--- a/tests/rig/rig.cpp
+++ b/tests/rig/rig.cpp
@@ -25,10 +25,10 @@
 constexpr Milliseconds TickInterval { 20 };
 
 // A refusal that comes so soon cost its caller nothing.
-constexpr Milliseconds AtOnce { 5 };
-constexpr Milliseconds BeatInterval { 1500 };
-constexpr Microseconds OrderDelay { 300 };
-constexpr Milliseconds LookTimeout { 25 };
+constexpr Milliseconds ImmediateLimit { 5 };
+constexpr Milliseconds HeartbeatInterval { 1500 };
+constexpr Microseconds CommandDelay { 300 };
+constexpr Milliseconds PollTimeout { 25 };
 
 // Jobs that come before it find empty endpoints, and count for nothing.
 constexpr Milliseconds WarmUp { 1500 };
@@ -36,12 +36,12 @@
 // Room is looked at so often.
 constexpr Milliseconds SampleInterval { 10 };
 constexpr double Spread = 0.4;
-constexpr double RoomSpread = 0.2;
+constexpr double DemandSpread = 0.2;
 constexpr double TaskSpread = 0.15;
 constexpr double Stretch = 1.6;
 constexpr Milliseconds Latency { 60 };
 
-struct Running
+struct EndpointRun
 {
     jobs::ResourceVector demand;
     Time startedAt {};
@@ -57,15 +57,15 @@
     jobs::ResourceVector capacity;
     int dataCentre = 0;
     bool fails = false;
-    bool outOfReach = false;
-    std::map<jobs::RunId, Running> runs;
+    bool unreachable = false;
+    std::map<jobs::RunId, EndpointRun> runs;
     std::vector<runner::EndedRun> ended;
     std::uint64_t lastEnd = 0;
 
     // A look that waits for an end
     std::optional<runner::PollCommand> poll;
-    Time lookUntil {};
-    std::uint64_t beats = 0;
+    Time pollDeadline {};
+    std::uint64_t heartbeats = 0;
 };
 
 struct EntryHost
@@ -91,12 +91,12 @@
 {
 public:
     explicit Rig(const RigSettings &settings);
-    RigReport play();
+    RigReport replay();
 
 private:
-    void at(Time when, std::function<void()> job)
+    void schedule(Time when, std::function<void()> action)
     {
-        m_events.push({ when, ++m_order, std::move(job) });
+        m_events.push({ when, ++m_lastSequence, std::move(action) });
     }
     double normal(double spread) { return std::normal_distribution<double>(0, spread)(m_random); }
 
@@ -105,47 +105,47 @@
     void arrive(std::size_t queue);
     double rateFactor(const std::string &queue) const;
     Call makeCall(std::size_t queue);
-    void answered(std::size_t entry, const scheduler::JobAnswer &answer);
-    bool hasRoomSomewhere(const jobs::ResourceVector &demand) const;
+    void handleAnswer(std::size_t entry, const scheduler::JobAnswer &answer);
+    bool hasFreeEndpoint(const jobs::ResourceVector &demand) const;
 
     // Entries and agents
-    Microseconds way(std::size_t entry, std::size_t host) const;
+    Microseconds linkDelay(std::size_t entry, std::size_t host) const;
     void openSession(std::size_t entry, std::size_t host);
     void tickEntry(std::size_t entry);
     void tickHost(std::size_t host);
     void heartbeat(std::size_t host);
-    void carryOut(std::size_t entry, scheduler::SchedulerActions &&actions);
-    void carryOut(std::size_t host, runner::RunnerActions &&actions);
+    void execute(std::size_t entry, scheduler::SchedulerActions &&actions);
+    void execute(std::size_t host, runner::RunnerActions &&actions);
     void deliver(std::size_t entry, std::size_t host, const scheduler::AgentSend &send);
 
     // Endpoints
     Milliseconds clock() const;
-    void start(std::size_t host, const runner::StartCommand &order);
-    void stop(std::size_t host, const runner::StopCommand &order);
-    void endRun(std::size_t host, const jobs::RunId &id, jobs::RunOutcome how);
-    void answerLook(std::size_t host);
-    void strike(const EndpointTrouble &trouble, bool begins);
-    void cordon(const CordonSpan &span, bool begins);
+    void start(std::size_t host, const runner::StartCommand &command);
+    void stop(std::size_t host, const runner::StopCommand &command);
+    void endRun(std::size_t host, const jobs::RunId &id, jobs::RunOutcome outcome);
+    void answerPoll(std::size_t host);
+    void setFault(const EndpointFault &fault, bool active);
+    void setCordon(const CordonPeriod &period, bool active);
     void sample();
     double credit(const Call &call) const;
 
     struct Event
     {
         Time when {};
-        std::uint64_t order = 0;
-        std::function<void()> job;
+        std::uint64_t sequence = 0;
+        std::function<void()> action;
         bool operator<(const Event &other) const
         {
-            return std::tie(other.when, other.order) < std::tie(when, order);
+            return std::tie(other.when, other.sequence) < std::tie(when, sequence);
         }
     };
 
     RigSettings m_settings;
     std::mt19937_64 m_random;
     Time m_now { Seconds(1000) };
-    Time m_begin {};
+    Time m_start {};
     Time m_end {};
-    std::uint64_t m_order = 0;
+    std::uint64_t m_lastSequence = 0;
     std::priority_queue<Event> m_events;
     std::vector<EntryHost> m_entries;
     std::vector<Host> m_hosts;
@@ -153,19 +153,19 @@
     std::uint64_t m_lastJob = 0;
     catalog::Cordons m_cordons;
     RigReport m_report;
-    double m_owed = 0;
-    double m_earned = 0;
-    double m_idle = 0;
-    double m_room = 0;
+    double m_submittedCredit = 0;
+    double m_earnedCredit = 0;
+    double m_idleCapacity = 0;
+    double m_totalCapacity = 0;
     std::uint64_t m_tasks = 0;
 };
 
-std::string nameOf(std::size_t host)
+std::string agentName(std::size_t host)
 {
     return "agent-" + std::to_string(host);
 }
 
-std::string centreName(int dataCentre)
+std::string dataCentreName(int dataCentre)
 {
     return "dc-" + std::to_string(dataCentre);
 }
@@ -173,8 +173,8 @@
 Rig::Rig(const RigSettings &settings)
     : m_settings(settings)
     , m_random(settings.seed)
-    , m_begin(m_now + WarmUp)
-    , m_end(m_begin + settings.length)
+    , m_start(m_now + WarmUp)
+    , m_end(m_start + settings.duration)
 {
     for (std::size_t centre = 0; centre < settings.entries.size(); ++centre) {
         for (int i = 0; i < settings.entries[centre]; ++i) {
@@ -182,7 +182,7 @@
             entry.dataCentre = static_cast<int>(centre);
             scheduler::SchedulerSettings policy = settings.scheduler;
             policy.seed = m_random();
-            policy.dataCentre = centreName(entry.dataCentre);
+            policy.dataCentre = dataCentreName(entry.dataCentre);
             entry.state = scheduler::makeScheduler(policy);
             m_entries.push_back(std::move(entry));
         }
@@ -199,34 +199,34 @@
 }
 
 // Shares over all queues
-void sumUp(RigReport &report)
+void addTotals(RigReport &report)
 {
-    double asked = 0;
+    double submitted = 0;
     double served = 0;
     double refused = 0;
-    double atOnce = 0;
+    double immediate = 0;
     for (const auto &[name, queue] : report.queues) {
-        asked += static_cast<double>(queue.asked);
-        served += static_cast<double>(queue.inAim + queue.late);
+        submitted += static_cast<double>(queue.submitted);
+        served += static_cast<double>(queue.onTime + queue.late);
         refused += static_cast<double>(queue.refused);
-        atOnce += static_cast<double>(
-                std::count_if(queue.refusedAfter.begin(), queue.refusedAfter.end(),
-                              [&](Microseconds after) { return after <= AtOnce; }));
+        immediate += static_cast<double>(
+                std::count_if(queue.refusalDelays.begin(), queue.refusalDelays.end(),
+                              [&](Microseconds after) { return after <= ImmediateLimit; }));
     }
-    report.servedPercent = 100 * served / std::max(1.0, asked);
-    report.refusedAtOncePercent = 100 * atOnce / std::max(1.0, refused);
+    report.servedPercent = 100 * served / std::max(1.0, submitted);
+    report.refusedImmediatelyPercent = 100 * immediate / std::max(1.0, refused);
 }
 
 // [SECTION] Events
 
-RigReport Rig::play()
+RigReport Rig::replay()
 {
     for (EntryHost &entry : m_entries)
         entry.state.entryCount = static_cast<std::uint32_t>(m_entries.size());
     for (std::size_t host = 0; host < m_hosts.size(); ++host) {
-        carryOut(host,
-                 runner::handleCordons(m_hosts[host].state, {}, runner::CordonSource::Control,
-                                       m_now));
+        execute(host,
+                runner::handleCordons(m_hosts[host].state, {}, runner::CordonSource::Control,
+                                      m_now));
         heartbeat(host);
         tickHost(host);
         for (std::size_t entry = 0; entry < m_entries.size(); ++entry)
@@ -236,30 +236,30 @@
         tickEntry(entry);
     for (std::size_t queue = 0; queue < m_settings.queues.size(); ++queue)
         planArrivals(queue);
-    for (const EndpointTrouble &trouble : m_settings.troubles) {
-        at(m_begin + trouble.from, [this, trouble] { strike(trouble, true); });
-        at(m_begin + trouble.until, [this, trouble] { strike(trouble, false); });
+    for (const EndpointFault &fault : m_settings.faults) {
+        schedule(m_start + fault.from, [this, fault] { setFault(fault, true); });
+        schedule(m_start + fault.until, [this, fault] { setFault(fault, false); });
     }
-    for (const CordonSpan &span : m_settings.cordons) {
-        at(m_begin + span.from, [this, span] { cordon(span, true); });
-        at(m_begin + span.until, [this, span] { cordon(span, false); });
+    for (const CordonPeriod &period : m_settings.cordons) {
+        schedule(m_start + period.from, [this, period] { setCordon(period, true); });
+        schedule(m_start + period.until, [this, period] { setCordon(period, false); });
     }
-    at(m_begin, [this] { sample(); });
+    schedule(m_start, [this] { sample(); });
     constexpr Milliseconds Tail { 4000 };
     while (!m_events.empty() && m_events.top().when < m_end + Tail) {
         const Event event = m_events.top();
         m_events.pop();
         m_now = event.when;
-        event.job();
+        event.action();
     }
     std::uint64_t starts = 0;
     for (const EntryHost &entry : m_entries)
         starts += entry.state.counters.starts;
     m_report.startsPerTask = static_cast<double>(starts)
             / static_cast<double>(std::max<std::uint64_t>(1, m_tasks));
-    m_report.creditPercent = 100 * m_earned / std::max(1e-9, m_owed);
-    sumUp(m_report);
-    m_report.idleWhileWaiting = 100 * m_idle / std::max(1e-9, m_room);
+    m_report.creditPercent = 100 * m_earnedCredit / std::max(1e-9, m_submittedCredit);
+    addTotals(m_report);
+    m_report.idleWhileWaitingPercent = 100 * m_idleCapacity / std::max(1e-9, m_totalCapacity);
     return m_report;
 }
 
@@ -269,7 +269,7 @@
 {
     double factor = 1;
     for (const Burst &burst : m_settings.bursts) {
-        const bool on = m_now >= m_begin + burst.from && m_now < m_begin + burst.until;
+        const bool on = m_now >= m_start + burst.from && m_now < m_start + burst.until;
         if (on && (burst.queue.empty() || burst.queue == queue))
             factor *= burst.factor;
     }
@@ -280,14 +280,16 @@
 {
     const QueueLoad &load = m_settings.queues[queue];
     const double rate = load.perSecond * rateFactor(load.name);
-    const double gap = std::exponential_distribution<double>(rate)(m_random);
-    at(m_now + std::chrono::duration_cast<Microseconds>(std::chrono::duration<double>(gap)),
-       [this, queue] {
-           if (m_now >= m_end)
-               return;
-           arrive(queue);
-           planArrivals(queue);
-       });
+    const double interval = std::exponential_distribution<double>(rate)(m_random);
+    schedule(m_now
+                     + std::chrono::duration_cast<Microseconds>(
+                             std::chrono::duration<double>(interval)),
+             [this, queue] {
+                 if (m_now >= m_end)
+                     return;
+                 arrive(queue);
+                 planArrivals(queue);
+             });
 }
 
 Call Rig::makeCall(std::size_t queue)
@@ -299,12 +301,13 @@
     const auto logNormal = [&](double spread) {
         return std::exp(normal(spread) - spread * spread / 2);
     };
-    const double width = std::round(load.width * logNormal(Spread));
+    const double taskCount = std::round(load.taskCount * logNormal(Spread));
     jobs::StepSpec step;
-    step.tasks = std::clamp(static_cast<std::uint32_t>(std::max(1.0, width)), 1U, load.mostWidth);
-    step.demand = { static_cast<std::int64_t>(load.milliCores * logNormal(RoomSpread)), 64, 0 };
-    const bool tail = load.tailPart > 0
-            && std::uniform_real_distribution<double>(0, 1)(m_random) < load.tailPart;
+    step.tasks = std::clamp(static_cast<std::uint32_t>(std::max(1.0, taskCount)), 1U,
+                            load.maxTaskCount);
+    step.demand = { static_cast<std::int64_t>(load.milliCores * logNormal(DemandSpread)), 64, 0 };
+    const bool tail = load.tailShare > 0
+            && std::uniform_real_distribution<double>(0, 1)(m_random) < load.tailShare;
     const double work = static_cast<double>(load.work.count()) * std::min(4.0, logNormal(Spread))
             * (tail ? load.tailFactor : 1);
     step.estimate = Milliseconds(std::max<std::int64_t>(1, std::lround(work * logNormal(Spread))));
@@ -319,15 +322,16 @@
     call.spec.traits.durable = false;
     call.spec.steps = { step };
     call.objective = std::chrono::duration_cast<Microseconds>(longest * Stretch) + Latency;
-    call.size = width * work / (load.width * static_cast<double>(load.work.count()));
+    call.size = taskCount * work / (load.taskCount * static_cast<double>(load.work.count()));
     return call;
 }
 
 double Rig::credit(const Call &call) const
 {
     constexpr double Base = 0.3;
-    const double most = 4;
-    return m_settings.queues[call.queue].credit * std::min(most, Base + (1 - Base) * call.size);
+    const double maxFactor = 4;
+    return m_settings.queues[call.queue].credit
+            * std::min(maxFactor, Base + (1 - Base) * call.size);
 }
 
 // The tenth of jobs with most work, of sizes that are products of two log-normal spreads of 0.4
@@ -338,21 +342,21 @@
     const QueueLoad &load = m_settings.queues[queue];
     const std::vector<double> &callers = m_settings.callers;
     const int centre = std::discrete_distribution<int>(callers.begin(), callers.end())(m_random);
-    std::vector<std::size_t> near;
+    std::vector<std::size_t> local;
     for (std::size_t i = 0; i < m_entries.size(); ++i) {
         if (m_entries[i].dataCentre == centre)
-            near.push_back(i);
+            local.push_back(i);
     }
     const std::size_t entry =
-            near[std::uniform_int_distribution<std::size_t>(0, near.size() - 1)(m_random)];
+            local[std::uniform_int_distribution<std::size_t>(0, local.size() - 1)(m_random)];
     const Call call = makeCall(queue);
     m_calls[call.spec.id] = call;
-    if (m_now >= m_begin) {
+    if (m_now >= m_start) {
         QueueReport &report = m_report.queues[load.name];
-        ++report.asked;
-        ++report.entries[entry].asked;
-        report.largeAsked += call.size > LargeSize ? 1 : 0;
-        m_owed += credit(call);
+        ++report.submitted;
+        ++report.entries[entry].submitted;
+        report.largeSubmitted += call.size > LargeSize ? 1 : 0;
+        m_submittedCredit += credit(call);
     }
     m_tasks += call.work.size();
     scheduler::JobOptions options;
@@ -363,53 +367,53 @@
     options.stretch = Stretch;
     options.targetLatency = Latency;
     options.startDeadline = m_now + Milliseconds(1500);
-    if (m_settings.patience)
-        options.callerDeadline = m_now + call.objective + *m_settings.patience;
+    if (m_settings.callerTimeout)
+        options.callerDeadline = m_now + call.objective + *m_settings.callerTimeout;
     std::uint64_t number = 0;
     scheduler::SchedulerActions actions = scheduler::submit(m_entries[entry].state, call.spec,
                                                             options, m_now, &number);
     m_entries[entry].calls[number] = call.spec.id;
-    carryOut(entry, std::move(actions));
+    execute(entry, std::move(actions));
 }
 
-bool Rig::hasRoomSomewhere(const jobs::ResourceVector &demand) const
+bool Rig::hasFreeEndpoint(const jobs::ResourceVector &demand) const
 {
     return std::any_of(m_hosts.begin(), m_hosts.end(), [&](const Host &host) {
         jobs::ResourceVector free = host.capacity;
         for (const auto &[id, run] : host.runs)
             free -= run.demand;
-        return !host.fails && !host.outOfReach && !runner::isCordoned(host.state)
+        return !host.fails && !host.unreachable && !runner::isCordoned(host.state)
                 && jobs::fits(demand, free);
     });
 }
 
-void Rig::answered(std::size_t entry, const scheduler::JobAnswer &answer)
+void Rig::handleAnswer(std::size_t entry, const scheduler::JobAnswer &answer)
 {
     const auto found = m_entries[entry].calls.find(answer.number);
     if (found == m_entries[entry].calls.end())
         return;
     const Call &call = m_calls.at(found->second);
     m_entries[entry].calls.erase(found);
-    if (call.receivedAt < m_begin)
+    if (call.receivedAt < m_start)
         return;
     QueueReport &report = m_report.queues[m_settings.queues[call.queue].name];
     const Microseconds took = m_now - call.receivedAt;
     const bool onTime = took <= call.objective;
     switch (answer.outcome) {
     case scheduler::JobOutcome::Completed:
-        ++(onTime ? report.inAim : report.late);
+        ++(onTime ? report.onTime : report.late);
         m_report.completed.insert(call.spec.id);
-        report.largeInAim += onTime && call.size > LargeSize ? 1 : 0;
-        m_earned += onTime ? credit(call) : credit(call) / 5;
+        report.largeOnTime += onTime && call.size > LargeSize ? 1 : 0;
+        m_earnedCredit += onTime ? credit(call) : credit(call) / 5;
         break;
     case scheduler::JobOutcome::NotRun:
         ++report.refused;
         ++report.entries[entry].refused;
         report.largeRefused += call.size > LargeSize ? 1 : 0;
-        report.refusedAfter.push_back(took);
-        if (took <= AtOnce)
-            m_report.refusedAtOnce.insert(call.spec.id);
-        m_report.refusedWithRoom += hasRoomSomewhere(call.spec.steps[0].demand) ? 1 : 0;
+        report.refusalDelays.push_back(took);
+        if (took <= ImmediateLimit)
+            m_report.refusedImmediately.insert(call.spec.id);
+        m_report.refusedDespiteCapacity += hasFreeEndpoint(call.spec.steps[0].demand) ? 1 : 0;
         break;
     case scheduler::JobOutcome::Failed:
     case scheduler::JobOutcome::TimedOut:
@@ -420,62 +424,62 @@
 
 // [SECTION] Entries
 
-Microseconds Rig::way(std::size_t entry, std::size_t host) const
+Microseconds Rig::linkDelay(std::size_t entry, std::size_t host) const
 {
-    const bool near = m_entries[entry].dataCentre == m_hosts[host].dataCentre;
-    return near ? m_settings.nearDelay : m_settings.farDelay;
+    const bool local = m_entries[entry].dataCentre == m_hosts[host].dataCentre;
+    return local ? m_settings.nearDelay : m_settings.farDelay;
 }
 
 void Rig::openSession(std::size_t entry, std::size_t host)
 {
-    carryOut(entry, scheduler::agentConnected(m_entries[entry].state, nameOf(host), m_now));
-    at(m_now + way(entry, host), [this, entry, host] {
-        carryOut(host,
-                 runner::openSession(m_hosts[host].state, entry + 1,
-                                     "entry-" + std::to_string(entry), m_now));
+    execute(entry, scheduler::agentConnected(m_entries[entry].state, agentName(host), m_now));
+    schedule(m_now + linkDelay(entry, host), [this, entry, host] {
+        execute(host,
+                runner::openSession(m_hosts[host].state, entry + 1,
+                                    "entry-" + std::to_string(entry), m_now));
     });
 }
 
 void Rig::tickEntry(std::size_t entry)
 {
-    carryOut(entry, scheduler::tick(m_entries[entry].state, m_now));
-    at(m_now + m_settings.tick, [this, entry] { tickEntry(entry); });
+    execute(entry, scheduler::tick(m_entries[entry].state, m_now));
+    schedule(m_now + m_settings.tick, [this, entry] { tickEntry(entry); });
 }
 
 void Rig::deliver(std::size_t entry, std::size_t host, const scheduler::AgentSend &send)
 {
-    at(m_now + way(entry, host), [this, entry, host, message = send.message] {
-        if (m_hosts[host].outOfReach)
+    schedule(m_now + linkDelay(entry, host), [this, entry, host, message = send.message] {
+        if (m_hosts[host].unreachable)
             return;
         runner::RunnerState &state = m_hosts[host].state;
         if (const auto *start = std::get_if<jobs::StartTasks>(&message))
-            carryOut(host, runner::startTasks(state, entry + 1, *start, m_now));
+            execute(host, runner::startTasks(state, entry + 1, *start, m_now));
         else if (const auto *stop = std::get_if<jobs::StopRuns>(&message))
-            carryOut(host, runner::stopRuns(state, entry + 1, *stop, m_now));
+            execute(host, runner::stopRuns(state, entry + 1, *stop, m_now));
         else
-            carryOut(host,
-                     runner::handleSessionHeartbeat(state, entry + 1,
-                                                    std::get<jobs::SessionHeartbeat>(message),
-                                                    m_now));
+            execute(host,
+                    runner::handleSessionHeartbeat(state, entry + 1,
+                                                   std::get<jobs::SessionHeartbeat>(message),
+                                                   m_now));
     });
 }
 
-void Rig::carryOut(std::size_t entry, scheduler::SchedulerActions &&actions)
+void Rig::execute(std::size_t entry, scheduler::SchedulerActions &&actions)
 {
     for (const scheduler::AgentSend &send : actions.sends)
         deliver(entry, std::stoul(send.agent.substr(send.agent.find('-') + 1)), send);
     for (const scheduler::JobAnswer &answer : actions.answers)
-        answered(entry, answer);
+        handleAnswer(entry, answer);
     for (const std::string &name : actions.closes)
-        carryOut(entry, scheduler::agentLost(m_entries[entry].state, name, m_now));
+        execute(entry, scheduler::agentLost(m_entries[entry].state, name, m_now));
 }
 
 // [SECTION] Agents
 
 void Rig::tickHost(std::size_t host)
 {
-    carryOut(host, runner::tick(m_hosts[host].state, m_now));
-    at(m_now + TickInterval, [this, host] { tickHost(host); });
+    execute(host, runner::tick(m_hosts[host].state, m_now));
+    schedule(m_now + TickInterval, [this, host] { tickHost(host); });
 }
 
 void Rig::heartbeat(std::size_t number)
@@ -484,42 +488,42 @@
     runner::EndpointReport report;
     report.endpointIncarnation.id = "life-" + std::to_string(number);
     report.service = "service";
-    report.dataCentre = centreName(host.dataCentre);
+    report.dataCentre = dataCentreName(host.dataCentre);
     report.capacity = host.capacity;
-    report.sequence = ++host.beats;
+    report.sequence = ++host.heartbeats;
     report.clock = clock();
-    carryOut(number, runner::handleHeartbeat(host.state, report, m_now));
-    at(m_now + BeatInterval, [this, number] { heartbeat(number); });
+    execute(number, runner::handleHeartbeat(host.state, report, m_now));
+    schedule(m_now + HeartbeatInterval, [this, number] { heartbeat(number); });
 }
 
-void Rig::carryOut(std::size_t number, runner::RunnerActions &&actions)
+void Rig::execute(std::size_t number, runner::RunnerActions &&actions)
 {
     Host &host = m_hosts[number];
-    for (const runner::StopCommand &order : actions.stops)
-        at(m_now + OrderDelay, [this, number, order] { stop(number, order); });
-    for (const runner::StartCommand &order : actions.starts)
-        at(m_now + OrderDelay, [this, number, order] { start(number, order); });
+    for (const runner::StopCommand &command : actions.stops)
+        schedule(m_now + CommandDelay, [this, number, command] { stop(number, command); });
+    for (const runner::StartCommand &command : actions.starts)
+        schedule(m_now + CommandDelay, [this, number, command] { start(number, command); });
     if (actions.poll) {
         host.poll = actions.poll;
-        host.lookUntil = m_now + actions.poll->wait;
-        at(host.lookUntil + OrderDelay, [this, number, poll = actions.poll->number] {
+        host.pollDeadline = m_now + actions.poll->wait;
+        schedule(host.pollDeadline + CommandDelay, [this, number, poll = actions.poll->number] {
             if (m_hosts[number].poll && m_hosts[number].poll->number == poll)
-                answerLook(number);
+                answerPoll(number);
         });
         if (!host.ended.empty())
-            at(m_now + OrderDelay, [this, number] { answerLook(number); });
+            schedule(m_now + CommandDelay, [this, number] { answerPoll(number); });
     }
-    const auto tell = [&](std::uint64_t session, auto message, auto handle) {
+    const auto send = [&](std::uint64_t session, auto message, auto handle) {
         const std::size_t entry = session - 1;
-        at(m_now + way(entry, number), [this, number, entry, message, handle] {
-            if (!m_hosts[number].outOfReach)
-                carryOut(entry, handle(m_entries[entry].state, nameOf(number), message, m_now));
+        schedule(m_now + linkDelay(entry, number), [this, number, entry, message, handle] {
+            if (!m_hosts[number].unreachable)
+                execute(entry, handle(m_entries[entry].state, agentName(number), message, m_now));
         });
     };
     for (const auto &[session, message] : actions.acceptances)
-        tell(session, message, scheduler::agentAccepted);
+        send(session, message, scheduler::agentAccepted);
     for (const auto &[session, message] : actions.updates)
-        tell(session, message, scheduler::agentUpdated);
+        send(session, message, scheduler::agentUpdated);
 }
 
 // [SECTION] Endpoints
@@ -529,108 +533,112 @@
     return std::chrono::duration_cast<Milliseconds>(m_now.time_since_epoch());
 }
 
-void Rig::start(std::size_t number, const runner::StartCommand &order)
+void Rig::start(std::size_t number, const runner::StartCommand &command)
 {
     Host &host = m_hosts[number];
-    const Call &call = m_calls.at(order.id.task.job);
-    Running run;
+    const Call &call = m_calls.at(command.id.task.job);
+    EndpointRun run;
     run.demand = call.spec.steps[0].demand;
     run.startedAt = m_now;
     run.fails = host.fails;
-    const auto takes = std::chrono::duration_cast<Microseconds>(call.work[order.id.task.index]
-                                                                / host.speed);
-    run.doneAt = m_now + (run.fails ? Microseconds(1000) : takes);
-    host.runs[order.id] = run;
-    const auto how = run.fails ? jobs::RunOutcome::Failed : jobs::RunOutcome::Done;
-    at(run.doneAt, [this, number, id = order.id, how] {
+    const auto runTime = std::chrono::duration_cast<Microseconds>(call.work[command.id.task.index]
+                                                                  / host.speed);
+    run.doneAt = m_now + (run.fails ? Microseconds(1000) : runTime);
+    host.runs[command.id] = run;
+    const auto outcome = run.fails ? jobs::RunOutcome::Failed : jobs::RunOutcome::Done;
+    schedule(run.doneAt, [this, number, id = command.id, outcome] {
         const auto found = m_hosts[number].runs.find(id);
         if (found != m_hosts[number].runs.end() && !found->second.stopping)
-            endRun(number, id, how);
+            endRun(number, id, outcome);
     });
-    at(m_now + OrderDelay, [this, number, id = order.id] {
-        carryOut(number,
-                 runner::handleStartResult(m_hosts[number].state, id,
-                                           { runner::CommandStatus::Ok, clock() }, m_now));
+    schedule(m_now + CommandDelay, [this, number, id = command.id] {
+        execute(number,
+                runner::handleStartResult(m_hosts[number].state, id,
+                                          { runner::CommandStatus::Ok, clock() }, m_now));
     });
 }
 
-void Rig::stop(std::size_t number, const runner::StopCommand &order)
+void Rig::stop(std::size_t number, const runner::StopCommand &command)
 {
-    constexpr Milliseconds StopTakes { 50 };
-    const auto found = m_hosts[number].runs.find(order.id);
+    constexpr Milliseconds StopDuration { 50 };
+    const auto found = m_hosts[number].runs.find(command.id);
     if (found != m_hosts[number].runs.end() && !found->second.stopping) {
         found->second.stopping = true;
-        at(m_now + StopTakes,
-           [this, number, id = order.id] { endRun(number, id, jobs::RunOutcome::Stopped); });
+        schedule(m_now + StopDuration, [this, number, id = command.id] {
+            endRun(number, id, jobs::RunOutcome::Stopped);
+        });
     }
-    at(m_now + OrderDelay, [this, number, id = order.id] {
-        carryOut(number,
-                 runner::handleStopResult(m_hosts[number].state, id,
-                                          { runner::CommandStatus::Ok, clock() }, m_now));
+    schedule(m_now + CommandDelay, [this, number, id = command.id] {
+        execute(number,
+                runner::handleStopResult(m_hosts[number].state, id,
+                                         { runner::CommandStatus::Ok, clock() }, m_now));
     });
 }
 
-void Rig::endRun(std::size_t number, const jobs::RunId &id, jobs::RunOutcome how)
+void Rig::endRun(std::size_t number, const jobs::RunId &id, jobs::RunOutcome outcome)
 {
     Host &host = m_hosts[number];
     host.runs.erase(id);
-    host.ended.push_back({ ++host.lastEnd, id, how });
-    answerLook(number);
+    host.ended.push_back({ ++host.lastEnd, id, outcome });
+    answerPoll(number);
 }
 
-void Rig::answerLook(std::size_t number)
+void Rig::answerPoll(std::size_t number)
 {
     Host &host = m_hosts[number];
     if (!host.poll)
         return;
-    const runner::PollCommand order = *host.poll;
+    const runner::PollCommand command = *host.poll;
     host.poll.reset();
-    const auto seen = [&](const runner::EndedRun &row) { return row.number <= order.lastSeenEnd; };
-    host.ended.erase(std::remove_if(host.ended.begin(), host.ended.end(), seen), host.ended.end());
+    const auto acknowledged = [&](const runner::EndedRun &run) {
+        return run.number <= command.lastSeenEnd;
+    };
+    host.ended.erase(std::remove_if(host.ended.begin(), host.ended.end(), acknowledged),
+                     host.ended.end());
     runner::PollResult poll;
     poll.result = { runner::CommandStatus::Ok, clock() };
     for (const auto &[id, run] : host.runs) {
-        const double whole = static_cast<double>((run.doneAt - run.startedAt).count());
-        const double ran = static_cast<double>((m_now - run.startedAt).count());
+        const double total = static_cast<double>((run.doneAt - run.startedAt).count());
+        const double elapsed = static_cast<double>((m_now - run.startedAt).count());
         poll.running.push_back(
-                { id, static_cast<std::uint32_t>(100 * ran / std::max(1.0, whole)) });
+                { id, static_cast<std::uint32_t>(100 * elapsed / std::max(1.0, total)) });
     }
     poll.ended = host.ended;
-    at(m_now + OrderDelay, [this, number, poll, order = order.number] {
-        carryOut(number, runner::handlePollResult(m_hosts[number].state, order, poll, m_now));
+    schedule(m_now + CommandDelay, [this, number, poll, command = command.number] {
+        execute(number, runner::handlePollResult(m_hosts[number].state, command, poll, m_now));
     });
 }
 
-void Rig::strike(const EndpointTrouble &trouble, bool begins)
+void Rig::setFault(const EndpointFault &fault, bool active)
 {
-    const auto step = static_cast<std::size_t>(100 / std::max(1, trouble.percent));
-    const bool fails = trouble.kind == EndpointTrouble::Kind::Fails;
+    const auto step = static_cast<std::size_t>(100 / std::max(1, fault.percent));
+    const bool fails = fault.kind == EndpointFault::Kind::Fails;
     for (std::size_t i = fails ? 0 : step / 2; i < m_hosts.size(); i += step) {
-        (fails ? m_hosts[i].fails : m_hosts[i].outOfReach) = begins;
-        if (!fails && !begins) {
+        (fails ? m_hosts[i].fails : m_hosts[i].unreachable) = active;
+        if (!fails && !active) {
             for (std::size_t entry = 0; entry < m_entries.size(); ++entry)
                 openSession(entry, i);
         }
     }
 }
 
-void Rig::cordon(const CordonSpan &span, bool begins)
+void Rig::setCordon(const CordonPeriod &period, bool active)
 {
     catalog::AgreedState agreed;
     agreed.cordons = m_cordons;
     catalog::apply(agreed,
-                   catalog::CordonCommand { centreName(span.dataCentre), begins,
+                   catalog::CordonCommand { dataCentreName(period.dataCentre), active,
                                             m_cordons.revision });
     m_cordons = agreed.cordons;
     for (std::size_t host = 0; host < m_hosts.size(); ++host)
-        at(m_now + m_settings.farDelay, [this, host, cordons = m_cordons] {
-            carryOut(host,
-                     runner::handleCordons(m_hosts[host].state, cordons,
-                                           runner::CordonSource::Control, m_now));
+        schedule(m_now + m_settings.farDelay, [this, host, cordons = m_cordons] {
+            execute(host,
+                    runner::handleCordons(m_hosts[host].state, cordons,
+                                          runner::CordonSource::Control, m_now));
         });
     for (std::size_t entry = 0; entry < m_entries.size(); ++entry)
-        at(m_now + m_settings.farDelay, [this, entry, cordons = m_cordons] {
-            carryOut(entry, scheduler::applyCordons(m_entries[entry].state, cordons, m_now));
+        schedule(m_now + m_settings.farDelay, [this, entry, cordons = m_cordons] {
+            execute(entry, scheduler::applyCordons(m_entries[entry].state, cordons, m_now));
         });
 }
 
@@ -641,23 +649,23 @@
     const bool waiting = std::any_of(m_entries.begin(), m_entries.end(),
                                      [](const auto &entry) { return !entry.state.queue.empty(); });
     for (const Host &host : m_hosts) {
-        if (!waiting || host.fails || host.outOfReach || runner::isCordoned(host.state))
+        if (!waiting || host.fails || host.unreachable || runner::isCordoned(host.state))
             continue;
         jobs::ResourceVector free = host.capacity;
         for (const auto &[id, run] : host.runs)
             free -= run.demand;
-        m_idle += static_cast<double>(free.milliCores);
-        m_room += static_cast<double>(host.capacity.milliCores);
+        m_idleCapacity += static_cast<double>(free.milliCores);
+        m_totalCapacity += static_cast<double>(host.capacity.milliCores);
     }
     if (m_now < m_end)
-        at(m_now + SampleInterval, [this] { sample(); });
+        schedule(m_now + SampleInterval, [this] { sample(); });
 }
 
 } // namespace
 
-RigReport play(const RigSettings &settings)
+RigReport replay(const RigSettings &settings)
 {
-    return Rig(settings).play();
+    return Rig(settings).replay();
 }
 
 } // namespace foxwing::test
--- a/tests/rig/rig.h
+++ b/tests/rig/rig.h
@@ -40,8 +40,8 @@
     Milliseconds work { 200 };
 
     // Tasks of a job, with the spread below
-    double width = 2;
-    std::uint32_t mostWidth = 8;
+    double taskCount = 2;
+    std::uint32_t maxTaskCount = 8;
 
     // Credit of a job of mean size, for sums over queues
     double credit = 1;
@@ -50,7 +50,7 @@
     double milliCores = 1500;
 
     // Part of the jobs whose work is so many times as long, as their callers' guesses say too
-    double tailPart = 0;
+    double tailShare = 0;
     double tailFactor = 1;
 };
 
@@ -66,14 +66,14 @@
 };
 
 // Endpoints that are of no use for a while.
-struct EndpointTrouble
+struct EndpointFault
 {
     enum class Kind {
         // All that they start fails at once.
         Fails,
 
         // Nobody reaches their agents.
-        OutOfReach,
+        Unreachable,
     };
     Kind kind = Kind::Fails;
     Milliseconds from { 0 };
@@ -83,7 +83,7 @@
     int percent = 10;
 };
 
-struct CordonSpan
+struct CordonPeriod
 {
     Milliseconds from { 0 };
     Milliseconds until { 0 };
@@ -108,16 +108,16 @@
         { "middle", 1, 4, 486, Milliseconds(200), 2, 8, 1 },
         { "long", 2, 4, 66, Milliseconds(900), 4, 16, 16 },
     };
-    Milliseconds length { 8000 };
+    Milliseconds duration { 8000 };
 
     // Callers wait so long beyond their job's objective, if they say so at all.
-    std::optional<Milliseconds> patience;
+    std::optional<Milliseconds> callerTimeout;
 
     // Between the entries' turns
     Milliseconds tick { 20 };
     std::vector<Burst> bursts;
-    std::vector<EndpointTrouble> troubles;
-    std::vector<CordonSpan> cordons;
+    std::vector<EndpointFault> faults;
+    std::vector<CordonPeriod> cordons;
     Microseconds nearDelay { 200 };
     Microseconds farDelay { 900 };
     scheduler::SchedulerSettings scheduler;
@@ -129,28 +129,28 @@
 // What one entry was asked for and refused.
 struct EntryReport
 {
-    std::uint64_t asked = 0;
+    std::uint64_t submitted = 0;
     std::uint64_t refused = 0;
 };
 
 struct QueueReport
 {
-    std::uint64_t asked = 0;
-    std::uint64_t inAim = 0;
+    std::uint64_t submitted = 0;
+    std::uint64_t onTime = 0;
     std::uint64_t late = 0;
     std::uint64_t refused = 0;
     std::uint64_t failed = 0;
 
     // The same of the tenth of jobs with most work
-    std::uint64_t largeAsked = 0;
-    std::uint64_t largeInAim = 0;
+    std::uint64_t largeSubmitted = 0;
+    std::uint64_t largeOnTime = 0;
     std::uint64_t largeRefused = 0;
 
     // By entry
     std::map<std::size_t, EntryReport> entries;
 
     // From the call to its refusal
-    std::vector<Microseconds> refusedAfter;
+    std::vector<Microseconds> refusalDelays;
 };
 
 struct RigReport
@@ -164,7 +164,7 @@
     double servedPercent = 0;
 
     // Refusals that came within 5 ms, in percent of all refusals
-    double refusedAtOncePercent = 0;
+    double refusedImmediatelyPercent = 0;
 
     // Of these, those that hindsight shows as wrong, if that was asked for
     double wronglyRefusedPercent = 0;
@@ -173,32 +173,32 @@
     double startsPerTask = 0;
 
     // Refusals when an endpoint that could run a task of the job had room for it
-    std::uint64_t refusedWithRoom = 0;
+    std::uint64_t refusedDespiteCapacity = 0;
 
     // Calls that were refused within 5 ms, and those that were completed in time or late
-    std::set<std::string> refusedAtOnce;
+    std::set<std::string> refusedImmediately;
     std::set<std::string> completed;
 
     // Room of sound endpoints that stood idle while jobs waited, in percent
-    double idleWhileWaiting = 0;
+    double idleWhileWaitingPercent = 0;
 };
 
 // [SECTION] Functions
 
-RigReport play(const RigSettings &settings);
+RigReport replay(const RigSettings &settings);
 
 // Of the calls that were refused at once, how many are completed in the same load if none is
 // refused at arrival, in percent.
 double wronglyRefusedPercent(const RigSettings &settings, const RigReport &report);
 
 // Load that is above the room for 4 s, with endpoints that fail and others out of reach.
-RigSettings busySpell(std::uint64_t seed);
+RigSettings longOverload(std::uint64_t seed);
 
 // The same load above the room for little more than a second.
-RigSettings shortSpell(std::uint64_t seed);
+RigSettings shortOverload(std::uint64_t seed);
 
 // A third of the endpoints is cordoned for 4 s, at the usual load.
-RigSettings cordonedThird(std::uint64_t seed);
+RigSettings cordonedDataCentre(std::uint64_t seed);
 
 // Queues of three priorities compete: twice the usual jobs of the least urgent one for 6 s, while a
 // quarter of the endpoints is out of reach.
--- a/tests/rig/rig_test.cpp
+++ b/tests/rig/rig_test.cpp
@@ -22,26 +22,26 @@
 constexpr std::uint64_t Seeds = 3;
 
 // Credit of all seeds, in percent of what was asked.
-double creditOf(RigSettings (*spell)(std::uint64_t),
-                const std::function<void(RigSettings &)> &change)
+double meanCredit(RigSettings (*scenario)(std::uint64_t),
+                  const std::function<void(RigSettings &)> &change)
 {
     double sum = 0;
     for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
-        RigSettings settings = spell(seed);
+        RigSettings settings = scenario(seed);
         change(settings);
-        sum += play(settings).creditPercent;
+        sum += replay(settings).creditPercent;
     }
     return sum / Seeds;
 }
 
-void asItStands(RigSettings &) { }
+void defaultPolicy(RigSettings &) { }
 
 // [SECTION] Replay
 
 TEST(RigReplay, IsTheSameForTheSameSeed)
 {
-    const RigReport first = play(busySpell(7));
-    const RigReport second = play(busySpell(7));
+    const RigReport first = replay(longOverload(7));
+    const RigReport second = replay(longOverload(7));
     EXPECT_EQ(table({ { "", first } }), table({ { "", second } }));
     EXPECT_GT(first.queues.at("middle").refused, 0U);
 }
@@ -55,22 +55,22 @@
 
     // Credit that is lost without it in the busy spell, in points of a hundred: about half of what
     // ten seeds have shown (0.6, 0.8, 14.3 and 1.2)
-    double atLeast;
+    double minCreditLoss;
 };
 
-std::ostream &operator<<(std::ostream &out, const MechanismCase &tested)
+std::ostream &operator<<(std::ostream &out, const MechanismCase &testCase)
 {
-    return out << tested.name;
+    return out << testCase.name;
 }
 
 class Mechanisms : public testing::TestWithParam<MechanismCase>
 { };
 
-TEST_P(Mechanisms, EarnTheirPlaceInABusySpell)
+TEST_P(Mechanisms, RaiseCreditDuringOverload)
 {
-    static const double standing = creditOf(busySpell, asItStands);
-    const double without = creditOf(busySpell, GetParam().switchOff);
-    EXPECT_GE(standing - without, GetParam().atLeast) << standing << " with it";
+    static const double baseline = meanCredit(longOverload, defaultPolicy);
+    const double without = meanCredit(longOverload, GetParam().switchOff);
+    EXPECT_GE(baseline - without, GetParam().minCreditLoss) << baseline << " with it";
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -87,55 +87,56 @@
                                     s.scheduler.placement = scheduler::Placement::Random;
                                 },
                                 0.5 }),
-        [](const auto &tested) { return tested.param.name; });
+        [](const auto &testCase) { return testCase.param.name; });
 
 // [SECTION] Forecast
 
-struct SpellCase
+struct ScenarioCase
 {
     const char *name;
-    RigSettings (*spell)(std::uint64_t);
+    RigSettings (*scenario)(std::uint64_t);
 };
 
-std::ostream &operator<<(std::ostream &out, const SpellCase &tested)
+std::ostream &operator<<(std::ostream &out, const ScenarioCase &testCase)
 {
-    return out << tested.name;
+    return out << testCase.name;
 }
 
-class Forecasts : public testing::TestWithParam<SpellCase>
+class Forecasts : public testing::TestWithParam<ScenarioCase>
 { };
 
-struct Sums
+struct Means
 {
     double credit = 0;
     double served = 0;
-    double refusedAtOnce = 0;
+    double refusedImmediately = 0;
 };
 
 // Means of all seeds, in percent.
-Sums sumsOf(RigSettings (*spell)(std::uint64_t), const std::function<void(RigSettings &)> &change)
+Means meansOf(RigSettings (*scenario)(std::uint64_t),
+              const std::function<void(RigSettings &)> &change)
 {
-    Sums sums;
+    Means means;
     for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
-        RigSettings settings = spell(seed);
+        RigSettings settings = scenario(seed);
         change(settings);
-        const RigReport report = play(settings);
-        sums.credit += report.creditPercent / Seeds;
-        sums.served += report.servedPercent / Seeds;
-        sums.refusedAtOnce += report.refusedAtOncePercent / Seeds;
+        const RigReport report = replay(settings);
+        means.credit += report.creditPercent / Seeds;
+        means.served += report.servedPercent / Seeds;
+        means.refusedImmediately += report.refusedImmediatelyPercent / Seeds;
     }
-    return sums;
+    return means;
 }
 
 // What can't be on time is told so at once, and more callers are served for it.
-TEST_P(Forecasts, RefuseAtOnceAndServeMore)
+TEST_P(Forecasts, RefuseImmediatelyAndServeMore)
 {
-    const Sums without = sumsOf(GetParam().spell, asItStands);
-    const Sums with = sumsOf(GetParam().spell, [](RigSettings &settings) {
+    const Means without = meansOf(GetParam().scenario, defaultPolicy);
+    const Means with = meansOf(GetParam().scenario, [](RigSettings &settings) {
         settings.scheduler.forecast = true;
         settings.scheduler.maxWaitPercent = 100;
     });
-    EXPECT_GE(with.refusedAtOnce, 50);
+    EXPECT_GE(with.refusedImmediately, 50);
     EXPECT_GT(with.served, without.served);
 }
 
@@ -149,21 +150,21 @@
 
 // In a long overload late jobs cost the rest nothing, and callers that can't be served are told
 // within a quarter of their objective, but for the first of them.
-TEST_P(Forecasts, HoldNobodyInVainForLong)
+TEST_P(Forecasts, RefuseUnservableJobsEarly)
 {
     constexpr Microseconds QuarterOfLong = Milliseconds(350);
-    std::vector<Microseconds> refusedAfter;
+    std::vector<Microseconds> refusalDelays;
     for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
-        RigSettings settings = GetParam().spell(seed);
+        RigSettings settings = GetParam().scenario(seed);
         serveLate(settings);
-        const std::vector<Microseconds> after = play(settings).queues.at("long").refusedAfter;
-        refusedAfter.insert(refusedAfter.end(), after.begin(), after.end());
+        const std::vector<Microseconds> after = replay(settings).queues.at("long").refusalDelays;
+        refusalDelays.insert(refusalDelays.end(), after.begin(), after.end());
     }
-    std::sort(refusedAfter.begin(), refusedAfter.end());
-    ASSERT_FALSE(refusedAfter.empty());
-    EXPECT_LE(refusedAfter[refusedAfter.size() / 2], QuarterOfLong);
-    const Sums without = sumsOf(GetParam().spell, asItStands);
-    const Sums with = sumsOf(GetParam().spell, serveLate);
+    std::sort(refusalDelays.begin(), refusalDelays.end());
+    ASSERT_FALSE(refusalDelays.empty());
+    EXPECT_LE(refusalDelays[refusalDelays.size() / 2], QuarterOfLong);
+    const Means without = meansOf(GetParam().scenario, defaultPolicy);
+    const Means with = meansOf(GetParam().scenario, serveLate);
     EXPECT_GT(with.served, without.served);
     EXPECT_GT(with.credit, without.credit - SeedNoise);
 }
@@ -171,36 +172,36 @@
 // In a short one a fifth of those who would be refused are served behind the rest, at least.
 TEST(LateJobs, AreServedAfterAShortOverload)
 {
-    constexpr double LeastGain = 0.2;
-    const Sums without = sumsOf(shortSpell, asItStands);
-    const Sums with = sumsOf(shortSpell, serveLate);
-    EXPECT_LT(100 - with.served, (100 - without.served) * (1 - LeastGain));
+    constexpr double MinGain = 0.2;
+    const Means without = meansOf(shortOverload, defaultPolicy);
+    const Means with = meansOf(shortOverload, serveLate);
+    EXPECT_LT(100 - with.served, (100 - without.served) * (1 - MinGain));
     EXPECT_GT(with.credit, without.credit - SeedNoise);
 }
 
 INSTANTIATE_TEST_SUITE_P(Rig, Forecasts,
-                         testing::Values(SpellCase { "Competing", competingQueues },
-                                         SpellCase { "Busy", busySpell }),
-                         [](const auto &tested) { return tested.param.name; });
+                         testing::Values(ScenarioCase { "Competing", competingQueues },
+                                         ScenarioCase { "Busy", longOverload }),
+                         [](const auto &testCase) { return testCase.param.name; });
 
 // [SECTION] Floors
 
 // Calls of the queue that were not refused while queues compete, in percent
-double servedOf(const std::string &queue, const std::function<void(RigSettings &)> &change)
+double servedPercent(const std::string &queue, const std::function<void(RigSettings &)> &change)
 {
-    std::uint64_t asked = 0;
+    std::uint64_t submitted = 0;
     std::uint64_t refused = 0;
     for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
         RigSettings settings = competingQueues(seed);
         change(settings);
-        const RigReport report = play(settings);
-        asked += report.queues.at(queue).asked;
+        const RigReport report = replay(settings);
+        submitted += report.queues.at(queue).submitted;
         refused += report.queues.at(queue).refused;
     }
-    return 100.0 * static_cast<double>(asked - refused) / static_cast<double>(asked);
+    return 100.0 * static_cast<double>(submitted - refused) / static_cast<double>(submitted);
 }
 
-std::function<void(RigSettings &)> floorOf(std::uint32_t percent)
+std::function<void(RigSettings &)> withGuarantee(std::uint32_t percent)
 {
     return [percent](RigSettings &settings) {
         settings.scheduler.waitingQueues = scheduler::WaitingQueues::AllButLeast;
@@ -208,34 +209,35 @@
     };
 }
 
-constexpr std::uint32_t Floor = 70;
+constexpr std::uint32_t GuaranteedPercent = 70;
 
-TEST(RigFloor, HoldsTheLeastUrgentQueue)
+TEST(RigGuarantee, IsKeptForTheLeastUrgentQueue)
 {
-    const double held = servedOf("long", floorOf(Floor));
-    EXPECT_GE(held, Floor);
-    EXPECT_GE(held, servedOf("long", floorOf(0)) + 5);
+    const double held = servedPercent("long", withGuarantee(GuaranteedPercent));
+    EXPECT_GE(held, GuaranteedPercent);
+    EXPECT_GE(held, servedPercent("long", withGuarantee(0)) + 5);
 }
 
-TEST(RigFloor, LeavesTheMiddleQueueMoreThanWithoutWaitingAtAgents)
+TEST(RigGuarantee, ServesTheMiddleQueueBetterThanNoBacklogAtAgents)
 {
     const auto nothingWaits = [](RigSettings &settings) {
         settings.scheduler.maxShortfallPercent = 0;
     };
-    EXPECT_GE(servedOf("middle", floorOf(Floor)), servedOf("middle", nothingWaits) + 1);
+    EXPECT_GE(servedPercent("middle", withGuarantee(GuaranteedPercent)),
+              servedPercent("middle", nothingWaits) + 1);
 }
 
-TEST(RigFloor, LeavesTheMostUrgentQueueWhole)
+TEST(RigGuarantee, DoesNotAffectTheMostUrgentQueue)
 {
-    EXPECT_GE(servedOf("short", floorOf(Floor)), 99.0);
+    EXPECT_GE(servedPercent("short", withGuarantee(GuaranteedPercent)), 99.0);
 }
 
 // [SECTION] Cordons
 
 // A third of the endpoints goes and comes back at the usual load: the rest carries it.
-TEST(RigCordon, LeavesTheUsualLoadServed)
+TEST(RigCordon, LeavesEnoughCapacityForTheNormalLoad)
 {
-    EXPECT_GE(creditOf(cordonedThird, asItStands), 99.0);
+    EXPECT_GE(meanCredit(cordonedDataCentre, defaultPolicy), 99.0);
 }
 
 } // namespace
--- a/tests/rig/spells.cpp
+++ b/tests/rig/spells.cpp
@@ -9,27 +9,26 @@
 
 // [SECTION] Spells
 
-RigSettings busySpell(std::uint64_t seed)
+RigSettings longOverload(std::uint64_t seed)
 {
     RigSettings settings;
     settings.seed = seed;
     settings.bursts = { { Milliseconds(1000), Milliseconds(5000), 1.25, "" },
                         { Milliseconds(1500), Milliseconds(4500), 1.6, "long" } };
-    settings.troubles = {
-        { EndpointTrouble::Kind::Fails, Milliseconds(1500), Milliseconds(6000), 10 },
-        { EndpointTrouble::Kind::OutOfReach, Milliseconds(1000), Milliseconds(5000), 14 }
-    };
+    settings.faults = { { EndpointFault::Kind::Fails, Milliseconds(1500), Milliseconds(6000), 10 },
+                        { EndpointFault::Kind::Unreachable, Milliseconds(1000), Milliseconds(5000),
+                          14 } };
     return settings;
 }
 
-RigSettings shortSpell(std::uint64_t seed)
+RigSettings shortOverload(std::uint64_t seed)
 {
-    RigSettings settings = busySpell(seed);
-    settings.length = Milliseconds(5000);
-    settings.patience = Milliseconds(2000);
+    RigSettings settings = longOverload(seed);
+    settings.duration = Milliseconds(5000);
+    settings.callerTimeout = Milliseconds(2000);
     settings.bursts = { { Milliseconds(1000), Milliseconds(2200), 1.5, "" } };
-    for (EndpointTrouble &trouble : settings.troubles)
-        trouble.until = Milliseconds(2200);
+    for (EndpointFault &fault : settings.faults)
+        fault.until = Milliseconds(2200);
     return settings;
 }
 
@@ -45,12 +44,12 @@
     settings.queues = { { "short", 0, 3, 227, Milliseconds(60), 8, 32, 2.9, 3000 },
                         { "middle", 1, 2, 660, Milliseconds(200), 2, 8, 1, 3000 },
                         { "long", 2, 4, 41, Milliseconds(900), 4, 16, 16, 3000 } };
-    settings.patience = Milliseconds(2000);
+    settings.callerTimeout = Milliseconds(2000);
     settings.bursts = { { Milliseconds(1000), Milliseconds(7000), 2.1, "long" } };
-    settings.troubles = { { EndpointTrouble::Kind::Fails, Milliseconds(0), Milliseconds(6000), 12 },
-                          { EndpointTrouble::Kind::OutOfReach, Milliseconds(500),
-                            Milliseconds(6500), 25 } };
-    settings.length = Milliseconds(9000);
+    settings.faults = { { EndpointFault::Kind::Fails, Milliseconds(0), Milliseconds(6000), 12 },
+                        { EndpointFault::Kind::Unreachable, Milliseconds(500), Milliseconds(6500),
+                          25 } };
+    settings.duration = Milliseconds(9000);
     return settings;
 }
 
@@ -68,18 +67,18 @@
         { "middle", 1, 3, 580, Milliseconds(170), 2, 8, 1, 3600, 0.03, 7 },
         { "long", 2, 4, 36, Milliseconds(760), 4, 16, 16, 3600, 0.03, 7 },
     };
-    settings.patience = Milliseconds(2000);
+    settings.callerTimeout = Milliseconds(2000);
     settings.bursts = { { Milliseconds(1000), Milliseconds(5000), 1.5, "" } };
-    settings.troubles = { { EndpointTrouble::Kind::OutOfReach, Milliseconds(1000),
-                            Milliseconds(5000), 10 } };
+    settings.faults = { { EndpointFault::Kind::Unreachable, Milliseconds(1000), Milliseconds(5000),
+                          10 } };
     return settings;
 }
 
-RigSettings cordonedThird(std::uint64_t seed)
+RigSettings cordonedDataCentre(std::uint64_t seed)
 {
     RigSettings settings;
     settings.seed = seed;
-    settings.length = Milliseconds(6000);
+    settings.duration = Milliseconds(6000);
     settings.cordons = { { Milliseconds(1000), Milliseconds(5000), 1 } };
     return settings;
 }
