--- a/apps/foxwing/loadcommand.cpp
+++ b/apps/foxwing/loadcommand.cpp
@@ -297,7 +297,7 @@
     MessageCounts counts;
     for (const std::string &url : experiment.metricsUrls) {
         edge::HttpClient client(url, {});
-        auto sums = load::readExposition(client.callAndWait("GET", "/metrics", {}, {}).body);
+        auto sums = load::parseMetrics(client.callAndWait("GET", "/metrics", {}, {}).body);
         counts.starts += sums["foxwing_agent_starts_total"];
         counts.messages += sums["foxwing_messages_sent_total"];
         counts.wasted += sums["foxwing_agent_refusals_total"] + sums["foxwing_agent_voids_total"]
--- a/bench/capacity.sh
+++ b/bench/capacity.sh
@@ -14,7 +14,7 @@
     cluster_start "$dir" 1 0 8
     cluster_declare
     before=$(cpu_ms control0)
-    line=$(build/bench/beats 127.0.0.1:7300 "a secret for one benchmark" "$agents" 8 7290)
+    line=$(build/bench/heartbeats 127.0.0.1:7300 "a secret for one benchmark" "$agents" 8 7290)
     after=$(cpu_ms control0)
     echo "$line; control: $(((after - before) / 9)) ms of processor a second, $(rss_kb control0) kB; entry0: $(rss_kb entry0) kB"
     cluster_stop
--- a/bench/beats.cpp
+++ b/bench/heartbeats.cpp
@@ -92,7 +92,7 @@
 int main(int argc, char **argv)
 {
     if (argc != 6) {
-        std::fprintf(stderr, "use: beats CONTROL_ADDRESS SECRET AGENTS SECONDS PORT\n");
+        std::fprintf(stderr, "use: heartbeats CONTROL_ADDRESS SECRET AGENTS SECONDS PORT\n");
         return 2;
     }
     const std::string control = argv[1];
--- a/packages/load/include/foxwing/load/experiment.h
+++ b/packages/load/include/foxwing/load/experiment.h
@@ -20,7 +20,7 @@
 
 // [SECTION] Types
 
-enum class Spread {
+enum class Distribution {
     Fixed,
     // Between half of the mean and one and a half of it.
     Uniform,
@@ -39,15 +39,15 @@
 
     // Submissions a second, and tasks in each.
     double rate = 10;
-    std::uint32_t fewestTasks = 1;
-    std::uint32_t mostTasks = 1;
+    std::uint32_t minTasks = 1;
+    std::uint32_t maxTasks = 1;
 
     // Run time of a task
     Milliseconds mean { 100 };
-    Spread spread = Spread::Fixed;
+    Distribution spread = Distribution::Fixed;
 
     // What is declared is the true time times a factor from 1/wrong to wrong; 0 declares nothing.
-    double declaredWrong = 0;
+    double estimateErrorFactor = 0;
     Milliseconds deadline { 60000 };
 
     // A single request instead of a job; without an id unless it is resubmitted.
--- a/packages/load/include/foxwing/load/fleetcost.h
+++ b/packages/load/include/foxwing/load/fleetcost.h
@@ -33,7 +33,7 @@
     scheduler::SchedulerSettings scheduler;
 
     // Between two signs of life on a connection with a control host, each way
-    Milliseconds controlBeat { 500 };
+    Milliseconds controlHeartbeatInterval { 500 };
 };
 
 // [SECTION] Cost
--- a/packages/load/include/foxwing/load/report.h
+++ b/packages/load/include/foxwing/load/report.h
@@ -5,7 +5,7 @@
 */
 #pragma once
 
-#include <foxwing/load/tally.h>
+#include <foxwing/load/summary.h>
 #include <json/json.h>
 
 namespace foxwing::load {
--- a/packages/load/include/foxwing/load/tally.h
+++ b/packages/load/include/foxwing/load/summary.h
@@ -83,6 +83,6 @@
 double quantileOf(const std::vector<double> &sorted, double probability);
 
 // Sums of all series of each counter in an exposition text.
-std::map<std::string, double> readExposition(const std::string &text);
+std::map<std::string, double> parseMetrics(const std::string &text);
 
 } // namespace foxwing::load
--- a/packages/load/src/experiment.cpp
+++ b/packages/load/src/experiment.cpp
@@ -19,18 +19,18 @@
 
 constexpr double MostRate = 1e6;
 
-void readSpread(settings::TomlReader &table, Spread &spread)
+void readSpread(settings::TomlReader &table, Distribution &spread)
 {
     std::string name = "fixed";
     table.text("spread", name);
     if (name == "fixed")
-        spread = Spread::Fixed;
+        spread = Distribution::Fixed;
     else if (name == "uniform")
-        spread = Spread::Uniform;
+        spread = Distribution::Uniform;
     else if (name == "lognormal")
-        spread = Spread::LogNormal;
+        spread = Distribution::LogNormal;
     else if (name == "bimodal")
-        spread = Spread::Bimodal;
+        spread = Distribution::Bimodal;
     else
         table.refuse("spread", "must be fixed, uniform, lognormal or bimodal");
 }
@@ -42,18 +42,18 @@
     table.text("service", mix.service);
     table.text("token", mix.token);
     table.number("rate", mix.rate, 0.001, MostRate);
-    table.integer("fewest_tasks", mix.fewestTasks, 1, 10000);
-    mix.mostTasks = mix.fewestTasks;
-    table.integer("most_tasks", mix.mostTasks, mix.fewestTasks, 10000);
+    table.integer("fewest_tasks", mix.minTasks, 1, 10000);
+    mix.maxTasks = mix.minTasks;
+    table.integer("most_tasks", mix.maxTasks, mix.minTasks, 10000);
     table.duration("mean", mix.mean);
     readSpread(table, mix.spread);
-    table.number("declared_wrong", mix.declaredWrong, 0, 100);
+    table.number("declared_wrong", mix.estimateErrorFactor, 0, 100);
     table.duration("deadline", mix.deadline);
     table.boolean("request", mix.request);
     table.boolean("repeatable", mix.repeatable);
     if (mix.service.empty() || mix.token.empty())
         table.refuse("service", "and \"token\" must be set for each mix");
-    if (mix.request && mix.mostTasks > 1)
+    if (mix.request && mix.maxTasks > 1)
         table.refuse("request", "has one task; leave \"fewest_tasks\" and \"most_tasks\" out");
     table.finish();
     return mix;
--- a/packages/load/src/fleetcost.cpp
+++ b/packages/load/src/fleetcost.cpp
@@ -37,7 +37,7 @@
     const auto controlHosts = static_cast<double>(shape.controlHosts);
     // Each beat is answered.
     const double perSession = 2 * perSecond(shape.scheduler.heartbeatInterval);
-    const double perControlLink = 2 * perSecond(shape.controlBeat);
+    const double perControlLink = 2 * perSecond(shape.controlHeartbeatInterval);
     FleetCost cost;
     cost.entry.sessions = static_cast<double>(sessionsOfEntry(shape));
     cost.agent.sessions = cost.entry.sessions * entries / agents;
--- a/packages/load/src/plan.cpp
+++ b/packages/load/src/plan.cpp
@@ -24,14 +24,14 @@
 {
     const auto mean = static_cast<double>(mix.mean.count());
     double drawn = mean;
-    if (mix.spread == Spread::Uniform) {
+    if (mix.spread == Distribution::Uniform) {
         drawn = std::uniform_real_distribution<double>(mean / 2, mean * 3 / 2)(random);
-    } else if (mix.spread == Spread::LogNormal) {
+    } else if (mix.spread == Distribution::LogNormal) {
         // Standard deviation of the logarithm for a coefficient of variation of 1.
         constexpr double Sigma = 0.8326;
         drawn = std::lognormal_distribution<double>(std::log(mean) - Sigma * Sigma / 2,
                                                     Sigma)(random);
-    } else if (mix.spread == Spread::Bimodal) {
+    } else if (mix.spread == Distribution::Bimodal) {
         drawn = std::bernoulli_distribution(0.1)(random) ? mean * 5.5 : mean / 2;
     }
     return Milliseconds(std::max<std::int64_t>(1, std::llround(drawn)));
@@ -39,10 +39,10 @@
 
 Milliseconds drawDeclared(const Mix &mix, const PlannedJob &job, std::mt19937_64 &random)
 {
-    if (mix.declaredWrong < 1)
+    if (mix.estimateErrorFactor < 1)
         return Milliseconds { 0 };
     const double power = std::uniform_real_distribution<double>(-1, 1)(random);
-    const double factor = std::pow(mix.declaredWrong, power);
+    const double factor = std::pow(mix.estimateErrorFactor, power);
     const auto ideal = static_cast<double>(idealTime(job).count());
     return Milliseconds(std::max<std::int64_t>(1, std::llround(ideal * factor)));
 }
@@ -61,7 +61,7 @@
 {
     const Mix &mix = experiment.mixes[number];
     std::exponential_distribution<double> gap(mix.rate / 1e6);
-    std::uniform_int_distribution<std::uint32_t> taskCount(mix.fewestTasks, mix.mostTasks);
+    std::uniform_int_distribution<std::uint32_t> taskCount(mix.minTasks, mix.maxTasks);
     Microseconds at { 0 };
     for (;;) {
         const double factor = std::max(loadFactor(experiment, at), 1e-6);
--- a/packages/load/src/tally.cpp
+++ b/packages/load/src/summary.cpp
@@ -5,7 +5,7 @@
     [SECTION] Summary
     [SECTION] Metrics
 */
-#include <foxwing/load/tally.h>
+#include <foxwing/load/summary.h>
 
 #include <algorithm>
 #include <cmath>
@@ -84,7 +84,7 @@
 
 // [SECTION] Metrics
 
-std::map<std::string, double> readExposition(const std::string &text)
+std::map<std::string, double> parseMetrics(const std::string &text)
 {
     std::map<std::string, double> sums;
     std::istringstream lines(text);
--- a/packages/load/tests/load_test.cpp
+++ b/packages/load/tests/load_test.cpp
@@ -14,21 +14,21 @@
 
 // [SECTION] Plans
 
-Experiment experimentOf(Spread spread)
+Experiment experimentOf(Distribution spread)
 {
     Experiment experiment;
     experiment.duration = Milliseconds(100000);
     Mix mix;
     mix.rate = 50;
-    mix.fewestTasks = 1;
-    mix.mostTasks = 8;
+    mix.minTasks = 1;
+    mix.maxTasks = 8;
     mix.mean = Milliseconds(100);
     mix.spread = spread;
     experiment.mixes.push_back(mix);
     return experiment;
 }
 
-class PlanOf : public testing::TestWithParam<Spread>
+class PlanOf : public testing::TestWithParam<Distribution>
 { };
 
 TEST_P(PlanOf, HasTheRateAndTheMeanThatWereAsked)
@@ -54,13 +54,13 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Spreads, PlanOf,
-                         testing::Values(Spread::Fixed, Spread::Uniform, Spread::LogNormal,
-                                         Spread::Bimodal));
+                         testing::Values(Distribution::Fixed, Distribution::Uniform,
+                                         Distribution::LogNormal, Distribution::Bimodal));
 
 TEST(Plan, BurstsMultiplyTheRate)
 {
     Error reason;
-    Experiment experiment = experimentOf(Spread::Fixed);
+    Experiment experiment = experimentOf(Distribution::Fixed);
     experiment.burstEvery = Milliseconds(10000);
     experiment.burstLength = Milliseconds(1000);
     experiment.burstFactor = 5;
@@ -92,7 +92,7 @@
 
 TEST(Summary, ReadsCountersOfAllSeries)
 {
-    const auto sums = readExposition("# HELP x y\nx{team=\"a\"} 3\nx{team=\"b c\"} 4\nz 1.5\n");
+    const auto sums = parseMetrics("# HELP x y\nx{team=\"a\"} 3\nx{team=\"b c\"} 4\nz 1.5\n");
     EXPECT_EQ(sums.at("x"), 7);
     EXPECT_EQ(sums.at("z"), 1.5);
 }
