--- a/apps/foxwing/callercommands.cpp
+++ b/apps/foxwing/callercommands.cpp
@@ -27,7 +27,7 @@
     return body;
 }
 
-// A word that is JSON goes as JSON, any other as a string.
+// Valid JSON is sent as JSON, any other argument as a string.
 Json::Value payload(const std::string &argument)
 {
     Error ignored;
--- a/apps/foxwing/commandline.cpp
+++ b/apps/foxwing/commandline.cpp
@@ -1,5 +1,5 @@
 /*
-    Helpers of the commands.
+    Helpers shared by the commands.
 
     [SECTION] Calls
     [SECTION] Output
@@ -33,7 +33,7 @@
                               { { "Authorization", "Bearer " + options.token } });
 }
 
-// A host that is down, or that does not lead: another one may answer.
+// Whether the host is down or isn't the leader, so that another one may answer.
 bool shouldTryNext(const edge::HttpReply &reply)
 {
     return reply.status == 0 || reply.status == 503;
@@ -74,7 +74,7 @@
     std::printf("  %s: %s\n", error["kind"].asString().c_str(),
                 error["message"].asString().c_str());
     if (error.isMember("retryAfterMs"))
-        std::printf("  come back in %s ms\n", error["retryAfterMs"].asString().c_str());
+        std::printf("  retry after %s ms\n", error["retryAfterMs"].asString().c_str());
 }
 
 int exitCode(const edge::HttpReply &reply, const Json::Value &json)
@@ -123,7 +123,8 @@
     std::ifstream file(path);
     text << file.rdbuf();
     if (!file)
-        return fail(reason, ErrorKind::NotFound, path + " can't be read; name an existing file");
+        return fail(reason, ErrorKind::NotFound,
+                    path + " can't be read; give the path of an existing file");
     return text.str();
 }
 
--- a/apps/foxwing/commandline.h
+++ b/apps/foxwing/commandline.h
@@ -1,5 +1,5 @@
 /*
-    What all commands of the command line share: options, the client, output and exit codes.
+    Shared by all commands of the command line: options, HTTP calls, output and exit codes.
 
     [SECTION] Exit codes
     [SECTION] Options
@@ -21,10 +21,10 @@
 // [SECTION] Exit codes
 
 constexpr int ExitSuccess = 0;
-// The work failed, or may have run without an answer.
+// The work failed, or its outcome is unknown.
 constexpr int ExitFailed = 1;
 constexpr int ExitUsageError = 2;
-// Certain not to have run or not to have been changed.
+// The work did not run, or nothing was changed.
 constexpr int ExitNotRun = 3;
 constexpr int ExitUnreachable = 4;
 
@@ -32,7 +32,7 @@
 
 struct Options
 {
-    // Where and who
+    // Connection
     std::string url = "http://127.0.0.1:7001";
     std::string token;
     bool insecure = false;
@@ -40,7 +40,7 @@
     // Output
     bool json = false;
 
-    // Work
+    // Submissions
     std::string service;
     std::string workClass;
     std::string submission;
@@ -49,18 +49,18 @@
     bool repeatable = false;
     long waitMs = -1;
 
-    // Resources
+    // Resource changes and watches
     std::string version;
     std::string requestId;
     bool dryRun = false;
     long from = 0;
     long count = 0;
 
-    // Load
+    // Load runs
     std::string plotFile;
     std::string outcomesFile;
 
-    // The command and what follows it
+    // The command and its arguments
     std::vector<std::string> arguments;
 };
 
@@ -82,19 +82,21 @@
 
 // [SECTION] Helpers
 
-// Calls the daemon with the token; status 0 and a line on standard error if it can't be reached.
+// Calls the URLs of the options in turn, with the token, until one accepts the call. Returns status
+// 0 and prints an error to standard error if none can be reached.
 edge::HttpReply call(const Options &options, const std::string &method, const std::string &path,
                      const std::string &body);
 
-// Prints one reply of the daemon: as it is with --json, else in words. Gives the exit code.
+// Prints a reply of the daemon, verbatim with --json. Returns the exit code.
 int printReply(const Options &options, const edge::HttpReply &reply);
 
-// Reads a whole file, or standard input for "-".
+// Reads a file, or standard input for "-".
 std::optional<std::string> readText(const std::string &path, Error *reason);
 
+// Prints the message to standard error and returns ExitUsageError.
 int usageError(const std::string &message);
 
-// A new id, for submissions and changes.
+// Makes a random id for a submission or a change.
 std::string makeId();
 
 } // namespace foxwing::cli
--- a/apps/foxwing/loadcommand.cpp
+++ b/apps/foxwing/loadcommand.cpp
@@ -1,8 +1,8 @@
 /*
-    The command load: drives a running system with an experiment and reports what came back.
+    The load command: runs an experiment against a running system and reports the results.
 
     [SECTION] Run
-    [SECTION] Measures
+    [SECTION] Measurements
     [SECTION] Command
 */
 #include "commandline.h"
@@ -33,7 +33,7 @@
     return std::chrono::duration_cast<Microseconds>(Clock::now() - start);
 }
 
-// Asks entries whether they are ready, as the platform's balancer does.
+// Client-side load balancer: polls /readyz of each entry, as the platform's load balancer does.
 class Balancer
 {
 public:
@@ -54,7 +54,7 @@
             thread.join();
     }
 
-    // The first ready entry from this one on; this one if none is.
+    // The first ready entry, starting with the preferred one; the preferred one if none is ready.
     std::size_t pick(std::size_t preferred) const
     {
         for (std::size_t i = 0; i < m_ready.size(); ++i) {
@@ -65,7 +65,8 @@
         return preferred % m_ready.size();
     }
 
-    // How often an entry became ready again: connections to its earlier lives are of no use.
+    // Counts how often an entry became ready again; connections to earlier incarnations are
+    // unusable.
     int incarnation(std::size_t number) const { return m_incarnations[number]; }
 
 private:
@@ -90,7 +91,7 @@
     std::vector<std::thread> m_threads;
 };
 
-// One run of an experiment: sends what is planned and checks every answer.
+// Runs one experiment: sends the planned jobs and checks each answer.
 class LoadRun
 {
 public:
@@ -129,7 +130,7 @@
         std::shared_ptr<edge::HttpClient> http;
     };
 
-    // On the sending thread only.
+    // Called by the sending thread only.
     edge::HttpClient &client(std::size_t number)
     {
         Client &client = m_clients[number];
@@ -137,7 +138,7 @@
         if (client.incarnation == incarnation)
             return *client.http;
         if (client.http)
-            m_previousClients.push_back(client.http); // answers may still come through it
+            m_previousClients.push_back(client.http); // may still receive answers
         edge::HttpClientSettings settings;
         settings.timeout = Milliseconds(300000);
         client.incarnation = incarnation;
@@ -154,7 +155,7 @@
         bool resubmitted = false;
     };
 
-    // The echo that a task of this submission must bring back.
+    // The result that this task must return.
     static std::string expectedEcho(std::size_t job, std::size_t task)
     {
         return "job " + std::to_string(job) + " task " + std::to_string(task);
@@ -169,8 +170,8 @@
         body["class"] = mix.workClass;
         body["deadlineMs"] = static_cast<Json::Int64>(mix.deadline.count());
         body["repeatable"] = mix.repeatable;
-        if (job.declared.count() > 0)
-            body["declaredMs"] = static_cast<Json::Int64>(job.declared.count());
+        if (job.estimate.count() > 0)
+            body["declaredMs"] = static_cast<Json::Int64>(job.estimate.count());
         if (!id.empty())
             body["submission"] = id;
         Json::Value tasks(Json::arrayValue);
@@ -257,13 +258,14 @@
     {
         const std::size_t tasks = m_plan[sent.job].tasks.size();
         if (results.size() != tasks) {
-            m_violations.push_back("partial answer to " + sent.id);
+            m_violations.push_back("incomplete answer to " + sent.id);
             return;
         }
         for (std::size_t i = 0; i < tasks; ++i) {
             const std::string actual = results[static_cast<Json::ArrayIndex>(i)].asString();
             if (actual != expectedEcho(sent.job, i))
-                m_violations.push_back("foreign answer to " + sent.id + ": " + actual);
+                m_violations.push_back("answer with another task's result to " + sent.id + ": "
+                                       + actual);
         }
     }
 
@@ -279,11 +281,11 @@
     std::vector<load::Sample> m_samples;
     std::vector<std::string> m_violations;
 
-    // "submission,outcome,kind" for each reply to a submission with an id
+    // A line "submission,outcome,kind" for each reply to a submission with an id
     std::string m_outcomes;
 };
 
-// [SECTION] Measures
+// [SECTION] Measurements
 
 struct MessageCounts
 {
@@ -307,7 +309,7 @@
     return counts;
 }
 
-// The median of some direct calls with the first mix's run time, one after the other.
+// The median time of sequential direct calls with the mean run time of the first mix.
 double measureBaseline(const load::Experiment &experiment)
 {
     constexpr int Calls = 40;
--- a/apps/foxwing/main.cpp
+++ b/apps/foxwing/main.cpp
@@ -5,7 +5,7 @@
         foxwing apply declarations/
         foxwing watch
 
-    Exit codes: 0 done, 1 failed or unknown, 2 wrong use, 3 certain not to have run, 4 no answer.
+    Exit codes: 0 success, 1 failed or unknown, 2 usage error, 3 did not run, 4 unreachable.
 
     [SECTION] Commands
     [SECTION] Options
@@ -32,18 +32,18 @@
 };
 
 constexpr std::array<Command, 13> Commands { {
-        { "submit", runSubmit, "PAYLOAD...          submit a job, one task for each payload" },
+        { "submit", runSubmit, "PAYLOAD...          submit a job with one task per payload" },
         { "request", runRequest, "PAYLOAD             send a single request" },
-        { "fetch", runFetch, "SUBMISSION          the answer of an earlier submission" },
+        { "fetch", runFetch, "SUBMISSION          get the answer of an earlier submission" },
         { "cancel", runCancel, "SUBMISSION          cancel an earlier submission" },
         { "apply", runApply, "FILE|FOLDER...      declare resources" },
         { "show", runShow, "KIND[/NAME]|all     show resources" },
         { "delete", runDelete, "KIND/NAME           delete a resource" },
-        { "watch", runWatch, "                    print changes as they come" },
-        { "status", runStatus, "                    the nodes and what they apply" },
-        { "members", runMembers, "[VOTERS [LEARNERS]] show or change the control group" },
+        { "watch", runWatch, "                    print changes as they are made" },
+        { "status", runStatus, "                    show the nodes and their revisions" },
+        { "members", runMembers, "[VOTERS [LEARNERS]] show or change the members of control" },
         { "token", runToken, "[TEAM]              make a token and its salted hash" },
-        { "load", runLoad, "EXPERIMENT          drive a running system and report" },
+        { "load", runLoad, "EXPERIMENT          load a running system and report" },
         { "journal", runJournal, "FOLDER              check and print a journal offline" },
 } };
 
@@ -56,7 +56,7 @@
 
 // [SECTION] Options
 
-// Where popt leaves strings that must be freed.
+// Values set by popt; its strings must be freed.
 struct RawOptions
 {
     char *url = nullptr;
@@ -115,27 +115,31 @@
         options.token = token;
     const poptOption table[] = {
         { "url", 'u', POPT_ARG_STRING, &raw.url, 0,
-          "daemon, or several with commas (or FOXWING_URL)", "URL" },
+          "daemon, or a comma-separated list (or FOXWING_URL)", "URL" },
         { "token", 't', POPT_ARG_STRING, &raw.token, 0, "token (or FOXWING_TOKEN)", "TOKEN" },
         { "insecure", 0, POPT_ARG_NONE, &raw.insecure, 0, "accept any certificate", nullptr },
         { "json", 'j', POPT_ARG_NONE, &raw.json, 0, "print JSON", nullptr },
         { "service", 's', POPT_ARG_STRING, &raw.service, 0, "service to use", "NAME" },
-        { "class", 'c', POPT_ARG_STRING, &raw.workClass, 0, "sort of work", "NAME" },
+        { "class", 'c', POPT_ARG_STRING, &raw.workClass, 0, "class of the work", "NAME" },
         { "submission", 0, POPT_ARG_STRING, &raw.submission, 0, "id to submit under", "UUID" },
         { "deadline", 'd', POPT_ARG_LONG, &options.deadlineMs, 0, "time allowed", "MS" },
-        { "declared", 0, POPT_ARG_LONG, &options.estimateMs, 0, "expected time of a task", "MS" },
-        { "repeatable", 'r', POPT_ARG_NONE, &raw.repeatable, 0, "may run twice", nullptr },
-        { "wait", 'w', POPT_ARG_LONG, &options.waitMs, 0, "wait for the answer", "MS" },
-        { "if-version", 0, POPT_ARG_STRING, &raw.version, 0, "change only this version", "N" },
-        { "request-id", 0, POPT_ARG_STRING, &raw.requestId, 0, "id of the change", "ID" },
+        { "declared", 0, POPT_ARG_LONG, &options.estimateMs, 0, "estimated run time of a task",
+          "MS" },
+        { "repeatable", 'r', POPT_ARG_NONE, &raw.repeatable, 0, "tasks may run twice", nullptr },
+        { "wait", 'w', POPT_ARG_LONG, &options.waitMs, 0, "how long to wait for the answer", "MS" },
+        { "if-version", 0, POPT_ARG_STRING, &raw.version, 0, "change only if at this version",
+          "N" },
+        { "request-id", 0, POPT_ARG_STRING, &raw.requestId, 0,
+          "id that makes a retried change safe", "ID" },
         { "dry-run", 0, POPT_ARG_NONE, &raw.dryRun, 0, "change nothing", nullptr },
-        { "from", 0, POPT_ARG_LONG, &options.from, 0, "watch after this revision", "REVISION" },
-        { "count", 0, POPT_ARG_LONG, &options.count, 0, "end the watch after N changes", "N" },
-        { "plot", 0, POPT_ARG_STRING, &raw.plotFile, 0, "draw the load's result", "SVGFILE" },
-        { "outcomes", 0, POPT_ARG_STRING, &raw.outcomesFile, 0, "write each submission's outcome",
-          "FILE" },
+        { "from", 0, POPT_ARG_LONG, &options.from, 0, "watch changes after this revision",
+          "REVISION" },
+        { "count", 0, POPT_ARG_LONG, &options.count, 0, "stop the watch after N changes", "N" },
+        { "plot", 0, POPT_ARG_STRING, &raw.plotFile, 0, "plot the load results", "SVGFILE" },
+        { "outcomes", 0, POPT_ARG_STRING, &raw.outcomesFile, 0,
+          "write the outcome of each submission", "FILE" },
         { "version", 'V', POPT_ARG_NONE, &raw.showVersion, 0, "print the version", nullptr },
-        { "help", 'h', POPT_ARG_NONE, &raw.help, 0, "show this", nullptr },
+        { "help", 'h', POPT_ARG_NONE, &raw.help, 0, "show this help", nullptr },
         POPT_TABLEEND
     };
     poptContext context = poptGetContext("foxwing", argc, const_cast<const char **>(argv), table,
@@ -163,5 +167,5 @@
             return command.run(options);
     }
     printCommands(stderr);
-    return usageError("name one of the commands");
+    return usageError("unknown or missing command");
 }
--- a/apps/foxwing/operatorcommands.cpp
+++ b/apps/foxwing/operatorcommands.cpp
@@ -1,5 +1,5 @@
 /*
-    Commands for operators: apply, show, delete, watch, status, token, journal.
+    Commands for operators: apply, show, delete, watch, status, members, token, journal.
 
     [SECTION] Reading declarations
     [SECTION] Resources
@@ -40,7 +40,7 @@
             && text.compare(text.size() - end.size(), end.size(), end) == 0;
 }
 
-// A folder stands for the .toml and .json files in it.
+// The .toml and .json files in a folder, or the file itself.
 std::vector<std::string> listFiles(const std::string &path)
 {
     struct stat status
@@ -73,7 +73,7 @@
     return parseJson(json.str(), reason);
 }
 
-// A document holds one declaration, or a list of them under "resource".
+// Reads one declaration, or a list of them under "resource".
 std::optional<std::vector<Declaration>> readDeclarations(const std::string &path, Error *reason)
 {
     const auto text = readText(path, reason);
@@ -109,7 +109,7 @@
     return query;
 }
 
-// Sends a change, and again with the same request id while there is no answer.
+// Sends a change, and retries it with the same request id if there is no answer.
 edge::HttpReply change(const Options &options, const char *method, const std::string &resource,
                        const std::string &body)
 {
@@ -233,18 +233,18 @@
         Error ignored;
         const auto json = parseJson(reply.body, &ignored);
         if (reply.status == 410) {
-            // Too far behind: list, say so, and go on from there.
+            // The revision is no longer kept: report the gap and continue from the current one.
             const auto current = currentRevision(options);
             if (!current)
                 return ExitUnreachable;
-            std::printf("revision %llu: changes were missed; list with: foxwing show all\n",
+            std::printf("revision %llu: changes were missed; list all resources with: foxwing show "
+                        "all\n",
                         static_cast<unsigned long long>(*current));
             revision = *current;
             continue;
         }
         if (reply.status == 0 || reply.status == 503) {
-            // No leader at present. Nothing is missed: the next one is asked from the same
-            // revision.
+            // No leader. The next call starts at the same revision, so no change is missed.
             std::this_thread::sleep_for(WatchRetryDelay);
             continue;
         }
@@ -325,7 +325,7 @@
         std::fprintf(stderr, "foxwing: %s\n", reason.message.c_str());
         return ExitFailed;
     }
-    std::printf("snapshot at %llu, %zu bytes; %zu entries after it; %llu bytes to be cut\n",
+    std::printf("snapshot at %llu, %zu bytes; %zu entries after it; %llu bytes to truncate\n",
                 static_cast<unsigned long long>(found->snapshotIndex), found->snapshot.size(),
                 found->entries.size(), static_cast<unsigned long long>(found->truncatedBytes));
     for (const journal::Entry &entry : found->entries)
--- a/apps/foxwingd/main.cpp
+++ b/apps/foxwingd/main.cpp
@@ -1,11 +1,11 @@
 /*
-    foxwingd: the daemon. One process with the roles that its settings name.
+    foxwingd: the daemon. Runs the roles that its settings name in one process.
 
         foxwingd --settings /etc/foxwing/node.toml
         foxwingd --settings node.toml --check
-        foxwingd --fleet /etc/foxwing/node.toml     on a platform that writes the settings
+        foxwingd --fleet /etc/foxwing/node.toml     on a platform that writes the settings file
 
-    Exit codes: 0 stopped as planned, 1 could not start, 2 wrong use or wrong settings.
+    Exit codes: 0 stopped on request, 1 failed to start, 2 usage error or invalid settings.
 
     [SECTION] Command line
     [SECTION] Signals
@@ -35,13 +35,13 @@
 {
     std::string settingsFile;
 
-    // The file is a fleet's, written by the platform.
+    // The settings file has the format of a fleet and is written by the platform.
     bool fleet = false;
     bool check = false;
     bool version = false;
 };
 
-// Nothing, with a line on standard error, if the command line is wrong.
+// Returns nothing and prints the usage to standard error if the command line is invalid.
 std::optional<Options> readOptions(int count, const char **arguments)
 {
     char *file = nullptr;
@@ -51,7 +51,7 @@
     const poptOption table[] = {
         { "settings", 's', POPT_ARG_STRING, &file, 0, "settings file in TOML", "FILE" },
         { "fleet", 'f', POPT_ARG_STRING, &fleetFile, 0,
-          "settings file in TOML of a process that a platform runs", "FILE" },
+          "settings file in TOML of a process run by a platform", "FILE" },
         { "check", 'c', POPT_ARG_NONE, &check, 0, "only check the settings", nullptr },
         { "version", 'V', POPT_ARG_NONE, &version, 0, "print the version", nullptr },
         POPT_AUTOHELP POPT_TABLEEND
@@ -68,7 +68,7 @@
     if (!ok)
         std::fprintf(stderr,
                      "foxwingd: %s; use: foxwingd --settings FILE | --fleet FILE [--check]\n",
-                     result < -1 ? poptStrerror(result) : "wrong use");
+                     result < -1 ? poptStrerror(result) : "invalid arguments");
     std::free(file);
     std::free(fleetFile);
     poptFreeContext(context);
@@ -77,7 +77,8 @@
 
 // [SECTION] Signals
 
-// Waits for a signal on a thread of its own, since little may be done in a handler.
+// Waits for signals on a separate thread, because a signal handler may only make
+// async-signal-safe calls.
 void startSignalThread(const sigset_t &signals, foxwing::node::Node &node)
 {
     std::thread([signals, &node] {
@@ -108,7 +109,7 @@
         std::_Exit(ExitStartFailed);
     }
     node.run();
-    // A sync that hangs on its disk must not hold up the end.
+    // Skips destructors: a sync that hangs on its disk must not block the exit.
     std::_Exit(EXIT_SUCCESS);
 }
 
@@ -151,6 +152,6 @@
     }
     startSignalThread(signals, node);
     node.run();
-    // Calls to a dead endpoint may still be open in cpprestsdk; nobody waits for them.
+    // Skips destructors: calls to an unreachable endpoint may still be open in cpprestsdk.
     std::_Exit(EXIT_SUCCESS);
 }
--- a/bench/capacity.sh
+++ b/bench/capacity.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# The slopes behind docs/CAPACITY.md: processor time, memory and bytes of control against nodes, of an
-# entry and an agent against starts, and memory for each claim. Every figure is of this run.
+# Measures the scaling figures of docs/CAPACITY.md: processor time, memory and bytes of control per node,
+# of an entry and an agent per start, and memory per claim. All figures are of this run.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 source bench/cluster.sh
@@ -9,7 +9,7 @@
 cpu_ms() { awk '{print ($14 + $15) * 10}' "/proc/$(cluster_pid "$1")/stat"; }
 rss_kb() { awk '/VmRSS/ {print $2}' "/proc/$(cluster_pid "$1")/status"; }
 
-echo "== control: one host, agents that beat once a second for 8 s"
+echo "== control: one host, agents with a heartbeat per second for 8 s"
 for agents in 250 500 1000 2000; do
     cluster_start "$dir" 1 0 8
     cluster_declare
--- a/bench/cluster.sh
+++ b/bench/cluster.sh
@@ -1,8 +1,8 @@
-# Functions for benchmarks and fault scripts: a whole cluster of real processes on this host.
+# Functions for benchmarks and fault tests: a cluster of real processes on this host.
 #
 #   source bench/cluster.sh
 #   cluster_start FOLDER ENTRIES AGENTS SLOTS
-#   cluster_declare                # team a and b, service svc
+#   cluster_declare                # teams a and b, service svc
 #   cluster_stop
 #
 # Ports from 7300 up. Process ids are kept in FOLDER/NAME.pid.
@@ -27,7 +27,7 @@
     cluster_run "$1"
 }
 
-cluster_run() { # name: starts a node, or starts it again
+cluster_run() { # name: starts or restarts a node
     "$cluster_build/apps/foxwingd" --settings "$cluster_dir/$1.toml" >>"$cluster_dir/$1.log" 2>&1 &
     echo $! >"$cluster_dir/$1.pid"
 }
@@ -100,7 +100,7 @@
         sleep 0.1
     done
     cluster_wait_ready
-    sleep 1.5 # until the declarations are in force everywhere
+    sleep 1.5 # until the declarations are applied everywhere
 }
 
 cluster_control_url() { # all control hosts, for the command line
@@ -122,7 +122,7 @@
     echo "[$list]"
 }
 
-cluster_mixed_load() { # seconds: jobs of team a and holds of team b, 20 of each a second
+cluster_mixed_load() { # seconds: jobs of team a and single requests of team b, 20 of each per second
     cat <<TOML
 urls = $(cluster_urls)
 duration = "${1}s"
@@ -147,7 +147,7 @@
 TOML
 }
 
-cluster_doubled() { # starts on standard input: tasks that were started more than once, all attempts together
+cluster_doubled() { # starts on standard input: prints tasks that were started more than once, counting all attempts
     awk '{split($1, p, "/"); n[p[3] "/" p[4] "/" p[5]] += $2} END {for (k in n) if (n[k] > 1) print k, n[k]}'
 }
 
--- a/bench/control.sh
+++ b/bench/control.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Control under load and kills: changes a second, time to accept, time until in force everywhere, time
-# without a leader, and that no accepted change is lost over kill -9 of leaders.
+# Control under load and leader failures: changes per second, time to accept a change, time until it is applied
+# everywhere, and time without a leader. Fails if an accepted change is lost after kill -9 of a leader.
 #
-#   bench/control.sh [DELAY] [KILLS]      DELAY is added to each synced write, such as 4ms
+#   bench/control.sh [DELAY] [KILLS]      DELAY is added to each synced write, e.g. 4ms
 set -euo pipefail
 cd "$(dirname "$0")/.."
 source bench/cluster.sh
--- a/bench/days.sh
+++ b/bench/days.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# days.sh BENCH SITE [SEED...]: plays every day of deploy/days on a site and prints a line for each.
+# days.sh BENCH SITE [SEED...]: runs every day of deploy/days on a site and prints a line for each.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bench=$1
 site=$2
 shift 2
-play() {
+run_day() {
     local day=$1 seed=$2
     local report
     report=$("$bench" run "$site" "deploy/days/$day.toml" --seed "$seed" \
@@ -17,7 +17,7 @@
 "$bench" build >/dev/null
 for seed in "${@:-7}"; do
     for file in deploy/days/*.toml; do
-        play "$(basename "$file" .toml)" "$seed" &
+        run_day "$(basename "$file" .toml)" "$seed" &
         while [ "$(jobs -rp | wc -l)" -ge 5 ]; do wait -n; done
     done
 done
--- a/bench/drawdays.py
+++ b/bench/drawdays.py
@@ -1,15 +1,15 @@
 #!/usr/bin/env python3
-"""Draws days of our own from a table of troubles and plays them on the users' bench.
+"""Generates random days from a table of faults and runs them on the users' bench.
 
     bench/drawdays.py BENCH SITE --days 24 --seed 1 [--side-by-side 6] [--keep FOLDER]
 
-Each day has a few troubles from TROUBLES at drawn moments, some of them twice, also such that the
-site's own days do not have. A line a day; broken rules are printed below it, and the day's file is
-kept in FOLDER (default: the temporary folder) to be played again. The seed decides all draws.
+Each day has a few entries of FAULTS at random times, some of them twice, including kinds that the
+site's own days lack. Prints a line for each day, with broken rules below it, and keeps the day's
+file in FOLDER (default: the temporary folder) to repeat the day. Deterministic for a seed.
 
-[SECTION] Troubles
-[SECTION] Drawing
-[SECTION] Playing
+[SECTION] Faults
+[SECTION] Generation
+[SECTION] Runs
 """
 import argparse
 import concurrent.futures
@@ -19,11 +19,11 @@
 import subprocess
 import tempfile
 
-# [SECTION] Troubles
+# [SECTION] Faults
 
-# What a day may hold: the bench's kind, and for each field the values that are drawn from.
-# Values are those the bench's list of kinds gives as usual, and some well above.
-TROUBLES = [
+# The bench's kinds of faults, and for each field the values to choose from: the usual ones of the
+# bench's list, and some well above.
+FAULTS = [
     ("burst", {"x": [1.2, 1.5, 2.0], "for_s": [3, 6]}),
     ("shift", {"share": [0.3, 0.6], "for_s": [4, 8]}),
     ("give_up", {"share": [0.2, 0.5], "for_s": [4, 8]}),
@@ -66,19 +66,19 @@
     ("hup", {"share": [0.5], "gap_s": [1.0]}),
 ]
 
-# Troubles of a contract that not every site has.
+# Faults that only exist on sites with health checks.
 HEALTH = {"srv_lying_health", "srv_flap"}
 
-# These are part of planned work and stand in a list of their own.
+# Planned work, which a day lists separately from faults.
 PLANNED = {"release", "scale_in", "roll_term", "config_change", "config_race", "config_storm", "bad_config", "hup",
            "seed_turnover", "replace_core"}
 
 CLOSINGS = [None, "power_off_all", "kill_all", "wipe_after_ack"]
 
-# [SECTION] Drawing
+# [SECTION] Generation
 
 
-def draw_trouble(random_source, kind, fields):
+def make_fault(random_source, kind, fields):
     entry = {"kind": kind, "at": round(random_source.uniform(1, 26), 2)}
     for field, values in fields.items():
         value = random_source.choice(values)
@@ -92,13 +92,13 @@
     return "{ " + ", ".join(cells) + " }"
 
 
-def draw_day(seed, number, has_health):
+def make_day(seed, number, has_health):
     source = random.Random(f"{seed}/{number}")
     plan, faults = [], []
-    troubles = [trouble for trouble in TROUBLES if has_health or trouble[0] not in HEALTH]
-    for kind, fields in source.sample(troubles, source.randint(3, 6)):
+    candidates = [candidate for candidate in FAULTS if has_health or candidate[0] not in HEALTH]
+    for kind, fields in source.sample(candidates, source.randint(3, 6)):
         for _ in range(source.choice([1, 1, 2])):
-            (plan if kind in PLANNED else faults).append(draw_trouble(source, kind, fields))
+            (plan if kind in PLANNED else faults).append(make_fault(source, kind, fields))
     closing = source.choice(CLOSINGS)
     name = f"drawn-{seed}-{number}"
     lines = ["[[day]]", f'name = "{name}"', 'slot = "trouble"', f"seed = {source.randint(1, 10**8)}", "one = 1.0",
@@ -110,16 +110,16 @@
     return name, "\n".join(lines) + "\n"
 
 
-# [SECTION] Playing
+# [SECTION] Runs
 
 RULES = re.compile(r"^\s*(LIMIT|TWICE|ORDER|ROUTE|BUDGET|GANG|UNASKED|REFUSED|CONFIG|DRAIN|LOST|RECOVER|MIXED|AVAIL|"
                    r"HARM|ONE)\b")
 
 
-def play(bench, site, path, name):
-    done = subprocess.run([bench, "run", site, str(path), "--why", f"drawn day {name}: do all rules hold"],
-                          capture_output=True, text=True, errors="replace")
-    report = done.stdout + done.stderr
+def run_day(bench, site, path, name):
+    process = subprocess.run([bench, "run", site, str(path), "--why", f"drawn day {name}: do all rules hold"],
+                             capture_output=True, text=True, errors="replace")
+    report = process.stdout + process.stderr
     rows = [line for line in report.splitlines() if line.startswith(name + " ")]
     broken = [line for line in report.splitlines() if RULES.match(line) or "rule broken" in line or "fault:" in line]
     return (rows or report.splitlines()[-1:] or ["nothing was printed"])[-1], broken
@@ -136,15 +136,15 @@
     options = parser.parse_args()
     subprocess.run([options.bench, "build"], check=True, capture_output=True)
     has_health = '"health"' in pathlib.Path(options.site).read_text()
-    days = [draw_day(options.seed, number, has_health) for number in range(options.days)]
+    days = [make_day(options.seed, number, has_health) for number in range(options.days)]
     with concurrent.futures.ThreadPoolExecutor(options.side_by_side) as pool:
-        played = {}
+        results = {}
         for name, text in days:
             path = pathlib.Path(options.keep) / f"{name}.toml"
             path.write_text(text)
-            played[name] = pool.submit(play, options.bench, options.site, path, name)
+            results[name] = pool.submit(run_day, options.bench, options.site, path, name)
         failed = 0
-        for name, result in played.items():
+        for name, result in results.items():
             row, broken = result.result()
             failed += bool(broken)
             print(row[:130])
--- a/bench/faults.sh
+++ b/bench/faults.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Faults over real processes: kills (-9), stops and continues entries, agents and control while load
-# with resubmissions and cancellations runs, then holds what callers were told against what the
-# endpoints saw. Exit code 1 if any promise was broken.
+# Fault test with real processes: kills (-9), pauses and restarts entries, agents and control under load with
+# resubmissions and cancellations, then compares the answers to callers with the starts that endpoints saw. Exit
+# code 1 if a task started twice, an answer was wrong, or a job ran although it was reported as not run.
 #
 #   bench/faults.sh [SECONDS] [SEED] [CONTROL HOSTS]
 set -euo pipefail
--- a/bench/heartbeats.cpp
+++ b/bench/heartbeats.cpp
@@ -1,11 +1,11 @@
 /*
-    Many small stand-in agents against real control hosts, in one process: each beats once a second
-   as an agent does, and counts what comes back.
+    Simulates many agents in one process against real control hosts: each sends a heartbeat once a
+    second, as an agent does, and counts the replies.
 
-        beats CONTROL_ADDRESS SECRET AGENTS SECONDS FIRST_PORT
+        heartbeats CONTROL_ADDRESS SECRET AGENTS SECONDS PORT
 
-    Prints beats, answers, bytes of messages a node and second, and how long answers took. What
-   control spends is read from its own process by the script that runs this.
+    Prints the numbers of heartbeats and replies and their bytes per node and second. The script
+   that runs this reads the resource use of control from its process.
 
     [SECTION] Agents
     [SECTION] Main
@@ -60,7 +60,7 @@
         return control::nextHeartbeat(m_agents[number].reporter, steadyNow());
     }
 
-    // Updates do not name the agent; here its incarnation does.
+    // Updates don't name the agent; the incarnation is unique per agent here and identifies it.
     void handleReply(const wire::Envelope &envelope)
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
@@ -110,7 +110,8 @@
         std::fprintf(stderr, "%s\n", reason.message.c_str());
         return 1;
     }
-    // Each agent would have a connection of its own; a pool for each keeps them from sharing calls.
+    // A real agent has its own connection. With separate pools, calls of many agents aren't
+    // batched.
     std::vector<std::unique_ptr<wire::SenderPool>> pools;
     constexpr std::size_t Pools = 40;
     for (std::size_t i = 0; i < std::min(Pools, count); ++i) {
--- a/bench/light.sh
+++ b/bench/light.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Light load: what foxwing adds to 100 ms tasks, and how many starts a second one entry carries.
+# Light load: the latency that foxwing adds to 100 ms tasks, and the starts per second that one entry handles.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 source bench/cluster.sh
--- a/bench/rolling.sh
+++ b/bench/rolling.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# A rolling restart of every process under load: SIGTERM, wait for the end, start again. Nothing may be
-# lost, doubled or cut off. Exit code 1 if anything was.
+# A rolling restart of every process under load: SIGTERM, wait for exit, start again. Exit code 1 if a job is
+# lost or not completed, a task starts twice, or an answer is wrong.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 source bench/cluster.sh
--- a/examples/embedded-journal/main.cpp
+++ b/examples/embedded-journal/main.cpp
@@ -1,5 +1,5 @@
 /*
-    The smallest use of the journal outside the daemon: counts how often it was run.
+    Minimal use of the journal outside the daemon: counts how often the program was run.
 
     [SECTION] Main
 */
--- a/packages/load/include/foxwing/load/experiment.h
+++ b/packages/load/include/foxwing/load/experiment.h
@@ -1,5 +1,5 @@
 /*
-    An experiment for the load tool: what is sent to a running system, and how often.
+    An experiment of the load tool: which jobs are sent to a running system, and at which rate.
 
         Error reason;
         std::optional<Experiment> experiment = readExperiment("bench/light.toml", &reason);
@@ -22,74 +22,75 @@
 
 enum class Distribution {
     Fixed,
-    // Between half of the mean and one and a half of it.
+    // Between 0.5 and 1.5 times the mean.
     Uniform,
     // With a coefficient of variation of about 1.
     LogNormal,
-    // Nine of ten tasks take half of the mean, one takes five and a half times it.
+    // Nine of ten tasks take 0.5 times the mean, the tenth 5.5 times.
     Bimodal,
 };
 
-// One sort of work.
+// Jobs of one class.
 struct Mix
 {
     std::string workClass = "default";
     std::string service;
     std::string token;
 
-    // Submissions a second, and tasks in each.
+    // Submissions per second, and tasks of each.
     double rate = 10;
     std::uint32_t minTasks = 1;
     std::uint32_t maxTasks = 1;
 
     // Run time of a task
     Milliseconds mean { 100 };
-    Distribution spread = Distribution::Fixed;
+    Distribution distribution = Distribution::Fixed;
 
-    // What is declared is the true time times a factor from 1/wrong to wrong; 0 declares nothing.
+    // The estimate of a job is its true time times a random factor from 1/x to x; 0 sends none.
     double estimateErrorFactor = 0;
     Milliseconds deadline { 60000 };
 
-    // A single request instead of a job; without an id unless it is resubmitted.
+    // Sends single requests instead of jobs; without an id unless resubmitted or cancelled.
     bool request = false;
     bool repeatable = false;
 };
 
 struct Experiment
 {
-    // Entries, each asked in turn
+    // Entries, used in turn
     std::vector<std::string> urls;
 
-    // Send only to entries whose /readyz says so, as a balancer does
+    // Send only to entries whose /readyz reports ready, as a load balancer does
     bool followReady = false;
 
-    // Processes whose metrics are read before and after, to count messages
+    // Processes whose metrics are read before and after the run, to count messages
     std::vector<std::string> metricsUrls;
 
-    // An endpoint that is called directly, to learn the ideal; empty for none
+    // An endpoint that is called directly to measure the baseline; empty for none
     std::string baselineUrl;
 
     std::uint64_t seed = 1;
     Milliseconds duration { 10000 };
 
-    // Left out of the report
+    // Jobs sent in this first part are not reported
     Milliseconds warmUp { 1000 };
 
-    // Load is multiplied by burstFactor for burstLength out of each burstEvery; 0 for no bursts.
+    // The rates are multiplied by burstFactor for burstLength of each burstEvery; 0: no bursts.
     Milliseconds burstEvery { 0 };
     Milliseconds burstLength { 0 };
     double burstFactor = 1;
 
-    // Share of jobs that are submitted a second time, to the next entry, and that are cancelled
+    // Shares of jobs that are submitted again to the next entry, and that are cancelled
     double resubmitShare = 0;
     double cancelShare = 0;
 
-    // How long answers are awaited after the last submission
+    // How long to wait for answers after the last submission
     Milliseconds drain { 30000 };
 
     std::vector<Mix> mixes;
 
-    // Rows of "milliseconds,class,tasks,task milliseconds" instead of rates; classes as above.
+    // Replaces the rates: rows of "milliseconds,class,tasks,task milliseconds", where the class
+    // names a mix.
     std::string traceFile;
 };
 
--- a/packages/load/include/foxwing/load/fleetcost.h
+++ b/packages/load/include/foxwing/load/fleetcost.h
@@ -1,8 +1,7 @@
 /*
-    What each role of a fleet sends and holds at rest, worked out from the fleet's size.
+    Predicts connections and message rates of each role of an idle fleet from the fleet's size.
 
-    The capacity page foretells with this; a test holds it against the decisions that the daemon
-    runs.
+    The capacity page uses it; a test compares it with counts from the daemon's own state machines.
 
         FleetShape shape;
         shape.entries = 184;
@@ -32,7 +31,7 @@
     subset::SubsetSettings subset;
     scheduler::SchedulerSettings scheduler;
 
-    // Between two signs of life on a connection with a control host, each way
+    // Between two heartbeats on a connection with a control host, in each direction
     Milliseconds controlHeartbeatInterval { 500 };
 };
 
@@ -40,13 +39,13 @@
 
 struct RoleCost
 {
-    // With agents at an entry, with entries at an agent; on average
+    // Average number of sessions: of an entry with agents, or of an agent with entries
     double sessions = 0;
 
-    // Inside the fleet; callers and endpoints are not in it
+    // Between processes of the fleet, without callers and endpoints
     double connections = 0;
 
-    // Sent and heard
+    // Sent and received
     double messagesPerSecond = 0;
 };
 
@@ -57,7 +56,7 @@
     RoleCost control;
 };
 
-// Where nothing runs and nobody comes or goes.
+// The cost while no jobs run and no process starts or stops.
 FleetCost costAtRest(const FleetShape &shape);
 
 } // namespace foxwing::load
--- a/packages/load/include/foxwing/load/plan.h
+++ b/packages/load/include/foxwing/load/plan.h
@@ -1,5 +1,5 @@
 /*
-    All submissions of an experiment, made from its seed before anything is sent.
+    The submissions of an experiment, generated from its seed before anything is sent.
 
     [SECTION] Types
     [SECTION] Functions
@@ -18,17 +18,17 @@
     Microseconds at { 0 };
     std::size_t mix = 0;
     std::vector<Milliseconds> tasks;
-    Milliseconds declared { 0 };
+    Milliseconds estimate { 0 };
     bool resubmit = false;
     bool cancel = false;
 };
 
 // [SECTION] Functions
 
-// Open loop: arrivals do not wait for answers. Sorted by time.
+// Open loop: arrival times don't depend on answers. Sorted by time.
 std::optional<std::vector<PlannedJob>> makePlan(const Experiment &experiment, Error *reason);
 
-// The time the work itself takes: its longest task, since all may run at once.
+// The shortest possible time: that of the longest task, since all tasks may run in parallel.
 Milliseconds idealTime(const PlannedJob &job);
 
 } // namespace foxwing::load
--- a/packages/load/include/foxwing/load/report.h
+++ b/packages/load/include/foxwing/load/report.h
@@ -1,5 +1,5 @@
 /*
-    A summary as a table, as JSON, and as a plot.
+    Writes a summary as a table, as JSON or as a plot.
 
     [SECTION] Functions
 */
@@ -15,7 +15,7 @@
 std::string writeTable(const Summary &summary);
 Json::Value writeSummary(const Summary &summary);
 
-// An SVG picture: for each class, which share of submissions took at most how many times the ideal.
+// An SVG plot: the cumulative distribution of the slowdowns of each class.
 std::string writePlot(const Summary &summary);
 
 } // namespace foxwing::load
--- a/packages/load/include/foxwing/load/summary.h
+++ b/packages/load/include/foxwing/load/summary.h
@@ -1,5 +1,5 @@
 /*
-    What came back: outcomes, response times against the ideal, and whether each answer was right.
+    Summary of a load run: outcomes, response times compared with the ideal, and wrong answers.
 
     [SECTION] Types
     [SECTION] Functions
@@ -26,7 +26,7 @@
     Microseconds ideal { 0 };
     std::uint32_t tasks = 0;
 
-    // Kind of the error, or why there was no answer; empty if complete.
+    // Kind of the error, or the reason why there was no answer; empty if complete.
     std::string error;
 };
 
@@ -45,33 +45,33 @@
     std::size_t unknown = 0;
     std::size_t tasks = 0;
 
-    // Of complete submissions
+    // Of complete submissions; a slowdown is response time / ideal time
     Quantiles responseMs;
     Quantiles slowdown;
     double meanSlowdown = 0;
     std::vector<double> sortedSlowdowns;
 };
 
-// What the whole experiment came to.
+// Results of the whole experiment.
 struct Summary
 {
     std::map<std::string, ClassSummary> classes;
     ClassSummary all;
 
-    // Answers that were partial, foreign or doubled; must be empty.
+    // Answers that were incomplete or had the results of other tasks; must be empty.
     std::vector<std::string> violations;
     std::size_t unanswered = 0;
 
-    // How often each error came
+    // Number of errors by kind
     std::map<std::string, std::size_t> errors;
 
-    // Counted by the processes over the experiment
+    // Increase of the processes' counters during the experiment
     double starts = 0;
     double messages = 0;
     double wastedMessages = 0;
     Milliseconds elapsed { 0 };
 
-    // Median of direct calls to the endpoint, 0 if not measured
+    // Median time of direct calls to the endpoint, 0 if not measured
     double baselineMs = 0;
 };
 
@@ -82,7 +82,7 @@
 // The quantile of sorted values; 0 if there are none.
 double quantileOf(const std::vector<double> &sorted, double probability);
 
-// Sums of all series of each counter in an exposition text.
+// Parses the Prometheus text format and sums the series of each metric.
 std::map<std::string, double> parseMetrics(const std::string &text);
 
 } // namespace foxwing::load
--- a/packages/load/src/experiment.cpp
+++ b/packages/load/src/experiment.cpp
@@ -1,5 +1,5 @@
 /*
-    Reading experiments.
+    Reads experiments from TOML.
 
     [SECTION] Mixes
     [SECTION] Function
@@ -17,20 +17,20 @@
 
 // [SECTION] Mixes
 
-constexpr double MostRate = 1e6;
+constexpr double MaxRate = 1e6;
 
-void readSpread(settings::TomlReader &table, Distribution &spread)
+void readDistribution(settings::TomlReader &table, Distribution &distribution)
 {
     std::string name = "fixed";
     table.text("spread", name);
     if (name == "fixed")
-        spread = Distribution::Fixed;
+        distribution = Distribution::Fixed;
     else if (name == "uniform")
-        spread = Distribution::Uniform;
+        distribution = Distribution::Uniform;
     else if (name == "lognormal")
-        spread = Distribution::LogNormal;
+        distribution = Distribution::LogNormal;
     else if (name == "bimodal")
-        spread = Distribution::Bimodal;
+        distribution = Distribution::Bimodal;
     else
         table.refuse("spread", "must be fixed, uniform, lognormal or bimodal");
 }
@@ -41,12 +41,12 @@
     table.text("class", mix.workClass);
     table.text("service", mix.service);
     table.text("token", mix.token);
-    table.number("rate", mix.rate, 0.001, MostRate);
+    table.number("rate", mix.rate, 0.001, MaxRate);
     table.integer("fewest_tasks", mix.minTasks, 1, 10000);
     mix.maxTasks = mix.minTasks;
     table.integer("most_tasks", mix.maxTasks, mix.minTasks, 10000);
     table.duration("mean", mix.mean);
-    readSpread(table, mix.spread);
+    readDistribution(table, mix.distribution);
     table.number("declared_wrong", mix.estimateErrorFactor, 0, 100);
     table.duration("deadline", mix.deadline);
     table.boolean("request", mix.request);
@@ -70,7 +70,8 @@
     std::ostringstream text;
     text << file.rdbuf();
     if (!file)
-        return fail(reason, ErrorKind::NotFound, path + ": can't be read; name an existing file");
+        return fail(reason, ErrorKind::NotFound,
+                    path + ": can't be read; give the path of an existing file");
     std::optional<toml::table> document = settings::parseToml(text.str(), path, reason);
     if (!document)
         return std::nullopt;
@@ -95,7 +96,7 @@
     if (experiment.urls.empty())
         root.refuse("urls", "must name at least one entry");
     if (experiment.mixes.empty())
-        root.refuse("mix", "must be there at least once, as [[mix]]");
+        root.refuse("mix", "must be given at least once, as [[mix]]");
     if (!root.finish())
         return std::nullopt;
     return experiment;
--- a/packages/load/src/fleetcost.cpp
+++ b/packages/load/src/fleetcost.cpp
@@ -1,5 +1,5 @@
 /*
-    The cost of a fleet at rest.
+    The cost of an idle fleet.
 
     [SECTION] Cost
 */
@@ -24,8 +24,8 @@
     const std::size_t shared = settings.entriesPerAgent * shape.agents;
     const std::size_t size = std::max(settings.minSize,
                                       (shared + shape.entries - 1) / shape.entries);
-    const bool whole = shape.agents * 100 <= size * settings.wholePercent;
-    return whole ? shape.agents : size;
+    const bool connectsToAll = shape.agents * 100 <= size * settings.wholePercent;
+    return connectsToAll ? shape.agents : size;
 }
 
 } // namespace
@@ -35,18 +35,18 @@
     const auto entries = static_cast<double>(shape.entries);
     const auto agents = static_cast<double>(shape.agents);
     const auto controlHosts = static_cast<double>(shape.controlHosts);
-    // Each beat is answered.
+    // Each heartbeat is answered.
     const double perSession = 2 * perSecond(shape.scheduler.heartbeatInterval);
-    const double perControlLink = 2 * perSecond(shape.controlHeartbeatInterval);
+    const double perControlConnection = 2 * perSecond(shape.controlHeartbeatInterval);
     FleetCost cost;
     cost.entry.sessions = static_cast<double>(sessionsOfEntry(shape));
     cost.agent.sessions = cost.entry.sessions * entries / agents;
     for (RoleCost *role : { &cost.entry, &cost.agent }) {
         role->connections = role->sessions + controlHosts;
-        role->messagesPerSecond = role->sessions * perSession + controlHosts * perControlLink;
+        role->messagesPerSecond = role->sessions * perSession + controlHosts * perControlConnection;
     }
     cost.control.connections = entries + agents + 2 * (controlHosts - 1);
-    cost.control.messagesPerSecond = cost.control.connections * perControlLink;
+    cost.control.messagesPerSecond = cost.control.connections * perControlConnection;
     return cost;
 }
 
--- a/packages/load/src/plan.cpp
+++ b/packages/load/src/plan.cpp
@@ -1,5 +1,5 @@
 /*
-    Plans from rates or from a trace.
+    Makes a plan from rates or from a trace.
 
     [SECTION] Times
     [SECTION] Rates
@@ -24,20 +24,20 @@
 {
     const auto mean = static_cast<double>(mix.mean.count());
     double drawn = mean;
-    if (mix.spread == Distribution::Uniform) {
+    if (mix.distribution == Distribution::Uniform) {
         drawn = std::uniform_real_distribution<double>(mean / 2, mean * 3 / 2)(random);
-    } else if (mix.spread == Distribution::LogNormal) {
-        // Standard deviation of the logarithm for a coefficient of variation of 1.
+    } else if (mix.distribution == Distribution::LogNormal) {
+        // Standard deviation of the logarithm, for a coefficient of variation of 1.
         constexpr double Sigma = 0.8326;
         drawn = std::lognormal_distribution<double>(std::log(mean) - Sigma * Sigma / 2,
                                                     Sigma)(random);
-    } else if (mix.spread == Distribution::Bimodal) {
+    } else if (mix.distribution == Distribution::Bimodal) {
         drawn = std::bernoulli_distribution(0.1)(random) ? mean * 5.5 : mean / 2;
     }
     return Milliseconds(std::max<std::int64_t>(1, std::llround(drawn)));
 }
 
-Milliseconds drawDeclared(const Mix &mix, const PlannedJob &job, std::mt19937_64 &random)
+Milliseconds drawEstimate(const Mix &mix, const PlannedJob &job, std::mt19937_64 &random)
 {
     if (mix.estimateErrorFactor < 1)
         return Milliseconds { 0 };
@@ -60,12 +60,12 @@
              std::vector<PlannedJob> &plan)
 {
     const Mix &mix = experiment.mixes[number];
-    std::exponential_distribution<double> gap(mix.rate / 1e6);
+    std::exponential_distribution<double> interval(mix.rate / 1e6);
     std::uniform_int_distribution<std::uint32_t> taskCount(mix.minTasks, mix.maxTasks);
     Microseconds at { 0 };
     for (;;) {
         const double factor = std::max(loadFactor(experiment, at), 1e-6);
-        at += Microseconds(static_cast<std::int64_t>(gap(random) / factor) + 1);
+        at += Microseconds(static_cast<std::int64_t>(interval(random) / factor) + 1);
         if (at >= experiment.duration)
             return;
         PlannedJob job;
@@ -95,22 +95,23 @@
     std::string at;
     std::string workClass;
     std::string tasks;
-    std::string span;
+    std::string duration;
     std::getline(row, at, ',');
     std::getline(row, workClass, ',');
     std::getline(row, tasks, ',');
-    std::getline(row, span, ',');
-    const auto number = [](const std::string &text) {
+    std::getline(row, duration, ',');
+    const auto isNumber = [](const std::string &text) {
         return !text.empty() && text.size() < 10
                 && text.find_first_not_of("0123456789") == std::string::npos;
     };
     const std::optional<std::size_t> mix = findMix(experiment, workClass);
-    if (!mix || !number(at) || !number(tasks) || !number(span) || std::stoul(tasks) > 10000)
+    if (!mix || !isNumber(at) || !isNumber(tasks) || !isNumber(duration)
+        || std::stoul(tasks) > 10000)
         return std::nullopt;
     PlannedJob job;
     job.at = Milliseconds(std::stol(at));
     job.mix = *mix;
-    job.tasks.assign(std::stoul(tasks), Milliseconds(std::stol(span)));
+    job.tasks.assign(std::stoul(tasks), Milliseconds(std::stol(duration)));
     return job;
 }
 
@@ -166,7 +167,7 @@
     std::bernoulli_distribution cancels(experiment.cancelShare);
     for (PlannedJob &job : plan) {
         const Mix &mix = experiment.mixes[job.mix];
-        job.declared = drawDeclared(mix, job, random);
+        job.estimate = drawEstimate(mix, job, random);
         job.resubmit = resubmits(random);
         job.cancel = cancels(random);
     }
--- a/packages/load/src/report.cpp
+++ b/packages/load/src/report.cpp
@@ -38,30 +38,30 @@
 
 std::string writeTable(const Summary &summary)
 {
-    char head[256];
-    std::snprintf(head, sizeof head, "%-16s %9s %7s %7s %7s %9s %8s %8s %8s %8s\n", "class",
+    char header[256];
+    std::snprintf(header, sizeof header, "%-16s %9s %7s %7s %7s %9s %8s %8s %8s %8s\n", "class",
                   "complete", "failed", "not run", "unknown", "p50 ms", "p50/id", "p95/id",
                   "p99/id", "mean/id");
     std::ostringstream out;
-    out << head;
+    out << header;
     for (const auto &entry : summary.classes)
         out << tableRow(entry.first, entry.second);
     out << tableRow("all", summary.all);
     const double seconds = std::max(toMilliseconds(summary.elapsed) / 1000, 0.001);
-    char tail[512];
-    std::snprintf(tail, sizeof tail,
+    char footer[512];
+    std::snprintf(footer, sizeof footer,
                   "starts %.0f (%.0f/s), messages a task %.2f, wasted a task %.3f\n"
                   "unanswered %zu, wrong answers %zu\n",
                   summary.starts, summary.starts / seconds,
                   perTask(summary.messages, summary.starts),
                   perTask(summary.wastedMessages, summary.starts), summary.unanswered,
                   summary.violations.size());
-    out << tail;
+    out << footer;
     if (summary.baselineMs > 0) {
-        std::snprintf(tail, sizeof tail,
+        std::snprintf(footer, sizeof footer,
                       "direct calls: p50 %.2f ms; through foxwing: %.3f of that\n",
                       summary.baselineMs, summary.all.responseMs.p50 / summary.baselineMs);
-        out << tail;
+        out << footer;
     }
     for (const auto &error : summary.errors)
         out << "error " << error.first << ": " << error.second << "\n";
@@ -126,15 +126,14 @@
 constexpr double PlotWidth = 640;
 constexpr double PlotHeight = 360;
 constexpr double PlotMargin = 50;
-constexpr double HighestSlowdown = 100;
+constexpr double MaxSlowdown = 100;
 constexpr std::array<const char *, 6> Colors { "#1b6ca8", "#c0392b", "#1e8449",
                                                "#8e44ad", "#b9770e", "#34495e" };
 
 // Slowdowns from 1 to the highest, on a logarithmic axis.
 double plotX(double slowdown)
 {
-    const double share = std::log(std::clamp(slowdown, 1.0, HighestSlowdown))
-            / std::log(HighestSlowdown);
+    const double share = std::log(std::clamp(slowdown, 1.0, MaxSlowdown)) / std::log(MaxSlowdown);
     return PlotMargin + share * (PlotWidth - 2 * PlotMargin);
 }
 
@@ -143,14 +142,14 @@
     return PlotHeight - PlotMargin - share * (PlotHeight - 2 * PlotMargin);
 }
 
-void plotAxes(std::ostringstream &out)
+void writeAxes(std::ostringstream &out)
 {
     for (const double slowdown : { 1.0, 2.0, 5.0, 10.0, 20.0, 50.0, 100.0 })
         out << "<line x1='" << plotX(slowdown) << "' x2='" << plotX(slowdown) << "' y1='"
             << plotY(0) << "' y2='" << plotY(1) << "' stroke='#ddd'/><text x='" << plotX(slowdown)
             << "' y='" << plotY(0) + 18 << "' text-anchor='middle'>" << slowdown << "</text>\n";
     for (const double share : { 0.0, 0.5, 0.9, 1.0 })
-        out << "<line x1='" << plotX(1) << "' x2='" << plotX(HighestSlowdown) << "' y1='"
+        out << "<line x1='" << plotX(1) << "' x2='" << plotX(MaxSlowdown) << "' y1='"
             << plotY(share) << "' y2='" << plotY(share) << "' stroke='#ddd'/><text x='"
             << plotX(1) - 6 << "' y='" << plotY(share) + 4 << "' text-anchor='end'>" << share
             << "</text>\n";
@@ -158,8 +157,8 @@
         << "' text-anchor='middle'>response / ideal</text>\n";
 }
 
-void plotClass(std::ostringstream &out, const std::string &name, const ClassSummary &summary,
-               std::size_t number)
+void writeClassCurve(std::ostringstream &out, const std::string &name, const ClassSummary &summary,
+                     std::size_t number)
 {
     constexpr int Steps = 200;
     const char *color = Colors[number % Colors.size()];
@@ -181,11 +180,11 @@
     out << "<svg xmlns='http://www.w3.org/2000/svg' width='" << PlotWidth << "' height='"
         << PlotHeight << "' font-family='sans-serif' font-size='12'>\n"
         << "<rect width='100%' height='100%' fill='white'/>\n";
-    plotAxes(out);
+    writeAxes(out);
     std::size_t number = 0;
     for (const auto &entry : summary.classes) {
         if (entry.second.complete > 0)
-            plotClass(out, entry.first, entry.second, number++);
+            writeClassCurve(out, entry.first, entry.second, number++);
     }
     out << "</svg>\n";
     return out.str();
--- a/packages/load/src/summary.cpp
+++ b/packages/load/src/summary.cpp
@@ -1,5 +1,5 @@
 /*
-    Counting what came back.
+    Summarizing the answers of a load run.
 
     [SECTION] Quantiles
     [SECTION] Summary
@@ -19,8 +19,8 @@
 {
     if (sorted.empty())
         return 0;
-    const double place = probability * static_cast<double>(sorted.size() - 1);
-    return sorted[static_cast<std::size_t>(std::llround(place))];
+    const double position = probability * static_cast<double>(sorted.size() - 1);
+    return sorted[static_cast<std::size_t>(std::llround(position))];
 }
 
 namespace {
--- a/packages/load/tests/load_test.cpp
+++ b/packages/load/tests/load_test.cpp
@@ -1,5 +1,5 @@
 /*
-    Plans are reproducible and as asked; summaries count right.
+    Plans are reproducible and have the configured rates and times; summaries count correctly.
 
     [SECTION] Plans
     [SECTION] Summaries
@@ -14,7 +14,7 @@
 
 // [SECTION] Plans
 
-Experiment experimentOf(Distribution spread)
+Experiment makeExperiment(Distribution distribution)
 {
     Experiment experiment;
     experiment.duration = Milliseconds(100000);
@@ -23,18 +23,18 @@
     mix.minTasks = 1;
     mix.maxTasks = 8;
     mix.mean = Milliseconds(100);
-    mix.spread = spread;
+    mix.distribution = distribution;
     experiment.mixes.push_back(mix);
     return experiment;
 }
 
-class PlanOf : public testing::TestWithParam<Distribution>
+class PlanByDistribution : public testing::TestWithParam<Distribution>
 { };
 
-TEST_P(PlanOf, HasTheRateAndTheMeanThatWereAsked)
+TEST_P(PlanByDistribution, HasTheConfiguredRateAndMean)
 {
     Error reason;
-    const Experiment experiment = experimentOf(GetParam());
+    const Experiment experiment = makeExperiment(GetParam());
     const auto plan = makePlan(experiment, &reason);
     ASSERT_TRUE(plan);
     EXPECT_NEAR(static_cast<double>(plan->size()), 5000, 300);
@@ -48,19 +48,19 @@
     }
     EXPECT_NEAR(sum / count, 100, 5);
     EXPECT_NEAR(count / static_cast<double>(plan->size()), 4.5, 0.2);
-    const auto again = makePlan(experiment, &reason);
-    EXPECT_EQ(again->back().at, plan->back().at);
-    EXPECT_EQ(again->back().tasks, plan->back().tasks);
+    const auto repeated = makePlan(experiment, &reason);
+    EXPECT_EQ(repeated->back().at, plan->back().at);
+    EXPECT_EQ(repeated->back().tasks, plan->back().tasks);
 }
 
-INSTANTIATE_TEST_SUITE_P(Spreads, PlanOf,
+INSTANTIATE_TEST_SUITE_P(Distributions, PlanByDistribution,
                          testing::Values(Distribution::Fixed, Distribution::Uniform,
                                          Distribution::LogNormal, Distribution::Bimodal));
 
 TEST(Plan, BurstsMultiplyTheRate)
 {
     Error reason;
-    Experiment experiment = experimentOf(Distribution::Fixed);
+    Experiment experiment = makeExperiment(Distribution::Fixed);
     experiment.burstEvery = Milliseconds(10000);
     experiment.burstLength = Milliseconds(1000);
     experiment.burstFactor = 5;
--- a/tests/rig/main.cpp
+++ b/tests/rig/main.cpp
@@ -1,9 +1,9 @@
 /*
-    Plays the load replay under several ways of deciding, and prints a table of each spell.
+    Runs the load replay with several policy variants, and prints a table for each scenario.
 
-        policy_rig [seeds [part of a spell's name [part of a way's name]]]
+        policy_rig [seeds [part of a scenario's name [part of a variant's name]]]
 
-    [SECTION] Ways
+    [SECTION] Variants
     [SECTION] Main
 */
 #include <cstdio>
@@ -17,7 +17,7 @@
 using foxwing::test::RigReport;
 using foxwing::test::RigSettings;
 
-// [SECTION] Ways
+// [SECTION] Variants
 
 struct Variant
 {
@@ -42,16 +42,20 @@
 {
     using foxwing::scheduler::Order;
     return {
-        { "as it stands", [](RigSettings &) {} },
+        { "default policy", [](RigSettings &) {} },
         { "all but the least urgent queue wait at agents",
           [](RigSettings &s) {
               s.scheduler.waitingQueues = foxwing::scheduler::WaitingQueues::AllButLeast;
           } },
-        guaranteeVariant("all but the least urgent queue wait at agents, floor 50 percent", 50),
-        guaranteeVariant("all but the least urgent queue wait at agents, floor 60 percent", 60),
-        guaranteeVariant("all but the least urgent queue wait at agents, floor 70 percent", 70),
-        guaranteeVariant("all but the least urgent queue wait at agents, floor 80 percent", 80),
-        { "late jobs wait on", [](RigSettings &s) { s.scheduler.refuseLate = false; } },
+        guaranteeVariant("all but the least urgent queue wait at agents, 50 percent guaranteed",
+                         50),
+        guaranteeVariant("all but the least urgent queue wait at agents, 60 percent guaranteed",
+                         60),
+        guaranteeVariant("all but the least urgent queue wait at agents, 70 percent guaranteed",
+                         70),
+        guaranteeVariant("all but the least urgent queue wait at agents, 80 percent guaranteed",
+                         80),
+        { "late jobs keep waiting", [](RigSettings &s) { s.scheduler.refuseLate = false; } },
         { "forecast", [](RigSettings &s) { s.scheduler.forecast = true; } },
         { "forecast at 100 percent",
           [](RigSettings &s) {
@@ -63,27 +67,27 @@
               s.scheduler.forecast = true;
               s.scheduler.maxWaitPercent = 400;
           } },
-        { "late jobs are served behind the rest", serveLate },
-        { "late jobs are served behind the rest, all but the least urgent queue wait at agents",
+        { "late jobs are served last", serveLate },
+        { "late jobs are served last, all but the least urgent queue wait at agents",
           [](RigSettings &s) {
               serveLate(s);
               s.scheduler.waitingQueues = foxwing::scheduler::WaitingQueues::AllButLeast;
           } },
         { "nothing waits at agents", [](RigSettings &s) { s.scheduler.maxShortfallPercent = 0; } },
-        { "endpoints are not judged", [](RigSettings &s) { s.runner.probationEnabled = false; } },
-        { "any endpoint",
+        { "no probation of endpoints", [](RigSettings &s) { s.runner.probationEnabled = false; } },
+        { "random placement",
           [](RigSettings &s) { s.scheduler.placement = foxwing::scheduler::Placement::Random; } },
         { "order: first come", [](RigSettings &s) { s.scheduler.order = Order::FirstCome; } },
-        { "order: latest begin", [](RigSettings &s) { s.scheduler.order = Order::LatestStart; } },
+        { "order: latest start", [](RigSettings &s) { s.scheduler.order = Order::LatestStart; } },
         { "order: least work", [](RigSettings &s) { s.scheduler.order = Order::LeastWork; } },
         { "margin 30 percent", [](RigSettings &s) { s.scheduler.marginPercent = 30; } },
         { "margin 80 percent", [](RigSettings &s) { s.scheduler.marginPercent = 80; } },
         { "refused at arrival from 100 percent",
           [](RigSettings &s) { s.scheduler.maxWaitPercent = 100; } },
-        { "room told every 5 ms",
+        { "capacity updates every 5 ms",
           [](RigSettings &s) { s.runner.capacityUpdateInterval = foxwing::Milliseconds(5); } },
-        { "64 jobs looked through", [](RigSettings &s) { s.scheduler.maxUnplaced = 64; } },
-        { "entries turn every 5 ms", [](RigSettings &s) { s.tick = foxwing::Milliseconds(5); } },
+        { "at most 64 unplaced jobs", [](RigSettings &s) { s.scheduler.maxUnplaced = 64; } },
+        { "scheduler ticks every 5 ms", [](RigSettings &s) { s.tick = foxwing::Milliseconds(5); } },
     };
 }
 
@@ -105,7 +109,7 @@
                                queue.refusalDelays.end());
 }
 
-// The reports of all seeds, added up.
+// Combines the reports of all seeds: means of percentages, sums of counts.
 RigReport replaySeeds(RigSettings (*scenario)(std::uint64_t), const Variant &variant,
                       std::uint64_t seeds)
 {
@@ -129,7 +133,7 @@
     return sum;
 }
 
-// Prints what the ways whose names contain the text have done in one spell.
+// Prints the results of one scenario for the variants whose names contain the filter.
 void printScenario(const char *name, RigSettings (*scenario)(std::uint64_t), std::uint64_t seeds,
                    const std::string &filter)
 {
@@ -154,9 +158,9 @@
         RigSettings (*settings)(std::uint64_t);
     };
     const std::vector<Scenario> scenarios {
-        { "Busy spell", foxwing::test::longOverload },
-        { "A third cordoned", foxwing::test::cordonedDataCentre },
-        { "Short spell", foxwing::test::shortOverload },
+        { "Long overload", foxwing::test::longOverload },
+        { "Cordoned data centre", foxwing::test::cordonedDataCentre },
+        { "Short overload", foxwing::test::shortOverload },
         { "Competing queues", foxwing::test::competingQueues },
         { "Uneven endpoints", foxwing::test::unevenEndpoints },
     };
--- a/tests/rig/report.cpp
+++ b/tests/rig/report.cpp
@@ -1,5 +1,5 @@
 /*
-    What a replay has shown: shares, hindsight and the table.
+    Evaluates replays: shares, wrong refusals and the table.
 
     [SECTION] Shares
     [SECTION] Table
@@ -61,9 +61,10 @@
 std::string table(const std::vector<std::pair<std::string, RigReport>> &rows)
 {
     std::string text =
-            "| way | credit | served | refused within 5 ms | of these wrongly | starts a task | "
-            "refused with room | idle while jobs wait |"
-            " by queue: in aim, of the largest tenth, late, refused, of the largest tenth,"
+            "| variant | credit | served | refused within 5 ms | of these wrongly | starts per "
+            "task | "
+            "refused despite capacity | idle while jobs wait |"
+            " by queue: on time, of the largest tenth, late, refused, of the largest tenth,"
             " at the entries with the least and the most, failed, refused after"
             " (median) |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
     char line[256];
--- a/tests/rig/rig.cpp
+++ b/tests/rig/rig.cpp
@@ -1,5 +1,5 @@
 /*
-    The load replay.
+    Implements the load replay.
 
     [SECTION] Parts
     [SECTION] Events
@@ -24,16 +24,16 @@
 
 constexpr Milliseconds TickInterval { 20 };
 
-// A refusal that comes so soon cost its caller nothing.
+// A refusal within this time doesn't cost its caller anything.
 constexpr Milliseconds ImmediateLimit { 5 };
 constexpr Milliseconds HeartbeatInterval { 1500 };
 constexpr Microseconds CommandDelay { 300 };
 constexpr Milliseconds PollTimeout { 25 };
 
-// Jobs that come before it find empty endpoints, and count for nothing.
+// Jobs of this first part meet idle endpoints, and aren't counted.
 constexpr Milliseconds WarmUp { 1500 };
 
-// Room is looked at so often.
+// Between two samples of the idle capacity
 constexpr Milliseconds SampleInterval { 10 };
 constexpr double Spread = 0.4;
 constexpr double DemandSpread = 0.2;
@@ -50,6 +50,7 @@
     bool fails = false;
 };
 
+// An agent and its endpoint.
 struct Host
 {
     runner::RunnerState state;
@@ -62,7 +63,7 @@
     std::vector<runner::EndedRun> ended;
     std::uint64_t lastEnd = 0;
 
-    // A look that waits for an end
+    // A long poll that waits for a run to end
     std::optional<runner::PollCommand> poll;
     Time pollDeadline {};
     std::uint64_t heartbeats = 0;
@@ -81,7 +82,7 @@
     std::size_t queue = 0;
     Time receivedAt {};
 
-    // By the work as it is, not as it was guessed
+    // Based on the true run times, not on the estimate
     Microseconds objective { 0 };
     double size = 0;
     std::vector<Microseconds> work;
@@ -198,7 +199,7 @@
     }
 }
 
-// Shares over all queues
+// Computes the percentages over all queues.
 void addTotals(RigReport &report)
 {
     double submitted = 0;
@@ -334,7 +335,8 @@
             * std::min(maxFactor, Base + (1 - Base) * call.size);
 }
 
-// The tenth of jobs with most work, of sizes that are products of two log-normal spreads of 0.4
+// Jobs above this size are the largest tenth: sizes are products of two log-normal factors with a
+// sigma of 0.4.
 constexpr double LargeSize = 1.75;
 
 void Rig::arrive(std::size_t queue)
--- a/tests/rig/rig.h
+++ b/tests/rig/rig.h
@@ -1,10 +1,10 @@
 /*
-    A load replay in virtual time: many entries and agents, three queues of jobs that come as
-   callers send them, and more work than room for a while. The decisions are those that the daemon
-   runs; links have a delay, endpoints differ in speed, some fail all that they start or are out of
-   reach.
+    A load replay in virtual time: many entries and agents, three queues of jobs from simulated
+    callers, and load that exceeds the capacity for some time. Decisions are made by the daemon's
+    scheduler and runner; links have a delay, endpoints differ in speed, and some fail every run or
+    are unreachable.
 
-    The same settings and seed give the same report.
+    The report is deterministic for given settings and seed.
 
         RigSettings settings;
         settings.scheduler.order = scheduler::Order::FirstCome;
@@ -28,7 +28,7 @@
 
 // [SECTION] Settings
 
-// Jobs of one queue.
+// The load of one queue.
 struct QueueLoad
 {
     std::string name;
@@ -36,53 +36,54 @@
     std::uint32_t maxAttempts = 4;
     double perSecond = 0;
 
-    // Of a task at an endpoint of speed 1; of one job to the next with the spread below
+    // Mean run time of a task at an endpoint of speed 1; varies by job
     Milliseconds work { 200 };
 
-    // Tasks of a job, with the spread below
+    // Mean number of tasks of a job; varies by job
     double taskCount = 2;
     std::uint32_t maxTaskCount = 8;
 
-    // Credit of a job of mean size, for sums over queues
+    // Credit for a job of mean size; weights the queues in sums
     double credit = 1;
 
-    // Thousandths of a core that a task takes, with a spread
+    // Mean CPU demand of a task; varies by job
     double milliCores = 1500;
 
-    // Part of the jobs whose work is so many times as long, as their callers' guesses say too
+    // Share of jobs whose tasks take tailFactor times as long; their estimates follow
     double tailShare = 0;
     double tailFactor = 1;
 };
 
-// More work than usual for a while.
+// A period in which arrival rates are multiplied by a factor.
 struct Burst
 {
     Milliseconds from { 0 };
     Milliseconds until { 0 };
     double factor = 1;
 
-    // Of this queue alone; empty: of all
+    // Only this queue; empty: all queues
     std::string queue;
 };
 
-// Endpoints that are of no use for a while.
+// A period in which some endpoints are unusable.
 struct EndpointFault
 {
     enum class Kind {
-        // All that they start fails at once.
+        // All their runs fail immediately.
         Fails,
 
-        // Nobody reaches their agents.
+        // Their agents are unreachable.
         Unreachable,
     };
     Kind kind = Kind::Fails;
     Milliseconds from { 0 };
     Milliseconds until { 0 };
 
-    // Part of all endpoints, in percent
+    // Share of all endpoints, in percent
     int percent = 10;
 };
 
+// A period in which a data centre is cordoned.
 struct CordonPeriod
 {
     Milliseconds from { 0 };
@@ -94,12 +95,12 @@
 {
     std::uint64_t seed = 1;
 
-    // By data centre
+    // Counts of entries and agents, and shares of calls, by data centre
     std::vector<int> entries { 4, 4, 3 };
     std::vector<int> agents { 22, 22, 21 };
     std::vector<double> callers { 0.32, 0.38, 0.30 };
 
-    // By turns
+    // Assigned to endpoints in turn
     std::vector<double> speeds { 0.8, 1.0, 1.25 };
     std::vector<std::int64_t> cores { 16000, 16000, 24000 };
 
@@ -110,10 +111,10 @@
     };
     Milliseconds duration { 8000 };
 
-    // Callers wait so long beyond their job's objective, if they say so at all.
+    // How long callers wait beyond the objective of their job; unset: callers set no deadline
     std::optional<Milliseconds> callerTimeout;
 
-    // Between the entries' turns
+    // Interval of the scheduler's ticks
     Milliseconds tick { 20 };
     std::vector<Burst> bursts;
     std::vector<EndpointFault> faults;
@@ -126,7 +127,7 @@
 
 // [SECTION] Report
 
-// What one entry was asked for and refused.
+// Calls at one entry.
 struct EntryReport
 {
     std::uint64_t submitted = 0;
@@ -141,7 +142,7 @@
     std::uint64_t refused = 0;
     std::uint64_t failed = 0;
 
-    // The same of the tenth of jobs with most work
+    // Counts for the largest tenth of jobs
     std::uint64_t largeSubmitted = 0;
     std::uint64_t largeOnTime = 0;
     std::uint64_t largeRefused = 0;
@@ -149,7 +150,7 @@
     // By entry
     std::map<std::size_t, EntryReport> entries;
 
-    // From the call to its refusal
+    // Time from each refused call to its refusal
     std::vector<Microseconds> refusalDelays;
 };
 
@@ -157,29 +158,29 @@
 {
     std::map<std::string, QueueReport> queues;
 
-    // Credit of jobs on time, of all that was asked, in percent
+    // Earned credit in percent of the credit of all jobs; late jobs earn a fifth
     double creditPercent = 0;
 
-    // Calls that were completed, late ones included, in percent
+    // Completed calls, late ones included, in percent of all calls
     double servedPercent = 0;
 
-    // Refusals that came within 5 ms, in percent of all refusals
+    // Refusals within 5 ms, in percent of all refusals
     double refusedImmediatelyPercent = 0;
 
-    // Of these, those that hindsight shows as wrong, if that was asked for
+    // Wrong ones among these, as wronglyRefusedPercent() finds them; 0 if it was not called
     double wronglyRefusedPercent = 0;
 
-    // Starts that were ordered for each task, refused ones included
+    // Start commands per task, including those that agents refused
     double startsPerTask = 0;
 
-    // Refusals when an endpoint that could run a task of the job had room for it
+    // Refusals while a usable endpoint had free capacity for a task of the job
     std::uint64_t refusedDespiteCapacity = 0;
 
-    // Calls that were refused within 5 ms, and those that were completed in time or late
+    // Job ids of calls that were refused within 5 ms, and of those that completed, late or not
     std::set<std::string> refusedImmediately;
     std::set<std::string> completed;
 
-    // Room of sound endpoints that stood idle while jobs waited, in percent
+    // Idle capacity of usable endpoints while jobs waited, in percent
     double idleWhileWaitingPercent = 0;
 };
 
@@ -187,32 +188,31 @@
 
 RigReport replay(const RigSettings &settings);
 
-// Of the calls that were refused at once, how many are completed in the same load if none is
-// refused at arrival, in percent.
+// Replays the load without refusals at arrival; returns how many of the calls that the report shows
+// as refused immediately then complete, in percent.
 double wronglyRefusedPercent(const RigSettings &settings, const RigReport &report);
 
-// Load that is above the room for 4 s, with endpoints that fail and others out of reach.
+// Overload for 4 s, with endpoints that fail all runs and others that are unreachable.
 RigSettings longOverload(std::uint64_t seed);
 
-// The same load above the room for little more than a second.
+// The same faults with an overload of 1.2 s.
 RigSettings shortOverload(std::uint64_t seed);
 
-// A third of the endpoints is cordoned for 4 s, at the usual load.
+// One of three data centres, a third of the endpoints, is cordoned for 4 s at normal load.
 RigSettings cordonedDataCentre(std::uint64_t seed);
 
-// Queues of three priorities compete: twice the usual jobs of the least urgent one for 6 s, while a
-// quarter of the endpoints is out of reach.
+// Three priorities compete: the least urgent queue has 2.1 times its normal jobs for 6 s, while a
+// quarter of the endpoints is unreachable and others fail all runs.
 RigSettings competingQueues(std::uint64_t seed);
 
-// Endpoints whose speeds differ by 2.7, jobs of which 3 in 100 take seven times as long, and half
-// as much again of everything for 4 s.
+// Endpoint speeds differ by a factor of 2.7, 3 % of the jobs take seven times as long, and the load
+// is 1.5 times the normal one for 4 s.
 RigSettings unevenEndpoints(std::uint64_t seed);
 
-// The entry that refused the least and the one that refused the most of the queue's jobs, in
-// percent of those that it was asked for.
+// The lowest and the highest share of the queue's jobs that an entry refused, in percent.
 std::pair<double, double> refusedByEntry(const QueueReport &queue);
 
-// A table of the reports, a row each.
+// A Markdown table with a row for each report.
 std::string table(const std::vector<std::pair<std::string, RigReport>> &rows);
 
 } // namespace foxwing::test
--- a/tests/rig/rig_test.cpp
+++ b/tests/rig/rig_test.cpp
@@ -1,11 +1,12 @@
 /*
-    What each way of deciding is worth under the load that it answers, on the load replay.
+    Checks on the load replay that each scheduling mechanism improves results under the load that it
+    is meant for.
 
     [SECTION] Helpers
     [SECTION] Replay
     [SECTION] Mechanisms
     [SECTION] Forecast
-    [SECTION] Floors
+    [SECTION] Guaranteed share
     [SECTION] Cordons
 */
 #include <algorithm>
@@ -21,7 +22,7 @@
 
 constexpr std::uint64_t Seeds = 3;
 
-// Credit of all seeds, in percent of what was asked.
+// Mean credit of all seeds, in percent of the credit of all jobs.
 double meanCredit(RigSettings (*scenario)(std::uint64_t),
                   const std::function<void(RigSettings &)> &change)
 {
@@ -53,8 +54,7 @@
     const char *name;
     std::function<void(RigSettings &)> switchOff;
 
-    // Credit that is lost without it in the busy spell, in points of a hundred: about half of what
-    // ten seeds have shown (0.6, 0.8, 14.3 and 1.2)
+    // Minimum loss of credit without the mechanism, in percentage points
     double minCreditLoss;
 };
 
@@ -70,7 +70,7 @@
 {
     static const double baseline = meanCredit(longOverload, defaultPolicy);
     const double without = meanCredit(longOverload, GetParam().switchOff);
-    EXPECT_GE(baseline - without, GetParam().minCreditLoss) << baseline << " with it";
+    EXPECT_GE(baseline - without, GetParam().minCreditLoss) << baseline << " with the mechanism";
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -78,9 +78,9 @@
         testing::Values(
                 MechanismCase { "LateJobsAreRefused",
                                 [](RigSettings &s) { s.scheduler.refuseLate = false; }, 0.3 },
-                MechanismCase { "TheMostUrgentWaitAtAgents",
+                MechanismCase { "UrgentJobsQueueAtAgents",
                                 [](RigSettings &s) { s.scheduler.maxShortfallPercent = 0; }, 0.4 },
-                MechanismCase { "EndpointsAreJudged",
+                MechanismCase { "FailingEndpointsGoOnProbation",
                                 [](RigSettings &s) { s.runner.probationEnabled = false; }, 7.0 },
                 MechanismCase { "FasterEndpointsFirst",
                                 [](RigSettings &s) {
@@ -128,7 +128,7 @@
     return means;
 }
 
-// What can't be on time is told so at once, and more callers are served for it.
+// Refusing jobs that can't be on time as soon as they arrive lets more calls be served.
 TEST_P(Forecasts, RefuseImmediatelyAndServeMore)
 {
     const Means without = meansOf(GetParam().scenario, defaultPolicy);
@@ -145,11 +145,11 @@
     settings.scheduler.serveLate = true;
 }
 
-// Credit that one seed differs from another
+// Difference of credit between seeds, in percentage points
 constexpr double SeedNoise = 0.5;
 
-// In a long overload late jobs cost the rest nothing, and callers that can't be served are told
-// within a quarter of their objective, but for the first of them.
+// In a long overload, serving late jobs doesn't cost other jobs credit, and at least half of the
+// refusals come within a quarter of the objective.
 TEST_P(Forecasts, RefuseUnservableJobsEarly)
 {
     constexpr Microseconds QuarterOfLong = Milliseconds(350);
@@ -169,7 +169,7 @@
     EXPECT_GT(with.credit, without.credit - SeedNoise);
 }
 
-// In a short one a fifth of those who would be refused are served behind the rest, at least.
+// In a short overload, at least a fifth of the calls that would be refused are served late.
 TEST(LateJobs, AreServedAfterAShortOverload)
 {
     constexpr double MinGain = 0.2;
@@ -180,13 +180,13 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Rig, Forecasts,
-                         testing::Values(ScenarioCase { "Competing", competingQueues },
-                                         ScenarioCase { "Busy", longOverload }),
+                         testing::Values(ScenarioCase { "CompetingQueues", competingQueues },
+                                         ScenarioCase { "LongOverload", longOverload }),
                          [](const auto &testCase) { return testCase.param.name; });
 
-// [SECTION] Floors
+// [SECTION] Guaranteed share
 
-// Calls of the queue that were not refused while queues compete, in percent
+// Calls of the queue that weren't refused in competingQueues(), in percent
 double servedPercent(const std::string &queue, const std::function<void(RigSettings &)> &change)
 {
     std::uint64_t submitted = 0;
@@ -234,7 +234,8 @@
 
 // [SECTION] Cordons
 
-// A third of the endpoints goes and comes back at the usual load: the rest carries it.
+// At normal load, the other data centres can serve all jobs while a third of the endpoints is
+// cordoned.
 TEST(RigCordon, LeavesEnoughCapacityForTheNormalLoad)
 {
     EXPECT_GE(meanCredit(cordonedDataCentre, defaultPolicy), 99.0);
--- a/tests/rig/scenarios.cpp
+++ b/tests/rig/scenarios.cpp
@@ -1,13 +1,13 @@
 /*
-    The loads that the replay knows.
+    Scenarios of the load replay.
 
-    [SECTION] Spells
+    [SECTION] Scenarios
 */
 #include "rig.h"
 
 namespace foxwing::test {
 
-// [SECTION] Spells
+// [SECTION] Scenarios
 
 RigSettings longOverload(std::uint64_t seed)
 {
--- a/tools/lint.sh
+++ b/tools/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# lint.sh format | tidy: our own files must be formatted, and free of the linter's warnings.
+# lint.sh format | tidy: checks that all source files are formatted, or free of linter warnings.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 files() { git ls-files -co --exclude-standard "$@" | grep -v '/generated/'; }
@@ -8,7 +8,7 @@
     files '*.cpp' '*.h' | xargs clang-format --dry-run --Werror
     ;;
 tidy)
-    # The linter can't read dynamic exception specifications, so the one C++14 file is left out.
+    # Skips the only C++14 file, because the linter rejects dynamic exception specifications.
     files '*.cpp' | grep -v rpcclient.cpp | xargs -P "$(nproc)" -n 2 tools/tidyfile.sh
     ;;
 *)
--- a/tools/setup.sh
+++ b/tools/setup.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs what foxwing needs to build on Debian 12. Does nothing if it is all there.
+# Installs the packages needed to build foxwing on Debian 12, if any are missing.
 set -euo pipefail
 packages=(g++ cmake ninja-build ccache pkg-config curl clang-format clang-tidy
     libboost-dev libboost-log-dev libcpprest-dev libcurl4-openssl-dev libgtest-dev libjsoncpp-dev
--- a/tools/soak/seeds.sh
+++ b/tools/soak/seeds.sh
@@ -1,26 +1,27 @@
 #!/usr/bin/env bash
-# seeds.sh FIRST LAST [SECONDS] [SIDE-BY-SIDE]: plays the soak with many seeds, a line for each; fails if one does.
+# seeds.sh FIRST LAST [SECONDS] [PARALLEL]: runs the soak test with many seeds and prints a line for each. Fails if
+# any run fails.
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 seconds=${3:-15}
-beside=${4:-4}
+parallel=${4:-4}
 folder=$(mktemp -d)
 trap 'rm -rf "$folder"' EXIT
-# A copy: a build that goes on beside must not change the program under the processes.
+# Uses a copy, so that a concurrent build doesn't replace the program of running processes.
 cp build/apps/foxwingd "$folder/foxwingd"
-play() {
+run_seed() {
     local seed=$1 block=$2
     timeout 180 python3 tools/soak/soak.py --daemon "$folder/foxwingd" --seed "$seed" --seconds "$seconds" \
         --block "$block" >"$folder/$seed.out" || true
     grep -E 'VIOLATION|^seed' "$folder/$seed.out" || echo "seed $seed: no verdict"
 }
-lane() {
-    for ((seed = $1 + $3; seed <= $2; seed += beside)); do
-        play "$seed" "$3"
+run_seeds() {
+    for ((seed = $1 + $3; seed <= $2; seed += parallel)); do
+        run_seed "$seed" "$3"
     done
 }
-for ((block = 0; block < beside; ++block)); do
-    lane "$1" "$2" "$block" &
-done | tee "$folder/verdicts"
+for ((block = 0; block < parallel; ++block)); do
+    run_seeds "$1" "$2" "$block" &
+done | tee "$folder/results"
 wait
-! grep -E 'VIOLATION|no verdict' "$folder/verdicts"
+! grep -E 'VIOLATION|no verdict' "$folder/results"
--- a/tools/soak/soak.py
+++ b/tools/soak/soak.py
@@ -1,19 +1,19 @@
 #!/usr/bin/env python3
-"""A soak: the real programs as separate processes on one machine, with faults from outside them.
+"""A soak test: the real programs as separate processes on one machine, with injected faults.
 
     tools/soak/soak.py --daemon build/apps/foxwingd --seed 1 --seconds 20
 
-Every process of the fleet listens behind a proxy on loopback that can delay, reset, silence or cut one way
-what goes through it. Faults come in series and overlap: signals that kill, stop, pause and restart; entries
-that run slow; the proxies; endpoints that crash and hang; catalogs that change. Callers send a job again after
-their connection broke. The promises are checked while it runs, from what callers, operators and endpoints see:
+Agents and control hosts listen behind proxies on loopback that can delay traffic, reset connections, or
+block one or both directions. Faults overlap: processes are killed, terminated, paused and restarted; entries
+run slowly; proxies disturb connections; endpoints crash and hang; catalogs change. Callers resend a job after
+a broken connection. Invariants are checked during the run, from what callers, operators and endpoints see:
 
-- the room of an endpoint is never exceeded, and a task never has two runs at once;
-- "completed" means that each task of the job ended as done; "not run" that none began for that call;
-- a catalog that was acknowledged is never read back older, and is there at the end;
+- the capacity of an endpoint is never exceeded, and a task never has two runs at once;
+- "completed" means that each task of the job ended as done; "not run" that none started for that call;
+- a catalog that was acknowledged is never read back older, and is still there at the end;
 - when the faults are over, all jobs are served.
 
-The verdict is the exit code; the seed makes the same faults again (the machine's timing differs). Logs of
+The exit code is the result. A seed repeats its faults, although the timing of the machine differs. Logs of
 the processes are kept under --folder. Only processes that were started here are ended, by their ids.
 """
 import argparse
@@ -34,25 +34,25 @@
 RESEND_S = 1.3
 INNER_PORT = 7720
 
-# An entry that runs slow is stopped but for the last part of each period.
+# A slow entry is stopped except for the last part of each period.
 SLOW_PERIOD_S, SLOW_RUNS_S = 0.04, 0.006
 
-# Below what such an entry is late, and above what one is that shares its machine with the whole fleet.
-STAND_BACK_ABOVE_MS = 10
+# Below the event loop lag of a slow entry, and above the lag of one that shares its machine with the whole fleet.
+WITHDRAW_ABOVE_MS = 10
 
-# A program is loaded and at work after this long, on a busy machine too.
-LOADED_S = 0.7
+# After this time a process has started up and handles signals, even on a busy machine.
+STARTUP_S = 0.7
 
 
 class Ledger:
-    """What endpoints have run, and which promises were broken."""
+    """Records what endpoints ran, and checks invariants."""
 
     def __init__(self):
         self.running, self.used, self.done, self.begun = {}, {}, set(), {}
         self.violations, self.starts = [], 0
 
     def violate(self, what):
-        self.violations.append(f"{time.monotonic() - BEGAN:.3f} s: {what}")
+        self.violations.append(f"{time.monotonic() - STARTED_AT:.3f} s: {what}")
         print("VIOLATION", self.violations[-1], flush=True)
 
     def endpoint_emptied(self, endpoint):
@@ -67,17 +67,17 @@
             self.violate(f"two runs of {key[0]}")
         self.running[key[0]] = endpoint
         if sum(self.used[endpoint].values()) > capacity:
-            self.violate(f"room exceeded at endpoint {endpoint}")
+            self.violate(f"capacity exceeded at endpoint {endpoint}")
 
-    def ended(self, endpoint, key, how):
+    def ended(self, endpoint, key, outcome):
         self.used[endpoint].pop(key, None)
         self.running.pop(key[0], None)
-        if how == "done":
+        if outcome == "done":
             self.done.add(key[0])
 
 
 class Proxy:
-    """Stands before one listener. mode: pass, silent, oneway, or delay."""
+    """Forwards the connections of one listener. mode: pass, silent, oneway, or delay."""
 
     def __init__(self, listen, target):
         self.listen, self.target, self.mode, self.pairs = listen, target, "pass", set()
@@ -91,27 +91,27 @@
         try:
             if self.mode == "silent":
                 await asyncio.sleep(3)
-            back_reader, back_writer = await asyncio.open_connection(host, int(port))
+            target_reader, target_writer = await asyncio.open_connection(host, int(port))
         except OSError:
             writer.transport.abort()
             return
-        self.pairs.add((writer, back_writer))
-        await asyncio.gather(self.pump(reader, back_writer, "in"),
-                             self.pump(back_reader, writer, "out"))
-        self.pairs.discard((writer, back_writer))
+        self.pairs.add((writer, target_writer))
+        await asyncio.gather(self.pump(reader, target_writer, "in"),
+                             self.pump(target_reader, writer, "out"))
+        self.pairs.discard((writer, target_writer))
 
-    async def pump(self, reader, writer, way):
+    async def pump(self, reader, writer, direction):
         try:
             while data := await reader.read(65536):
                 if self.mode == "delay":
                     await asyncio.sleep(random.uniform(0.01, 0.15))
-                while self.mode == "silent" or (self.mode == "oneway" and way == "out"):
+                while self.mode == "silent" or (self.mode == "oneway" and direction == "out"):
                     await asyncio.sleep(0.02)
                 writer.write(data)
                 await writer.drain()
         except OSError:
             pass
-        # Both ways end as soon as one does, as after a reset.
+        # When one direction ends, the other one does too, as after a reset.
         writer.transport.abort()
 
     def reset(self):
@@ -121,7 +121,7 @@
 
 
 class Process:
-    """One foxwingd, its settings and its life."""
+    """One foxwingd process and its settings."""
 
     def __init__(self, daemon, folder, role, number, seeds, block):
         self.daemon, self.folder, self.role, self.number = daemon, folder, role, number
@@ -130,7 +130,7 @@
         self.ip, self.inner_ip = f"127.{code}.1.{number}", f"127.{code}.2.{number}"
         self.port = f"{self.inner_ip}:8161"
         self.endpoint = f"127.{block + 4}.1.{number}:8165"
-        self.process, self.paused, self.life = None, False, 0
+        self.process, self.paused, self.incarnation = None, False, 0
         self.policy = ""
         self.on_start = lambda: None
 
@@ -150,7 +150,7 @@
         path = f"{self.folder}/{self.name}.toml"
         with open(path, "w") as file:
             file.write(self.settings())
-        self.first, self.life = False, self.life + 1
+        self.first, self.incarnation = False, self.incarnation + 1
         self.on_start()
         self.began = time.monotonic()
         self.log = open(f"{self.folder}/{self.name}.log", "ab")
@@ -162,17 +162,17 @@
             self.process.send_signal(number)
 
     async def restart(self, number, pause):
-        """Ends the process with a signal, waits for its end, and starts it again."""
+        """Sends the signal, waits for the process to end, and starts it again."""
         self.signal(signal.SIGCONT)
         if number != signal.SIGKILL:
-            # Before it has begun to run, a stop signal ends any program, whatever it would do.
-            await asyncio.sleep(max(0, self.began + LOADED_S - time.monotonic()))
+            # Until a process has installed its signal handling, SIGTERM ends it at once.
+            await asyncio.sleep(max(0, self.began + STARTUP_S - time.monotonic()))
         self.signal(number)
         if number != signal.SIGKILL:
             try:
                 await asyncio.wait_for(self.process.wait(), 8)
             except asyncio.TimeoutError:
-                ledger.violate(f"{self.name} did not end within its grace")
+                ledger.violate(f"{self.name} did not end within its grace period")
                 self.signal(signal.SIGKILL)
         await self.process.wait()
         if number != signal.SIGKILL and self.process.returncode not in (0, -signal.SIGKILL):
@@ -194,11 +194,11 @@
 
         self.entries, self.agents = make("entry", options.entries), make("agent", options.agents)
         self.controls = make("control", CONTROLS)
-        # Half of the seeds play entries that work with a part of the agents only. Drawn apart, so
-        # that what else a seed plays stays the same.
+        # For about half of the seeds, entries use a subset of the agents. A separate generator keeps
+        # the other draws of a seed unchanged.
         subset = random.Random(options.seed).choice([0, max(1, options.agents // 3)])
         for entry in self.entries:
-            entry.policy = (f"\n[policy]\nstand_back_above_milliseconds = {STAND_BACK_ABOVE_MS}\n"
+            entry.policy = (f"\n[policy]\nstand_back_above_milliseconds = {WITHDRAW_ABOVE_MS}\n"
                             + (f"subset_size = {subset}\nentries_per_agent = 1\n" if subset else ""))
         self.endpoints = [standins.Endpoint(agent.number, agent.endpoint, agent.port, ledger, CAPACITY)
                           for agent in self.agents]
@@ -209,8 +209,8 @@
                         for p in self.agents + self.controls}
         self.busy, self.counts = set(), {}
         self.version, self.acknowledged, self.jobs = 0, 0, 0
-        # Drawn apart as well
-        self.slowed, self.slowness = set(), random.Random(options.seed)
+        # Another separate generator, for slow entries
+        self.slowed, self.slow_random = set(), random.Random(options.seed)
         self.stopping = False
 
     def count(self, what):
@@ -240,7 +240,7 @@
         if outcome == "completed" and not all(name in ledger.done for name in names):
             ledger.violate(f"job {job} completed without all its tasks")
         if outcome == "not-run" and first and job in ledger.begun:
-            ledger.violate(f"job {job} said not to have run, but it began")
+            ledger.violate(f"job {job} was reported as not run, but it started")
         return outcome
 
     # Operators
@@ -265,44 +265,44 @@
     # Faults
 
     async def faults(self):
-        kinds = [self.kill, self.kill, self.terminate, self.pause, self.cut, self.cut, self.reset,
-                 self.delay, self.crash_endpoint, self.hang_endpoint, self.herd]
+        kinds = [self.kill, self.kill, self.terminate, self.pause, self.partition, self.partition, self.reset,
+                 self.delay, self.crash_endpoint, self.hang_endpoint, self.kill_many]
         while not self.stopping:
             asyncio.ensure_future(self.random.choice(kinds)())
             await asyncio.sleep(self.random.uniform(0.3, 1.5))
 
     def pick(self, among):
-        """A process with no fault on it; at most two control hosts at a time have one."""
+        """A process without a fault. At most two control hosts have a fault at a time."""
         free = [p for p in among if p.name not in self.busy | self.slowed]
         lost = sum(1 for p in self.controls if p.name in self.busy)
         free = [p for p in free if p.role != "control" or lost < 2]
         return self.random.choice(free) if free else None
 
-    async def on(self, name, among, work):
+    async def with_fault(self, name, among, inject):
         process = self.pick(among)
         if process:
             self.count(name)
             self.busy.add(process.name)
-            await work(process)
+            await inject(process)
             self.busy.discard(process.name)
 
     async def kill(self):
         pause = self.random.uniform(0.05, 2)
-        await self.on("kill", self.all, lambda p: p.restart(signal.SIGKILL, pause))
+        await self.with_fault("kill", self.all, lambda p: p.restart(signal.SIGKILL, pause))
 
     async def terminate(self):
-        await self.on("terminate", self.all, lambda p: p.restart(signal.SIGTERM, 0.2))
+        await self.with_fault("terminate", self.all, lambda p: p.restart(signal.SIGTERM, 0.2))
 
     async def pause(self):
-        async def work(process):
+        async def inject(process):
             process.signal(signal.SIGSTOP)
             await asyncio.sleep(self.random.uniform(0.1, 3))
             process.signal(signal.SIGCONT)
-        await self.on("pause", self.all, work)
+        await self.with_fault("pause", self.all, inject)
 
     async def slow(self):
-        """Runs by short turns, as with a small share of a processor."""
-        process, end = self.slowness.choice(self.entries), time.monotonic() + self.slowness.uniform(1, 5)
+        """Lets an entry run in short slices only, as with a small share of a processor."""
+        process, end = self.slow_random.choice(self.entries), time.monotonic() + self.slow_random.uniform(1, 5)
         if process.name in self.busy:
             return
         self.count("slow")
@@ -316,31 +316,31 @@
 
     async def slow_entries(self):
         while not self.stopping:
-            await asyncio.sleep(self.slowness.uniform(1, 4))
+            await asyncio.sleep(self.slow_random.uniform(1, 4))
             await self.slow()
 
-    async def through_proxy(self, name, mode):
-        async def work(process):
+    async def set_proxy_mode(self, name, mode):
+        async def inject(process):
             self.proxies[process.name].mode = mode
             await asyncio.sleep(self.random.uniform(0.2, 3))
             self.proxies[process.name].mode = "pass"
             self.proxies[process.name].reset()
-        await self.on(name, self.agents + self.controls, work)
+        await self.with_fault(name, self.agents + self.controls, inject)
 
-    async def cut(self):
+    async def partition(self):
         mode = self.random.choice(["silent", "oneway"])
-        await self.through_proxy(mode, mode)
+        await self.set_proxy_mode(mode, mode)
 
     async def delay(self):
-        await self.through_proxy("delay", "delay")
+        await self.set_proxy_mode("delay", "delay")
 
     async def reset(self):
-        async def work(process):
+        async def inject(process):
             self.proxies[process.name].reset()
-        await self.on("reset", self.agents + self.controls, work)
+        await self.with_fault("reset", self.agents + self.controls, inject)
 
     async def crash_endpoint(self):
-        """Every other life keeps the id, and says a little later that it leaves."""
+        """Every other incarnation keeps the id, and reports a second later that it leaves."""
         self.count("endpoint crash")
         endpoint = self.random.choice(self.endpoints)
         endpoint.new_life(same_id=endpoint.lives % 2 == 1)
@@ -364,17 +364,17 @@
         await asyncio.sleep(self.random.uniform(0.3, 2))
         endpoint.hangs = False
 
-    async def herd(self):
-        """All of control, or everything, is killed at once."""
+    async def kill_many(self):
+        """Kills all control hosts, or all processes, at once."""
         if self.random.random() < 0.7 or self.busy:
             return
         self.count("herd kill")
-        herd = self.random.choice([self.controls, self.all])
-        self.busy.update(p.name for p in herd)
-        await asyncio.gather(*(p.restart(signal.SIGKILL, self.random.uniform(0, 0.5)) for p in herd))
-        self.busy.difference_update(p.name for p in herd)
+        victims = self.random.choice([self.controls, self.all])
+        self.busy.update(p.name for p in victims)
+        await asyncio.gather(*(p.restart(signal.SIGKILL, self.random.uniform(0, 0.5)) for p in victims))
+        self.busy.difference_update(p.name for p in victims)
 
-    # The whole
+    # Sequence of a run
 
     async def settle(self):
         for _ in range(100):
@@ -383,7 +383,7 @@
             await asyncio.sleep(0.1)
         await asyncio.sleep(3)
 
-    async def play(self):
+    async def run(self):
         for part in list(self.proxies.values()) + self.endpoints:
             await part.serve()
         await asyncio.gather(*(process.start() for process in self.all))
@@ -399,7 +399,7 @@
         self.stopping = True
         await asyncio.gather(*tasks)
         await self.settle()
-        # One after the other: for one job there is always room, so none may be refused.
+        # Sequentially: there is always capacity for a single job, so none may be refused.
         outcomes = [await self.job() for _ in range(8)]
         if any(outcome != "completed" for outcome in outcomes):
             ledger.violate(f"after the faults jobs ended as {outcomes}")
@@ -412,20 +412,20 @@
 
 
 def main():
-    parser = argparse.ArgumentParser(description="The fleet's programs under faults from outside")
+    parser = argparse.ArgumentParser(description="Runs a fleet of real processes under injected faults")
     parser.add_argument("--daemon", required=True)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=15)
     parser.add_argument("--block", type=int, default=0, choices=range(20),
-                        help="a range of loopback addresses, so that several can run side by side")
+                        help="number of the loopback address range, so that several runs can be parallel")
     parser.add_argument("--entries", type=int, default=ENTRIES)
-    parser.add_argument("--agents", type=int, default=AGENTS, help="with 100, some 120 processes")
-    parser.add_argument("--folder", help="keeps logs here; a temporary one if left out")
+    parser.add_argument("--agents", type=int, default=AGENTS, help="100 make some 120 processes")
+    parser.add_argument("--folder", help="keeps the logs; default: a temporary folder, deleted on success")
     options = parser.parse_args()
     folder = options.folder or tempfile.mkdtemp(prefix="foxwing-soak-")
     os.makedirs(folder, exist_ok=True)
     soak = Soak(options, os.path.abspath(folder))
-    asyncio.get_event_loop().run_until_complete(soak.play())
+    asyncio.get_event_loop().run_until_complete(soak.run())
     print(f"seed {options.seed}: {soak.jobs} jobs, {ledger.starts} starts, {soak.counts}, "
           f"{len(ledger.violations)} violations; logs in {folder}")
     if not ledger.violations and not options.folder:
@@ -433,7 +433,7 @@
     return 1 if ledger.violations else 0
 
 
-BEGAN = time.monotonic()
+STARTED_AT = time.monotonic()
 ledger = Ledger()
 if __name__ == "__main__":
     sys.exit(main())
--- a/tools/tidyfile.sh
+++ b/tools/tidyfile.sh
@@ -1,16 +1,15 @@
 #!/usr/bin/env bash
-# tidyfile.sh FILE...: runs the linter over each file, unless it found nothing in exactly the same text before.
+# tidyfile.sh FILE...: runs the linter on each file, unless the cache says that the same text had no warnings.
 #
-# The text is what the compiler sees, headers and comments included, with the linter's settings and version; only clean
-# results are kept. Of a whole check on eight cores the linter took about 37 minutes of processor the first time, and
-# 55 seconds the second time.
+# The cache key is a hash of the preprocessed file with its comments, the linter's settings and its version. Only clean
+# results are cached.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 root=$PWD
 cache=${FOXWING_TIDY_CACHE:-$HOME/.cache/foxwing-tidy}
 mkdir -p "$cache"
 
-# The compile command of a file, with its output replaced by the preprocessed text on standard output.
+# Runs the compile command of a file so that it prints the preprocessed text to standard output.
 preprocess() {
     python3 - "$1" <<'PYTHON'
 import json, os, shlex, sys
@@ -29,7 +28,8 @@
 PYTHON
 }
 
-# Empty for a file that is not part of the build: the linter guesses its command, and it is run each time.
+# Prints the cache key; empty for a file that isn't part of the build, whose compile command the linter guesses. Such
+# files are always checked.
 keyOf() {
     text=$(preprocess "$1" 2>/dev/null) || return 0
     { sed "s#$root/##g" <<<"$text"; cat .clang-tidy; clang-tidy --version; } | sha256sum | cut -d' ' -f1
