--- a/apps/foxwing/operatorcommands.cpp
+++ b/apps/foxwing/operatorcommands.cpp
@@ -244,7 +244,8 @@
             continue;
         }
         if (reply.status == 0 || reply.status == 503) {
-            // No leader. The next call starts at the same revision, so no change is missed.
+            // No leader or not reachable. The next call starts at the same revision, so no change
+            // is missed.
             std::this_thread::sleep_for(WatchRetryDelay);
             continue;
         }
--- a/bench/control.sh
+++ b/bench/control.sh
@@ -40,7 +40,7 @@
 for pid in "${writers[@]}"; do wait "$pid"; done
 echo "8 writers: $((800 * 1000000000 / ($(now) - begin))) changes/s"
 
-echo "== from accepted to in force everywhere, 10 times"
+echo "== from accepted to applied everywhere, 10 times"
 for i in $(seq 10); do
     echo "${spec//NAME/forced}" | sed "s/NUMBER/$i/" >"$dir/change.json"
     $foxwing apply "$dir/change.json" >/dev/null
--- a/tests/rig/rig.cpp
+++ b/tests/rig/rig.cpp
@@ -246,8 +246,8 @@
         schedule(m_start + period.until, [this, period] { setCordon(period, false); });
     }
     schedule(m_start, [this] { sample(); });
-    constexpr Milliseconds Tail { 4000 };
-    while (!m_events.empty() && m_events.top().when < m_end + Tail) {
+    constexpr Milliseconds DrainPeriod { 4000 };
+    while (!m_events.empty() && m_events.top().when < m_end + DrainPeriod) {
         const Event event = m_events.top();
         m_events.pop();
         m_now = event.when;
@@ -327,6 +327,7 @@
     return call;
 }
 
+// A fixed part plus a part that grows with the size of the job, up to a maximum.
 double Rig::credit(const Call &call) const
 {
     constexpr double Base = 0.3;
@@ -399,8 +400,8 @@
     if (call.receivedAt < m_start)
         return;
     QueueReport &report = m_report.queues[m_settings.queues[call.queue].name];
-    const Microseconds took = m_now - call.receivedAt;
-    const bool onTime = took <= call.objective;
+    const Microseconds latency = m_now - call.receivedAt;
+    const bool onTime = latency <= call.objective;
     switch (answer.outcome) {
     case scheduler::JobOutcome::Completed:
         ++(onTime ? report.onTime : report.late);
@@ -412,8 +413,8 @@
         ++report.refused;
         ++report.entries[entry].refused;
         report.largeRefused += call.size > LargeSize ? 1 : 0;
-        report.refusalDelays.push_back(took);
-        if (took <= ImmediateLimit)
+        report.refusalDelays.push_back(latency);
+        if (latency <= ImmediateLimit)
             m_report.refusedImmediately.insert(call.spec.id);
         m_report.refusedDespiteCapacity += hasFreeEndpoint(call.spec.steps[0].demand) ? 1 : 0;
         break;
@@ -429,7 +430,7 @@
 Microseconds Rig::linkDelay(std::size_t entry, std::size_t host) const
 {
     const bool local = m_entries[entry].dataCentre == m_hosts[host].dataCentre;
-    return local ? m_settings.nearDelay : m_settings.farDelay;
+    return local ? m_settings.localDelay : m_settings.remoteDelay;
 }
 
 void Rig::openSession(std::size_t entry, std::size_t host)
@@ -633,13 +634,13 @@
                                             m_cordons.revision });
     m_cordons = agreed.cordons;
     for (std::size_t host = 0; host < m_hosts.size(); ++host)
-        schedule(m_now + m_settings.farDelay, [this, host, cordons = m_cordons] {
+        schedule(m_now + m_settings.remoteDelay, [this, host, cordons = m_cordons] {
             execute(host,
                     runner::handleCordons(m_hosts[host].state, cordons,
                                           runner::CordonSource::Control, m_now));
         });
     for (std::size_t entry = 0; entry < m_entries.size(); ++entry)
-        schedule(m_now + m_settings.farDelay, [this, entry, cordons = m_cordons] {
+        schedule(m_now + m_settings.remoteDelay, [this, entry, cordons = m_cordons] {
             execute(entry, scheduler::applyCordons(m_entries[entry].state, cordons, m_now));
         });
 }
--- a/tests/rig/rig.h
+++ b/tests/rig/rig.h
@@ -119,8 +119,8 @@
     std::vector<Burst> bursts;
     std::vector<EndpointFault> faults;
     std::vector<CordonPeriod> cordons;
-    Microseconds nearDelay { 200 };
-    Microseconds farDelay { 900 };
+    Microseconds localDelay { 200 };
+    Microseconds remoteDelay { 900 };
     scheduler::SchedulerSettings scheduler;
     runner::RunnerSettings runner;
 };
