--- a/apps/foxwing/commandline.h
+++ b/apps/foxwing/commandline.h
@@ -82,7 +82,7 @@
 
 // [SECTION] Helpers
 
-// Calls the URLs of the options in turn until one answers with a status other than 503. Returns
+// Calls the URLs of the options in turn, with the token, until one answers other than 503. Returns
 // status 0 and prints an error to standard error if none can be reached.
 edge::HttpReply call(const Options &options, const std::string &method, const std::string &path,
                      const std::string &body);
