--- a/packages/load/src/plan.cpp
+++ b/packages/load/src/plan.cpp
@@ -129,8 +129,7 @@
             fail(reason, ErrorKind::BadRequest,
                  experiment.traceFile + ":" + std::to_string(number)
                          + ": must be milliseconds,class,tasks,task milliseconds, with the class "
-                           "of "
-                           "one of the mixes");
+                           "of one of the mixes");
             return false;
         }
         plan.push_back(*job);
--- a/tests/rig/report.cpp
+++ b/tests/rig/report.cpp
@@ -15,10 +15,10 @@
 
 namespace {
 
-double percentOf(std::uint64_t part, std::uint64_t whole)
+double percentOf(std::uint64_t part, std::uint64_t total)
 {
     return 100.0 * static_cast<double>(part)
-            / static_cast<double>(std::max<std::uint64_t>(1, whole));
+            / static_cast<double>(std::max<std::uint64_t>(1, total));
 }
 
 double medianMilliseconds(std::vector<Microseconds> delays)
@@ -46,14 +46,14 @@
 
 std::pair<double, double> refusedByEntry(const QueueReport &queue)
 {
-    double least = 100;
-    double most = 0;
+    double lowest = 100;
+    double highest = 0;
     for (const auto &[number, entry] : queue.entries) {
         const double percent = percentOf(entry.refused, entry.submitted);
-        least = std::min(least, percent);
-        most = std::max(most, percent);
+        lowest = std::min(lowest, percent);
+        highest = std::max(highest, percent);
     }
-    return { std::min(least, most), most };
+    return { std::min(lowest, highest), highest };
 }
 
 // [SECTION] Table
--- a/tests/rig/rig.h
+++ b/tests/rig/rig.h
@@ -8,7 +8,7 @@
 
         RigSettings settings;
         settings.scheduler.order = scheduler::Order::FirstCome;
-        const RigReport report = play(settings);
+        const RigReport report = replay(settings);
 
     [SECTION] Settings
     [SECTION] Report
--- a/tools/soak/seeds.sh
+++ b/tools/soak/seeds.sh
@@ -13,7 +13,7 @@
     local seed=$1 block=$2
     timeout 180 python3 tools/soak/soak.py --daemon "$folder/foxwingd" --seed "$seed" --seconds "$seconds" \
         --block "$block" >"$folder/$seed.out" || true
-    grep -E 'VIOLATION|^seed' "$folder/$seed.out" || echo "seed $seed: no verdict"
+    grep -E 'VIOLATION|^seed' "$folder/$seed.out" || echo "seed $seed: no result"
 }
 run_seeds() {
     for ((seed = $1 + $3; seed <= $2; seed += parallel)); do
@@ -24,4 +24,4 @@
     run_seeds "$1" "$2" "$block" &
 done | tee "$folder/results"
 wait
-! grep -E 'VIOLATION|no verdict' "$folder/results"
+! grep -E 'VIOLATION|no result' "$folder/results"
--- a/tools/soak/soak.py
+++ b/tools/soak/soak.py
@@ -48,7 +48,7 @@
     """Records what endpoints ran, and checks invariants."""
 
     def __init__(self):
-        self.running, self.used, self.done, self.begun = {}, {}, set(), {}
+        self.running, self.used, self.done, self.start_times = {}, {}, set(), {}
         self.violations, self.starts = [], 0
 
     def violate(self, what):
@@ -62,7 +62,7 @@
     def began(self, endpoint, key, cores, capacity):
         self.starts += 1
         self.used[endpoint][key] = cores
-        self.begun.setdefault(key[0].split(".")[0], []).append(time.monotonic())
+        self.start_times.setdefault(key[0].split(".")[0], []).append(time.monotonic())
         if key[0] in self.running:
             self.violate(f"two runs of {key[0]}")
         self.running[key[0]] = endpoint
@@ -152,7 +152,7 @@
             file.write(self.settings())
         self.first, self.incarnation = False, self.incarnation + 1
         self.on_start()
-        self.began = time.monotonic()
+        self.started_at = time.monotonic()
         self.log = open(f"{self.folder}/{self.name}.log", "ab")
         self.process = await asyncio.create_subprocess_exec(
             self.daemon, "--fleet", path, stdout=self.log, stderr=self.log)
@@ -166,7 +166,7 @@
         self.signal(signal.SIGCONT)
         if number != signal.SIGKILL:
             # Until a process has installed its signal handling, SIGTERM ends it at once.
-            await asyncio.sleep(max(0, self.began + STARTUP_S - time.monotonic()))
+            await asyncio.sleep(max(0, self.started_at + STARTUP_S - time.monotonic()))
         self.signal(number)
         if number != signal.SIGKILL:
             try:
@@ -239,7 +239,7 @@
         names = [f"{job}.0.0.{index}" for index in range(tasks)]
         if outcome == "completed" and not all(name in ledger.done for name in names):
             ledger.violate(f"job {job} completed without all its tasks")
-        if outcome == "not-run" and first and job in ledger.begun:
+        if outcome == "not-run" and first and job in ledger.start_times:
             ledger.violate(f"job {job} was reported as not run, but it started")
         return outcome
 
