--- a/apps/foxwingd/main.cpp
+++ b/apps/foxwingd/main.cpp
@@ -1,11 +1,11 @@
 /*
-    foxwingd: the daemon. One process with the roles that its settings name.
+    foxwingd: the daemon. Runs the roles that its settings name in one process.
 
         foxwingd --settings /etc/foxwing/node.toml
         foxwingd --settings node.toml --check
-        foxwingd --fleet /etc/foxwing/node.toml     on a platform that writes the settings
+        foxwingd --fleet /etc/foxwing/node.toml     on a platform that writes the settings file
 
-    Exit codes: 0 stopped as planned, 1 could not start, 2 wrong use or wrong settings.
+    Exit codes: 0 stopped on request, 1 failed to start, 2 usage error or invalid settings.
 
     [SECTION] Command line
     [SECTION] Signals
@@ -26,8 +26,8 @@
 
 namespace {
 
-constexpr int ExitCantStart = 1;
-constexpr int ExitWrongUse = 2;
+constexpr int ExitStartFailed = 1;
+constexpr int ExitUsageError = 2;
 
 // [SECTION] Command line
 
@@ -35,13 +35,13 @@
 {
     std::string settingsFile;
 
-    // The file is a fleet's, written by the platform.
+    // The settings file has the format of a fleet and is written by the platform.
     bool fleet = false;
     bool check = false;
     bool version = false;
 };
 
-// Nothing, with a line on standard error, if the command line is wrong.
+// Returns nothing and prints the usage to standard error if the command line is invalid.
 std::optional<Options> readOptions(int count, const char **arguments)
 {
     char *file = nullptr;
@@ -51,24 +51,24 @@
     const poptOption table[] = {
         { "settings", 's', POPT_ARG_STRING, &file, 0, "settings file in TOML", "FILE" },
         { "fleet", 'f', POPT_ARG_STRING, &fleetFile, 0,
-          "settings file in TOML of a process that a platform runs", "FILE" },
+          "settings file in TOML of a process run by a platform", "FILE" },
         { "check", 'c', POPT_ARG_NONE, &check, 0, "only check the settings", nullptr },
         { "version", 'V', POPT_ARG_NONE, &version, 0, "print the version", nullptr },
         POPT_AUTOHELP POPT_TABLEEND
     };
     poptContext context = poptGetContext("foxwingd", count, arguments, table, 0);
     const int result = poptGetNextOpt(context);
-    const char *extra = poptGetArg(context);
+    const char *extraArgument = poptGetArg(context);
     Options options;
     options.fleet = fleetFile != nullptr;
     options.settingsFile = fleetFile ? fleetFile : file ? file : "";
     options.check = check != 0;
     options.version = version != 0;
-    const bool ok = result == -1 && !extra && (!file != !fleetFile || version != 0);
+    const bool ok = result == -1 && !extraArgument && (!file != !fleetFile || version != 0);
     if (!ok)
         std::fprintf(stderr,
                      "foxwingd: %s; use: foxwingd --settings FILE | --fleet FILE [--check]\n",
-                     result < -1 ? poptStrerror(result) : "wrong use");
+                     result < -1 ? poptStrerror(result) : "invalid arguments");
     std::free(file);
     std::free(fleetFile);
     poptFreeContext(context);
@@ -77,8 +77,9 @@
 
 // [SECTION] Signals
 
-// Waits for a signal on a thread of its own, since little may be done in a handler.
-void watchSignals(const sigset_t &signals, foxwing::node::Node &node)
+// Waits for signals on a separate thread, because a signal handler may only make
+// async-signal-safe calls.
+void startSignalThread(const sigset_t &signals, foxwing::node::Node &node)
 {
     std::thread([signals, &node] {
         int received = 0;
@@ -95,7 +96,7 @@
     const auto settings = foxwing::fleet::readFleetSettings(options.settingsFile, &reason);
     if (!settings) {
         std::fprintf(stderr, "foxwingd: %s\n", reason.message.c_str());
-        return ExitWrongUse;
+        return ExitUsageError;
     }
     if (options.check) {
         std::printf("%s: good\n", options.settingsFile.c_str());
@@ -105,10 +106,10 @@
     foxwing::fleet::Node node(*settings, options.settingsFile, foxwing::platform::dialect());
     if (!node.start(&reason)) {
         std::fprintf(stderr, "foxwingd: %s\n", reason.message.c_str());
-        std::_Exit(ExitCantStart);
+        std::_Exit(ExitStartFailed);
     }
     node.run();
-    // A sync that hangs on its disk must not hold up the end.
+    // Skips destructors: a sync that hangs on its disk must not block the exit.
     std::_Exit(EXIT_SUCCESS);
 }
 
@@ -120,7 +121,7 @@
 {
     const auto options = readOptions(argc, const_cast<const char **>(argv));
     if (!options)
-        return ExitWrongUse;
+        return ExitUsageError;
     if (options->version) {
         std::printf("foxwingd %s\n", FOXWING_VERSION);
         return EXIT_SUCCESS;
@@ -131,7 +132,7 @@
     const auto settings = foxwing::settings::readSettings(options->settingsFile, &reason);
     if (!settings) {
         std::fprintf(stderr, "foxwingd: %s\n", reason.message.c_str());
-        return ExitWrongUse;
+        return ExitUsageError;
     }
     if (options->check) {
         std::printf("%s: good\n", options->settingsFile.c_str());
@@ -147,10 +148,10 @@
     foxwing::node::Node node(*settings);
     if (!node.start(&reason)) {
         std::fprintf(stderr, "foxwingd: %s\n", reason.message.c_str());
-        std::_Exit(ExitCantStart);
+        std::_Exit(ExitStartFailed);
     }
-    watchSignals(signals, node);
+    startSignalThread(signals, node);
     node.run();
-    // Calls to a dead endpoint may still be open in cpprestsdk; nobody waits for them.
+    // Skips destructors: calls to an unreachable endpoint may still be open in cpprestsdk.
     std::_Exit(EXIT_SUCCESS);
 }
--- a/packages/load/src/tally.cpp
+++ b/packages/load/src/summary.cpp
@@ -1,11 +1,11 @@
 /*
-    Counting what came back.
+    Summarizing the answers of a load run.
 
     [SECTION] Quantiles
     [SECTION] Summary
     [SECTION] Metrics
 */
-#include <foxwing/load/tally.h>
+#include <foxwing/load/summary.h>
 
 #include <algorithm>
 #include <cmath>
@@ -19,8 +19,8 @@
 {
     if (sorted.empty())
         return 0;
-    const double place = probability * static_cast<double>(sorted.size() - 1);
-    return sorted[static_cast<std::size_t>(std::llround(place))];
+    const double position = probability * static_cast<double>(sorted.size() - 1);
+    return sorted[static_cast<std::size_t>(std::llround(position))];
 }
 
 namespace {
@@ -84,7 +84,7 @@
 
 // [SECTION] Metrics
 
-std::map<std::string, double> readExposition(const std::string &text)
+std::map<std::string, double> parseMetrics(const std::string &text)
 {
     std::map<std::string, double> sums;
     std::istringstream lines(text);
--- a/tests/fleet/simulationfaults.cpp
+++ b/tests/fleet/simulationfaults.cpp
@@ -26,8 +26,8 @@
                   [this, dataCentre, cordoned] { changeCordon(dataCentre, cordoned); });
     catalog::AgreedState state;
     state.cordons = m_cordons;
-    const catalog::CordonOrder command { dataCentre, cordoned, m_cordons.revision };
-    if (catalog::apply(state, command) != catalog::Applied::Changed)
+    const catalog::CordonCommand command { dataCentre, cordoned, m_cordons.revision };
+    if (catalog::apply(state, command) != catalog::ApplyResult::Changed)
         return;
     m_cordons = state.cordons;
     if (cordoned)
