--- a/packages/fleet/src/agentrole.cpp
+++ b/packages/fleet/src/agentrole.cpp
@@ -214,7 +214,7 @@
 // Entries without a session here learn about the endpoint from the directory.
 void AgentRole::announceEndpoint()
 {
-    if (!m_runner.endpointIncarnation.described)
+    if (!m_runner.incarnationState.described)
         return;
     directory::NodeInfo node = m_core.self;
     node.service = m_runner.endpoint.service;
@@ -334,13 +334,13 @@
     gauge("foxwing_oldest_run_ms", "Age of the oldest run that holds capacity",
           toMilliseconds(runner::oldestRunAge(m_runner, steadyNow())));
     gauge("foxwing_last_end_noted", "Number of the endpoint's last ended run that was handled",
-          count(m_runner.endpointIncarnation.lastSeenEnd));
+          count(m_runner.incarnationState.lastSeenEnd));
     gauge("foxwing_starts_waiting", "Starts queued for capacity", count(m_runner.waiting.size()));
     gauge("foxwing_sessions", "Open sessions with entries", count(m_runner.sessions.size()));
     gauge("foxwing_endpoint_pace", "Run times relative to estimates",
-          m_runner.endpointIncarnation.slowdown);
+          m_runner.incarnationState.slowdown);
     gauge("foxwing_endpoint_bad", "Fault score of the endpoint, 0 to 1",
-          m_runner.endpointIncarnation.faultScore);
+          m_runner.incarnationState.faultScore);
     gauge("foxwing_cordons_revision", "Revision of the known cordons",
           count(m_runner.cordons.revision));
     gauge("foxwing_cordoned", "1 while the endpoint is cordoned",
--- a/packages/runner/include/foxwing/runner/runner.h
+++ b/packages/runner/include/foxwing/runner/runner.h
@@ -444,7 +444,7 @@
 
     // The endpoint; its id is empty while none is known.
     EndpointReport endpoint;
-    IncarnationState endpointIncarnation;
+    IncarnationState incarnationState;
 
     // Previous incarnations, the last one at the end; delayed heartbeats of theirs are ignored.
     std::deque<IncarnationId> previousIncarnations;
--- a/packages/runner/src/health.cpp
+++ b/packages/runner/src/health.cpp
@@ -15,7 +15,7 @@
 bool isOnProbation(const RunnerState &runner)
 {
     return runner.settings.probationEnabled
-            && runner.endpointIncarnation.faultScore >= runner.settings.probationThreshold;
+            && runner.incarnationState.faultScore >= runner.settings.probationThreshold;
 }
 
 void recordSuccess(RunnerState &runner, const Run &run, Milliseconds took)
@@ -25,21 +25,21 @@
     constexpr double MinRatio = 0.2;
     constexpr double MaxRatio = 5.0;
     if (!run.wasStraggling)
-        runner.endpointIncarnation.faultScore *= runner.settings.faultDecay;
+        runner.incarnationState.faultScore *= runner.settings.faultDecay;
     if (run.estimate.count() <= 0)
         return;
     const double ratio = static_cast<double>(took.count())
             / static_cast<double>(run.estimate.count());
-    runner.endpointIncarnation.slowdown += Weight
-            * (std::clamp(ratio, MinRatio, MaxRatio) - runner.endpointIncarnation.slowdown);
+    runner.incarnationState.slowdown += Weight
+            * (std::clamp(ratio, MinRatio, MaxRatio) - runner.incarnationState.slowdown);
 }
 
 void recordFault(RunnerState &runner, Time now)
 {
-    runner.endpointIncarnation.faultScore = std::min(1.0,
-                                                     runner.endpointIncarnation.faultScore
-                                                             + runner.settings.faultStep);
-    runner.endpointIncarnation.lastFaultAt = now;
+    runner.incarnationState.faultScore = std::min(1.0,
+                                                  runner.incarnationState.faultScore
+                                                          + runner.settings.faultStep);
+    runner.incarnationState.lastFaultAt = now;
 }
 
 void recordProgress(RunnerState &runner, Run &run, std::uint32_t percent, Time now)
--- a/packages/runner/src/incarnations.cpp
+++ b/packages/runner/src/incarnations.cpp
@@ -64,7 +64,7 @@
 void endAllRuns(RunnerState &runner, RunOutcome end, const char *why, Time now,
                 RunnerActions &actions)
 {
-    if (runner.runs.empty() && runner.endpointIncarnation.orphans.empty())
+    if (runner.runs.empty() && runner.incarnationState.orphans.empty())
         return;
     actions.events.push_back(
             change("all-runs-over").with("why", why).with("runs", runner.runs.size()));
@@ -73,7 +73,7 @@
         const RunId id = runner.runs.begin()->first;
         endRun(runner, id, end, StartRefusal::None, now, actions);
     }
-    runner.endpointIncarnation.orphans.clear();
+    runner.incarnationState.orphans.clear();
 }
 
 RunOutcome lossOutcome(const RunnerState &runner)
@@ -130,7 +130,7 @@
     rememberIncarnation(runner);
     runner.endpoint = EndpointReport();
     runner.endpoint.endpointIncarnation = endpointIncarnation;
-    runner.endpointIncarnation = IncarnationState();
+    runner.incarnationState = IncarnationState();
     runner.candidate.reset();
     ++runner.viewVersion;
     // A pending poll was for the previous incarnation; its result is ignored.
@@ -144,7 +144,7 @@
                  RunnerActions &actions)
 {
     const EndpointReport previous = std::exchange(runner.endpoint, report);
-    if (!std::exchange(runner.endpointIncarnation.described, true))
+    if (!std::exchange(runner.incarnationState.described, true))
         actions.events.push_back(change("endpoint-described")
                                          .with("life", report.endpointIncarnation.id)
                                          .with("service", report.service)
@@ -178,7 +178,7 @@
 // A candidate that arrived after the poll was sent is kept.
 void confirmIncarnation(RunnerState &runner, std::uint64_t poll)
 {
-    runner.endpointIncarnation.responded = true;
+    runner.incarnationState.responded = true;
     if (poll > runner.candidateAfterPoll)
         runner.candidate.reset();
 }
@@ -208,8 +208,8 @@
     // An incarnation keeps its service and data centre. If a foreign heartbeat were accepted, its
     // sequence number could make the endpoint's own heartbeats look outdated.
     const bool moved = report.service != current.service || report.dataCentre != current.dataCentre;
-    return runner.endpointIncarnation.described && moved ? "it changes the service or data centre"
-                                                         : nullptr;
+    return runner.incarnationState.described && moved ? "it changes the service or data centre"
+                                                      : nullptr;
 }
 
 // The same for any heartbeat.
@@ -228,8 +228,8 @@
         && *report.endpointIncarnation.startedAt < *current.startedAt)
         return "its incarnation started before the current one";
     // A valid heartbeat with another id must not displace an endpoint that works.
-    if (report.endpointIncarnation.id != current.id && runner.endpointIncarnation.responded
-        && runner.endpointIncarnation.failedPolls == 0)
+    if (report.endpointIncarnation.id != current.id && runner.incarnationState.responded
+        && runner.incarnationState.failedPolls == 0)
         return "the current incarnation is reachable";
     return nullptr;
 }
--- a/packages/runner/src/results.cpp
+++ b/packages/runner/src/results.cpp
@@ -141,9 +141,9 @@
 void handleEnded(RunnerState &runner, const PollResult &poll, Time now, RunnerActions &actions)
 {
     for (const EndedRun &row : poll.ended) {
-        runner.endpointIncarnation.lastSeenEnd = std::max(runner.endpointIncarnation.lastSeenEnd,
-                                                          row.number);
-        runner.endpointIncarnation.orphans.erase(row.id);
+        runner.incarnationState.lastSeenEnd = std::max(runner.incarnationState.lastSeenEnd,
+                                                       row.number);
+        runner.incarnationState.orphans.erase(row.id);
         endRun(runner, row.id, row.end, StartRefusal::None, now, actions);
     }
 }
@@ -153,19 +153,19 @@
                  const std::optional<WallTime> &startedAt, RunnerActions &actions)
 {
     for (const RunId &id : listed) {
-        if (runner.endpointIncarnation.orphans.insert(id).second)
+        if (runner.incarnationState.orphans.insert(id).second)
             actions.events.push_back(runEvent("orphan-stopping", id));
         actions.stops.push_back({ id, runner.fence, runner.endpoint.endpointIncarnation.id });
     }
-    runner.endpointIncarnation.orphans = listed;
+    runner.incarnationState.orphans = listed;
     const bool clean = listed.empty();
-    if (clean && !runner.endpointIncarnation.clean)
+    if (clean && !runner.incarnationState.clean)
         actions.events.push_back(change("endpoint-clean")
                                          .with("life", runner.endpoint.endpointIncarnation.id)
                                          .with("born_ms", startTimeField(startedAt)));
-    if (clean != runner.endpointIncarnation.clean)
+    if (clean != runner.incarnationState.clean)
         ++runner.viewVersion;
-    runner.endpointIncarnation.clean = clean;
+    runner.incarnationState.clean = clean;
 }
 
 // A listed run belongs to the current incarnation, whichever one its start was sent to.
@@ -221,22 +221,22 @@
 void handlePollFailure(RunnerState &runner, const CommandResult &result, Time now,
                        RunnerActions &actions)
 {
-    ++runner.endpointIncarnation.failedPolls;
-    runner.endpointIncarnation.pollFailedAt = now;
+    ++runner.incarnationState.failedPolls;
+    runner.incarnationState.pollFailedAt = now;
     const std::uint32_t limit = runner.settings.maxFailedPolls;
-    const std::uint32_t delayFactor = runner.endpointIncarnation.failedPolls
-            - std::min(runner.endpointIncarnation.failedPolls, limit - 1);
+    const std::uint32_t delayFactor = runner.incarnationState.failedPolls
+            - std::min(runner.incarnationState.failedPolls, limit - 1);
     runner.nextPollAt = now
             + runner.settings.pollRetryDelay * std::min(delayFactor, MaxDelayFactor);
     if (result.status == CommandStatus::Fenced)
         raiseFence(runner, actions);
-    if (runner.endpointIncarnation.failedPolls == limit)
+    if (runner.incarnationState.failedPolls == limit)
         actions.events.push_back(change("endpoint-out-of-reach")
                                          .with("life", runner.endpoint.endpointIncarnation.id)
                                          .with("answer", toString(result.status)));
     // Nothing listens at its address, twice in a row: the process is gone, and its runs with it.
     const bool processGone = result.status == CommandStatus::ConnectionRefused
-            && runner.endpointIncarnation.failedPolls > 1;
+            && runner.incarnationState.failedPolls > 1;
     if (processGone || result.status == CommandStatus::OtherIncarnation)
         endAllRuns(runner, lossOutcome(runner), toString(result.status), now, actions);
     if (result.status == CommandStatus::OtherIncarnation)
@@ -274,11 +274,11 @@
         if (isUnreachable(runner))
             actions.events.push_back(change("endpoint-in-reach")
                                              .with("life", runner.endpoint.endpointIncarnation.id));
-        runner.endpointIncarnation.failedPolls = 0;
+        runner.incarnationState.failedPolls = 0;
         runner.fenceRejections = 0;
         confirmIncarnation(runner, number);
-        runner.nextPollAt = runner.endpointIncarnation.clean ? now
-                                                             : now + runner.settings.pollRetryDelay;
+        runner.nextPollAt = runner.incarnationState.clean ? now
+                                                          : now + runner.settings.pollRetryDelay;
         handleEnded(runner, poll, now, actions);
         handleRunning(runner, number, poll, now, actions);
     } else {
--- a/packages/runner/src/runner.cpp
+++ b/packages/runner/src/runner.cpp
@@ -153,11 +153,11 @@
     if (!result.endpointClock)
         return;
     // Results may arrive out of order: an older one must not set the clock back.
-    if (runner.endpointIncarnation.clockSample
-        && *result.endpointClock < *runner.endpointIncarnation.clockSample)
+    if (runner.incarnationState.clockSample
+        && *result.endpointClock < *runner.incarnationState.clockSample)
         return;
-    runner.endpointIncarnation.clockSample = result.endpointClock;
-    runner.endpointIncarnation.clockSampledAt = now;
+    runner.incarnationState.clockSample = result.endpointClock;
+    runner.incarnationState.clockSampledAt = now;
 }
 
 // [SECTION] Cordons
@@ -212,12 +212,12 @@
                                             [](const auto &item) {
                                                 return item.second.carriedOver;
                                             });
-    if (!runner.endpointIncarnation.clockSample || anyCarriedOver)
+    if (!runner.incarnationState.clockSample || anyCarriedOver)
         return false;
     const auto elapsed = std::chrono::duration_cast<Milliseconds>(
-            now - runner.endpointIncarnation.clockSampledAt);
-    return *runner.endpointIncarnation.clockSample + elapsed * SlowestClockPercent / 100
-            > runner.endpointIncarnation.leaseUntil;
+            now - runner.incarnationState.clockSampledAt);
+    return *runner.incarnationState.clockSample + elapsed * SlowestClockPercent / 100
+            > runner.incarnationState.leaseUntil;
 }
 
 void retryStops(RunnerState &runner, Time now, RunnerActions &actions)
@@ -248,7 +248,7 @@
     acceptEntryCordons(runner, now, actions);
     endTimedOutSessions(runner, now, actions);
     retryStops(runner, now, actions);
-    if (!runner.runs.empty() && runner.endpointIncarnation.failedPolls > 0
+    if (!runner.runs.empty() && runner.incarnationState.failedPolls > 0
         && isLeaseExpired(runner, now))
         endAllRuns(runner, RunOutcome::LeaseExpired,
                    "the lease has expired and the endpoint is unreachable", now, actions);
--- a/packages/runner/src/sessions.cpp
+++ b/packages/runner/src/sessions.cpp
@@ -85,8 +85,8 @@
     command.deadline = *leaseDeadline(runner, now);
     command.fence = runner.fence;
     command.endpointIncarnation = runner.endpoint.endpointIncarnation.id;
-    runner.endpointIncarnation.leaseUntil = std::max(runner.endpointIncarnation.leaseUntil,
-                                                     command.deadline);
+    runner.incarnationState.leaseUntil = std::max(runner.incarnationState.leaseUntil,
+                                                  command.deadline);
     ++run.attempts;
     actions.starts.push_back(std::move(command));
 }
--- a/packages/runner/src/updates.cpp
+++ b/packages/runner/src/updates.cpp
@@ -17,7 +17,7 @@
 
 bool isUnreachable(const RunnerState &runner)
 {
-    return runner.endpointIncarnation.failedPolls >= runner.settings.maxFailedPolls;
+    return runner.incarnationState.failedPolls >= runner.settings.maxFailedPolls;
 }
 
 namespace {
@@ -27,8 +27,8 @@
 
 bool mayStart(const RunnerState &runner)
 {
-    return runner.endpointIncarnation.described && !runner.endpoint.leaving && !runner.stopping
-            && runner.endpointIncarnation.clean && runner.endpointIncarnation.clockSample
+    return runner.incarnationState.described && !runner.endpoint.leaving && !runner.stopping
+            && runner.incarnationState.clean && runner.incarnationState.clockSample
             && !isUnreachable(runner) && runner.cordonsKnown && !isCordoned(runner);
 }
 
@@ -75,7 +75,7 @@
     if (!isOnProbation(runner))
         return UnlimitedStarts;
     const bool pauseOver = now
-            >= runner.endpointIncarnation.lastFaultAt + runner.settings.probationPause;
+            >= runner.incarnationState.lastFaultAt + runner.settings.probationPause;
     return runner.runs.empty() && pauseOver ? 1 : 0;
 }
 
@@ -89,7 +89,7 @@
     view.capacity = runner.endpoint.capacity;
     view.free = availableCapacity(runner);
     view.maxStarts = maxStarts(runner, now);
-    view.slowdownPermille = static_cast<std::uint32_t>(runner.endpointIncarnation.slowdown * 1000);
+    view.slowdownPermille = static_cast<std::uint32_t>(runner.incarnationState.slowdown * 1000);
     view.leaving = runner.endpoint.leaving || runner.stopping;
     return view;
 }
@@ -110,7 +110,7 @@
 void acceptSession(RunnerState &runner, std::uint64_t number, Session &session, Time now,
                    RunnerActions &actions)
 {
-    if (!runner.endpointIncarnation.clean || ownerHasOtherRuns(runner, number, session))
+    if (!runner.incarnationState.clean || ownerHasOtherRuns(runner, number, session))
         return;
     session.accepted = true;
     session.reportedView = runner.viewVersion;
@@ -168,8 +168,7 @@
     update.startsHandled = session.startsHandled;
     update.free = free;
     update.maxStarts = startLimit;
-    update.slowdownPermille = static_cast<std::uint32_t>(runner.endpointIncarnation.slowdown
-                                                         * 1000);
+    update.slowdownPermille = static_cast<std::uint32_t>(runner.incarnationState.slowdown * 1000);
     update.leaving = runner.endpoint.leaving || runner.stopping;
     update.waiting = backlogRows(runner);
     update.freedPerSecond = static_cast<std::uint32_t>(
@@ -223,13 +222,12 @@
     poll.number = ++runner.pollNumber;
     poll.fence = runner.fence;
     poll.endpointIncarnation = runner.endpoint.endpointIncarnation.id;
-    poll.lastSeenEnd = runner.endpointIncarnation.lastSeenEnd;
-    const bool immediate = !runner.endpointIncarnation.clean
-            || !runner.endpointIncarnation.clockSample
-            || runner.endpointIncarnation.failedPolls > 0;
+    poll.lastSeenEnd = runner.incarnationState.lastSeenEnd;
+    const bool immediate = !runner.incarnationState.clean || !runner.incarnationState.clockSample
+            || runner.incarnationState.failedPolls > 0;
     const bool busy = !runner.runs.empty();
-    const bool recentFailure = runner.endpointIncarnation.pollFailedAt
-            && now < *runner.endpointIncarnation.pollFailedAt + runner.settings.pollFailureWindow;
+    const bool recentFailure = runner.incarnationState.pollFailedAt
+            && now < *runner.incarnationState.pollFailedAt + runner.settings.pollFailureWindow;
     poll.wait = immediate           ? Milliseconds(0)
             : busy && recentFailure ? runner.settings.cautiousPollWait
             : busy                  ? runner.settings.busyPollWait
@@ -238,8 +236,8 @@
     if (busy && !isUnreachable(runner))
         poll.deadline = leaseDeadline(runner, now);
     if (poll.deadline)
-        runner.endpointIncarnation.leaseUntil = std::max(runner.endpointIncarnation.leaseUntil,
-                                                         *poll.deadline);
+        runner.incarnationState.leaseUntil = std::max(runner.incarnationState.leaseUntil,
+                                                      *poll.deadline);
     actions.poll = poll;
 }
 
@@ -247,11 +245,11 @@
 
 std::optional<Milliseconds> leaseDeadline(const RunnerState &runner, Time now)
 {
-    if (!runner.endpointIncarnation.clockSample || leaseMustExpire(runner, now))
+    if (!runner.incarnationState.clockSample || leaseMustExpire(runner, now))
         return std::nullopt;
     const auto elapsed = std::chrono::duration_cast<Milliseconds>(
-            now - runner.endpointIncarnation.clockSampledAt);
-    return *runner.endpointIncarnation.clockSample + elapsed + runner.settings.leaseDuration;
+            now - runner.incarnationState.clockSampledAt);
+    return *runner.incarnationState.clockSample + elapsed + runner.settings.leaseDuration;
 }
 
 // [SECTION] Events
@@ -266,9 +264,9 @@
                 eventlog::change(runner.wasOnProbation ? "endpoint-on-trial" : "endpoint-trusted")
                         .with("life", runner.endpoint.endpointIncarnation.id)
                         .with("bad_percent",
-                              static_cast<int>(runner.endpointIncarnation.faultScore * 100))
+                              static_cast<int>(runner.incarnationState.faultScore * 100))
                         .with("pace_percent",
-                              static_cast<int>(runner.endpointIncarnation.slowdown * 100))
+                              static_cast<int>(runner.incarnationState.slowdown * 100))
                         .with("runs", std::uint64_t { runner.runs.size() }));
     }
     const jobs::ResourceVector free = availableCapacity(runner);
--- a/packages/runner/tests/incarnations_test.cpp
+++ b/packages/runner/tests/incarnations_test.cpp
@@ -129,7 +129,7 @@
 TEST(RunnerRestart, ResetsTheLastSeenEnd)
 {
     LongRunningFixture fixture;
-    EXPECT_EQ(fixture.runner.endpointIncarnation.lastSeenEnd, 500U);
+    EXPECT_EQ(fixture.runner.incarnationState.lastSeenEnd, 500U);
     const RunnerActions settled = fixture.restart();
     ASSERT_TRUE(settled.poll);
     EXPECT_EQ(settled.poll->lastSeenEnd, 0U);
--- a/packages/runner/tests/starts_test.cpp
+++ b/packages/runner/tests/starts_test.cpp
@@ -102,7 +102,7 @@
     ASSERT_EQ(ends.size(), 1U);
     EXPECT_EQ(ends[0].end, RunOutcome::Stopped);
     EXPECT_EQ(fixture.start(4).starts.size(), 1U);
-    EXPECT_EQ(fixture.runner.endpointIncarnation.lastSeenEnd, 1U);
+    EXPECT_EQ(fixture.runner.incarnationState.lastSeenEnd, 1U);
 }
 
 struct RefusalCase
--- a/tests/fleet/size_test.cpp
+++ b/tests/fleet/size_test.cpp
@@ -158,10 +158,10 @@
     cost.sessions = sessions;
     const Milliseconds heartbeatInterval = scheduler::SchedulerSettings().heartbeatInterval;
     runner::RunnerState agent = runner::makeRunner(runner::RunnerSettings(), 1, 1);
-    agent.endpointIncarnation.described = true;
-    agent.endpointIncarnation.clean = true;
-    agent.endpointIncarnation.clockSample = Milliseconds(0);
-    agent.endpointIncarnation.clockSampledAt = Start;
+    agent.incarnationState.described = true;
+    agent.incarnationState.clean = true;
+    agent.incarnationState.clockSample = Milliseconds(0);
+    agent.incarnationState.clockSampledAt = Start;
     agent.cordonsKnown = true;
     agent.endpoint.endpointIncarnation.id = "life";
     agent.endpoint.capacity = viewOfEndpoint().capacity;
