--- a/packages/forecast/include/foxwing/forecast/forecast.h
+++ b/packages/forecast/include/foxwing/forecast/forecast.h
@@ -41,13 +41,12 @@
     // By priority, most urgent first
     std::vector<jobs::PriorityBacklog> waiting;
 
-    // Free capacity of each endpoint that has any, and capacity freed per second by all of them;
-    // in thousandths of a core
+    // Free capacity of each endpoint that has any, and capacity freed per second by all of them; in
+    // millicores
     std::vector<std::int64_t> free;
     double freedPerSecond = 0;
 
-    // Fraction of freed capacity that goes to this entry; the queues of other entries are
-    // unknown.
+    // Fraction of freed capacity that goes to this entry; the queues of other entries are unknown.
     double share = 1;
 
     // Age of the oldest report included
@@ -59,11 +58,11 @@
 {
     std::uint32_t priority = 0;
 
-    // Demand of one task and of all waiting tasks, in thousandths of a core
+    // Demand of one task and of all waiting tasks, in millicores
     std::int64_t taskMilliCores = 0;
     std::int64_t milliCores = 0;
 
-    // Work queued ahead of it at this entry, in thousandths of a core
+    // Work queued ahead of it at this entry, in millicores
     std::int64_t queuedAhead = 0;
 };
 
--- a/packages/jobs/include/foxwing/jobs/job.h
+++ b/packages/jobs/include/foxwing/jobs/job.h
@@ -37,10 +37,10 @@
     fields("accelerators", resources.accelerators);
 }
 
-inline bool fits(const ResourceVector &needed, const ResourceVector &free)
+inline bool fits(const ResourceVector &demand, const ResourceVector &free)
 {
-    return needed.milliCores <= free.milliCores && needed.megabytes <= free.megabytes
-            && needed.accelerators <= free.accelerators;
+    return demand.milliCores <= free.milliCores && demand.megabytes <= free.megabytes
+            && demand.accelerators <= free.accelerators;
 }
 
 inline ResourceVector &operator+=(ResourceVector &resources, const ResourceVector &other)
--- a/packages/jobs/include/foxwing/jobs/messages.h
+++ b/packages/jobs/include/foxwing/jobs/messages.h
@@ -276,7 +276,7 @@
     // Waiting starts of all entries, one row per priority, most urgent first
     std::vector<PriorityBacklog> waiting;
 
-    // Capacity recently freed by runs of all entries, in thousandths of a core per second
+    // Capacity recently freed by runs of all entries, in millicores per second
     std::uint32_t freedPerSecond = 0;
     std::vector<RunReport> ended;
     std::vector<StragglerReport> stragglers;
--- a/packages/runner/include/foxwing/runner/runner.h
+++ b/packages/runner/include/foxwing/runner/runner.h
@@ -77,7 +77,7 @@
     // commands lost, seven in a row fail about once in a hundred times.
     std::uint32_t maxFailedPolls { 7 };
 
-    // Between polls of an endpoint that is unreachable or still has runs of an earlier agent.
+    // Pause between polls of an endpoint that is unreachable or still has runs of an earlier agent.
     Milliseconds pollRetryDelay { 40 };
 
     // A stop is repeated after this long if the run's end isn't listed. The endpoint takes up to
@@ -92,8 +92,8 @@
     Milliseconds capacityUpdateInterval { 10 };
 
     // The same for entries without waiting work, and the longest time until a heartbeat is
-    // acknowledged. A quarter of the silence after which an entry considers an agent lost, and
-    // long enough to keep the number of updates small.
+    // acknowledged. A quarter of the silence after which an entry considers an agent lost, and long
+    // enough to keep the number of updates small.
     Milliseconds idleUpdateInterval { 100 };
 
     // Progress is compared with the estimate after this run time: twice the delay that a reply can
@@ -118,7 +118,7 @@
     // priorities, so that updates stay small whatever queues are declared.
     std::size_t maxWaitingRows = 8;
 
-    // Starts of one priority and of more urgent ones may wait for up to this percentage of the
+    // Maximum demand of waiting starts of one priority and of more urgent ones, in percent of the
     // endpoint's capacity.
     std::int64_t maxWaitingPercent = 15;
 
@@ -130,8 +130,8 @@
     // longest delay of a heartbeat.
     std::size_t maxPreviousIncarnations = 16;
 
-    // How long, and how many, tasks are remembered that ran when the endpoint crashed. Longer than
-    // entries remember a job, and enough for several crashes of a full endpoint.
+    // How long tasks that ran when the endpoint crashed are remembered, and how many of them.
+    // Longer than entries remember a job, and enough for several crashes of a full endpoint.
     Milliseconds crashRetention { 60000 };
     std::size_t maxCrashedTasks = 256;
 
@@ -400,8 +400,8 @@
 // start anew, so comparing them across incarnations would drop heartbeats and lose ends.
 struct IncarnationState
 {
-    // A heartbeat has told its service and capacity; before that it is known only from a list of
-    // runs.
+    // A heartbeat has reported its service and capacity; before that it is known only from a list
+    // of runs.
     bool described = false;
 
     // It has replied to a poll.
@@ -449,9 +449,9 @@
     // Previous incarnations, the last one at the end; delayed heartbeats of theirs are ignored.
     std::deque<IncarnationId> previousIncarnations;
 
-    // The newest heartbeat of another incarnation while the current one replies or is the younger
-    // one: a delayed or stray heartbeat, or the next incarnation's. The next poll tells which.
-    // candidateAfterPoll is the last poll that was sent before it arrived.
+    // The newest ignored heartbeat that may be from the next incarnation. It may also be delayed or
+    // stray; the next poll shows which. candidateAfterPoll is the last poll that was sent before it
+    // arrived.
     std::optional<EndpointReport> candidate;
     std::uint64_t candidateAfterPoll = 0;
 
@@ -475,7 +475,7 @@
     // By priority, then in the order of arrival
     std::vector<WaitingStart> waiting;
 
-    // Capacity freed by ended runs, in thousandths of a core
+    // Capacity freed by ended runs, in millicores
     FadingSum freed;
 
     // Polls: number of the last one sent; results of polls up to lastAnsweredPoll are ignored.
--- a/packages/runner/src/health.cpp
+++ b/packages/runner/src/health.cpp
@@ -18,7 +18,7 @@
             && runner.incarnationState.faultScore >= runner.settings.probationThreshold;
 }
 
-void recordSuccess(RunnerState &runner, const Run &run, Milliseconds took)
+void recordSuccess(RunnerState &runner, const Run &run, Milliseconds duration)
 {
     // Moving average; the ratio is clamped, so that one outlier changes it only a little.
     constexpr double Weight = 0.05;
@@ -28,7 +28,7 @@
         runner.incarnationState.faultScore *= runner.settings.faultDecay;
     if (run.estimate.count() <= 0)
         return;
-    const double ratio = static_cast<double>(took.count())
+    const double ratio = static_cast<double>(duration.count())
             / static_cast<double>(run.estimate.count());
     runner.incarnationState.slowdown += Weight
             * (std::clamp(ratio, MinRatio, MaxRatio) - runner.incarnationState.slowdown);
--- a/packages/runner/src/incarnations.cpp
+++ b/packages/runner/src/incarnations.cpp
@@ -61,7 +61,7 @@
 
 // [SECTION] Incarnations
 
-void endAllRuns(RunnerState &runner, RunOutcome end, const char *why, Time now,
+void endAllRuns(RunnerState &runner, RunOutcome outcome, const char *why, Time now,
                 RunnerActions &actions)
 {
     if (runner.runs.empty() && runner.incarnationState.orphans.empty())
@@ -71,7 +71,7 @@
     fenceOffCommands(runner);
     while (!runner.runs.empty()) {
         const RunId id = runner.runs.begin()->first;
-        endRun(runner, id, end, StartRefusal::None, now, actions);
+        endRun(runner, id, outcome, StartRefusal::None, now, actions);
     }
     runner.incarnationState.orphans.clear();
 }
--- a/packages/runner/src/internal.h
+++ b/packages/runner/src/internal.h
@@ -66,7 +66,7 @@
                  jobs::StartRefusal why);
 
 // Frees the run's capacity and reports its end to the entry.
-void endRun(RunnerState &runner, const jobs::RunId &id, jobs::RunOutcome end,
+void endRun(RunnerState &runner, const jobs::RunId &id, jobs::RunOutcome outcome,
             jobs::StartRefusal refused, Time now, RunnerActions &actions);
 void stopRun(RunnerState &runner, const jobs::RunId &id, Run &run, const char *why, Time now,
              RunnerActions &actions);
@@ -93,7 +93,7 @@
 std::int64_t startTimeField(const std::optional<WallTime> &startedAt);
 
 // Ends all runs; only when none of them can be running any more.
-void endAllRuns(RunnerState &runner, jobs::RunOutcome end, const char *why, Time now,
+void endAllRuns(RunnerState &runner, jobs::RunOutcome outcome, const char *why, Time now,
                 RunnerActions &actions);
 
 // How runs end that are lost with the current incarnation.
@@ -115,7 +115,7 @@
 
 // [SECTION] Health
 
-void recordSuccess(RunnerState &runner, const Run &run, Milliseconds took);
+void recordSuccess(RunnerState &runner, const Run &run, Milliseconds duration);
 void recordFault(RunnerState &runner, Time now);
 
 // Updates a run from the endpoint's progress report.
--- a/packages/runner/src/results.cpp
+++ b/packages/runner/src/results.cpp
@@ -210,8 +210,8 @@
         if (missing && number >= run.decisivePoll)
             ended.emplace_back(id, outcomeIfMissing(run));
     }
-    for (const auto &[id, end] : ended)
-        endRun(runner, id, end, StartRefusal::Endpoint, now, actions);
+    for (const auto &[id, outcome] : ended)
+        endRun(runner, id, outcome, StartRefusal::Endpoint, now, actions);
     stopOrphans(runner, orphans, poll.startedAt, actions);
 }
 
--- a/packages/runner/src/runner.cpp
+++ b/packages/runner/src/runner.cpp
@@ -73,13 +73,13 @@
 
 namespace {
 
-void countOutcome(RunnerState &runner, RunOutcome end)
+void countOutcome(RunnerState &runner, RunOutcome outcome)
 {
-    if (end == RunOutcome::Done)
+    if (outcome == RunOutcome::Done)
         ++runner.done;
-    else if (end == RunOutcome::Failed)
+    else if (outcome == RunOutcome::Failed)
         ++runner.failed;
-    else if (end == RunOutcome::NeverStarted)
+    else if (outcome == RunOutcome::NeverStarted)
         ++runner.refused;
     else
         ++runner.stopped;
@@ -87,43 +87,42 @@
 
 } // namespace
 
-// Failed runs don't count: an endpoint where everything fails would seem to free the most
-// capacity.
-static void recordFreed(RunnerState &runner, const Run &run, RunOutcome end, Time now)
+// Failed runs don't count: an endpoint where everything fails would seem to free the most capacity.
+static void recordFreed(RunnerState &runner, const Run &run, RunOutcome outcome, Time now)
 {
-    if (end == RunOutcome::Done || end == RunOutcome::Stopped)
+    if (outcome == RunOutcome::Done || outcome == RunOutcome::Stopped)
         addTo(runner.freed, runner.settings.freedWindow, static_cast<double>(run.demand.milliCores),
               now);
 }
 
-void endRun(RunnerState &runner, const RunId &id, RunOutcome end, StartRefusal refused, Time now,
-            RunnerActions &actions)
+void endRun(RunnerState &runner, const RunId &id, RunOutcome outcome, StartRefusal refused,
+            Time now, RunnerActions &actions)
 {
     const auto found = runner.runs.find(id);
     if (found == runner.runs.end())
         return;
     const Run run = found->second;
     runner.runs.erase(found);
-    countOutcome(runner, end);
-    recordFreed(runner, run, end, now);
-    if (end == RunOutcome::Crashed)
+    countOutcome(runner, outcome);
+    recordFreed(runner, run, outcome, now);
+    if (outcome == RunOutcome::Crashed)
         recordCrash(runner, id.task, now);
     const bool started = run.startedAt != Time {};
-    const auto took = std::chrono::duration_cast<Milliseconds>(started ? now - run.startedAt
-                                                                       : Microseconds(0));
-    if (end == RunOutcome::Done)
-        recordSuccess(runner, run, took);
-    if (end == RunOutcome::Failed)
+    const auto duration = std::chrono::duration_cast<Milliseconds>(started ? now - run.startedAt
+                                                                           : Microseconds(0));
+    if (outcome == RunOutcome::Done)
+        recordSuccess(runner, run, duration);
+    if (outcome == RunOutcome::Failed)
         recordFault(runner, now);
     if (end != RunOutcome::Done)
         actions.events.push_back(runEvent("run-ended", id)
-                                         .with("end", jobs::toString(end))
+                                         .with("end", jobs::toString(outcome))
                                          .with("refused", jobs::toString(refused))
-                                         .with("ran_ms", took));
+                                         .with("ran_ms", duration));
     const auto session = runner.sessions.find(run.session);
     if (session == runner.sessions.end() || session->second.closed)
         return;
-    session->second.ended.push_back({ id, end, refused, took });
+    session->second.ended.push_back({ id, outcome, refused, duration });
     session->second.dirty = true;
 }
 
--- a/packages/runner/tests/fixture.h
+++ b/packages/runner/tests/fixture.h
@@ -88,22 +88,23 @@
                 + std::chrono::duration_cast<Milliseconds>(now - Time(Seconds(100)));
     }
 
-    RunnerActions start(std::uint32_t index, std::int64_t cores = 1000, std::uint32_t run = 1)
+    RunnerActions start(std::uint32_t index, std::int64_t milliCores = 1000, std::uint32_t run = 1)
     {
         jobs::StartTasks message;
         message.job = "job";
-        message.demand = { cores, 10, 0 };
+        message.demand = { milliCores, 10, 0 };
         message.estimate = Milliseconds(100);
         message.starts = { { index, run } };
         return startTasks(runner, EntrySession, message, now);
     }
 
     // A start that may wait here for 100 ms.
-    RunnerActions startOrWait(std::uint32_t index, std::int64_t cores, std::uint32_t priority = 0)
+    RunnerActions startOrWait(std::uint32_t index, std::int64_t milliCores,
+                              std::uint32_t priority = 0)
     {
         jobs::StartTasks message;
         message.job = "job";
-        message.demand = { cores, 10, 0 };
+        message.demand = { milliCores, 10, 0 };
         message.estimate = Milliseconds(100);
         message.priority = priority;
         message.maxWait = Milliseconds(100);
--- a/packages/runner/tests/incarnations_test.cpp
+++ b/packages/runner/tests/incarnations_test.cpp
@@ -64,7 +64,7 @@
 
 // [SECTION] Heartbeats
 
-TEST(RunnerRestart, ThenLeavingGetsNoNewRuns)
+TEST(RunnerRestart, FollowedByLeavingAllowsNoNewRuns)
 {
     LongRunningFixture fixture;
     fixture.restart();
@@ -189,8 +189,8 @@
     EXPECT_EQ(fixture.runner.runs.count(runId(2)), 1U);
 }
 
-// A list of runs shows the new incarnation before its first heartbeat: its service and capacity
-// are unknown yet.
+// A list of runs shows the new incarnation before its first heartbeat: its service and capacity are
+// unknown yet.
 TEST(RunnerRestart, KnownFromAListOnlyGetsNoRunsBeforeAHeartbeat)
 {
     LongRunningFixture fixture;
--- a/packages/runner/tests/sessions_test.cpp
+++ b/packages/runner/tests/sessions_test.cpp
@@ -134,7 +134,7 @@
     const char *name;
     std::size_t maxRows;
 
-    // Of starts that need 100 thousandths of a core each
+    // Of starts that need 100 millicores each
     std::vector<std::uint32_t> priorities;
     std::vector<std::pair<std::uint32_t, std::int64_t>> rows;
 };
@@ -188,7 +188,7 @@
 class FreedRate : public testing::TestWithParam<FreedCase>
 { };
 
-// A run that frees 900 thousandths of a core: 3000 per second over the window of 300 ms.
+// A run that frees 900 millicores: 3000 per second over the window of 300 ms.
 TEST_P(FreedRate, IsReportedAndDecays)
 {
     RunnerFixture fixture;
--- a/packages/runner/tests/starts_test.cpp
+++ b/packages/runner/tests/starts_test.cpp
@@ -18,7 +18,7 @@
 {
     const char *name;
     std::function<void(RunnerFixture &)> prepare;
-    std::int64_t cores;
+    std::int64_t milliCores;
     StartRefusal refused;
 };
 
@@ -34,7 +34,7 @@
 {
     RunnerFixture fixture;
     GetParam().prepare(fixture);
-    const RunnerActions actions = fixture.start(7, GetParam().cores);
+    const RunnerActions actions = fixture.start(7, GetParam().milliCores);
     const bool taken = GetParam().refused == StartRefusal::None;
     EXPECT_EQ(actions.starts.size(), taken ? 1U : 0U);
     const auto ends = reportedEnds(actions);
@@ -74,8 +74,8 @@
                 StartCase { "Unreachable",
                             [](RunnerFixture &fixture) {
                                 fixture.failPolls = true;
-                                const auto most = fixture.runner.settings.maxFailedPolls;
-                                for (std::uint32_t i = 0; i < most; ++i) {
+                                const auto limit = fixture.runner.settings.maxFailedPolls;
+                                for (std::uint32_t i = 0; i < limit; ++i) {
                                     fixture.completePoll({});
                                     fixture.advance(Milliseconds(100));
                                 }
@@ -158,14 +158,14 @@
 {
     const char *name;
 
-    // Priorities of starts 11, 12, ... that need 600 thousandths of a core each and arrive while
-    // all capacity is in use
+    // Priorities of starts 11, 12, ... that need 600 millicores each and arrive while all capacity
+    // is in use
     std::vector<std::uint32_t> priorities;
 
     // Which of them start once the capacity is free again
     std::vector<std::uint32_t> started;
 
-    // Which are refused at once: 15 percent of 4000 thousandths of a core may wait at a priority
+    // Which are refused at once: 15 percent of 4000 millicores may wait at a priority
     std::vector<std::uint32_t> refused;
 };
 
--- a/packages/scheduler/include/foxwing/scheduler/scheduler.h
+++ b/packages/scheduler/include/foxwing/scheduler/scheduler.h
@@ -3,8 +3,9 @@
     is refused or given up.
 
     Every entry knows the free capacity of all endpoints and sends starts directly to their agents;
-    an agent refuses at once what does not fit. Waiting jobs are ordered by the latest time at which
-    they can start and still be on time; those that can no longer be on time come last.
+    an agent refuses at once what does not fit. By default, waiting jobs are ordered by the priority
+    of their queues, then by the latest time at which they can start and still be on time; those
+    that can no longer be on time come last.
 
     No two runs of a task overlap: a task is started again only after the end of its last run was
     reported, or after the agent it was sent to has certainly stopped it (see lostRunTimeout).
@@ -109,18 +110,18 @@
     // shortest task, so that a busy period costs one request and not one for each job.
     Milliseconds needsCapacityFor { 300 };
 
-    // An agent that was silent for this long is given up. More than three heartbeats, and less than
-    // the agent waits for its entry.
+    // An agent that was silent for this long is given up. Longer than three heartbeat intervals,
+    // and shorter than the silence after which the agent closes the session.
     Milliseconds agentTimeout { 400 };
 
-    // An agent that was silent for this long gets work only if no other fits: twice the time
-    // between its heartbeat answers, plus one turn of the event loop. It may be cut off, and then
-    // its runs would be uncertain for lostRunTimeout.
+    // An agent that was silent for this long gets work only if no other fits: twice the interval at
+    // which it acknowledges heartbeats, plus one turn of the event loop. It may be disconnected,
+    // and then its runs would be uncertain for lostRunTimeout.
     Milliseconds suspectAfter { 220 };
 
     // This long after the last message to a lost agent, its runs have certainly stopped: the agent
-    // stops them if it does not hear from the entry (450 ms) or its endpoint's lease ends (400 ms
-    // plus 2 percent), and stopping takes up to 50 ms.
+    // stops them if it receives nothing from the entry (450 ms) or its endpoint's lease ends (400
+    // ms plus 2 percent), and stopping takes up to 50 ms.
     Milliseconds lostRunTimeout { 950 };
 
     // A placement pass ends once this many jobs could not be placed.
@@ -146,17 +147,17 @@
     // A job is worth finishing until this many times its objective after its arrival.
     double lateFactor = 3.0;
 
-    // A task under which this many endpoints crashed is given up: it probably causes the crashes,
-    // and each retry takes down what runs beside it. Below three, a task may just be unlucky with
-    // unstable endpoints.
+    // A task is given up once this many endpoints have crashed while running it: it probably causes
+    // the crashes, and each retry takes down what runs beside it. Below three, a task may just be
+    // unlucky with unstable endpoints.
     std::uint32_t maxCrashes = 3;
 
     // If the job is sent again within this time, it is given up at once. Longer than the deadline
     // of any caller.
     Milliseconds crashRetention { 60000 };
 
-    // Bound on the jobs whose reported crashes are remembered: more than run on several crashing
-    // endpoints within crashRetention.
+    // Maximum number of jobs whose crashes are remembered: more than several crashing endpoints run
+    // within crashRetention.
     std::size_t maxCrashedJobs = 1024;
 
     // Jobs that have begun are finished, even if late, while their callers wait. If a caller gave
@@ -185,7 +186,7 @@
     // so that short-term changes come from the agents' reports alone.
     Milliseconds shareWindow { 2000 };
 
-    // Interval at which the agents' reports are added up for that.
+    // Interval at which the agents' reports are added up for that share.
     Milliseconds shareInterval { 100 };
 
     // A job that can no longer be on time keeps waiting, behind all that can, while the forecast
@@ -235,6 +236,8 @@
     std::string service;
     std::uint32_t priority = 0;
     std::uint32_t maxAttempts = 1;
+
+    // The job is due this many times its expected time after its arrival, plus targetLatency.
     double stretch = 1.0;
     Milliseconds targetLatency { 0 };
 
@@ -273,6 +276,8 @@
     std::uint32_t crashes = 0;
     std::string agent;
     Time placedAt {};
+
+    // While uncertain: its run has certainly stopped by then
     Time stoppedBy {};
     bool stopRequested = false;
 
@@ -309,7 +314,7 @@
     // By step, the longest finished run
     std::vector<Milliseconds> longestRun;
 
-    // Estimated: when the job is due, and the latest start to be done by then
+    // When the job is due, and the latest start that meets this by its expected time
     Time objectiveAt {};
     Time latestStart {};
 
@@ -418,8 +423,8 @@
     std::uint32_t effective = 0;
     bool belowGuarantee = false;
 
-    // A less urgent queue is below its guaranteed share and this one is not: its starts do not wait
-    // at agents, where they would take all freed capacity.
+    // A less urgent queue is below its guaranteed share and this one is not: starts of this one do
+    // not wait at agents, where they would take all freed capacity.
     bool yields = false;
 };
 
@@ -433,7 +438,7 @@
     std::map<std::uint32_t, FadingSum> own;
 };
 
-// Reported crashes of endpoints under a job's tasks, run here or for another entry.
+// Reported crashes of endpoints while they ran a job's tasks, for this entry or another one.
 struct CrashedJob
 {
     // By task, and by the agent that observed them
@@ -470,7 +475,7 @@
     std::uint64_t runsLost = 0;
     std::uint64_t runsCrashed = 0;
 
-    // Jobs given up since endpoints kept crashing under one of their tasks
+    // Jobs given up since endpoints kept crashing while running one of their tasks
     std::uint64_t crashingJobs = 0;
 
     // Endpoints examined to place tasks
@@ -488,7 +493,7 @@
     std::map<std::string, std::uint64_t> byId;
     std::set<QueueKey> queue;
 
-    // Jobs given up since endpoints crashed under them, and when each is forgotten
+    // Jobs given up since endpoints crashed while running them, and when each is forgotten
     std::map<std::string, Time> crashingUntil;
 
     // By job
@@ -587,7 +592,7 @@
 // Connection and handshake with an agent; starts are sent only after the handshake.
 SchedulerActions agentConnected(SchedulerState &scheduler, const std::string &agent, Time now);
 SchedulerActions agentAccepted(SchedulerState &scheduler, const std::string &agent,
-                               const jobs::SessionAccepted &welcome, Time now);
+                               const jobs::SessionAccepted &accepted, Time now);
 SchedulerActions agentUpdated(SchedulerState &scheduler, const std::string &agent,
                               const jobs::AgentUpdate &update, Time now);
 SchedulerActions agentLost(SchedulerState &scheduler, const std::string &agent, Time now);
--- a/packages/scheduler/src/admission.cpp
+++ b/packages/scheduler/src/admission.cpp
@@ -57,9 +57,9 @@
     const auto objective = std::chrono::duration_cast<Milliseconds>(job.objectiveAt
                                                                     - job.arrivedAt);
     job.usefulUntil = job.arrivedAt + scaled(objective, settings.lateFactor) - path;
-    const Time callerLeaves = options.callerDeadline.value_or(Time::max());
+    const Time callerDeadline = options.callerDeadline.value_or(Time::max());
     job.lateStartUntil = std::max(job.onTimeUntil,
-                                  std::min({ callerLeaves - path, options.startDeadline,
+                                  std::min({ callerDeadline - path, options.startDeadline,
                                              job.usefulUntil }));
     return job;
 }
@@ -116,8 +116,8 @@
                   std::min(MaxMilliseconds, waiting * scheduler.entryCount / capacity));
 }
 
-// Whether the work that goes before this job here takes, at the rate at which capacity was recently
-// freed here, longer than the job has until it counts as late.
+// Whether the work queued before this job at this entry takes longer than the job has until it
+// counts as late, at the rate at which capacity was recently freed for the entry.
 bool waitsTooLong(const SchedulerState &scheduler, const Job &arriving, Time now)
 {
     const auto freed = scheduler.freed.find(arriving.options.service);
--- a/packages/scheduler/src/completion.cpp
+++ b/packages/scheduler/src/completion.cpp
@@ -232,12 +232,12 @@
 // [SECTION] Freed capacity
 
 void recordFreed(SchedulerState &scheduler, const Job &job, const jobs::ResourceVector &demand,
-                 RunOutcome end, Time now)
+                 RunOutcome outcome, Time now)
 {
     FreedCapacity &freed = scheduler.freed[job.options.service];
     const auto milliCores = static_cast<double>(demand.milliCores);
     addTo(freed.recent, scheduler.settings.freedWindow, milliCores, now);
-    if (end == RunOutcome::Done || end == RunOutcome::Stopped)
+    if (outcome == RunOutcome::Done || outcome == RunOutcome::Stopped)
         addTo(freed.own[job.options.priority], scheduler.settings.shareWindow, milliCores, now);
 }
 
@@ -257,10 +257,10 @@
 
 namespace {
 
-void taskDone(SchedulerState &scheduler, Job &job, Task &task, Milliseconds took, Time now,
+void taskDone(SchedulerState &scheduler, Job &job, Task &task, Milliseconds duration, Time now,
               SchedulerActions &actions)
 {
-    job.longestRun[task.step] = std::max(job.longestRun[task.step], took);
+    job.longestRun[task.step] = std::max(job.longestRun[task.step], duration);
     task.state = TaskState::Done;
     --job.outstanding;
     --job.tasksLeft[task.step];
@@ -300,7 +300,8 @@
 }
 
 // The endpoint crashed with all its runs: this task may be the cause, or one that ran beside it. It
-// is retried where least runs, so that the next crash tells the two apart and affects few others.
+// is retried at the endpoint with the least load, so that the next crash tells the two apart and
+// affects few others.
 void taskCrashed(SchedulerState &scheduler, Job &job, Task &task, Time now,
                  SchedulerActions &actions)
 {
@@ -315,12 +316,12 @@
 }
 
 // Capacity freed in a cordoned data centre is of no use to what waits.
-void recordFreedCapacity(SchedulerState &scheduler, const std::string &agent, const Job &job,
-                         const Task &task, RunOutcome end, Time now)
+void recordFreedUnlessCordoned(SchedulerState &scheduler, const std::string &agent, const Job &job,
+                               const Task &task, RunOutcome outcome, Time now)
 {
     const auto found = scheduler.agents.find(agent);
     if (found != scheduler.agents.end() && !isCordoned(scheduler, found->second))
-        recordFreed(scheduler, job, job.spec.steps[task.step].demand, end, now);
+        recordFreed(scheduler, job, job.spec.steps[task.step].demand, outcome, now);
 }
 
 } // namespace
@@ -338,7 +339,7 @@
     else
         job->mayHaveBegun = true;
     if (report.end != RunOutcome::NeverStarted)
-        recordFreedCapacity(scheduler, agent, *job, *task, report.end, now);
+        recordFreedUnlessCordoned(scheduler, agent, *job, *task, report.end, now);
     if (report.end == RunOutcome::Done && !job->closed) {
         taskDone(scheduler, *job, *task, report.duration, now, actions);
     } else if (report.end == RunOutcome::Failed && !job->closed) {
--- a/packages/scheduler/src/crashes.cpp
+++ b/packages/scheduler/src/crashes.cpp
@@ -1,5 +1,5 @@
 /*
-    Tasks under which endpoints crash, as reported to all entries by the agents that saw it.
+    Crashes of endpoints while they ran a task, as reported by their agents to all entries.
 
     [SECTION] Reports
     [SECTION] Jobs
--- a/packages/scheduler/src/internal.h
+++ b/packages/scheduler/src/internal.h
@@ -59,9 +59,9 @@
 
 // [SECTION] Freed capacity
 
-// A run of the job ended this way and freed its capacity.
+// A run of the job ended with this outcome and freed its capacity.
 void recordFreed(SchedulerState &scheduler, const Job &job, const jobs::ResourceVector &demand,
-                 jobs::RunOutcome end, Time now);
+                 jobs::RunOutcome outcome, Time now);
 
 // Scales the recently freed capacity of a service, when only this part of its endpoints is still
 // usable.
@@ -98,24 +98,24 @@
 // Adds up the freed capacity that agents report.
 void addReportedFreed(SchedulerState &scheduler, Time now);
 
-// Whether all first tasks of a job that has not started fit now.
+// Whether all tasks that the job starts with fit now. For jobs that have not started.
 bool fitsEntirely(const SchedulerState &scheduler, const Job &job, Time now);
 
 // [SECTION] Crashes
 
-// Takes an agent's reports of tasks under which its endpoint crashed, and gives up open jobs with
-// too many crashes.
+// Handles an agent's reports of tasks that ran when its endpoint crashed, and gives up open jobs
+// with too many crashes.
 void handleCrashReports(SchedulerState &scheduler, const std::string &agent,
                         const std::vector<jobs::CrashReport> &reports, Time now,
                         SchedulerActions &actions);
 
-// Crashes under the task that agents have reported, for all entries
+// Number of reported crashes while the task ran, for any entry
 std::uint32_t crashCount(const SchedulerState &scheduler, const jobs::TaskId &task);
 
-// Whether endpoints recently crashed too often under the job.
+// Whether endpoints recently crashed too often while running the job.
 bool isCrashing(SchedulerState &scheduler, const std::string &id, Time now);
 
-// Gives the job up if endpoints have crashed too often under the task.
+// Gives the job up if endpoints have crashed too often while running the task.
 void giveUpIfCrashing(SchedulerState &scheduler, Job &job, const Task &task,
                       const std::string &agent, Time now, SchedulerActions &actions);
 
--- a/packages/scheduler/src/order.cpp
+++ b/packages/scheduler/src/order.cpp
@@ -98,7 +98,6 @@
 
 } // namespace
 
-// The waiting jobs in order, after updating the group and priority of each.
 std::vector<QueueKey> refreshQueue(SchedulerState &scheduler, Time now)
 {
     const std::vector<QueueKey> before(scheduler.queue.begin(), scheduler.queue.end());
--- a/packages/scheduler/src/placement.cpp
+++ b/packages/scheduler/src/placement.cpp
@@ -79,9 +79,9 @@
     return isRemote(scheduler, agent) ? scheduler.settings.remotePercent / 100.0 : 0;
 }
 
-// Smaller is better. Speed and the own data centre come first. Load counts a little, since other
-// entries also send their work where there is capacity, and so does chance, so that entries make
-// different choices.
+// Smaller is better. Speed and the entry's own data centre come first. Load counts a little, since
+// other entries also send their work where there is capacity, and so does chance, so that entries
+// make different choices.
 double costOf(SchedulerState &scheduler, const Agent &agent, const jobs::ResourceVector &free,
               const jobs::StepSpec &step, const Task &task)
 {
--- a/packages/scheduler/src/scheduler.cpp
+++ b/packages/scheduler/src/scheduler.cpp
@@ -1,6 +1,6 @@
 /*
-    The scheduler's events, except for jobs that come and go (admission.cpp) and ends of runs
-    (completion.cpp).
+    Events of agents, cordons and time. The arrival of jobs is in admission.cpp, the ends of runs in
+    completion.cpp.
 
     [SECTION] Names
     [SECTION] Agents
@@ -129,18 +129,18 @@
 }
 
 SchedulerActions agentAccepted(SchedulerState &scheduler, const std::string &name,
-                               const jobs::SessionAccepted &welcome, Time now)
+                               const jobs::SessionAccepted &accepted, Time now)
 {
     SchedulerActions actions;
     Agent &agent = scheduler.agents[name];
-    agent.endpoint = welcome.endpoint;
+    agent.endpoint = accepted.endpoint;
     agent.accepted = true;
     agent.lastReceivedAt = now;
     actions.events.push_back(change("agent-welcomed")
                                      .with("agent", name)
-                                     .with("incarnation", welcome.incarnation)
-                                     .with("life", welcome.endpoint.endpointIncarnation));
-    handleCrashReports(scheduler, name, welcome.crashed, now, actions);
+                                     .with("incarnation", accepted.incarnation)
+                                     .with("life", accepted.endpoint.endpointIncarnation));
+    handleCrashReports(scheduler, name, accepted.crashed, now, actions);
     // Nothing of an earlier session runs there any more.
     for (auto &[number, job] : scheduler.jobs) {
         for (Task &task : job.tasks) {
@@ -172,7 +172,7 @@
     agent.minFree = std::min(agent.minFree, free);
 }
 
-// Takes over what the agent reports of its capacity.
+// Applies the agent's report of its capacity.
 void applyCapacityUpdate(Agent &agent, const jobs::AgentUpdate &update)
 {
     if (!update.endpoint.empty())
@@ -358,10 +358,10 @@
     for (const auto &[number, job] : scheduler.jobs) {
         const Time usefulUntil = scheduler.settings.refuseLate ? job.onTimeUntil : job.usefulUntil;
         const bool late = now > usefulUntil && toKeep.count(number) == 0;
-        const bool expiredUnbegun = certainlyNotBegun(job)
+        const bool expiredBeforeStart = certainlyNotBegun(job)
                 && (late || now >= job.options.startDeadline);
         const bool callerGone = now >= jobDeadline(scheduler, job);
-        if (!job.closed && (expiredUnbegun || callerGone))
+        if (!job.closed && (expiredBeforeStart || callerGone))
             expired.push_back(number);
     }
     for (const std::uint64_t number : expired) {
--- a/packages/scheduler/src/waitestimate.cpp
+++ b/packages/scheduler/src/waitestimate.cpp
@@ -129,10 +129,10 @@
     return milliCoresOf(step, job.tasks.empty() ? step.tasks : job.waiting);
 }
 
-forecast::JobDemand demandOf(const Job &job, std::int64_t before)
+forecast::JobDemand demandOf(const Job &job, std::int64_t queuedAhead)
 {
     return { job.options.priority, job.spec.steps.front().demand.milliCores, waitingMilliCores(job),
-             before };
+             queuedAhead };
 }
 
 std::int64_t workAhead(const SchedulerState &scheduler, const Job &arriving, const QueueKey &ownKey)
@@ -180,13 +180,13 @@
 Milliseconds estimateRetryAfter(SchedulerState &scheduler, const Job &job, Time now)
 {
     std::uniform_real_distribution<double> chance(0, 1);
-    const double randomPart = chance(scheduler.random);
+    const double jitter = chance(scheduler.random);
     if (job.spec.steps.empty())
         return forecast::MinRetryAfter;
     forecast::ServiceLoad serviceLoad = serviceLoadOf(scheduler, job.options.service, now);
     serviceLoad.share = shareFor(scheduler, job.options.service, job.options.priority, now);
-    const std::int64_t before = workAhead(scheduler, job, keyOf(scheduler, job));
-    return forecast::estimateRetryAfter(serviceLoad, demandOf(job, before), randomPart);
+    const std::int64_t queuedAhead = workAhead(scheduler, job, keyOf(scheduler, job));
+    return forecast::estimateRetryAfter(serviceLoad, demandOf(job, queuedAhead), jitter);
 }
 
 ForecastStatus forecastStatus(const SchedulerState &scheduler, Time now)
@@ -219,16 +219,16 @@
 struct WorkAhead
 {
     forecast::ServiceLoad serviceLoad;
-    std::int64_t before = 0;
+    std::int64_t queuedAhead = 0;
 
     // Late jobs that may wait, and what they need
     std::size_t late = 0;
-    std::int64_t lateBefore = 0;
+    std::int64_t lateAhead = 0;
 };
 
 bool startsInTime(const WorkAhead &ahead, const Job &job, Time now)
 {
-    const auto wait = forecast::expectedWait(ahead.serviceLoad, demandOf(job, ahead.before));
+    const auto wait = forecast::expectedWait(ahead.serviceLoad, demandOf(job, ahead.queuedAhead));
     return wait && now + *wait <= job.lateStartUntil;
 }
 
@@ -250,7 +250,7 @@
         return true;
     const double timeLeft = std::chrono::duration<double>(job.lateStartUntil - now).count();
     const double capacity = perSecond(period.granted, settings.lateWindow, now) * timeLeft;
-    return static_cast<double>(ahead.lateBefore + waitingMilliCores(job)) <= capacity;
+    return static_cast<double>(ahead.lateAhead + waitingMilliCores(job)) <= capacity;
 }
 
 // Whether a late job may wait behind those before it.
@@ -261,7 +261,7 @@
         || !lateCapacityAllows(scheduler.settings, period, ahead, job, now))
         return false;
     ++ahead.late;
-    ahead.lateBefore += waitingMilliCores(job);
+    ahead.lateAhead += waitingMilliCores(job);
     return true;
 }
 
@@ -286,7 +286,7 @@
             continue;
         if (late)
             toKeep.insert(key.number);
-        ahead->second.before += waitingMilliCores(job);
+        ahead->second.queuedAhead += waitingMilliCores(job);
     }
     return toKeep;
 }
--- a/packages/scheduler/tests/admission_test.cpp
+++ b/packages/scheduler/tests/admission_test.cpp
@@ -237,7 +237,7 @@
                                          DeadlineCase { "Passed", Milliseconds(100), 0 }),
                          [](const auto &tested) { return tested.param.name; });
 
-// Calls that were held while an entry did not know its queues yet. A job of 100 ms has to begin
+// Calls that were held while an entry did not know its queues yet. A job of 100 ms has to start
 // within 120 ms of its call.
 struct HeldCase
 {
--- a/packages/scheduler/tests/bench.h
+++ b/packages/scheduler/tests/bench.h
@@ -21,12 +21,12 @@
 
 // [SECTION] Bench
 
-inline jobs::EndpointView makeView(std::int64_t cores)
+inline jobs::EndpointView makeView(std::int64_t milliCores)
 {
     jobs::EndpointView view;
     view.endpointIncarnation = "life";
     view.service = "align";
-    view.capacity = { cores, 10000, 0 };
+    view.capacity = { milliCores, 10000, 0 };
     view.free = view.capacity;
     view.maxStarts = 1000;
     return view;
@@ -34,11 +34,12 @@
 
 struct Bench
 {
-    explicit Bench(const std::vector<std::int64_t> &cores, const SchedulerSettings &settings = {})
+    explicit Bench(const std::vector<std::int64_t> &milliCores,
+                   const SchedulerSettings &settings = {})
         : scheduler(makeScheduler(settings))
     {
-        for (std::size_t i = 0; i < cores.size(); ++i)
-            openSession("agent-" + std::to_string(i), makeView(cores[i]));
+        for (std::size_t i = 0; i < milliCores.size(); ++i)
+            openSession("agent-" + std::to_string(i), makeView(milliCores[i]));
     }
 
     SchedulerActions openSession(const std::string &name, const jobs::EndpointView &view)
--- a/packages/scheduler/tests/completion_test.cpp
+++ b/packages/scheduler/tests/completion_test.cpp
@@ -1,8 +1,9 @@
 /*
-    Handling of runs that end, lag, or are lost with their agent.
+    Handling of runs that end, are lost with their agent, or straggle.
 
     [SECTION] Ends
     [SECTION] Lost agents
+    [SECTION] Stragglers
 */
 #include "bench.h"
 
@@ -85,7 +86,7 @@
 class Crashes : public testing::TestWithParam<CrashCase>
 { };
 
-TEST_P(Crashes, UnderATaskAreCounted)
+TEST_P(Crashes, WhileATaskRanAreCounted)
 {
     Bench bench({ 4000, 4000, 4000, 4000 });
     SchedulerActions actions = bench.submit("job", 1);
@@ -138,9 +139,8 @@
     EXPECT_EQ(startsIn(bench.submit("job", 1)), 1U);
 }
 
-// The retry shows which of the tasks at the crashed endpoint was the cause: it goes where least
-// runs.
-TEST(SchedulerEnds, ACrashedTaskIsRetriedWhereLeastRuns)
+// Beside few other tasks, the retry shows which of those at the crashed endpoint was the cause.
+TEST(SchedulerEnds, ACrashedTaskIsRetriedAtTheEndpointWithTheLeastLoad)
 {
     Bench bench({ 8000, 8000, 8000 });
     bench.submit("job", 1);
@@ -175,7 +175,7 @@
 {
     const char *name;
     bool refuseLate;
-    bool hasRoom;
+    bool hasCapacity;
     Milliseconds after;
     std::optional<JobOutcome> outcome;
 };
@@ -188,8 +188,8 @@
 {
     SchedulerSettings settings;
     settings.refuseLate = GetParam().refuseLate;
-    Bench bench({ GetParam().hasRoom ? 4000 : 1000 }, settings);
-    if (!GetParam().hasRoom)
+    Bench bench({ GetParam().hasCapacity ? 4000 : 1000 }, settings);
+    if (!GetParam().hasCapacity)
         bench.submit("other", 1);
     bench.submit("job", 1);
     const std::uint64_t number = bench.number;
@@ -317,7 +317,9 @@
     EXPECT_EQ(tick(bench.scheduler, bench.now).closes, std::vector<std::string> { "agent-0" });
 }
 
-TEST(SchedulerLost, NothingIsMovedIfMovesAreDisabled)
+// [SECTION] Stragglers
+
+TEST(SchedulerStragglers, NothingIsMovedIfMovesAreDisabled)
 {
     SchedulerSettings settings;
     settings.moveRuns = false;
--- a/packages/scheduler/tests/crashes_test.cpp
+++ b/packages/scheduler/tests/crashes_test.cpp
@@ -1,5 +1,5 @@
 /*
-    Crashes of endpoints under tasks as reported by agents, for runs of any entry.
+    Crashes of endpoints while they ran a task, as reported by agents for runs of any entry.
 
     [SECTION] Reports
     [SECTION] Retention
@@ -15,7 +15,7 @@
 {
     const char *name;
 
-    // Reports in order: the agent, and its number of crashes under the task
+    // Reports in order: the agent, and its number of crashes while running the task
     std::vector<std::pair<std::string, std::uint32_t>> reports;
 
     // Whether the job arrived before the reports or after them
@@ -39,14 +39,14 @@
 SchedulerActions reportCrash(Bench &bench, const std::string &agent,
                              const jobs::CrashReport &report, bool inHandshake)
 {
-    jobs::SessionAccepted opened;
-    opened.endpoint = makeView(4000);
-    opened.crashed = { report };
+    jobs::SessionAccepted accepted;
+    accepted.endpoint = makeView(4000);
+    accepted.crashed = { report };
     jobs::AgentUpdate update;
     update.free = { 4000, 10000, 0 };
     update.maxStarts = 1000;
     update.crashed = { report };
-    return inHandshake ? agentAccepted(bench.scheduler, agent, opened, bench.now)
+    return inHandshake ? agentAccepted(bench.scheduler, agent, accepted, bench.now)
                        : agentUpdated(bench.scheduler, agent, update, bench.now);
 }
 
--- a/packages/scheduler/tests/order_test.cpp
+++ b/packages/scheduler/tests/order_test.cpp
@@ -43,7 +43,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Scheduler, Orders,
-                         testing::Values(OrderCase { "LatestBegin", Order::LatestStart, "urgent" },
+                         testing::Values(OrderCase { "LatestStart", Order::LatestStart, "urgent" },
                                          OrderCase { "Newest", Order::NewestFirst, "urgent" },
                                          OrderCase { "Priority", Order::Priority, "urgent" },
                                          OrderCase { "LeastWork", Order::LeastWork, "urgent" },
@@ -112,13 +112,13 @@
     SchedulerState scheduler = makeScheduler({});
     Time now(Seconds(100));
     for (int i = 0; i < 3; ++i) {
-        jobs::SessionAccepted openSession;
-        openSession.endpoint = makeView(4000);
-        openSession.endpoint.service = names.service;
-        openSession.endpoint.dataCentre = names.dataCentre;
-        openSession.endpoint.slowdownPermille = 800 + 300 * static_cast<std::uint32_t>(i);
+        jobs::SessionAccepted accepted;
+        accepted.endpoint = makeView(4000);
+        accepted.endpoint.service = names.service;
+        accepted.endpoint.dataCentre = names.dataCentre;
+        accepted.endpoint.slowdownPermille = 800 + 300 * static_cast<std::uint32_t>(i);
         agentConnected(scheduler, "agent-" + std::to_string(i), now);
-        agentAccepted(scheduler, "agent-" + std::to_string(i), openSession, now);
+        agentAccepted(scheduler, "agent-" + std::to_string(i), accepted, now);
     }
     std::vector<std::string> decisions;
     const auto record = [&](const SchedulerActions &actions) {
--- a/packages/scheduler/tests/placement_test.cpp
+++ b/packages/scheduler/tests/placement_test.cpp
@@ -226,7 +226,7 @@
     const char *entryAt;
     std::uint32_t remotePercent;
 
-    // Time taken by work at the local endpoint, in thousandths of its estimates
+    // Slowdown of the local endpoint, in thousandths
     std::uint32_t localSlowdown;
     bool localLeaves;
     std::uint32_t tasks;
@@ -269,7 +269,7 @@
                         RemoteCase { "SlowLocal", "a", 50, 2000, false, 4, 0, 4 },
                         RemoteCase { "LocalLeaves", "a", 50, 1000, true, 4, 0, 4 },
                         RemoteCase { "NoneLocal", "c", 50, 1000, false, 16, 4, 16 },
-                        RemoteCase { "NotKnown", "", 50, 1000, false, 16, 4, 16 }),
+                        RemoteCase { "DataCentreNotKnown", "", 50, 1000, false, 16, 4, 16 }),
         [](const auto &tested) { return tested.param.name; });
 
 // Four endpoints of four cores, some of them silent for a while: how many tasks start at those.
--- a/packages/scheduler/tests/waitestimate_test.cpp
+++ b/packages/scheduler/tests/waitestimate_test.cpp
@@ -74,14 +74,14 @@
         JobOptions jobOptions = options();
         if (callerTimeout)
             jobOptions.callerDeadline = now + *callerTimeout;
-        if (timeout)
-            jobOptions.startDeadline = now + *timeout;
+        if (startTimeout)
+            jobOptions.startDeadline = now + *startTimeout;
         return scheduler::submit(scheduler, spec, jobOptions, now, &number);
     }
 
     std::vector<jobs::PriorityBacklog> waiting;
     std::uint32_t freedPerSecond = 0;
-    std::optional<Milliseconds> timeout;
+    std::optional<Milliseconds> startTimeout;
     std::int64_t taskMilliCores = 1000;
 };
 
@@ -182,7 +182,7 @@
                          testing::Values(ShareCase { "AllOfTheMostUrgent", 1, 1, 0, 0.5 },
                                          ShareCase { "TheRestOfTheOthers", 1, 1, 2, 0.25 },
                                          ShareCase { "MoreThanReported", 5, 0, 0, 1 },
-                                         ShareCase { "NeverNothing", 1, 0, 2, 0.01 }),
+                                         ShareCase { "AtLeastTheMinimum", 1, 0, 2, 0.01 }),
                          [](const auto &tested) { return tested.param.name; });
 
 // [SECTION] Late jobs
@@ -193,7 +193,7 @@
     bool serveLate;
     std::uint32_t freedPerSecond;
     std::optional<Milliseconds> callerTimeout;
-    std::optional<Milliseconds> timeout;
+    std::optional<Milliseconds> startTimeout;
 
     // Time since the job's arrival
     Milliseconds after;
@@ -208,7 +208,7 @@
 {
     BusyBench bench(withForecast(GetParam().serveLate));
     bench.freedPerSecond = GetParam().freedPerSecond;
-    bench.timeout = GetParam().timeout;
+    bench.startTimeout = GetParam().startTimeout;
     bench.sendUpdate(0);
     bench.submitWithDeadline("job", GetParam().callerTimeout);
     const SchedulerActions actions = bench.wait(GetParam().after, 0);
@@ -291,7 +291,7 @@
     std::int64_t taskMilliCores;
     std::int64_t free;
 
-    // Whether a job of the agent's whole capacity waits that can be on time for 160 ms
+    // Whether another job waits that needs the agent's whole capacity and can be on time for 160 ms
     bool onTimeWaits;
     std::vector<std::string> started;
 };
@@ -377,7 +377,7 @@
     // This entry's share is all freed capacity.
     addTo(bench.scheduler.freed["align"].own[0], settings.shareWindow, 20000, bench.now);
     bench.taskMilliCores = 600;
-    bench.timeout = Milliseconds(9000);
+    bench.startTimeout = Milliseconds(9000);
     bench.submitWithDeadline("late", Milliseconds(9000), 2);
     bench.wait(Milliseconds(100), 0);
     ASSERT_EQ(bench.scheduler.queue.rbegin()->group, QueueGroup::Expired);
--- a/packages/shares/include/foxwing/shares/shares.h
+++ b/packages/shares/include/foxwing/shares/shares.h
@@ -1,6 +1,6 @@
 /*
-    Measures which share of its requested work each queue gets under overload, and which queues
-    get less than their guaranteed share.
+    Measures which share of its requested work each queue gets under overload, and which queues get
+    less than their guaranteed share.
 
     With priorities alone, a long overload would starve the least urgent queue. So each queue is
     guaranteed a share of the work that it recently requested. A queue that gets less is served
@@ -43,7 +43,7 @@
 // Requested and refused work of one queue
 struct QueueShare
 {
-    // Exponentially decaying sums of work, in thousandths of a core times milliseconds
+    // Exponentially decaying sums of work, in millicores times milliseconds
     double requested = 0;
     double refused = 0;
     Time updatedAt {};
--- a/packages/subset/src/choosing.cpp
+++ b/packages/subset/src/choosing.cpp
@@ -15,7 +15,7 @@
 
 using RankedAgents = std::vector<ListedAgent *>;
 
-// Between choices without new input, which only handle expired times of agents.
+// Interval between choices without new input, which only apply timeouts of agents.
 constexpr Milliseconds RecheckInterval { 100 };
 
 // [SECTION] Size
@@ -40,8 +40,8 @@
     return std::max<std::size_t>(1, subset.settings.minSize * subset.settings.stepPercent / 100);
 }
 
-// Adds a growth step while work finds no capacity, and removes one when none has been requested
-// for a while.
+// Adds a growth step while work finds no capacity, and removes one when none has been requested for
+// a while.
 void adjustGrowth(SubsetState &subset, std::size_t usual, Time now)
 {
     const SubsetSettings &settings = subset.settings;
