--- a/packages/scheduler/tests/admission_test.cpp
+++ b/packages/scheduler/tests/admission_test.cpp
@@ -3,7 +3,7 @@
 
     [SECTION] Admission
 */
-#include "bench.h"
+#include "fixture.h"
 
 namespace foxwing::scheduler {
 namespace {
@@ -23,18 +23,18 @@
 
 TEST_P(Admission, AnswersAtOnceWhatItCantServe)
 {
-    Bench bench({ 4000 });
-    bench.traits = GetParam().traits;
+    SchedulerFixture fixture({ 4000 });
+    fixture.traits = GetParam().traits;
     jobs::StepSpec step;
     step.tasks = 1;
     step.demand = { GetParam().taskMilliCores, 10, 0 };
     step.estimate = Milliseconds(100);
-    const SchedulerActions actions = bench.submit("job", { step });
+    const SchedulerActions actions = fixture.submit("job", { step });
     ASSERT_EQ(actions.answers.size(), GetParam().outcome ? 1U : 0U);
     if (GetParam().outcome) {
         EXPECT_EQ(actions.answers[0].outcome, *GetParam().outcome);
         EXPECT_FALSE(actions.answers[0].reason.empty());
-        EXPECT_TRUE(bench.scheduler.jobs.empty());
+        EXPECT_TRUE(fixture.scheduler.jobs.empty());
     }
 }
 
@@ -55,10 +55,10 @@
 
 TEST(SchedulerAdmission, RefusesWhatWouldWaitTooLong)
 {
-    Bench bench({ 1000 });
+    SchedulerFixture fixture({ 1000 });
     std::size_t refused = 0;
     for (int i = 0; i < 30; ++i) {
-        for (const JobAnswer &answer : bench.submit("job-" + std::to_string(i), 1).answers) {
+        for (const JobAnswer &answer : fixture.submit("job-" + std::to_string(i), 1).answers) {
             EXPECT_EQ(answer.outcome, JobOutcome::NotRun);
             EXPECT_GT(answer.retryAfter, Milliseconds(0));
             ++refused;
@@ -88,17 +88,17 @@
 {
     SchedulerSettings settings;
     settings.maxWaitPercent = GetParam().percent;
-    Bench bench({ 3000 }, settings);
-    bench.priority = 1;
-    bench.submit("running", 3);
-    bench.report("agent-0", { runReport("running", 0, 1, RunOutcome::Done) }, 0);
-    bench.report("agent-0", { runReport("running", 1, 1, RunOutcome::Done) }, 0);
-    bench.report("agent-0", { runReport("running", 2, 1, RunOutcome::Done) }, 0);
-    bench.now += Milliseconds(55);
+    SchedulerFixture fixture({ 3000 }, settings);
+    fixture.priority = 1;
+    fixture.submit("running", 3);
+    fixture.report("agent-0", { runReport("running", 0, 1, RunOutcome::Done) }, 0);
+    fixture.report("agent-0", { runReport("running", 1, 1, RunOutcome::Done) }, 0);
+    fixture.report("agent-0", { runReport("running", 2, 1, RunOutcome::Done) }, 0);
+    fixture.now += Milliseconds(55);
     for (int i = 0; i < GetParam().waiting; ++i)
-        bench.submit("waiting-" + std::to_string(i), 1);
-    bench.priority = GetParam().priority;
-    const SchedulerActions actions = bench.submit("job", 1);
+        fixture.submit("waiting-" + std::to_string(i), 1);
+    fixture.priority = GetParam().priority;
+    const SchedulerActions actions = fixture.submit("job", 1);
     ASSERT_EQ(actions.answers.size(), GetParam().refused ? 1U : 0U);
     if (GetParam().refused) {
         EXPECT_EQ(actions.answers[0].outcome, JobOutcome::NotRun);
@@ -117,32 +117,33 @@
 // A body of 256 KiB can name more tasks than there is memory for.
 TEST(SchedulerAdmission, RefusesTooManyTasksBeforeCreatingThem)
 {
-    Bench bench({ 4000 });
+    SchedulerFixture fixture({ 4000 });
     jobs::StepSpec step;
     step.tasks = 100000;
     step.demand = { 1000, 10, 0 };
     step.estimate = Milliseconds(100);
-    const SchedulerActions actions = bench.submit("job", std::vector<jobs::StepSpec>(10000, step));
+    const SchedulerActions actions = fixture.submit("job",
+                                                    std::vector<jobs::StepSpec>(10000, step));
     ASSERT_EQ(actions.answers.size(), 1U);
     EXPECT_EQ(actions.answers[0].outcome, JobOutcome::NotRun);
 }
 
 TEST(SchedulerAdmission, TheSameIdJoinsTheOpenJob)
 {
-    Bench bench({ 4000 });
-    bench.submit("job", 1);
-    const std::uint64_t first = bench.number;
-    EXPECT_EQ(startsIn(bench.submit("job", 1)), 0U);
-    EXPECT_EQ(bench.number, first);
+    SchedulerFixture fixture({ 4000 });
+    fixture.submit("job", 1);
+    const std::uint64_t first = fixture.number;
+    EXPECT_EQ(startsIn(fixture.submit("job", 1)), 0U);
+    EXPECT_EQ(fixture.number, first);
 }
 
 TEST(SchedulerAdmission, TheSameIdWaitsForTheRunsOfAnAbandonedJob)
 {
-    Bench bench({ 4000 });
-    bench.submit("job", 1);
-    EXPECT_EQ(stopsIn(abandon(bench.scheduler, bench.number, bench.now)), 1U);
-    EXPECT_EQ(startsIn(bench.submit("job", 1)), 0U);
-    EXPECT_EQ(startsIn(bench.report("agent-0", { runReport("job", 0, 1, RunOutcome::Stopped) })),
+    SchedulerFixture fixture({ 4000 });
+    fixture.submit("job", 1);
+    EXPECT_EQ(stopsIn(abandon(fixture.scheduler, fixture.number, fixture.now)), 1U);
+    EXPECT_EQ(startsIn(fixture.submit("job", 1)), 0U);
+    EXPECT_EQ(startsIn(fixture.report("agent-0", { runReport("job", 0, 1, RunOutcome::Stopped) })),
               1U);
 }
 
@@ -166,21 +167,21 @@
 
 TEST_P(Chains, OfOneIdStartOnlyAfterTheFirstJobsRuns)
 {
-    Bench bench({ 4000 });
-    bench.submit("job", 1);
-    abandon(bench.scheduler, bench.number, bench.now);
+    SchedulerFixture fixture({ 4000 });
+    fixture.submit("job", 1);
+    abandon(fixture.scheduler, fixture.number, fixture.now);
     for (int i = 0; i < GetParam().abandoned; ++i) {
-        EXPECT_EQ(startsIn(bench.submit("job", 1)), 0U);
-        abandon(bench.scheduler, bench.number, bench.now);
+        EXPECT_EQ(startsIn(fixture.submit("job", 1)), 0U);
+        abandon(fixture.scheduler, fixture.number, fixture.now);
     }
-    EXPECT_EQ(startsIn(bench.submit("job", 1)), 0U);
-    EXPECT_EQ(startsIn(bench.advance(Milliseconds(20))), 0U);
-    const SchedulerActions ended = bench.report("agent-0",
-                                                { runReport("job", 0, 1, RunOutcome::Stopped) });
+    EXPECT_EQ(startsIn(fixture.submit("job", 1)), 0U);
+    EXPECT_EQ(startsIn(fixture.advance(Milliseconds(20))), 0U);
+    const SchedulerActions ended = fixture.report("agent-0",
+                                                  { runReport("job", 0, 1, RunOutcome::Stopped) });
     EXPECT_EQ(startsIn(ended), 1U);
-    bench.report("agent-0", { runReport("job", 0, 1, RunOutcome::Done) });
-    EXPECT_TRUE(bench.scheduler.jobs.empty());
-    EXPECT_TRUE(bench.scheduler.byId.empty());
+    fixture.report("agent-0", { runReport("job", 0, 1, RunOutcome::Done) });
+    EXPECT_TRUE(fixture.scheduler.jobs.empty());
+    EXPECT_TRUE(fixture.scheduler.byId.empty());
 }
 
 INSTANTIATE_TEST_SUITE_P(Scheduler, Chains,
@@ -190,17 +191,17 @@
                          [](const auto &tested) { return tested.param.name; });
 
 // A job of one task of 100 ms.
-SchedulerActions submitOne(Bench &bench, const JobOptions &options)
+SchedulerActions submitOne(SchedulerFixture &fixture, const JobOptions &options)
 {
     jobs::JobSpec spec;
     spec.id = "job";
-    spec.traits = bench.traits;
+    spec.traits = fixture.traits;
     jobs::StepSpec step;
     step.tasks = 1;
     step.demand = { 1000, 10, 0 };
     step.estimate = Milliseconds(100);
     spec.steps = { step };
-    return submit(bench.scheduler, spec, options, bench.now, &bench.number);
+    return submit(fixture.scheduler, spec, options, fixture.now, &fixture.number);
 }
 
 // Capacity is freed before the next tick, for a waiting job whose caller waits for 100 ms.
@@ -221,14 +222,14 @@
 
 TEST_P(CallerDeadlines, EndPlacement)
 {
-    Bench bench({ 1000 });
-    bench.submit("first", 1);
-    JobOptions options = bench.options();
-    options.callerDeadline = bench.now + Milliseconds(100);
-    EXPECT_EQ(startsIn(submitOne(bench, options)), 0U);
-    bench.now += GetParam().after;
-    const SchedulerActions actions = bench.report("agent-0",
-                                                  { runReport("first", 0, 1, RunOutcome::Done) });
+    SchedulerFixture fixture({ 1000 });
+    fixture.submit("first", 1);
+    JobOptions options = fixture.options();
+    options.callerDeadline = fixture.now + Milliseconds(100);
+    EXPECT_EQ(startsIn(submitOne(fixture, options)), 0U);
+    fixture.now += GetParam().after;
+    const SchedulerActions actions = fixture.report("agent-0",
+                                                    { runReport("first", 0, 1, RunOutcome::Done) });
     EXPECT_EQ(startsIn(actions), GetParam().starts);
 }
 
@@ -251,10 +252,10 @@
 
 TEST_P(HeldCalls, CountFromTheirArrival)
 {
-    Bench bench({ 4000 });
-    JobOptions options = bench.options();
-    options.receivedAt = bench.now - GetParam().held;
-    const SchedulerActions actions = submitOne(bench, options);
+    SchedulerFixture fixture({ 4000 });
+    JobOptions options = fixture.options();
+    options.receivedAt = fixture.now - GetParam().held;
+    const SchedulerActions actions = submitOne(fixture, options);
     EXPECT_EQ(startsIn(actions), GetParam().starts ? 1U : 0U);
     ASSERT_EQ(actions.answers.size(), GetParam().starts ? 0U : 1U);
     if (!GetParam().starts) {
@@ -272,12 +273,12 @@
 // tried all the same, also after a millisecond on the way.
 TEST(HeldJob, OfAQueueWithoutSlackIsTried)
 {
-    Bench bench({ 4000 });
-    JobOptions options = bench.options();
+    SchedulerFixture fixture({ 4000 });
+    JobOptions options = fixture.options();
     options.stretch = 1.0;
     options.targetLatency = Milliseconds(0);
-    options.receivedAt = bench.now - Milliseconds(1);
-    EXPECT_EQ(startsIn(submitOne(bench, options)), 1U);
+    options.receivedAt = fixture.now - Milliseconds(1);
+    EXPECT_EQ(startsIn(submitOne(fixture, options)), 1U);
 }
 
 } // namespace
--- a/packages/scheduler/tests/callerprobe_test.cpp
+++ b/packages/scheduler/tests/callerprobe_test.cpp
@@ -5,7 +5,7 @@
 */
 #include <foxwing/scheduler/callerprobe.h>
 
-#include "bench.h"
+#include "fixture.h"
 
 namespace foxwing::scheduler {
 namespace {
@@ -40,19 +40,19 @@
 
 TEST_P(CallerProbes, CoverWhatMayBePlaced)
 {
-    Bench bench({ 4000 });
+    SchedulerFixture fixture({ 4000 });
     CallerProbeState probes;
     for (int i = 0; i < GetParam().jobs; ++i)
-        bench.submit("job-" + std::to_string(i), 1);
+        fixture.submit("job-" + std::to_string(i), 1);
     if (GetParam().agentLost)
-        agentLost(bench.scheduler, "agent-0", bench.now);
+        agentLost(fixture.scheduler, "agent-0", fixture.now);
     if (GetParam().after) {
-        recordSessionLost(probes, bench.now);
-        bench.now += *GetParam().after;
+        recordSessionLost(probes, fixture.now);
+        fixture.now += *GetParam().after;
     }
     if (GetParam().probedBefore)
-        callersToProbe(probes, bench.scheduler, bench.now - *GetParam().probedBefore);
-    EXPECT_EQ(callersToProbe(probes, bench.scheduler, bench.now).size(), GetParam().toProbe);
+        callersToProbe(probes, fixture.scheduler, fixture.now - *GetParam().probedBefore);
+    EXPECT_EQ(callersToProbe(probes, fixture.scheduler, fixture.now).size(), GetParam().toProbe);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -69,17 +69,17 @@
 
 TEST(CallerProbe, IsDueAfterEachLossButOnceForManyLosses)
 {
-    Bench bench({ 1000 });
-    bench.submit("placed", 1);
-    bench.submit("waits", 1);
+    SchedulerFixture fixture({ 1000 });
+    fixture.submit("placed", 1);
+    fixture.submit("waits", 1);
     CallerProbeState probes;
-    recordSessionLost(probes, bench.now);
-    EXPECT_EQ(callersToProbe(probes, bench.scheduler, bench.now).size(), 1U);
-    recordSessionLost(probes, bench.now + Milliseconds(1));
-    EXPECT_EQ(callersToProbe(probes, bench.scheduler, bench.now + Milliseconds(1)).size(), 0U);
-    EXPECT_EQ(callersToProbe(probes, bench.scheduler, bench.now + Milliseconds(9)).size(), 1U);
-    recordSessionLost(probes, bench.now + Milliseconds(10));
-    EXPECT_EQ(callersToProbe(probes, bench.scheduler, bench.now + Milliseconds(10)).size(), 1U);
+    recordSessionLost(probes, fixture.now);
+    EXPECT_EQ(callersToProbe(probes, fixture.scheduler, fixture.now).size(), 1U);
+    recordSessionLost(probes, fixture.now + Milliseconds(1));
+    EXPECT_EQ(callersToProbe(probes, fixture.scheduler, fixture.now + Milliseconds(1)).size(), 0U);
+    EXPECT_EQ(callersToProbe(probes, fixture.scheduler, fixture.now + Milliseconds(9)).size(), 1U);
+    recordSessionLost(probes, fixture.now + Milliseconds(10));
+    EXPECT_EQ(callersToProbe(probes, fixture.scheduler, fixture.now + Milliseconds(10)).size(), 1U);
 }
 
 } // namespace
--- a/packages/scheduler/tests/completion_test.cpp
+++ b/packages/scheduler/tests/completion_test.cpp
@@ -5,7 +5,7 @@
     [SECTION] Lost agents
     [SECTION] Stragglers
 */
-#include "bench.h"
+#include "fixture.h"
 
 namespace foxwing::scheduler {
 namespace {
@@ -26,16 +26,16 @@
 
 TEST_P(Ends, AreAnsweredOrRetried)
 {
-    Bench bench({ 4000 });
-    bench.submit("job", 1);
-    const SchedulerActions actions = bench.report("agent-0",
-                                                  { runReport("job", 0, 1, GetParam().end,
-                                                              GetParam().refused) });
+    SchedulerFixture fixture({ 4000 });
+    fixture.submit("job", 1);
+    const SchedulerActions actions = fixture.report("agent-0",
+                                                    { runReport("job", 0, 1, GetParam().end,
+                                                                GetParam().refused) });
     EXPECT_EQ(startsIn(actions), GetParam().restarts);
     ASSERT_EQ(actions.answers.size(), GetParam().outcome ? 1U : 0U);
     if (GetParam().outcome) {
         EXPECT_EQ(actions.answers[0].outcome, *GetParam().outcome);
-        EXPECT_TRUE(bench.scheduler.jobs.empty());
+        EXPECT_TRUE(fixture.scheduler.jobs.empty());
     }
 }
 
@@ -53,11 +53,11 @@
 
 TEST(SchedulerEnds, ATaskOutOfAttemptsFailsItsJobAndStopsTheRest)
 {
-    Bench bench({ 8000 });
-    bench.submit("job", 3);
-    bench.report("agent-0", { runReport("job", 1, 1, RunOutcome::Failed) });
-    const SchedulerActions actions = bench.report("agent-0",
-                                                  { runReport("job", 1, 2, RunOutcome::Failed) });
+    SchedulerFixture fixture({ 8000 });
+    fixture.submit("job", 3);
+    fixture.report("agent-0", { runReport("job", 1, 1, RunOutcome::Failed) });
+    const SchedulerActions actions = fixture.report("agent-0",
+                                                    { runReport("job", 1, 2, RunOutcome::Failed) });
     ASSERT_EQ(actions.answers.size(), 1U);
     EXPECT_EQ(actions.answers[0].outcome, JobOutcome::Failed);
     EXPECT_EQ(stopsIn(actions), 2U);
@@ -65,11 +65,11 @@
 
 TEST(SchedulerEnds, AFailedTaskGoesElsewhere)
 {
-    Bench bench({ 4000, 4000 });
-    const SchedulerActions first = bench.submit("job", 1);
+    SchedulerFixture fixture({ 4000, 4000 });
+    const SchedulerActions first = fixture.submit("job", 1);
     const std::string agent = first.sends.at(0).agent;
-    const SchedulerActions again = bench.report(agent,
-                                                { runReport("job", 0, 1, RunOutcome::Failed) });
+    const SchedulerActions again = fixture.report(agent,
+                                                  { runReport("job", 0, 1, RunOutcome::Failed) });
     ASSERT_EQ(startsIn(again), 1U);
     EXPECT_NE(again.sends.at(0).agent, agent);
 }
@@ -88,13 +88,13 @@
 
 TEST_P(Crashes, WhileATaskRanAreCounted)
 {
-    Bench bench({ 4000, 4000, 4000, 4000 });
-    SchedulerActions actions = bench.submit("job", 1);
+    SchedulerFixture fixture({ 4000, 4000, 4000, 4000 });
+    SchedulerActions actions = fixture.submit("job", 1);
     std::uint32_t run = 0;
     for (const RunOutcome end : GetParam().ends) {
         ASSERT_EQ(startsIn(actions), 1U);
-        actions = bench.report(actions.sends.at(0).agent, { runReport("job", 0, ++run, end) },
-                               4000);
+        actions = fixture.report(actions.sends.at(0).agent, { runReport("job", 0, ++run, end) },
+                                 4000);
     }
     ASSERT_EQ(actions.answers.size(), GetParam().outcome ? 1U : 0U);
     if (GetParam().outcome) {
@@ -125,50 +125,50 @@
 
 TEST(SchedulerEnds, AJobGivenUpForCrashesIsGivenUpAgainWithinTheRetention)
 {
-    Bench bench({ 4000, 4000, 4000 });
-    SchedulerActions actions = bench.submit("job", 1);
-    for (std::uint32_t run = 1; run <= bench.scheduler.settings.maxCrashes; ++run)
-        actions = bench.report(actions.sends.at(0).agent,
-                               { runReport("job", 0, run, RunOutcome::Crashed) }, 4000);
-    const SchedulerActions again = bench.submit("job", 1);
+    SchedulerFixture fixture({ 4000, 4000, 4000 });
+    SchedulerActions actions = fixture.submit("job", 1);
+    for (std::uint32_t run = 1; run <= fixture.scheduler.settings.maxCrashes; ++run)
+        actions = fixture.report(actions.sends.at(0).agent,
+                                 { runReport("job", 0, run, RunOutcome::Crashed) }, 4000);
+    const SchedulerActions again = fixture.submit("job", 1);
     ASSERT_EQ(again.answers.size(), 1U);
     EXPECT_EQ(again.answers[0].outcome, JobOutcome::TimedOut);
     EXPECT_EQ(startsIn(again), 0U);
-    EXPECT_EQ(startsIn(bench.submit("other", 1)), 1U);
-    bench.advance(bench.scheduler.settings.crashRetention);
-    EXPECT_EQ(startsIn(bench.submit("job", 1)), 1U);
+    EXPECT_EQ(startsIn(fixture.submit("other", 1)), 1U);
+    fixture.advance(fixture.scheduler.settings.crashRetention);
+    EXPECT_EQ(startsIn(fixture.submit("job", 1)), 1U);
 }
 
 // Beside few other tasks, the retry shows which of those at the crashed endpoint was the cause.
 TEST(SchedulerEnds, ACrashedTaskIsRetriedAtTheEndpointWithTheLeastLoad)
 {
-    Bench bench({ 8000, 8000, 8000 });
-    bench.submit("job", 1);
-    const std::string crashed = bench.scheduler.jobs.at(bench.number).tasks.at(0).agent;
+    SchedulerFixture fixture({ 8000, 8000, 8000 });
+    fixture.submit("job", 1);
+    const std::string crashed = fixture.scheduler.jobs.at(fixture.number).tasks.at(0).agent;
     std::string idle;
-    for (const auto &[name, agent] : bench.scheduler.agents) {
+    for (const auto &[name, agent] : fixture.scheduler.agents) {
         if (name != crashed)
             idle = name;
     }
-    for (auto &[name, agent] : bench.scheduler.agents) {
+    for (auto &[name, agent] : fixture.scheduler.agents) {
         agent.endpoint.free.milliCores = name == idle ? 7000 : 4000;
         // Slow, which makes it the last choice for any other task.
         agent.endpoint.slowdownPermille = name == idle ? 3000 : 500;
     }
-    const SchedulerActions actions = bench.report(crashed,
-                                                  { runReport("job", 0, 1, RunOutcome::Crashed) },
-                                                  8000);
+    const SchedulerActions actions = fixture.report(crashed,
+                                                    { runReport("job", 0, 1, RunOutcome::Crashed) },
+                                                    8000);
     ASSERT_EQ(startsIn(actions), 1U);
     EXPECT_EQ(actions.sends.at(0).agent, idle);
 }
 
 TEST(SchedulerEnds, AnEndOfAnEarlierRunChangesNothing)
 {
-    Bench bench({ 4000 });
-    bench.submit("job", 1);
-    bench.report("agent-0", { runReport("job", 0, 1, RunOutcome::Lost) });
-    EXPECT_TRUE(
-            bench.report("agent-0", { runReport("job", 0, 1, RunOutcome::Done) }).answers.empty());
+    SchedulerFixture fixture({ 4000 });
+    fixture.submit("job", 1);
+    fixture.report("agent-0", { runReport("job", 0, 1, RunOutcome::Lost) });
+    EXPECT_TRUE(fixture.report("agent-0", { runReport("job", 0, 1, RunOutcome::Done) })
+                        .answers.empty());
 }
 
 struct GivingUpCase
@@ -188,12 +188,12 @@
 {
     SchedulerSettings settings;
     settings.refuseLate = GetParam().refuseLate;
-    Bench bench({ GetParam().hasCapacity ? 4000 : 1000 }, settings);
+    SchedulerFixture fixture({ GetParam().hasCapacity ? 4000 : 1000 }, settings);
     if (!GetParam().hasCapacity)
-        bench.submit("other", 1);
-    bench.submit("job", 1);
-    const std::uint64_t number = bench.number;
-    const SchedulerActions actions = bench.advance(GetParam().after);
+        fixture.submit("other", 1);
+    fixture.submit("job", 1);
+    const std::uint64_t number = fixture.number;
+    const SchedulerActions actions = fixture.advance(GetParam().after);
     std::optional<JobOutcome> outcome;
     for (const JobAnswer &answer : actions.answers) {
         if (answer.number == number)
@@ -230,19 +230,19 @@
 // 60 ms.
 TEST_P(EndlessJobs, AreGivenUpWhenTheCallerNoLongerWaits)
 {
-    Bench bench({ 4000 });
-    JobOptions options = bench.options();
+    SchedulerFixture fixture({ 4000 });
+    JobOptions options = fixture.options();
     if (GetParam().callerTimeout)
-        options.callerDeadline = bench.now + *GetParam().callerTimeout;
+        options.callerDeadline = fixture.now + *GetParam().callerTimeout;
     jobs::JobSpec spec;
     spec.id = "job";
-    spec.traits = bench.traits;
+    spec.traits = fixture.traits;
     spec.steps.resize(1);
     spec.steps[0].tasks = 1;
     spec.steps[0].demand = { 1000, 10, 0 };
     spec.steps[0].estimate = GetParam().estimate;
-    ASSERT_EQ(startsIn(submit(bench.scheduler, spec, options, bench.now, &bench.number)), 1U);
-    const SchedulerActions actions = bench.advance(GetParam().after);
+    ASSERT_EQ(startsIn(submit(fixture.scheduler, spec, options, fixture.now, &fixture.number)), 1U);
+    const SchedulerActions actions = fixture.advance(GetParam().after);
     ASSERT_EQ(actions.answers.size(), GetParam().closed ? 1U : 0U);
     if (GetParam().closed) {
         EXPECT_EQ(actions.answers[0].outcome, JobOutcome::TimedOut);
@@ -281,40 +281,41 @@
 
 TEST(SchedulerLost, ARunIsStartedAgainOnlyOnceItIsCertainlyOver)
 {
-    Bench bench({ 4000, 4000 });
-    const std::string agent = bench.submit("job", 1).sends.at(0).agent;
-    agentLost(bench.scheduler, agent, bench.now);
-    EXPECT_EQ(startsIn(bench.advance(bench.scheduler.settings.lostRunTimeout - Milliseconds(1))),
+    SchedulerFixture fixture({ 4000, 4000 });
+    const std::string agent = fixture.submit("job", 1).sends.at(0).agent;
+    agentLost(fixture.scheduler, agent, fixture.now);
+    EXPECT_EQ(startsIn(
+                      fixture.advance(fixture.scheduler.settings.lostRunTimeout - Milliseconds(1))),
               0U);
-    EXPECT_EQ(startsIn(bench.advance(Milliseconds(1))), 1U);
+    EXPECT_EQ(startsIn(fixture.advance(Milliseconds(1))), 1U);
 }
 
 TEST(SchedulerLost, AnAgentThatAcceptsANewSessionHasStoppedTheRun)
 {
-    Bench bench({ 4000 });
-    bench.submit("job", 1);
-    agentLost(bench.scheduler, "agent-0", bench.now);
-    EXPECT_EQ(startsIn(bench.openSession("agent-0", makeView(4000))), 1U);
+    SchedulerFixture fixture({ 4000 });
+    fixture.submit("job", 1);
+    agentLost(fixture.scheduler, "agent-0", fixture.now);
+    EXPECT_EQ(startsIn(fixture.openSession("agent-0", makeView(4000))), 1U);
 }
 
 TEST(SchedulerLost, AJobWithAnUncertainRunIsNotAnsweredAsNotRun)
 {
-    Bench bench({ 1000 });
-    bench.submit("job", 1);
-    agentLost(bench.scheduler, "agent-0", bench.now);
+    SchedulerFixture fixture({ 1000 });
+    fixture.submit("job", 1);
+    agentLost(fixture.scheduler, "agent-0", fixture.now);
     jobs::EndpointView full = makeView(1000);
     full.free = {};
-    bench.openSession("agent-0", full);
-    const SchedulerActions actions = bench.advance(Milliseconds(15000));
+    fixture.openSession("agent-0", full);
+    const SchedulerActions actions = fixture.advance(Milliseconds(15000));
     ASSERT_EQ(actions.answers.size(), 1U);
     EXPECT_EQ(actions.answers[0].outcome, JobOutcome::TimedOut);
 }
 
 TEST(SchedulerLost, ASilentAgentIsClosed)
 {
-    Bench bench({ 4000 });
-    bench.now += bench.scheduler.settings.agentTimeout;
-    EXPECT_EQ(tick(bench.scheduler, bench.now).closes, std::vector<std::string> { "agent-0" });
+    SchedulerFixture fixture({ 4000 });
+    fixture.now += fixture.scheduler.settings.agentTimeout;
+    EXPECT_EQ(tick(fixture.scheduler, fixture.now).closes, std::vector<std::string> { "agent-0" });
 }
 
 // [SECTION] Stragglers
@@ -323,13 +324,13 @@
 {
     SchedulerSettings settings;
     settings.moveRuns = false;
-    Bench bench({ 4000, 4000 }, settings);
-    const std::string agent = bench.submit("job", 1).sends.at(0).agent;
+    SchedulerFixture fixture({ 4000, 4000 }, settings);
+    const std::string agent = fixture.submit("job", 1).sends.at(0).agent;
     jobs::AgentUpdate update;
     update.startsHandled = 1;
     update.maxStarts = 1000;
     update.stragglers = { { { { "job", 0, 0, 0 }, 1 }, Milliseconds(0), true, false } };
-    EXPECT_EQ(stopsIn(agentUpdated(bench.scheduler, agent, update, bench.now)), 0U);
+    EXPECT_EQ(stopsIn(agentUpdated(fixture.scheduler, agent, update, fixture.now)), 0U);
 }
 
 struct StragglerCase
@@ -347,8 +348,8 @@
 
 TEST_P(Stragglers, AreMovedOnlyWhereItHelps)
 {
-    Bench bench(std::vector<std::int64_t>(GetParam().agents, 4000));
-    const std::string agent = bench.submit("job", 1).sends.at(0).agent;
+    SchedulerFixture fixture(std::vector<std::int64_t>(GetParam().agents, 4000));
+    const std::string agent = fixture.submit("job", 1).sends.at(0).agent;
     jobs::AgentUpdate update;
     update.startsHandled = 1;
     update.maxStarts = 1000;
@@ -356,7 +357,7 @@
                             GetParam().remaining,
                             GetParam().stalled,
                             GetParam().endpointSlow } };
-    const SchedulerActions actions = agentUpdated(bench.scheduler, agent, update, bench.now);
+    const SchedulerActions actions = agentUpdated(fixture.scheduler, agent, update, fixture.now);
     EXPECT_EQ(stopsIn(actions), GetParam().moved ? 1U : 0U);
 }
 
--- a/packages/scheduler/tests/crashes_test.cpp
+++ b/packages/scheduler/tests/crashes_test.cpp
@@ -4,7 +4,7 @@
     [SECTION] Reports
     [SECTION] Retention
 */
-#include "bench.h"
+#include "fixture.h"
 
 namespace foxwing::scheduler {
 namespace {
@@ -36,7 +36,7 @@
     return { { job, 0, 0, 0 }, crashes };
 }
 
-SchedulerActions reportCrash(Bench &bench, const std::string &agent,
+SchedulerActions reportCrash(SchedulerFixture &fixture, const std::string &agent,
                              const jobs::CrashReport &report, bool inHandshake)
 {
     jobs::SessionAccepted accepted;
@@ -46,8 +46,8 @@
     update.free = { 4000, 10000, 0 };
     update.maxStarts = 1000;
     update.crashed = { report };
-    return inHandshake ? agentAccepted(bench.scheduler, agent, accepted, bench.now)
-                       : agentUpdated(bench.scheduler, agent, update, bench.now);
+    return inHandshake ? agentAccepted(fixture.scheduler, agent, accepted, fixture.now)
+                       : agentUpdated(fixture.scheduler, agent, update, fixture.now);
 }
 
 class CrashReports : public testing::TestWithParam<ReportCase>
@@ -55,22 +55,22 @@
 
 TEST_P(CrashReports, CountForAJobWhereverItRan)
 {
-    Bench bench({ 4000, 4000, 4000 });
+    SchedulerFixture fixture({ 4000, 4000, 4000 });
     std::vector<JobAnswer> answers;
     const auto collect = [&](const SchedulerActions &actions) {
         answers.insert(answers.end(), actions.answers.begin(), actions.answers.end());
     };
     if (GetParam().arrivedBefore)
-        collect(bench.submit("job", 1));
+        collect(fixture.submit("job", 1));
     for (const auto &[agent, crashes] : GetParam().reports)
-        collect(reportCrash(bench, agent, crashOf("job", crashes), GetParam().inHandshake));
+        collect(reportCrash(fixture, agent, crashOf("job", crashes), GetParam().inHandshake));
     if (!GetParam().arrivedBefore)
-        collect(bench.submit("job", 1));
+        collect(fixture.submit("job", 1));
     ASSERT_EQ(answers.size(), GetParam().givenUp ? 1U : 0U);
     if (GetParam().givenUp) {
         EXPECT_EQ(answers[0].outcome, JobOutcome::TimedOut);
     }
-    EXPECT_EQ(startsIn(bench.submit("other", 1)), 1U);
+    EXPECT_EQ(startsIn(fixture.submit("other", 1)), 1U);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -104,14 +104,14 @@
 // Two crashes elsewhere and one here.
 TEST(SchedulerCrashes, OfEarlierRunsElsewhereCountToo)
 {
-    Bench bench({ 4000, 4000, 4000 });
-    reportCrash(bench, "agent-1", crashOf("job", 1), true);
-    reportCrash(bench, "agent-2", crashOf("job", 1), true);
-    const SchedulerActions actions = bench.submit("job", 1);
+    SchedulerFixture fixture({ 4000, 4000, 4000 });
+    reportCrash(fixture, "agent-1", crashOf("job", 1), true);
+    reportCrash(fixture, "agent-2", crashOf("job", 1), true);
+    const SchedulerActions actions = fixture.submit("job", 1);
     ASSERT_EQ(startsIn(actions), 1U);
-    const SchedulerActions crashed = bench.report(actions.sends.at(0).agent,
-                                                  { runReport("job", 0, 1, RunOutcome::Crashed) },
-                                                  4000);
+    const SchedulerActions crashed = fixture.report(actions.sends.at(0).agent,
+                                                    { runReport("job", 0, 1, RunOutcome::Crashed) },
+                                                    4000);
     ASSERT_EQ(crashed.answers.size(), 1U);
     EXPECT_EQ(crashed.answers[0].outcome, JobOutcome::TimedOut);
 }
@@ -120,26 +120,26 @@
 
 TEST(SchedulerCrashes, AreForgottenAfterTheRetention)
 {
-    Bench bench({ 4000 });
-    reportCrash(bench, "agent-0", crashOf("job", 3), true);
-    EXPECT_EQ(startsIn(bench.submit("job", 1)), 0U);
-    bench.advance(bench.scheduler.settings.crashRetention);
-    EXPECT_EQ(startsIn(bench.submit("job", 1)), 1U);
-    EXPECT_TRUE(bench.scheduler.crashedJobs.empty());
+    SchedulerFixture fixture({ 4000 });
+    reportCrash(fixture, "agent-0", crashOf("job", 3), true);
+    EXPECT_EQ(startsIn(fixture.submit("job", 1)), 0U);
+    fixture.advance(fixture.scheduler.settings.crashRetention);
+    EXPECT_EQ(startsIn(fixture.submit("job", 1)), 1U);
+    EXPECT_TRUE(fixture.scheduler.crashedJobs.empty());
 }
 
 TEST(SchedulerCrashes, AreRememberedForABoundedNumberOfJobs)
 {
     SchedulerSettings settings;
     settings.maxCrashedJobs = 2;
-    Bench bench({ 4000 }, settings);
+    SchedulerFixture fixture({ 4000 }, settings);
     for (const char *job : { "first", "second", "third" }) {
-        reportCrash(bench, "agent-0", crashOf(job, 3), true);
-        bench.advance(Milliseconds(10));
+        reportCrash(fixture, "agent-0", crashOf(job, 3), true);
+        fixture.advance(Milliseconds(10));
     }
-    EXPECT_EQ(bench.scheduler.crashedJobs.size(), 2U);
-    EXPECT_EQ(startsIn(bench.submit("first", 1)), 1U);
-    EXPECT_EQ(startsIn(bench.submit("third", 1)), 0U);
+    EXPECT_EQ(fixture.scheduler.crashedJobs.size(), 2U);
+    EXPECT_EQ(startsIn(fixture.submit("first", 1)), 1U);
+    EXPECT_EQ(startsIn(fixture.submit("third", 1)), 0U);
 }
 
 } // namespace
--- a/packages/scheduler/tests/bench.h
+++ b/packages/scheduler/tests/fixture.h
@@ -1,11 +1,11 @@
 /*
     Test fixture of the scheduler: a scheduler with agents and a clock, and queries on its actions.
 
-        Bench bench({ 4000, 4000 });
-        const SchedulerActions actions = bench.submit("job", 3);
+        SchedulerFixture fixture({ 4000, 4000 });
+        const SchedulerActions actions = fixture.submit("job", 3);
         EXPECT_EQ(startsIn(actions), 3U);
 
-    [SECTION] Bench
+    [SECTION] Fixture
     [SECTION] Actions
 */
 #pragma once
@@ -19,7 +19,7 @@
 using jobs::RunOutcome;
 using jobs::StartRefusal;
 
-// [SECTION] Bench
+// [SECTION] Fixture
 
 inline jobs::EndpointView makeView(std::int64_t milliCores)
 {
@@ -32,10 +32,10 @@
     return view;
 }
 
-struct Bench
+struct SchedulerFixture
 {
-    explicit Bench(const std::vector<std::int64_t> &milliCores,
-                   const SchedulerSettings &settings = {})
+    explicit SchedulerFixture(const std::vector<std::int64_t> &milliCores,
+                              const SchedulerSettings &settings = {})
         : scheduler(makeScheduler(settings))
     {
         for (std::size_t i = 0; i < milliCores.size(); ++i)
--- a/packages/scheduler/tests/guarantees_test.cpp
+++ b/packages/scheduler/tests/guarantees_test.cpp
@@ -12,7 +12,7 @@
 #include <algorithm>
 #include <functional>
 
-#include "bench.h"
+#include "fixture.h"
 
 namespace foxwing::scheduler {
 namespace {
@@ -30,7 +30,7 @@
 }
 
 // A job of one task, in the queue of this priority.
-SchedulerActions submitTo(Bench &bench, std::uint32_t priority, const std::string &id)
+SchedulerActions submitTo(SchedulerFixture &fixture, std::uint32_t priority, const std::string &id)
 {
     jobs::JobSpec spec;
     spec.id = id;
@@ -38,29 +38,29 @@
     spec.steps[0].tasks = 1;
     spec.steps[0].demand = { 1000, 10, 0 };
     spec.steps[0].estimate = Milliseconds(100);
-    spec.traits = bench.traits;
-    bench.priority = priority;
-    JobOptions options = bench.options();
+    spec.traits = fixture.traits;
+    fixture.priority = priority;
+    JobOptions options = fixture.options();
     options.queue = "queue-" + std::to_string(priority);
-    return submit(bench.scheduler, spec, options, bench.now, &bench.number);
+    return submit(fixture.scheduler, spec, options, fixture.now, &fixture.number);
 }
 
 // Each of the queues requests work; those in below get all of it refused.
-void setStatuses(Bench &bench, const std::vector<std::uint32_t> &queues,
+void setStatuses(SchedulerFixture &fixture, const std::vector<std::uint32_t> &queues,
                  const std::set<std::uint32_t> &below)
 {
     for (const std::uint32_t priority : queues) {
-        submitTo(bench, priority, "first-" + std::to_string(priority));
+        submitTo(fixture, priority, "first-" + std::to_string(priority));
         if (below.count(priority) > 0)
-            shares::recordRefused(bench.scheduler.shares, "queue-" + std::to_string(priority),
-                                  100000, bench.now);
+            shares::recordRefused(fixture.scheduler.shares, "queue-" + std::to_string(priority),
+                                  100000, fixture.now);
     }
-    bench.advance(Milliseconds(1));
+    fixture.advance(Milliseconds(1));
 }
 
-const QueueStatus &statusOf(const Bench &bench, std::uint32_t priority)
+const QueueStatus &statusOf(const SchedulerFixture &fixture, std::uint32_t priority)
 {
-    return bench.scheduler.queueStatuses.at("queue-" + std::to_string(priority));
+    return fixture.scheduler.queueStatuses.at("queue-" + std::to_string(priority));
 }
 
 // [SECTION] Queue status
@@ -87,13 +87,13 @@
 
 TEST_P(QueueStatuses, FollowServedShares)
 {
-    Bench bench({ 100000 }, withGuarantee(GetParam().guarantee));
-    setStatuses(bench, GetParam().queues, GetParam().below);
+    SchedulerFixture fixture({ 100000 }, withGuarantee(GetParam().guarantee));
+    setStatuses(fixture, GetParam().queues, GetParam().below);
     std::vector<std::uint32_t> effective;
     std::set<std::uint32_t> yielding;
     for (const std::uint32_t priority : GetParam().queues) {
-        effective.push_back(statusOf(bench, priority).effective);
-        if (statusOf(bench, priority).yields)
+        effective.push_back(statusOf(fixture, priority).effective);
+        if (statusOf(fixture, priority).yields)
             yielding.insert(priority);
     }
     EXPECT_EQ(effective, GetParam().effective);
@@ -121,46 +121,46 @@
 
 TEST(Guarantees, EndWhenTheQueueIsServedAgain)
 {
-    Bench bench({ 1000000 }, withGuarantee(Guarantee));
-    setStatuses(bench, { 0, 1, 2 }, { 2 });
-    EXPECT_EQ(statusOf(bench, 2).effective, 1U);
+    SchedulerFixture fixture({ 1000000 }, withGuarantee(Guarantee));
+    setStatuses(fixture, { 0, 1, 2 }, { 2 });
+    EXPECT_EQ(statusOf(fixture, 2).effective, 1U);
     for (int i = 0; i < 4; ++i)
-        submitTo(bench, 2, "served-" + std::to_string(i));
-    bench.advance(Milliseconds(1));
-    EXPECT_EQ(statusOf(bench, 2).effective, 2U);
-    EXPECT_FALSE(statusOf(bench, 1).yields);
+        submitTo(fixture, 2, "served-" + std::to_string(i));
+    fixture.advance(Milliseconds(1));
+    EXPECT_EQ(statusOf(fixture, 2).effective, 2U);
+    EXPECT_FALSE(statusOf(fixture, 1).yields);
 }
 
 // Queues of different services don't share capacity.
 TEST(Guarantees, ApplyWithinAService)
 {
-    Bench bench({ 1000000 }, withGuarantee(Guarantee));
-    setStatuses(bench, { 0, 1, 2 }, {});
-    bench.scheduler.queueStatuses.at("queue-1").service = "other";
-    shares::recordRefused(bench.scheduler.shares, "queue-2", 100000, bench.now);
-    bench.advance(Milliseconds(1));
-    EXPECT_EQ(statusOf(bench, 2).effective, 2U);
-    EXPECT_FALSE(statusOf(bench, 1).yields);
+    SchedulerFixture fixture({ 1000000 }, withGuarantee(Guarantee));
+    setStatuses(fixture, { 0, 1, 2 }, {});
+    fixture.scheduler.queueStatuses.at("queue-1").service = "other";
+    shares::recordRefused(fixture.scheduler.shares, "queue-2", 100000, fixture.now);
+    fixture.advance(Milliseconds(1));
+    EXPECT_EQ(statusOf(fixture, 2).effective, 2U);
+    EXPECT_FALSE(statusOf(fixture, 1).yields);
 }
 
 TEST(Guarantees, ForgetQueuesThatAreGone)
 {
-    Bench bench({ 1000000 }, withGuarantee(Guarantee));
-    setStatuses(bench, { 0, 1, 2 }, { 2 });
-    retainQueues(bench.scheduler, { "queue-0", "queue-1" });
-    EXPECT_EQ(bench.scheduler.queueStatuses.count("queue-2"), 0U);
-    bench.advance(Milliseconds(1));
-    EXPECT_FALSE(statusOf(bench, 1).yields);
+    SchedulerFixture fixture({ 1000000 }, withGuarantee(Guarantee));
+    setStatuses(fixture, { 0, 1, 2 }, { 2 });
+    retainQueues(fixture.scheduler, { "queue-0", "queue-1" });
+    EXPECT_EQ(fixture.scheduler.queueStatuses.count("queue-2"), 0U);
+    fixture.advance(Milliseconds(1));
+    EXPECT_FALSE(statusOf(fixture, 1).yields);
 }
 
 // A queue that is redeclared with another priority follows it at once.
 TEST(Guarantees, FollowAChangedPriority)
 {
-    Bench bench({ 1000000 }, withGuarantee(Guarantee));
-    setStatuses(bench, { 0, 1, 2 }, { 2 });
-    bench.scheduler.queueStatuses.at("queue-2").priority = 7;
-    submitTo(bench, 2, "declared-anew");
-    EXPECT_EQ(statusOf(bench, 2).effective, 2U);
+    SchedulerFixture fixture({ 1000000 }, withGuarantee(Guarantee));
+    setStatuses(fixture, { 0, 1, 2 }, { 2 });
+    fixture.scheduler.queueStatuses.at("queue-2").priority = 7;
+    submitTo(fixture, 2, "declared-anew");
+    EXPECT_EQ(statusOf(fixture, 2).effective, 2U);
 }
 
 // [SECTION] Order
@@ -183,21 +183,21 @@
 // Waiting jobs move in the queue, and can still be removed from it.
 TEST_P(GuaranteeOrder, ChangesWithTheQueueStatus)
 {
-    Bench bench({ 3000 }, withGuarantee(Guarantee));
-    setStatuses(bench, { 0, 1, 2 }, {});
+    SchedulerFixture fixture({ 3000 }, withGuarantee(Guarantee));
+    setStatuses(fixture, { 0, 1, 2 }, {});
     for (const std::uint32_t priority : { 2, 1, 0 })
-        submitTo(bench, priority, "job-" + std::to_string(priority));
-    bench.scheduler.settings.maxShortfallPercent = 0;
+        submitTo(fixture, priority, "job-" + std::to_string(priority));
+    fixture.scheduler.settings.maxShortfallPercent = 0;
     for (const std::uint32_t priority : GetParam().below)
-        shares::recordRefused(bench.scheduler.shares, "queue-" + std::to_string(priority), 1000000,
-                              bench.now);
-    bench.advance(Milliseconds(1));
+        shares::recordRefused(fixture.scheduler.shares, "queue-" + std::to_string(priority),
+                              1000000, fixture.now);
+    fixture.advance(Milliseconds(1));
     std::vector<std::string> order;
-    for (const QueueKey &key : bench.scheduler.queue)
-        order.push_back(bench.scheduler.jobs.at(key.number).spec.id);
+    for (const QueueKey &key : fixture.scheduler.queue)
+        order.push_back(fixture.scheduler.jobs.at(key.number).spec.id);
     EXPECT_EQ(order, GetParam().order);
-    bench.advance(Milliseconds(3000));
-    EXPECT_TRUE(bench.scheduler.queue.empty());
+    fixture.advance(Milliseconds(3000));
+    EXPECT_TRUE(fixture.scheduler.queue.empty());
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -227,10 +227,10 @@
 
 TEST_P(GuaranteeWaiting, LeavesFreedCapacityToAQueueBelowItsGuarantee)
 {
-    Bench bench({ 20000 }, withGuarantee(Guarantee));
-    setStatuses(bench, { 0, 1, 2 }, GetParam().below);
-    bench.report("agent-0", {}, 0);
-    const SchedulerActions actions = submitTo(bench, GetParam().priority, "job");
+    SchedulerFixture fixture({ 20000 }, withGuarantee(Guarantee));
+    setStatuses(fixture, { 0, 1, 2 }, GetParam().below);
+    fixture.report("agent-0", {}, 0);
+    const SchedulerActions actions = submitTo(fixture, GetParam().priority, "job");
     EXPECT_EQ(startsIn(actions), GetParam().waits ? 1U : 0U);
 }
 
@@ -247,9 +247,9 @@
 // Starts carry the raised priority, so that agents follow it too.
 TEST(Guarantees, AreSentToAgents)
 {
-    Bench bench({ 1000000 }, withGuarantee(Guarantee));
-    setStatuses(bench, { 0, 1, 2 }, { 2 });
-    const SchedulerActions actions = submitTo(bench, 2, "job");
+    SchedulerFixture fixture({ 1000000 }, withGuarantee(Guarantee));
+    setStatuses(fixture, { 0, 1, 2 }, { 2 });
+    const SchedulerActions actions = submitTo(fixture, 2, "job");
     ASSERT_EQ(actions.sends.size(), 1U);
     EXPECT_EQ(std::get<jobs::StartTasks>(actions.sends[0].message).priority, 1U);
 }
@@ -259,7 +259,7 @@
 struct CountedCase
 {
     const char *name;
-    std::function<void(Bench &)> act;
+    std::function<void(SchedulerFixture &)> act;
     std::uint64_t requested;
     std::uint64_t refused;
 };
@@ -274,57 +274,60 @@
 
 TEST_P(Counted, AsRequestedAndRefused)
 {
-    Bench bench({ 1000 });
-    GetParam().act(bench);
-    const shares::QueueShare share = bench.scheduler.shares.queues["queue"];
+    SchedulerFixture fixture({ 1000 });
+    GetParam().act(fixture);
+    const shares::QueueShare share = fixture.scheduler.shares.queues["queue"];
     EXPECT_EQ(share.requestedJobs, GetParam().requested);
     EXPECT_EQ(share.refusedJobs, GetParam().refused);
 }
 
-void submitTooLarge(Bench &bench)
+void submitTooLarge(SchedulerFixture &fixture)
 {
     jobs::StepSpec step;
     step.tasks = 1;
     step.demand = { 2000, 10, 0 };
     step.estimate = Milliseconds(100);
-    bench.submit("too-large", { step });
+    fixture.submit("too-large", { step });
 }
 
 INSTANTIATE_TEST_SUITE_P(
         Guarantees, Counted,
-        testing::Values(CountedCase { "Placed", [](Bench &b) { b.submit("job", 1); }, 1, 0 },
+        testing::Values(CountedCase { "Placed",
+                                      [](SchedulerFixture &fixture) { fixture.submit("job", 1); },
+                                      1, 0 },
                         CountedCase { "SentAgainWhileOpen",
-                                      [](Bench &b) {
-                                          b.submit("job", 1);
-                                          b.submit("job", 1);
+                                      [](SchedulerFixture &fixture) {
+                                          fixture.submit("job", 1);
+                                          fixture.submit("job", 1);
                                       },
                                       1, 0 },
                         CountedCase { "NoCapacityInTime",
-                                      [](Bench &b) {
-                                          b.submit("first", 1);
-                                          b.submit("job", 1);
-                                          b.advance(Milliseconds(1600));
+                                      [](SchedulerFixture &fixture) {
+                                          fixture.submit("first", 1);
+                                          fixture.submit("job", 1);
+                                          fixture.advance(Milliseconds(1600));
                                       },
                                       2, 1 },
                         CountedCase { "RefusedAtOnce",
-                                      [](Bench &b) {
-                                          b.submit("first", 1);
-                                          b.submit("before", 100);
-                                          b.submit("job", 1);
+                                      [](SchedulerFixture &fixture) {
+                                          fixture.submit("first", 1);
+                                          fixture.submit("before", 100);
+                                          fixture.submit("job", 1);
                                       },
                                       3, 1 },
                         CountedCase { "NotServed",
-                                      [](Bench &b) {
-                                          b.traits.gang = true;
-                                          b.submit("job", 1);
+                                      [](SchedulerFixture &fixture) {
+                                          fixture.traits.gang = true;
+                                          fixture.submit("job", 1);
                                       },
                                       0, 0 },
                         CountedCase { "TooLargeForAll", submitTooLarge, 0, 0 },
                         CountedCase { "EntryWasPaused",
-                                      [](Bench &b) {
-                                          b.submit("first", 1);
-                                          b.submit("job", 1);
-                                          closeAllJobs(b.scheduler, "this entry was paused", b.now);
+                                      [](SchedulerFixture &fixture) {
+                                          fixture.submit("first", 1);
+                                          fixture.submit("job", 1);
+                                          closeAllJobs(fixture.scheduler, "this entry was paused",
+                                                       fixture.now);
                                       },
                                       2, 0 }),
         [](const auto &tested) { return tested.param.name; });
@@ -340,12 +343,12 @@
 
 TEST(Guarantees, AreLoggedOncePerChange)
 {
-    Bench bench({ 1000000 }, withGuarantee(Guarantee));
-    setStatuses(bench, { 0, 1, 2 }, {});
-    shares::recordRefused(bench.scheduler.shares, "queue-2", 100000, bench.now);
-    EXPECT_EQ(countOf(bench.advance(Milliseconds(1)), "queue-below-floor"), 1U);
-    EXPECT_EQ(countOf(bench.advance(Milliseconds(1)), "queue-below-floor"), 0U);
-    EXPECT_EQ(countOf(bench.advance(Milliseconds(7000)), "queue-above-floor"), 1U);
+    SchedulerFixture fixture({ 1000000 }, withGuarantee(Guarantee));
+    setStatuses(fixture, { 0, 1, 2 }, {});
+    shares::recordRefused(fixture.scheduler.shares, "queue-2", 100000, fixture.now);
+    EXPECT_EQ(countOf(fixture.advance(Milliseconds(1)), "queue-below-floor"), 1U);
+    EXPECT_EQ(countOf(fixture.advance(Milliseconds(1)), "queue-below-floor"), 0U);
+    EXPECT_EQ(countOf(fixture.advance(Milliseconds(7000)), "queue-above-floor"), 1U);
 }
 
 } // namespace
--- a/packages/scheduler/tests/order_test.cpp
+++ b/packages/scheduler/tests/order_test.cpp
@@ -3,7 +3,7 @@
 
     [SECTION] Order
 */
-#include "bench.h"
+#include "fixture.h"
 
 namespace foxwing::scheduler {
 namespace {
@@ -25,19 +25,18 @@
 {
     SchedulerSettings settings;
     settings.order = GetParam().order;
-    Bench bench({ 1000 }, settings);
-    bench.submit("running", 1);
+    SchedulerFixture fixture({ 1000 }, settings);
+    fixture.submit("running", 1);
     jobs::StepSpec step;
     step.tasks = 1;
     step.demand = { 1000, 10, 0 };
     step.estimate = Milliseconds(200);
-    bench.submit("patient", { step });
-    bench.now += Milliseconds(5);
+    fixture.submit("patient", { step });
+    fixture.now += Milliseconds(5);
     step.estimate = Milliseconds(50);
-    bench.submit("urgent", { step });
-    const SchedulerActions actions = bench.report("agent-0",
-                                                  { runReport("running", 0, 1, RunOutcome::Done) },
-                                                  1000);
+    fixture.submit("urgent", { step });
+    const SchedulerActions actions =
+            fixture.report("agent-0", { runReport("running", 0, 1, RunOutcome::Done) }, 1000);
     ASSERT_EQ(startsIn(actions), 1U);
     EXPECT_EQ(std::get<jobs::StartTasks>(actions.sends.at(0).message).job, GetParam().first);
 }
@@ -65,14 +64,13 @@
 {
     SchedulerSettings settings;
     settings.order = GetParam().order;
-    Bench bench({ 1000 }, settings);
-    bench.submit("running", 1);
-    bench.submit("wide", 4);
-    bench.now += Milliseconds(1);
-    bench.submit("narrow", 1);
-    const SchedulerActions actions = bench.report("agent-0",
-                                                  { runReport("running", 0, 1, RunOutcome::Done) },
-                                                  1000);
+    SchedulerFixture fixture({ 1000 }, settings);
+    fixture.submit("running", 1);
+    fixture.submit("wide", 4);
+    fixture.now += Milliseconds(1);
+    fixture.submit("narrow", 1);
+    const SchedulerActions actions =
+            fixture.report("agent-0", { runReport("running", 0, 1, RunOutcome::Done) }, 1000);
     ASSERT_EQ(startsIn(actions), 1U);
     EXPECT_EQ(std::get<jobs::StartTasks>(actions.sends.at(0).message).job, GetParam().first);
 }
@@ -179,20 +177,19 @@
 // A more urgent priority comes before less slack.
 TEST(SchedulerOrder, PriorityGoesBeforeTheLatestStart)
 {
-    Bench bench({ 1000 });
-    bench.submit("running", 1);
+    SchedulerFixture fixture({ 1000 });
+    fixture.submit("running", 1);
     jobs::StepSpec step;
     step.tasks = 1;
     step.demand = { 1000, 10, 0 };
     step.estimate = Milliseconds(50);
-    bench.priority = 2;
-    bench.submit("pressing", { step });
+    fixture.priority = 2;
+    fixture.submit("pressing", { step });
     step.estimate = Milliseconds(200);
-    bench.priority = 0;
-    bench.submit("first-class", { step });
-    const SchedulerActions actions = bench.report("agent-0",
-                                                  { runReport("running", 0, 1, RunOutcome::Done) },
-                                                  1000);
+    fixture.priority = 0;
+    fixture.submit("first-class", { step });
+    const SchedulerActions actions =
+            fixture.report("agent-0", { runReport("running", 0, 1, RunOutcome::Done) }, 1000);
     ASSERT_EQ(startsIn(actions), 1U);
     EXPECT_EQ(std::get<jobs::StartTasks>(actions.sends.at(0).message).job, "first-class");
 }
@@ -216,10 +213,10 @@
     SchedulerSettings settings;
     settings.refuseLate = GetParam().refuseLate;
     settings.marginPercent = 50;
-    Bench bench({ 1000 }, settings);
-    bench.submit("running", 1);
-    bench.submit("waiting", 1);
-    const SchedulerActions actions = bench.advance(GetParam().waitedFor);
+    SchedulerFixture fixture({ 1000 }, settings);
+    fixture.submit("running", 1);
+    fixture.submit("waiting", 1);
+    const SchedulerActions actions = fixture.advance(GetParam().waitedFor);
     ASSERT_EQ(actions.answers.size(), GetParam().refused ? 1U : 0U);
     if (!GetParam().refused)
         return;
@@ -237,16 +234,16 @@
 // If a queue's jobs take twice their estimates, the expected time follows and leaves less slack.
 TEST(SchedulerOrder, ObjectivesFollowTheQueuesPastJobs)
 {
-    Bench bench({ 100000 });
+    SchedulerFixture fixture({ 100000 });
     for (int i = 0; i < 300; ++i) {
         const std::string id = "past-" + std::to_string(i);
-        bench.submit(id, 1);
+        fixture.submit(id, 1);
         jobs::RunReport report = runReport(id, 0, 1, RunOutcome::Done);
         report.duration = Milliseconds(200);
-        bench.report("agent-0", { report });
+        fixture.report("agent-0", { report });
     }
-    bench.submit("next", 1);
-    const Job &job = bench.scheduler.jobs.at(bench.number);
+    fixture.submit("next", 1);
+    const Job &job = fixture.scheduler.jobs.at(fixture.number);
     EXPECT_EQ(job.estimated, Milliseconds(100));
     EXPECT_NEAR(static_cast<double>(job.expected.count()), 200, 15);
     EXPECT_EQ(job.tasks.at(0).expected, job.expected);
@@ -254,30 +251,30 @@
 
 TEST(SchedulerOrder, UndeclaredQueuesAreForgotten)
 {
-    Bench bench({ 100000 });
-    bench.submit("job", 1);
+    SchedulerFixture fixture({ 100000 });
+    fixture.submit("job", 1);
     jobs::RunReport report = runReport("job", 0, 1, RunOutcome::Done);
     report.duration = Milliseconds(200);
-    bench.report("agent-0", { report });
-    retainQueues(bench.scheduler, { "queue" });
-    EXPECT_EQ(bench.scheduler.runTimeModels.size(), 1U);
-    retainQueues(bench.scheduler, { "another" });
-    EXPECT_TRUE(bench.scheduler.runTimeModels.empty());
+    fixture.report("agent-0", { report });
+    retainQueues(fixture.scheduler, { "queue" });
+    EXPECT_EQ(fixture.scheduler.runTimeModels.size(), 1U);
+    retainQueues(fixture.scheduler, { "another" });
+    EXPECT_TRUE(fixture.scheduler.runTimeModels.empty());
 }
 
 TEST(SchedulerOrder, AStartedJobGoesBeforeAMoreUrgentOne)
 {
-    Bench bench({ 1000 });
+    SchedulerFixture fixture({ 1000 });
     jobs::StepSpec step;
     step.tasks = 2;
     step.demand = { 1000, 10, 0 };
     step.estimate = Milliseconds(200);
-    bench.submit("begun", { step });
+    fixture.submit("begun", { step });
     step.estimate = Milliseconds(20);
-    bench.submit("urgent", { step });
-    const SchedulerActions actions = bench.report("agent-0",
-                                                  { runReport("begun", 0, 1, RunOutcome::Done) },
-                                                  1000);
+    fixture.submit("urgent", { step });
+    const SchedulerActions actions = fixture.report("agent-0",
+                                                    { runReport("begun", 0, 1, RunOutcome::Done) },
+                                                    1000);
     ASSERT_EQ(startsIn(actions), 1U);
     EXPECT_EQ(std::get<jobs::StartTasks>(actions.sends.at(0).message).job, "begun");
 }
--- a/packages/scheduler/tests/placement_test.cpp
+++ b/packages/scheduler/tests/placement_test.cpp
@@ -3,7 +3,7 @@
 
     [SECTION] Placement
 */
-#include "bench.h"
+#include "fixture.h"
 
 namespace foxwing::scheduler {
 namespace {
@@ -12,21 +12,21 @@
 
 TEST(SchedulerPlacement, StartsWhatFitsAndTheRestWhenCapacityIsFreed)
 {
-    Bench bench({ 2000, 1000 });
-    EXPECT_EQ(startsIn(bench.submit("job", 5)), 3U);
+    SchedulerFixture fixture({ 2000, 1000 });
+    EXPECT_EQ(startsIn(fixture.submit("job", 5)), 3U);
     // Free capacity already promised to starts on the way is not used again.
-    EXPECT_EQ(startsIn(bench.advance(Milliseconds(20))), 0U);
-    EXPECT_EQ(startsIn(bench.report("agent-0", {}, 1000)), 1U);
+    EXPECT_EQ(startsIn(fixture.advance(Milliseconds(20))), 0U);
+    EXPECT_EQ(startsIn(fixture.report("agent-0", {}, 1000)), 1U);
 }
 
 TEST(SchedulerPlacement, TakesTheFasterEndpointFirst)
 {
-    Bench bench({});
+    SchedulerFixture fixture({});
     jobs::EndpointView slow = makeView(4000);
     slow.slowdownPermille = 1500;
-    bench.openSession("agent-slow", slow);
-    bench.openSession("agent-fast", makeView(4000));
-    const SchedulerActions actions = bench.submit("job", 2);
+    fixture.openSession("agent-slow", slow);
+    fixture.openSession("agent-fast", makeView(4000));
+    const SchedulerActions actions = fixture.submit("job", 2);
     ASSERT_EQ(actions.sends.size(), 1U);
     EXPECT_EQ(actions.sends[0].agent, "agent-fast");
 }
@@ -50,17 +50,17 @@
 {
     SchedulerSettings settings;
     settings.maxShortfallPercent = 0;
-    Bench bench({}, settings);
+    SchedulerFixture fixture({}, settings);
     jobs::EndpointView view = makeView(4000);
     view.labels = { "b", "r1" };
     GetParam().change(view);
-    bench.openSession("agent-0", view);
+    fixture.openSession("agent-0", view);
     jobs::StepSpec step;
     step.tasks = 1;
     step.demand = { 1000, 10, 0 };
     step.estimate = Milliseconds(100);
     step.label = "b";
-    EXPECT_EQ(startsIn(bench.submit("job", { step })), GetParam().starts ? 1U : 0U);
+    EXPECT_EQ(startsIn(fixture.submit("job", { step })), GetParam().starts ? 1U : 0U);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -79,10 +79,10 @@
         [](const auto &tested) { return tested.param.name; });
 
 // Two endpoints in "north" and one in "south", each with capacity for four tasks.
-struct CordonedBench : Bench
+struct CordonedFixture : SchedulerFixture
 {
-    CordonedBench()
-        : Bench({})
+    CordonedFixture()
+        : SchedulerFixture({})
     {
         jobs::EndpointView view = makeView(4000);
         view.dataCentre = "north";
@@ -100,9 +100,9 @@
 
 TEST(SchedulerCordon, SendsNothingThereAndGoesOnElsewhere)
 {
-    CordonedBench bench;
-    bench.cordon(1, { "north" });
-    const SchedulerActions actions = bench.submit("job", 6);
+    CordonedFixture fixture;
+    fixture.cordon(1, { "north" });
+    const SchedulerActions actions = fixture.submit("job", 6);
     EXPECT_EQ(startsIn(actions), 4U);
     for (const AgentSend &send : actions.sends) {
         if (std::holds_alternative<jobs::StartTasks>(send.message)) {
@@ -113,43 +113,43 @@
 
 TEST(SchedulerCordon, RemovalLetsWaitingWorkStartAtOnce)
 {
-    CordonedBench bench;
-    bench.cordon(1, { "north" });
-    bench.submit("job", 6);
-    EXPECT_EQ(startsIn(bench.cordon(2, {})), 2U);
+    CordonedFixture fixture;
+    fixture.cordon(1, { "north" });
+    fixture.submit("job", 6);
+    EXPECT_EQ(startsIn(fixture.cordon(2, {})), 2U);
     // An older revision that arrives late
-    bench.cordon(1, { "north" });
-    EXPECT_TRUE(bench.scheduler.cordons.dataCentres.empty());
+    fixture.cordon(1, { "north" });
+    EXPECT_TRUE(fixture.scheduler.cordons.dataCentres.empty());
 }
 
 // A third of the capacity stays: what was freed in the other two thirds no longer counts.
 TEST(SchedulerCordon, CountsOnlyRemainingCapacity)
 {
-    CordonedBench bench;
-    bench.submit("job", 12);
+    CordonedFixture fixture;
+    fixture.submit("job", 12);
     for (std::uint32_t index = 0; index < 12; ++index) {
-        const std::string agent = bench.scheduler.jobs.begin()->second.tasks[index].agent;
-        bench.report(agent, { runReport("job", index, 1, RunOutcome::Done) });
+        const std::string agent = fixture.scheduler.jobs.begin()->second.tasks[index].agent;
+        fixture.report(agent, { runReport("job", index, 1, RunOutcome::Done) });
     }
-    const double before = bench.scheduler.freed.begin()->second.recent.amount;
-    bench.cordon(1, { "north" });
-    EXPECT_NEAR(bench.scheduler.freed.begin()->second.recent.amount, before / 3, 1);
+    const double before = fixture.scheduler.freed.begin()->second.recent.amount;
+    fixture.cordon(1, { "north" });
+    EXPECT_NEAR(fixture.scheduler.freed.begin()->second.recent.amount, before / 3, 1);
 }
 
 TEST(SchedulerPlacement, KeepsTheLimitOfTasksOnOneEndpoint)
 {
-    Bench bench({ 8000, 8000 });
+    SchedulerFixture fixture({ 8000, 8000 });
     jobs::StepSpec step;
     step.tasks = 6;
     step.demand = { 1000, 10, 0 };
     step.estimate = Milliseconds(100);
     step.maxPerEndpoint = 2;
-    EXPECT_EQ(startsIn(bench.submit("job", { step })), 4U);
+    EXPECT_EQ(startsIn(fixture.submit("job", { step })), 4U);
 }
 
 TEST(SchedulerPlacement, LaterStepsWaitForEarlierOnes)
 {
-    Bench bench({ 8000 });
+    SchedulerFixture fixture({ 8000 });
     jobs::StepSpec first;
     first.tasks = 2;
     first.demand = { 1000, 10, 0 };
@@ -157,9 +157,11 @@
     jobs::StepSpec second = first;
     second.tasks = 3;
     second.after = { 0 };
-    EXPECT_EQ(startsIn(bench.submit("job", { first, second })), 2U);
-    EXPECT_EQ(startsIn(bench.report("agent-0", { runReport("job", 0, 1, RunOutcome::Done) })), 0U);
-    EXPECT_EQ(startsIn(bench.report("agent-0", { runReport("job", 1, 1, RunOutcome::Done) })), 3U);
+    EXPECT_EQ(startsIn(fixture.submit("job", { first, second })), 2U);
+    EXPECT_EQ(startsIn(fixture.report("agent-0", { runReport("job", 0, 1, RunOutcome::Done) })),
+              0U);
+    EXPECT_EQ(startsIn(fixture.report("agent-0", { runReport("job", 1, 1, RunOutcome::Done) })),
+              3U);
 }
 
 // Eighty full endpoints, sixteen waiting jobs, and one endpoint that reports its free capacity.
@@ -177,14 +179,14 @@
 
 TEST_P(CapacityUpdates, TriggerPlacementOnlyWhereCapacityGrew)
 {
-    Bench bench(std::vector<std::int64_t>(80, 16000));
-    for (const auto &[name, agent] : bench.scheduler.agents)
-        bench.report(name, {}, GetParam().freeBefore);
+    SchedulerFixture fixture(std::vector<std::int64_t>(80, 16000));
+    for (const auto &[name, agent] : fixture.scheduler.agents)
+        fixture.report(name, {}, GetParam().freeBefore);
     for (int i = 0; i < 16; ++i)
-        bench.submit("job-" + std::to_string(i), 4);
-    const std::uint64_t before = bench.scheduler.counters.endpointsTried;
-    const SchedulerActions actions = bench.report("agent-7", {}, GetParam().freeNow);
-    EXPECT_LE(bench.scheduler.counters.endpointsTried - before, GetParam().maxTried);
+        fixture.submit("job-" + std::to_string(i), 4);
+    const std::uint64_t before = fixture.scheduler.counters.endpointsTried;
+    const SchedulerActions actions = fixture.report("agent-7", {}, GetParam().freeNow);
+    EXPECT_LE(fixture.scheduler.counters.endpointsTried - before, GetParam().maxTried);
     EXPECT_EQ(startsIn(actions), GetParam().started);
 }
 
@@ -208,13 +210,13 @@
 {
     SchedulerSettings settings;
     settings.refuseLate = false;
-    Bench bench({ 2000, 2000, 2000 }, settings);
-    EXPECT_EQ(heartbeatsIn(bench.submit("fits", 6), true), 0U);
-    EXPECT_EQ(heartbeatsIn(bench.submit("waits", 1), true), 3U);
-    EXPECT_EQ(heartbeatsIn(bench.submit("waits-too", 1), true), 0U);
+    SchedulerFixture fixture({ 2000, 2000, 2000 }, settings);
+    EXPECT_EQ(heartbeatsIn(fixture.submit("fits", 6), true), 0U);
+    EXPECT_EQ(heartbeatsIn(fixture.submit("waits", 1), true), 3U);
+    EXPECT_EQ(heartbeatsIn(fixture.submit("waits-too", 1), true), 0U);
     for (const char *agent : { "agent-0", "agent-1", "agent-2" })
-        bench.report(agent, {}, 2000);
-    const SchedulerActions actions = bench.advance(settings.needsCapacityFor);
+        fixture.report(agent, {}, 2000);
+    const SchedulerActions actions = fixture.advance(settings.needsCapacityFor);
     EXPECT_EQ(heartbeatsIn(actions, false), 3U);
 }
 
@@ -243,16 +245,16 @@
     SchedulerSettings settings;
     settings.dataCentre = tested.entryAt;
     settings.remotePercent = tested.remotePercent;
-    Bench bench({}, settings);
+    SchedulerFixture fixture({}, settings);
     for (const char *name : { "a-1", "b-1", "b-2", "b-3" }) {
         jobs::EndpointView view = makeView(4000);
         view.dataCentre = std::string(name).substr(0, 1);
         const bool local = view.dataCentre == "a";
         view.slowdownPermille = local ? tested.localSlowdown : 1000;
         view.leaving = local && tested.localLeaves;
-        bench.openSession(name, view);
+        fixture.openSession(name, view);
     }
-    const SchedulerActions actions = bench.submit("job", tested.tasks);
+    const SchedulerActions actions = fixture.submit("job", tested.tasks);
     std::size_t localStarts = 0;
     for (const AgentSend &send : actions.sends) {
         if (send.agent == "a-1")
@@ -287,12 +289,12 @@
 
 TEST_P(SuspectAgents, TakeWorkOnlyIfNoOtherFits)
 {
-    Bench bench({ 4000, 4000, 4000, 4000 });
-    bench.now += GetParam().silence;
+    SchedulerFixture fixture({ 4000, 4000, 4000, 4000 });
+    fixture.now += GetParam().silence;
     for (std::size_t i = GetParam().suspects; i < 4; ++i)
-        bench.report("agent-" + std::to_string(i), {}, 4000);
+        fixture.report("agent-" + std::to_string(i), {}, 4000);
     std::size_t atSuspects = 0;
-    for (const AgentSend &send : bench.submit("job", GetParam().tasks).sends) {
+    for (const AgentSend &send : fixture.submit("job", GetParam().tasks).sends) {
         const auto *start = std::get_if<jobs::StartTasks>(&send.message);
         if (start && std::stoul(send.agent.substr(6)) < GetParam().suspects)
             atSuspects += start->starts.size();
@@ -330,12 +332,12 @@
 {
     SchedulerSettings settings;
     settings.maxShortfallPercent = GetParam().maxShortfallPercent;
-    Bench bench({ 10000 }, settings);
-    bench.priority = GetParam().otherPriority;
-    bench.submit("other", 1);
-    bench.report("agent-0", {}, GetParam().free);
-    bench.priority = GetParam().priority;
-    const SchedulerActions actions = bench.submit("job", 1);
+    SchedulerFixture fixture({ 10000 }, settings);
+    fixture.priority = GetParam().otherPriority;
+    fixture.submit("other", 1);
+    fixture.report("agent-0", {}, GetParam().free);
+    fixture.priority = GetParam().priority;
+    const SchedulerActions actions = fixture.submit("job", 1);
     ASSERT_EQ(startsIn(actions), GetParam().sent ? 1U : 0U);
     if (!GetParam().sent)
         return;
@@ -355,21 +357,21 @@
 // The end of a run is reported in its session.
 TEST(SchedulerPlacement, ASessionIsReleasedOnlyOnceNoRunNeedsIt)
 {
-    Bench bench({ 10000, 10000 });
-    bench.submit("job", 1);
-    const std::string busy = bench.scheduler.jobs.at(bench.number).tasks.at(0).agent;
+    SchedulerFixture fixture({ 10000, 10000 });
+    fixture.submit("job", 1);
+    const std::string busy = fixture.scheduler.jobs.at(fixture.number).tasks.at(0).agent;
     const std::string idle = busy == "agent-0" ? "agent-1" : "agent-0";
-    EXPECT_FALSE(releaseAgent(bench.scheduler, busy));
-    EXPECT_TRUE(releaseAgent(bench.scheduler, idle));
-    EXPECT_EQ(bench.scheduler.agents.count(idle), 0U);
-    bench.report(busy, { runReport("job", 0, 1, RunOutcome::Done) });
-    EXPECT_TRUE(releaseAgent(bench.scheduler, busy));
+    EXPECT_FALSE(releaseAgent(fixture.scheduler, busy));
+    EXPECT_TRUE(releaseAgent(fixture.scheduler, idle));
+    EXPECT_EQ(fixture.scheduler.agents.count(idle), 0U);
+    fixture.report(busy, { runReport("job", 0, 1, RunOutcome::Done) });
+    EXPECT_TRUE(releaseAgent(fixture.scheduler, busy));
 }
 
 // A suitable endpoint exists but has no session yet: the job is not refused.
 TEST(SchedulerPlacement, AJobWaitsForAKnownSuitableEndpoint)
 {
-    Bench bench({ 10000 });
+    SchedulerFixture fixture({ 10000 });
     jobs::StepSpec step;
     step.tasks = 1;
     step.demand = { 20000, 10, 0 };
@@ -377,45 +379,47 @@
     jobs::JobSpec spec;
     spec.id = "large";
     spec.steps = { step };
-    spec.traits = bench.traits;
-    JobOptions options = bench.options();
+    spec.traits = fixture.traits;
+    JobOptions options = fixture.options();
     options.suitableUnconnected = true;
-    const SchedulerActions waits = submit(bench.scheduler, spec, options, bench.now, &bench.number);
+    const SchedulerActions waits = submit(fixture.scheduler, spec, options, fixture.now,
+                                          &fixture.number);
     EXPECT_TRUE(waits.answers.empty());
-    EXPECT_EQ(startsIn(bench.openSession("agent-1", makeView(20000))), 1U);
+    EXPECT_EQ(startsIn(fixture.openSession("agent-1", makeView(20000))), 1U);
 }
 
 // The most urgent queue is removed: starts of the next one may wait at agents.
 TEST(SchedulerPlacement, PrioritiesInUseAreLearnedAnewWhenTheQueuesChange)
 {
-    Bench bench({ 10000 });
+    SchedulerFixture fixture({ 10000 });
     for (const std::uint32_t priority : { 0U, 1U, 2U }) {
-        bench.priority = priority;
-        bench.submit("before-" + std::to_string(priority), 1);
+        fixture.priority = priority;
+        fixture.submit("before-" + std::to_string(priority), 1);
     }
-    retainQueues(bench.scheduler, {});
-    bench.priority = 2;
-    bench.submit("after-2", 1);
-    bench.report("agent-0", {}, 0);
-    bench.priority = 1;
-    EXPECT_EQ(startsIn(bench.submit("after-1", 1)), 1U);
+    retainQueues(fixture.scheduler, {});
+    fixture.priority = 2;
+    fixture.submit("after-2", 1);
+    fixture.report("agent-0", {}, 0);
+    fixture.priority = 1;
+    EXPECT_EQ(startsIn(fixture.submit("after-1", 1)), 1U);
 }
 
 // A start that waits at an agent may still begin: the job is not answered before the agent reports.
 TEST(SchedulerPlacement, AJobThatWaitsAtAnAgentIsRefusedOnlyAfterItsReport)
 {
-    Bench bench({ 10000 });
-    bench.priority = 1;
-    bench.submit("other", 1);
-    bench.report("agent-0", {}, 0);
-    bench.priority = 0;
-    bench.submit("job", 1);
-    EXPECT_TRUE(bench.advance(Milliseconds(100)).answers.empty());
-    const SchedulerActions actions = bench.report("agent-0",
-                                                  { runReport("job", 0, 1, RunOutcome::NeverStarted,
-                                                              StartRefusal::NoCapacity) },
-                                                  0);
-    const SchedulerActions next = bench.advance(Milliseconds(1));
+    SchedulerFixture fixture({ 10000 });
+    fixture.priority = 1;
+    fixture.submit("other", 1);
+    fixture.report("agent-0", {}, 0);
+    fixture.priority = 0;
+    fixture.submit("job", 1);
+    EXPECT_TRUE(fixture.advance(Milliseconds(100)).answers.empty());
+    const SchedulerActions actions = fixture.report("agent-0",
+                                                    { runReport("job", 0, 1,
+                                                                RunOutcome::NeverStarted,
+                                                                StartRefusal::NoCapacity) },
+                                                    0);
+    const SchedulerActions next = fixture.advance(Milliseconds(1));
     ASSERT_EQ(actions.answers.size() + next.answers.size(), 1U);
 }
 
--- a/packages/scheduler/tests/waitestimate_test.cpp
+++ b/packages/scheduler/tests/waitestimate_test.cpp
@@ -8,7 +8,7 @@
     [SECTION] Long overloads
     [SECTION] Retry times
 */
-#include "bench.h"
+#include "fixture.h"
 
 namespace foxwing::scheduler {
 namespace {
@@ -24,10 +24,10 @@
 }
 
 // One agent of 1000 millicores, all in use by an earlier job.
-struct BusyBench : Bench
+struct BusyFixture : SchedulerFixture
 {
-    explicit BusyBench(const SchedulerSettings &settings)
-        : Bench({ 1000 }, settings)
+    explicit BusyFixture(const SchedulerSettings &settings)
+        : SchedulerFixture({ 1000 }, settings)
     {
         submit("running", 1);
         sendUpdate(0);
@@ -121,14 +121,14 @@
 {
     SchedulerSettings settings;
     settings.forecast = GetParam().forecast;
-    BusyBench bench(settings);
-    bench.freedPerSecond = GetParam().freedPerSecond;
+    BusyFixture fixture(settings);
+    fixture.freedPerSecond = GetParam().freedPerSecond;
     if (GetParam().waitingAtAgent > 0)
-        bench.waiting = { { 0, GetParam().waitingAtAgent } };
-    bench.sendUpdate(0);
-    bench.now += GetParam().age;
-    bench.priority = GetParam().priority;
-    const SchedulerActions actions = bench.submit("job", 1);
+        fixture.waiting = { { 0, GetParam().waitingAtAgent } };
+    fixture.sendUpdate(0);
+    fixture.now += GetParam().age;
+    fixture.priority = GetParam().priority;
+    const SchedulerActions actions = fixture.submit("job", 1);
     ASSERT_EQ(actions.answers.size(), GetParam().refused ? 1U : 0U);
     if (!GetParam().refused)
         return;
@@ -167,14 +167,14 @@
 // Agents have reported four such ends. A queue does not get what more urgent jobs take.
 TEST_P(Shares, AreThePartOfFreedCapacityForAPriority)
 {
-    Bench bench({ 1000 }, withForecast(false));
-    addTo(bench.scheduler.reportedFreed["align"], bench.scheduler.settings.shareWindow, 4000,
-          bench.now);
-    std::map<std::uint32_t, FadingSum> &own = bench.scheduler.freed["align"].own;
-    const Milliseconds window = bench.scheduler.settings.shareWindow;
-    addTo(own[0], window, 1000.0 * GetParam().urgentEnds, bench.now);
-    addTo(own[2], window, 1000.0 * GetParam().otherEnds, bench.now);
-    EXPECT_NEAR(shareFor(bench.scheduler, "align", GetParam().priority, bench.now),
+    SchedulerFixture fixture({ 1000 }, withForecast(false));
+    addTo(fixture.scheduler.reportedFreed["align"], fixture.scheduler.settings.shareWindow, 4000,
+          fixture.now);
+    std::map<std::uint32_t, FadingSum> &own = fixture.scheduler.freed["align"].own;
+    const Milliseconds window = fixture.scheduler.settings.shareWindow;
+    addTo(own[0], window, 1000.0 * GetParam().urgentEnds, fixture.now);
+    addTo(own[2], window, 1000.0 * GetParam().otherEnds, fixture.now);
+    EXPECT_NEAR(shareFor(fixture.scheduler, "align", GetParam().priority, fixture.now),
                 GetParam().share, 0.001);
 }
 
@@ -206,17 +206,17 @@
 // 100 ms of work due within 220 ms, which counts as late after 70 ms.
 TEST_P(LateWaits, LastWhileTheJobStartsBeforeItsCallerIsGone)
 {
-    BusyBench bench(withForecast(GetParam().serveLate));
-    bench.freedPerSecond = GetParam().freedPerSecond;
-    bench.startTimeout = GetParam().startTimeout;
-    bench.sendUpdate(0);
-    bench.submitWithDeadline("job", GetParam().callerTimeout);
-    const SchedulerActions actions = bench.wait(GetParam().after, 0);
+    BusyFixture fixture(withForecast(GetParam().serveLate));
+    fixture.freedPerSecond = GetParam().freedPerSecond;
+    fixture.startTimeout = GetParam().startTimeout;
+    fixture.sendUpdate(0);
+    fixture.submitWithDeadline("job", GetParam().callerTimeout);
+    const SchedulerActions actions = fixture.wait(GetParam().after, 0);
     ASSERT_EQ(actions.answers.size(), GetParam().refused ? 1U : 0U);
     if (GetParam().refused) {
         EXPECT_EQ(actions.answers[0].outcome, JobOutcome::NotRun);
     }
-    EXPECT_EQ(forecastStatus(bench.scheduler, bench.now).waitingLate,
+    EXPECT_EQ(forecastStatus(fixture.scheduler, fixture.now).waitingLate,
               GetParam().refused || !GetParam().serveLate ? 0U : 1U);
 }
 
@@ -302,19 +302,19 @@
 // A late job that keeps waiting, at an agent of one core.
 TEST_P(LateStarts, TakeOnlyCapacityThatNobodyElseNeeds)
 {
-    BusyBench bench(withForecast(true));
-    bench.freedPerSecond = 10000;
-    bench.sendUpdate(0);
-    bench.taskMilliCores = GetParam().taskMilliCores;
-    bench.submitWithDeadline("late", Milliseconds(1000), GetParam().tasks);
-    ASSERT_TRUE(bench.wait(Milliseconds(200), 0).answers.empty());
+    BusyFixture fixture(withForecast(true));
+    fixture.freedPerSecond = 10000;
+    fixture.sendUpdate(0);
+    fixture.taskMilliCores = GetParam().taskMilliCores;
+    fixture.submitWithDeadline("late", Milliseconds(1000), GetParam().tasks);
+    ASSERT_TRUE(fixture.wait(Milliseconds(200), 0).answers.empty());
     jobs::StepSpec step;
     step.tasks = 1;
     step.demand = { 1000, 10, 0 };
     step.estimate = Milliseconds(1000);
     if (GetParam().onTimeWaits)
-        bench.submit("on-time", { step });
-    EXPECT_EQ(startedIn(bench.wait(GetParam().reportedFor, GetParam().free)), GetParam().started);
+        fixture.submit("on-time", { step });
+    EXPECT_EQ(startedIn(fixture.wait(GetParam().reportedFor, GetParam().free)), GetParam().started);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -346,22 +346,22 @@
 // Later steps need no capacity yet.
 TEST(LateStart, NeedsCapacityForItsFirstStepOnly)
 {
-    BusyBench bench(withForecast(true));
-    bench.freedPerSecond = 20000;
-    bench.sendUpdate(0);
+    BusyFixture fixture(withForecast(true));
+    fixture.freedPerSecond = 20000;
+    fixture.sendUpdate(0);
     jobs::JobSpec spec;
     spec.id = "late";
-    spec.traits = bench.traits;
+    spec.traits = fixture.traits;
     spec.steps.resize(2);
     spec.steps[0].tasks = spec.steps[1].tasks = 1;
     spec.steps[0].demand = spec.steps[1].demand = { 1000, 10, 0 };
     spec.steps[0].estimate = spec.steps[1].estimate = Milliseconds(50);
     spec.steps[1].after = { 0 };
-    JobOptions options = bench.options();
-    options.callerDeadline = bench.now + Milliseconds(1000);
-    submit(bench.scheduler, spec, options, bench.now, &bench.number);
-    ASSERT_TRUE(bench.wait(Milliseconds(200), 0).answers.empty());
-    EXPECT_EQ(startsIn(bench.wait(Milliseconds(120), 1000)), 1U);
+    JobOptions options = fixture.options();
+    options.callerDeadline = fixture.now + Milliseconds(1000);
+    submit(fixture.scheduler, spec, options, fixture.now, &fixture.number);
+    ASSERT_TRUE(fixture.wait(Milliseconds(200), 0).answers.empty());
+    EXPECT_EQ(startsIn(fixture.wait(Milliseconds(120), 1000)), 1U);
 }
 
 // What a job that has started holds would be wasted.
@@ -369,39 +369,40 @@
 {
     SchedulerSettings settings = withForecast(true);
     settings.maxUnplaced = 1;
-    BusyBench bench(settings);
-    bench.freedPerSecond = 20000;
-    bench.report("agent-0", { runReport("running", 0, 1, RunOutcome::Done) }, 1000);
-    bench.submit("begun", 2);
-    bench.wait(Milliseconds(500), 0);
+    BusyFixture fixture(settings);
+    fixture.freedPerSecond = 20000;
+    fixture.report("agent-0", { runReport("running", 0, 1, RunOutcome::Done) }, 1000);
+    fixture.submit("begun", 2);
+    fixture.wait(Milliseconds(500), 0);
     // This entry's share is all freed capacity.
-    addTo(bench.scheduler.freed["align"].own[0], settings.shareWindow, 20000, bench.now);
-    bench.taskMilliCores = 600;
-    bench.startTimeout = Milliseconds(9000);
-    bench.submitWithDeadline("late", Milliseconds(9000), 2);
-    bench.wait(Milliseconds(100), 0);
-    ASSERT_EQ(bench.scheduler.queue.rbegin()->group, QueueGroup::Expired);
-    EXPECT_EQ(forecastStatus(bench.scheduler, bench.now).waitingLate, 1U);
-    EXPECT_EQ(startedIn(bench.wait(Milliseconds(20), 1000)), std::vector<std::string> { "begun" });
+    addTo(fixture.scheduler.freed["align"].own[0], settings.shareWindow, 20000, fixture.now);
+    fixture.taskMilliCores = 600;
+    fixture.startTimeout = Milliseconds(9000);
+    fixture.submitWithDeadline("late", Milliseconds(9000), 2);
+    fixture.wait(Milliseconds(100), 0);
+    ASSERT_EQ(fixture.scheduler.queue.rbegin()->group, QueueGroup::Expired);
+    EXPECT_EQ(forecastStatus(fixture.scheduler, fixture.now).waitingLate, 1U);
+    EXPECT_EQ(startedIn(fixture.wait(Milliseconds(20), 1000)),
+              std::vector<std::string> { "begun" });
 }
 
 // A start that waits at an agent holds capacity back from jobs that are on time.
 TEST(LateStart, NeverWaitsAtAnAgent)
 {
-    BusyBench bench(withForecast(true));
-    bench.scheduler.leastUrgent = 1;
-    bench.freedPerSecond = 10000;
-    bench.sendUpdate(0);
-    bench.submitWithDeadline("late", Milliseconds(1000));
-    bench.wait(Milliseconds(200), 0);
-    for (const AgentSend &send : bench.wait(Milliseconds(120), 1000).sends) {
+    BusyFixture fixture(withForecast(true));
+    fixture.scheduler.leastUrgent = 1;
+    fixture.freedPerSecond = 10000;
+    fixture.sendUpdate(0);
+    fixture.submitWithDeadline("late", Milliseconds(1000));
+    fixture.wait(Milliseconds(200), 0);
+    for (const AgentSend &send : fixture.wait(Milliseconds(120), 1000).sends) {
         if (const auto *start = std::get_if<jobs::StartTasks>(&send.message)) {
             EXPECT_EQ(start->maxWait, Milliseconds(0));
         }
     }
-    EXPECT_EQ(bench.scheduler.counters.servedLate, 0U);
-    bench.report("agent-0", { runReport("late", 0, 1, RunOutcome::Done) });
-    EXPECT_EQ(bench.scheduler.counters.servedLate, 1U);
+    EXPECT_EQ(fixture.scheduler.counters.servedLate, 0U);
+    fixture.report("agent-0", { runReport("late", 0, 1, RunOutcome::Done) });
+    EXPECT_EQ(fixture.scheduler.counters.servedLate, 1U);
 }
 
 // [SECTION] Long overloads
@@ -425,17 +426,17 @@
 // Jobs of one core and 100 ms; by the forecast all of them would start in time.
 TEST_P(LongOverloads, LetAsManyWaitAsLateJobsGotCapacityFor)
 {
-    BusyBench bench(withForecast(true));
-    bench.freedPerSecond = 100000;
-    bench.sendUpdate(0);
+    BusyFixture fixture(withForecast(true));
+    fixture.freedPerSecond = 100000;
+    fixture.sendUpdate(0);
     for (std::size_t i = 0; i < GetParam().jobs; ++i)
-        bench.submitWithDeadline("job-" + std::to_string(i), Milliseconds(5000));
-    LatePeriod &period = bench.scheduler.latePeriods["align"];
-    period.since = bench.now - GetParam().duration;
-    period.lastSeenAt = bench.now;
-    period.granted = { GetParam().granted, bench.now };
-    bench.wait(Milliseconds(100), 0);
-    EXPECT_EQ(forecastStatus(bench.scheduler, bench.now).waitingLate, GetParam().waiting);
+        fixture.submitWithDeadline("job-" + std::to_string(i), Milliseconds(5000));
+    LatePeriod &period = fixture.scheduler.latePeriods["align"];
+    period.since = fixture.now - GetParam().duration;
+    period.lastSeenAt = fixture.now;
+    period.granted = { GetParam().granted, fixture.now };
+    fixture.wait(Milliseconds(100), 0);
+    EXPECT_EQ(forecastStatus(fixture.scheduler, fixture.now).waitingLate, GetParam().waiting);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -451,14 +452,14 @@
 // Callers refused together must not all retry together.
 TEST(RetryTimes, AreSpreadOverCallersRefusedTogether)
 {
-    BusyBench bench(withForecast(false));
-    bench.freedPerSecond = 2000;
-    bench.waiting = { { 0, 1000 } };
-    bench.sendUpdate(0);
-    bench.priority = 1;
+    BusyFixture fixture(withForecast(false));
+    fixture.freedPerSecond = 2000;
+    fixture.waiting = { { 0, 1000 } };
+    fixture.sendUpdate(0);
+    fixture.priority = 1;
     std::set<Milliseconds> times;
     for (int i = 0; i < 20; ++i) {
-        for (const JobAnswer &answer : bench.submit("job-" + std::to_string(i), 1).answers)
+        for (const JobAnswer &answer : fixture.submit("job-" + std::to_string(i), 1).answers)
             times.insert(answer.retryAfter);
     }
     ASSERT_GT(times.size(), 15U);
