--- a/packages/runner/src/runner.cpp
+++ b/packages/runner/src/runner.cpp
@@ -114,7 +114,7 @@
         recordSuccess(runner, run, duration);
     if (outcome == RunOutcome::Failed)
         recordFault(runner, now);
-    if (end != RunOutcome::Done)
+    if (outcome != RunOutcome::Done)
         actions.events.push_back(runEvent("run-ended", id)
                                          .with("end", jobs::toString(outcome))
                                          .with("refused", jobs::toString(refused))
