--- a/packages/runner/include/foxwing/runner/runner.h
+++ b/packages/runner/include/foxwing/runner/runner.h
@@ -80,8 +80,8 @@
     // Pause between polls of an endpoint that is unreachable or still has runs of an earlier agent.
     Milliseconds pollRetryDelay { 40 };
 
-    // A stop is repeated after this long if the run's end isn't listed. The endpoint takes up to
-    // 50 ms to stop a run.
+    // A stop is repeated after this long if the run's end isn't listed. The endpoint takes up to 50
+    // ms to stop a run.
     Milliseconds stopRetryInterval { 70 };
 
     // When a run can't be stopped for this long, the lease of the whole endpoint is not renewed.
@@ -369,7 +369,7 @@
     jobs::ResourceVector reportedFree;
     std::uint32_t reportedMaxStarts = 0;
     bool reportedLeaving = false;
-    std::uint64_t reportedView = 0;
+    std::uint64_t reportedViewVersion = 0;
     std::vector<jobs::RunReport> ended;
     std::vector<jobs::StragglerReport> stragglers;
 
@@ -552,7 +552,7 @@
 
 RunnerActions tick(RunnerState &runner, Time now);
 
-// Planned shutdown: no new starts are taken. Complete once isShutDown() returns true.
+// Planned shutdown: no new starts are accepted. Complete once isShutDown() returns true.
 RunnerActions beginShutdown(RunnerState &runner, Time now);
 RunnerActions stopAllRuns(RunnerState &runner, Time now);
 bool isShutDown(const RunnerState &runner);
--- a/packages/runner/src/updates.cpp
+++ b/packages/runner/src/updates.cpp
@@ -113,7 +113,7 @@
     if (!runner.incarnationState.clean || ownerHasOtherRuns(runner, number, session))
         return;
     session.accepted = true;
-    session.reportedView = runner.viewVersion;
+    session.reportedViewVersion = runner.viewVersion;
     jobs::SessionAccepted message;
     message.incarnation = runner.incarnation;
     message.endpoint = makeEndpointView(runner, now);
@@ -146,7 +146,7 @@
 {
     const bool leaving = runner.endpoint.leaving || runner.stopping;
     if (session.dirty || session.reportedCrash != runner.lastCrash
-        || session.reportedView != runner.viewVersion || leaving != session.reportedLeaving
+        || session.reportedViewVersion != runner.viewVersion || leaving != session.reportedLeaving
         || startLimit != session.reportedMaxStarts)
         return true;
     if (session.refusedForCapacity && free.milliCores > session.reportedFree.milliCores)
@@ -175,11 +175,11 @@
             std::lround(perSecond(runner.freed, runner.settings.freedWindow, now)));
     update.ended.swap(session.ended);
     update.stragglers.swap(session.stragglers);
-    if (session.reportedView != runner.viewVersion)
+    if (session.reportedViewVersion != runner.viewVersion)
         update.endpoint.push_back(makeEndpointView(runner, now));
     update.crashed = crashesAfter(runner, session.reportedCrash, now);
     session.reportedCrash = runner.lastCrash;
-    session.reportedView = runner.viewVersion;
+    session.reportedViewVersion = runner.viewVersion;
     session.reportedHeartbeat = session.heartbeat;
     session.reportedStarts = session.startsHandled;
     session.reportedFree = free;
--- a/packages/runner/tests/starts_test.cpp
+++ b/packages/runner/tests/starts_test.cpp
@@ -1,5 +1,5 @@
 /*
-    Starts that the runner takes, lets wait for capacity, or refuses.
+    Starts that the runner accepts, lets wait for capacity, or refuses.
 
     [SECTION] Starts
     [SECTION] Waiting starts
@@ -30,16 +30,16 @@
 class Starts : public testing::TestWithParam<StartCase>
 { };
 
-TEST_P(Starts, AreTakenOnlyIfAllowed)
+TEST_P(Starts, AreAcceptedOnlyIfAllowed)
 {
     RunnerFixture fixture;
     GetParam().prepare(fixture);
     const RunnerActions actions = fixture.start(7, GetParam().milliCores);
-    const bool taken = GetParam().refused == StartRefusal::None;
-    EXPECT_EQ(actions.starts.size(), taken ? 1U : 0U);
+    const bool accepted = GetParam().refused == StartRefusal::None;
+    EXPECT_EQ(actions.starts.size(), accepted ? 1U : 0U);
     const auto ends = reportedEnds(actions);
-    ASSERT_EQ(ends.size(), taken ? 0U : 1U);
-    if (!taken) {
+    ASSERT_EQ(ends.size(), accepted ? 0U : 1U);
+    if (!accepted) {
         EXPECT_EQ(ends[0].end, RunOutcome::NeverStarted);
         EXPECT_EQ(ends[0].refused, GetParam().refused);
     }
@@ -275,8 +275,8 @@
     const char *name;
     std::int64_t milliCores;
 
-    // Further starts of one core each that are taken
-    std::size_t taken;
+    // Further starts of one core each that are accepted
+    std::size_t accepted;
 };
 
 std::ostream &operator<<(std::ostream &out, const CapacityCase &tested)
@@ -298,11 +298,11 @@
     EXPECT_TRUE(actions.stops.empty());
     // Reported to entries at once.
     ASSERT_EQ(actions.updates.size(), GetParam().milliCores == 4000 ? 0U : 1U);
-    std::size_t taken = 0;
+    std::size_t accepted = 0;
     for (std::uint32_t index = 2; index < 8; ++index)
-        taken += startedIndexes(fixture.start(index)).size();
-    EXPECT_EQ(taken, GetParam().taken);
-    EXPECT_EQ(fixture.runner.runs.size(), 2 + taken);
+        accepted += startedIndexes(fixture.start(index)).size();
+    EXPECT_EQ(accepted, GetParam().accepted);
+    EXPECT_EQ(fixture.runner.runs.size(), 2 + accepted);
 }
 
 INSTANTIATE_TEST_SUITE_P(Runner, ChangedCapacity,
@@ -392,7 +392,7 @@
 
     // Time since the agent's start
     Milliseconds after;
-    bool takesStarts;
+    bool acceptsStarts;
 };
 
 class Cordoned : public testing::TestWithParam<CordonCase>
@@ -415,15 +415,15 @@
     now += GetParam().after;
     openSession(runner, EntrySession, "entry-1", now);
     tick(runner, now);
-    EXPECT_EQ(makeEndpointView(runner, now).maxStarts > 0, GetParam().takesStarts);
-    EXPECT_EQ(makeEndpointView(runner, now).free.milliCores > 0, GetParam().takesStarts);
+    EXPECT_EQ(makeEndpointView(runner, now).maxStarts > 0, GetParam().acceptsStarts);
+    EXPECT_EQ(makeEndpointView(runner, now).free.milliCores > 0, GetParam().acceptsStarts);
     jobs::StartTasks message;
     message.job = "job";
     message.demand = { 1000, 10, 0 };
     message.estimate = Milliseconds(100);
     message.starts = { { 0, 1 } };
     EXPECT_EQ(startTasks(runner, EntrySession, message, now).starts.size(),
-              GetParam().takesStarts ? 1U : 0U);
+              GetParam().acceptsStarts ? 1U : 0U);
 }
 
 const catalog::Cordons NoCordons {};
--- a/packages/scheduler/include/foxwing/scheduler/scheduler.h
+++ b/packages/scheduler/include/foxwing/scheduler/scheduler.h
@@ -2,10 +2,10 @@
     The entry's scheduler: decides which task starts where and when, what is retried, and when a job
     is refused or given up.
 
-    Every entry knows the free capacity of all endpoints and sends starts directly to their agents;
-    an agent refuses at once what does not fit. By default, waiting jobs are ordered by the priority
-    of their queues, then by the latest time at which they can start and still be on time; those
-    that can no longer be on time come last.
+    An entry knows the free capacity of the endpoints whose agents it has sessions with, and sends
+    starts directly to these agents; an agent refuses at once what does not fit. By default, waiting
+    jobs are ordered by the priority of their queues, then by the latest time at which they can
+    start and still be on time; those that can no longer be on time come last.
 
     No two runs of a task overlap: a task is started again only after the end of its last run was
     reported, or after the agent it was sent to has certainly stopped it (see lostRunTimeout).
--- a/packages/scheduler/src/admission.cpp
+++ b/packages/scheduler/src/admission.cpp
@@ -191,7 +191,7 @@
     return job.options.receivedAt && job.latestStart > job.arrivedAt && now > job.latestStart;
 }
 
-// Whether the work before the job takes longer than it may wait.
+// Whether the work queued before the job takes longer than the job may wait.
 bool lacksCapacity(const SchedulerState &scheduler, const Job &job, Time now)
 {
     if (const auto tooLong = forecastWaitsTooLong(scheduler, job, now))
--- a/packages/scheduler/src/completion.cpp
+++ b/packages/scheduler/src/completion.cpp
@@ -315,7 +315,7 @@
     giveUpIfCrashing(scheduler, job, task, agent, now, actions);
 }
 
-// Capacity freed in a cordoned data centre is of no use to what waits.
+// Capacity freed in a cordoned data centre is of no use to waiting jobs.
 void recordFreedUnlessCordoned(SchedulerState &scheduler, const std::string &agent, const Job &job,
                                const Task &task, RunOutcome outcome, Time now)
 {
