--- a/packages/scheduler/tests/bench.h
+++ b/packages/scheduler/tests/fixture.h
@@ -1,11 +1,11 @@
 /*
     Test fixture of the scheduler: a scheduler with agents and a clock, and queries on its actions.
 
-        Bench bench({ 4000, 4000 });
-        const SchedulerActions actions = bench.submit("job", 3);
+        SchedulerFixture fixture({ 4000, 4000 });
+        const SchedulerActions actions = fixture.submit("job", 3);
         EXPECT_EQ(startsIn(actions), 3U);
 
-    [SECTION] Bench
+    [SECTION] Fixture
     [SECTION] Actions
 */
 #pragma once
@@ -19,26 +19,27 @@
 using jobs::RunOutcome;
 using jobs::StartRefusal;
 
-// [SECTION] Bench
+// [SECTION] Fixture
 
-inline jobs::EndpointView makeView(std::int64_t cores)
+inline jobs::EndpointView makeView(std::int64_t milliCores)
 {
     jobs::EndpointView view;
     view.endpointIncarnation = "life";
     view.service = "align";
-    view.capacity = { cores, 10000, 0 };
+    view.capacity = { milliCores, 10000, 0 };
     view.free = view.capacity;
     view.maxStarts = 1000;
     return view;
 }
 
-struct Bench
+struct SchedulerFixture
 {
-    explicit Bench(const std::vector<std::int64_t> &cores, const SchedulerSettings &settings = {})
+    explicit SchedulerFixture(const std::vector<std::int64_t> &milliCores,
+                              const SchedulerSettings &settings = {})
         : scheduler(makeScheduler(settings))
     {
-        for (std::size_t i = 0; i < cores.size(); ++i)
-            openSession("agent-" + std::to_string(i), makeView(cores[i]));
+        for (std::size_t i = 0; i < milliCores.size(); ++i)
+            openSession("agent-" + std::to_string(i), makeView(milliCores[i]));
     }
 
     SchedulerActions openSession(const std::string &name, const jobs::EndpointView &view)
