--- a/packages/fleet/src/controlrole.cpp
+++ b/packages/fleet/src/controlrole.cpp
@@ -198,7 +198,8 @@
 {
     const quorum::QuorumState &group = m_replica->state();
     return m_replica->isReadyLeader()
-            || (!group.leader.empty() && group.commit > 0 && group.commit >= group.leaderCommit
+            || (!group.leader.empty() && group.commitIndex > 0
+                && group.commitIndex >= group.leaderCommit
                 && now < group.lastLeaderContact + FreshnessWindow);
 }
 
@@ -503,7 +504,7 @@
     gauge("foxwing_cordoned_data_centres", "Cordoned data centres",
           m_agreed.cordons.dataCentres.size());
     gauge("foxwing_group_term", "Term of the consensus group", group.term);
-    gauge("foxwing_group_commit", "Index of the last committed log entry", group.commit);
+    gauge("foxwing_group_commit", "Index of the last committed log entry", group.commitIndex);
     gauge("foxwing_group_voters", "Voters", group.members.voters.size());
     gauge("foxwing_group_leads", "1 while this host is the leader",
           quorum::isLeader(group) ? 1 : 0);
--- a/packages/node/src/replicatedlog.cpp
+++ b/packages/node/src/replicatedlog.cpp
@@ -103,7 +103,7 @@
     const auto state = m_replica.open(reason);
     if (!state)
         return std::nullopt;
-    if (m_bootstrap && !m_replica.wasBlank())
+    if (m_bootstrap && !m_replica.wasEmpty())
         logEvent(LogLevel::Warning, "bootstrap-left",
                  { { "remedy",
                      "remove control.bootstrap from the settings: the group already exists" } });
