--- a/packages/runner/include/foxwing/runner/runner.h
+++ b/packages/runner/include/foxwing/runner/runner.h
@@ -33,7 +33,7 @@
 #include <string>
 #include <vector>
 
-#include <foxwing/base/fadingsum.h>
+#include <foxwing/base/decayingsum.h>
 #include <foxwing/catalog/agreedstate.h>
 #include <foxwing/eventlog/eventlog.h>
 #include <foxwing/jobs/messages.h>
