--- a/apps/foxwing/commandline.h
+++ b/apps/foxwing/commandline.h
@@ -82,8 +82,9 @@
 
 // [SECTION] Helpers
 
-// Calls the URLs of the options in turn, with the token, until one answers other than 503. Returns
-// status 0 and prints an error to standard error if none can be reached.
+// Calls the URLs of the options in turn, with the token, until one replies with a status other than
+// 503. Otherwise returns the last result; if that has status 0 (no response), prints an error to
+// standard error.
 edge::HttpReply call(const Options &options, const std::string &method, const std::string &path,
                      const std::string &body);
 
--- a/apps/foxwing/operatorcommands.cpp
+++ b/apps/foxwing/operatorcommands.cpp
@@ -233,7 +233,7 @@
         Error ignored;
         const auto json = parseJson(reply.body, &ignored);
         if (reply.status == 410) {
-            // The revision is no longer kept: report the gap and continue from the current one.
+            // The revision is no longer retained: report the gap and continue from the current one.
             const auto current = currentRevision(options);
             if (!current)
                 return ExitUnreachable;
@@ -244,8 +244,8 @@
             continue;
         }
         if (reply.status == 0 || reply.status == 503) {
-            // No leader or not reachable. The next call starts at the same revision, so no change
-            // is missed.
+            // No leader, or no host is reachable. The next call starts at the same revision, so no
+            // change is missed.
             std::this_thread::sleep_for(WatchRetryDelay);
             continue;
         }
--- a/apps/foxwingd/main.cpp
+++ b/apps/foxwingd/main.cpp
@@ -1,5 +1,5 @@
 /*
-    foxwingd: the daemon. Runs the roles that its settings name in one process.
+    foxwingd: the daemon. One process runs all roles that its settings name.
 
         foxwingd --settings /etc/foxwing/node.toml
         foxwingd --settings node.toml --check
--- a/packages/edge/include/foxwing/edge/httpclient.h
+++ b/packages/edge/include/foxwing/edge/httpclient.h
@@ -37,7 +37,7 @@
     // Limit for one call.
     Milliseconds timeout { 60000 };
 
-    // Accepts any certificate; only for trials on one machine.
+    // Accepts any certificate; only for tests on one host.
     bool insecure = false;
 
     // Longer responses are errors.
--- a/packages/eventlog/include/foxwing/eventlog/eventlog.h
+++ b/packages/eventlog/include/foxwing/eventlog/eventlog.h
@@ -30,8 +30,8 @@
 
 struct EventLogSettings
 {
-    // Lines of the kind Request per second. An entry of the largest site answers 70 jobs per
-    // second, 130 in a burst, with one line each and one more for each anomaly.
+    // Lines of the kind Request per second. The most loaded entry answers 70 jobs per second, 130
+    // in a burst, and writes one line for each job and one more for each anomaly.
     std::uint32_t requestLinesPerSecond = 250;
 
     std::uint32_t changeLinesPerSecond = 100;
@@ -80,7 +80,7 @@
 
 struct EventLog
 {
-    EventLog(std::string nodeName, EventLogSettings with, int descriptor = 1);
+    EventLog(std::string nodeName, EventLogSettings initialSettings, int descriptor = 1);
 
     std::string node;
     EventLogSettings settings;
--- a/packages/eventlog/src/eventlog.cpp
+++ b/packages/eventlog/src/eventlog.cpp
@@ -87,9 +87,9 @@
 
 // [SECTION] Log
 
-EventLog::EventLog(std::string nodeName, EventLogSettings with, int descriptor)
+EventLog::EventLog(std::string nodeName, EventLogSettings initialSettings, int descriptor)
     : node(std::move(nodeName))
-    , settings(with)
+    , settings(initialSettings)
     , output(descriptor)
 {
     const int flags = ::fcntl(output, F_GETFL);
--- a/packages/fabric/include/foxwing/fabric/httpserver.h
+++ b/packages/fabric/include/foxwing/fabric/httpserver.h
@@ -6,7 +6,7 @@
         });
 
     An exchange may be answered at once or later. The handler set with onDisconnect() is called if
-   the caller closes its connection before that.
+    the caller closes its connection before that.
 
     [SECTION] Limits
     [SECTION] Exchange
--- a/packages/node/src/callerapi.h
+++ b/packages/node/src/callerapi.h
@@ -15,7 +15,7 @@
 // [SECTION] Requests
 
 // Parses the body of a job (POST /v1/jobs) or of a single request (POST /v1/requests).
-std::optional<entry::SubmitRequest> parseSubmission(const std::string &body, bool request,
+std::optional<entry::SubmitRequest> parseSubmission(const std::string &body, bool isRequest,
                                                     Error *reason);
 
 // Parses a query parameter in milliseconds; the fallback if it is empty.
--- a/packages/node/src/entryrole.cpp
+++ b/packages/node/src/entryrole.cpp
@@ -249,9 +249,10 @@
         applyResource(change);
     if (update.hasAgents) {
         m_state.agents = { {}, update.agentsCompleteSince };
-        for (const control::AgentStatus &hint : update.agents) {
-            m_state.agents.agents.push_back({ hint.id, hint.service, hint.lostAt, hint.live });
-            m_router.learnAddress(hint.id, hint.address);
+        for (const control::AgentStatus &status : update.agents) {
+            m_state.agents.agents.push_back(
+                    { status.id, status.service, status.lostAt, status.live });
+            m_router.learnAddress(status.id, status.address);
         }
     }
     if (update.view.number == 0)
--- a/packages/node/src/entryrole.h
+++ b/packages/node/src/entryrole.h
@@ -40,9 +40,9 @@
     void startLeaving() { m_state.leaving = true; }
     bool ready() const;
 
-    // Whether a heartbeat should be sent at once. Reading it resets it.
+    // Whether a heartbeat should be sent at once. Calling this resets it.
     bool takeHeartbeatRequest() { return std::exchange(m_state.heartbeatRequested, false); }
-    bool allClaimsInService() const { return claims::allShardsActive(m_state.claims); }
+    bool allShardsActive() const { return claims::allShardsActive(m_state.claims); }
     bool drained() const;
 
     // Whether this process is no longer a replica of any shard.
--- a/packages/node/src/node.cpp
+++ b/packages/node/src/node.cpp
@@ -234,7 +234,7 @@
     heartbeat.leaving = m_stopping == Stopping::HandingOver;
     if (m_entry)
         m_entry->fillHeartbeat(heartbeat);
-    const bool fast = m_entry && !heartbeat.leaving && !m_entry->allClaimsInService();
+    const bool fast = m_entry && !heartbeat.leaving && !m_entry->allShardsActive();
     m_nextHeartbeat = now + (fast ? FastHeartbeatInterval : m_settings.cluster.heartbeatInterval);
     // Sends only to the leader as long as it answers, otherwise to all control hosts.
     const Milliseconds answerTimeout = 2 * m_settings.cluster.heartbeatInterval;
--- a/packages/node/src/operatorapi.cpp
+++ b/packages/node/src/operatorapi.cpp
@@ -1,6 +1,7 @@
 /*
     Serves operators' requests: resources, watches, nodes and members.
 
+    [SECTION] Parsing
     [SECTION] Authentication
     [SECTION] Changes
     [SECTION] Reads
@@ -42,7 +43,7 @@
     return json;
 }
 
-// [SECTION] Changes
+// [SECTION] Parsing
 
 std::optional<control::ChangeRequest> readChange(const edge::HttpRequest &request, Error *reason)
 {
@@ -135,6 +136,8 @@
     m_log.requestRead(id);
 }
 
+// [SECTION] Changes
+
 void ControlRole::serveMembers(const edge::HttpRequest &request, const edge::Responder &responder)
 {
     Error reason;
--- a/packages/node/src/replicatedlog.h
+++ b/packages/node/src/replicatedlog.h
@@ -52,7 +52,8 @@
     void receive(const quorum::QuorumMessage &message) { m_replica.receive(message); }
     void tick() { m_replica.tick(); }
 
-    // The index and term at which the command will be committed; nothing if this host can't lead.
+    // Index and term under which the command will be committed, unless another leader takes over
+    // first; nothing if this host is not the leader or its disk failed.
     std::optional<quorum::LogEntry> propose(const control::Command &command);
     bool proposeMembers(const quorum::Members &members, Error *reason)
     {
--- a/packages/settings/include/foxwing/settings/settings.h
+++ b/packages/settings/include/foxwing/settings/settings.h
@@ -102,7 +102,7 @@
 
 struct JournalSettings
 {
-    // Added to each synced write, to simulate slow disks in measurements.
+    // Added to each synced write, to simulate a slow disk in benchmarks.
     Milliseconds addedDelay { 0 };
 
     // A snapshot is taken and the journal truncated after this many commands.
--- a/packages/settings/src/tomlreader.cpp
+++ b/packages/settings/src/tomlreader.cpp
@@ -111,7 +111,7 @@
         { "h", 3600000 },
 } };
 
-// Longer numbers are taken for mistakes.
+// Durations with more digits are rejected as mistakes.
 constexpr std::size_t MaxDurationDigits = 9;
 
 std::optional<Milliseconds> parseDuration(const std::string &text)
--- a/packages/wire/src/senderpool.cpp
+++ b/packages/wire/src/senderpool.cpp
@@ -68,7 +68,7 @@
 
     void send(const std::string &address, Json::Value &&message)
     {
-        std::vector<Json::Value> lost;
+        std::vector<Json::Value> failed;
         {
             const std::lock_guard<std::mutex> lock(m_mutex);
             Peer &peer = m_peers[address];
@@ -76,14 +76,14 @@
             const bool inBackoff = steadyNow() < peer.backoffUntil;
             if (inBackoff || peer.queued.size() >= m_settings.maxQueued) {
                 ++m_counters.failedMessages;
-                lost.push_back(std::move(message));
+                failed.push_back(std::move(message));
             } else {
                 peer.queued.push_back(std::move(message));
                 schedule(peer);
             }
         }
-        if (!lost.empty())
-            m_onFailure(address, std::move(lost));
+        if (!failed.empty())
+            m_onFailure(address, std::move(failed));
     }
 
     void flush(Milliseconds timeout)
--- a/packages/wire/tests/wire_test.cpp
+++ b/packages/wire/tests/wire_test.cpp
@@ -95,15 +95,15 @@
     RpcServer server(serverSettings(), [&](Envelope &&) { ++arrived; });
     Error reason;
     ASSERT_TRUE(server.start(&reason));
-    std::atomic<int> lost { 0 };
+    std::atomic<int> failed { 0 };
     SenderPool sender(senderSettings("wrong"),
                       [&](const std::string &, std::vector<Json::Value> &&messages) {
-                          lost += static_cast<int>(messages.size());
+                          failed += static_cast<int>(messages.size());
                       });
     sender.send(addressOf(server), Json::Value(1));
     sender.flush(Milliseconds(30000));
     EXPECT_EQ(arrived, 0);
-    EXPECT_EQ(lost, 1);
+    EXPECT_EQ(failed, 1);
 }
 
 TEST(Wire, UnreachablePeerDoesNotDelayOthers)
@@ -113,11 +113,11 @@
                      [&](Envelope &&envelope) { collector.add(std::move(envelope)); });
     Error reason;
     ASSERT_TRUE(server.start(&reason));
-    std::atomic<int> lost { 0 };
+    std::atomic<int> failed { 0 };
     SenderSettings settings = senderSettings("secret");
     settings.threads = 1;
     SenderPool sender(settings, [&](const std::string &, std::vector<Json::Value> &&messages) {
-        lost += static_cast<int>(messages.size());
+        failed += static_cast<int>(messages.size());
     });
     for (int i = 0; i < 100; ++i) {
         sender.send("127.0.0.1:1", Json::Value(i)); // nothing listens there
@@ -125,7 +125,7 @@
     }
     EXPECT_EQ(collector.waitFor(100).size(), 100U);
     sender.flush(Milliseconds(30000));
-    EXPECT_EQ(lost, 100);
+    EXPECT_EQ(failed, 100);
 }
 
 TEST(Wire, HandlesMoreConnectionsThanSelect)
