--- a/packages/fleet/src/agentrole.cpp
+++ b/packages/fleet/src/agentrole.cpp
@@ -45,8 +45,8 @@
 std::uint64_t initialFence()
 {
     std::random_device device;
-    const auto date = static_cast<std::uint64_t>(wallClockNow().time_since_epoch().count());
-    return (date << FenceBits) | (device() & ((1U << FenceBits) - 1));
+    const auto wallTime = static_cast<std::uint64_t>(wallClockNow().time_since_epoch().count());
+    return (wallTime << FenceBits) | (device() & ((1U << FenceBits) - 1));
 }
 
 class AgentRole : public NodeRole
--- a/packages/fleet/src/controlrole.cpp
+++ b/packages/fleet/src/controlrole.cpp
@@ -111,7 +111,7 @@
     void reopenJournal(Time now);
 
     OperatorCallbacks operatorCallbacks();
-    operators::GroupStatus groupView() const;
+    operators::GroupStatus groupStatus() const;
     void sendToLeader(const Frame &frame);
 
     Core &m_core;
@@ -444,16 +444,16 @@
         m_reopenAt = now + ReopenDelay;
 }
 
-operators::GroupStatus ControlRole::groupView() const
+operators::GroupStatus ControlRole::groupStatus() const
 {
     const std::string &leader = m_replica->state().leader;
     const auto peer = m_controls.find(addressOf(leader));
-    operators::GroupStatus view;
-    view.isReadyLeader = m_replica->isReadyLeader();
-    view.isElected = leader == m_core.self.groupId;
-    view.reachesLeader = peer != m_controls.end() && peer->second.link != nullptr;
-    view.agreed = &m_agreed;
-    return view;
+    operators::GroupStatus status;
+    status.isReadyLeader = m_replica->isReadyLeader();
+    status.isElected = leader == m_core.self.groupId;
+    status.reachesLeader = peer != m_controls.end() && peer->second.link != nullptr;
+    status.agreed = &m_agreed;
+    return status;
 }
 
 void ControlRole::sendToLeader(const Frame &frame)
@@ -466,7 +466,7 @@
 OperatorCallbacks ControlRole::operatorCallbacks()
 {
     OperatorCallbacks callbacks;
-    callbacks.group = [this] { return groupView(); };
+    callbacks.group = [this] { return groupStatus(); };
     callbacks.propose = [this](const std::string &text) { return m_replica->propose(text); };
     callbacks.requestRead = [this](std::uint64_t call) { m_replica->requestRead(call); };
     callbacks.sendToLeader = [this](const Frame &frame) { sendToLeader(frame); };
--- a/packages/fleet/src/heldcalls.cpp
+++ b/packages/fleet/src/heldcalls.cpp
@@ -22,13 +22,13 @@
 
 std::vector<HeldCall> takeExpired(HeldCalls &held, Time now)
 {
-    std::vector<HeldCall> timedOut;
+    std::vector<HeldCall> expired;
     while (!held.calls.empty()
            && now >= held.calls.front().receivedAt + held.settings.holdTimeout) {
-        timedOut.push_back(std::move(held.calls.front()));
+        expired.push_back(std::move(held.calls.front()));
         held.calls.pop_front();
     }
-    return timedOut;
+    return expired;
 }
 
 std::vector<HeldCall> takeAll(HeldCalls &held)
--- a/packages/fleet/tests/heldcalls_test.cpp
+++ b/packages/fleet/tests/heldcalls_test.cpp
@@ -41,10 +41,10 @@
     held.startedAt = Time(Seconds(100));
     const Time receivedAt = held.startedAt + GetParam().arrivesAfter;
     EXPECT_EQ(hold(held, makeCall(), receivedAt), GetParam().held);
-    const std::vector<HeldCall> timedOut = takeExpired(held, receivedAt + GetParam().catalogAfter);
+    const std::vector<HeldCall> expired = takeExpired(held, receivedAt + GetParam().catalogAfter);
     const std::vector<HeldCall> rest = takeAll(held);
     EXPECT_EQ(rest.size(), GetParam().released ? 1U : 0U);
-    EXPECT_EQ(timedOut.size() + rest.size(), GetParam().held ? 1U : 0U);
+    EXPECT_EQ(expired.size() + rest.size(), GetParam().held ? 1U : 0U);
     for (const HeldCall &call : rest)
         EXPECT_EQ(call.receivedAt, receivedAt);
     EXPECT_TRUE(held.calls.empty());
--- a/tests/agreement/agreement_test.cpp
+++ b/tests/agreement/agreement_test.cpp
@@ -81,7 +81,7 @@
     Time now { Milliseconds(1000) };
     std::uint64_t sequence = 0;
     std::uint64_t starts = 0;
-    bool faultsActive = true;
+    bool faultsEnabled = true;
     std::priority_queue<Delivery> network;
     std::map<std::string, Host> hosts;
     std::vector<std::string> blockedLinks;
@@ -146,12 +146,12 @@
     const bool isBlocked = std::find(simulation.blockedLinks.begin(), simulation.blockedLinks.end(),
                                      from + ">" + outgoing.to)
             != simulation.blockedLinks.end();
-    if (isBlocked || (simulation.faultsActive && chance(simulation, 0.04)))
+    if (isBlocked || (simulation.faultsEnabled && chance(simulation, 0.04)))
         return;
-    const int copies = simulation.faultsActive && chance(simulation, 0.04) ? 2 : 1;
+    const int copies = simulation.faultsEnabled && chance(simulation, 0.04) ? 2 : 1;
     for (int i = 0; i < copies; ++i) {
         Microseconds delay(randomBetween(simulation, 300, 4000));
-        if (simulation.faultsActive && chance(simulation, 0.02))
+        if (simulation.faultsEnabled && chance(simulation, 0.02))
             delay = Milliseconds(randomBetween(simulation, 10, 2000));
         simulation.network.push(
                 { simulation.now + delay, simulation.sequence++, outgoing.to, outgoing.message });
@@ -202,7 +202,7 @@
     if (!actions.records.empty()) {
         host.unsynced.insert(host.unsynced.end(), actions.records.begin(), actions.records.end());
         host.recordCounts.emplace_back(actions.syncNumber, actions.records.size());
-        Microseconds delay(randomBetween(simulation, 200, simulation.faultsActive ? 40000 : 6000));
+        Microseconds delay(randomBetween(simulation, 200, simulation.faultsEnabled ? 40000 : 6000));
         if (!host.pendingSyncs.empty())
             delay = std::max<Microseconds>(delay, host.pendingSyncs.back().at - simulation.now);
         host.pendingSyncs.push_back({ simulation.now + delay, actions.syncNumber });
@@ -275,7 +275,7 @@
         if (!isLeader(*host->state))
             continue;
         const std::string payload = "command " + std::to_string(simulation.nextCommand++);
-        if (!simulation.faultsActive)
+        if (!simulation.faultsEnabled)
             simulation.proposedInRecovery.insert(payload);
         std::uint64_t index = 0;
         simulation.proposed[payload] = { host->id, 0 };
@@ -302,29 +302,29 @@
         if (!isLeader(*host->state))
             continue;
         const Members current = host->state->members;
-        Members wanted = current;
+        Members desired = current;
         if (!current.learners.empty()) {
-            wanted.voters.push_back(current.learners[0]);
-            wanted.learners.clear();
+            desired.voters.push_back(current.learners[0]);
+            desired.learners.clear();
         } else if (current.voters.size() % 2 == 0) {
-            auto removed = std::find_if(wanted.voters.begin(), wanted.voters.end(),
+            auto removed = std::find_if(desired.voters.begin(), desired.voters.end(),
                                         [&](const std::string &id) {
                                             return simulation.hosts[id].hasLostDisk;
                                         });
-            if (removed == wanted.voters.end())
-                removed = wanted.voters.begin()
+            if (removed == desired.voters.end())
+                removed = desired.voters.begin()
                         + randomBetween(simulation, 0,
                                         static_cast<std::int64_t>(current.voters.size()) - 2);
-            wanted.voters.erase(removed);
+            desired.voters.erase(removed);
         } else if (simulation.replacements < 2) {
             ++simulation.replacements;
             Host &added = simulation.hosts["fresh" + std::to_string(simulation.replacements)];
             added.id = "fresh" + std::to_string(simulation.replacements);
             startHost(simulation, added, {});
-            wanted.learners.push_back(added.id);
+            desired.learners.push_back(added.id);
         }
         Error reason;
-        auto actions = proposeMembers(*host->state, wanted, simulation.now, &reason);
+        auto actions = proposeMembers(*host->state, desired, simulation.now, &reason);
         if (!actions)
             continue;
         ++simulation.changes;
@@ -423,7 +423,7 @@
     }
 }
 
-void actRandomly(Simulation &simulation)
+void runRandomActions(Simulation &simulation)
 {
     if (chance(simulation, 0.3))
         proposeCommands(simulation);
@@ -476,14 +476,14 @@
 {
     while (simulation.now < until) {
         step(simulation);
-        actRandomly(simulation);
+        runRandomActions(simulation);
     }
 }
 
 // Ends all faults. The group must make progress without having lost an acknowledged command.
 void runRecovery(Simulation &simulation)
 {
-    simulation.faultsActive = false;
+    simulation.faultsEnabled = false;
     simulation.blockedLinks.clear();
     const Time end = simulation.now + RecoveryDuration;
     while (simulation.now < end) {
--- a/tests/fleet/endpoint.cpp
+++ b/tests/fleet/endpoint.cpp
@@ -137,10 +137,10 @@
     }
     if (command.deadline)
         m_leaseUntil = std::max(m_leaseUntil, std::min(*command.deadline, clock(now) + MaxLease));
-    const auto seen = [&](const runner::EndedRun &row) {
-        return row.number <= command.lastSeenEnd;
+    const auto acknowledged = [&](const runner::EndedRun &run) {
+        return run.number <= command.lastSeenEnd;
     };
-    m_ended.erase(std::remove_if(m_ended.begin(), m_ended.end(), seen), m_ended.end());
+    m_ended.erase(std::remove_if(m_ended.begin(), m_ended.end(), acknowledged), m_ended.end());
     poll.result = { CommandStatus::Ok, clock(now) };
     if (reportsStartTime)
         poll.startedAt = startedAt;
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -17,7 +17,7 @@
 namespace foxwing::test {
 namespace {
 
-std::uint64_t fromEnvironment(const char *name, std::uint64_t fallback)
+std::uint64_t numberFromEnvironment(const char *name, std::uint64_t fallback)
 {
     const char *text = std::getenv(name);
     return text ? std::strtoull(text, nullptr, 10) : fallback;
@@ -29,21 +29,21 @@
 {
     SimulationSettings settings;
     settings.jobInterval = Milliseconds(60);
-    const SimulationOutcome outcome = Simulation(settings).run();
-    EXPECT_GT(outcome.submitted, 100U);
-    EXPECT_EQ(outcome.completed, outcome.submitted);
-    EXPECT_EQ(outcome.firstViolation, "");
+    const SimulationReport report = Simulation(settings).run();
+    EXPECT_GT(report.submitted, 100U);
+    EXPECT_EQ(report.completed, report.submitted);
+    EXPECT_EQ(report.firstViolation, "");
 }
 
 TEST(FleetWithoutFaults, RefusesUnderOverloadWithoutViolations)
 {
     SimulationSettings settings;
     settings.jobInterval = Milliseconds(8);
-    const SimulationOutcome outcome = Simulation(settings).run();
-    EXPECT_GT(outcome.notRun, 0U);
-    EXPECT_GT(outcome.completed, 0U);
-    EXPECT_EQ(outcome.falseNotRun, 0U);
-    EXPECT_EQ(outcome.firstViolation, "");
+    const SimulationReport report = Simulation(settings).run();
+    EXPECT_GT(report.notRun, 0U);
+    EXPECT_GT(report.completed, 0U);
+    EXPECT_EQ(report.falseNotRun, 0U);
+    EXPECT_EQ(report.firstViolation, "");
 }
 
 // [SECTION] Invariants
@@ -87,12 +87,12 @@
 
 std::uint64_t firstSeed()
 {
-    return fromEnvironment("FOXWING_FIRST_SEED", 1);
+    return numberFromEnvironment("FOXWING_FIRST_SEED", 1);
 }
 
 std::uint64_t endSeed()
 {
-    return firstSeed() + fromEnvironment("FOXWING_SEEDS", 12);
+    return firstSeed() + numberFromEnvironment("FOXWING_SEEDS", 12);
 }
 
 // Without faults
@@ -126,10 +126,10 @@
     for (std::uint64_t seed = firstSeed(); seed < endSeed(); ++seed) {
         SimulationSettings settings = settingsFor(seed, GetParam().priorities);
         settings.faults = GetParam().faults;
-        const SimulationOutcome outcome = Simulation(settings).run();
-        ASSERT_EQ(outcome.firstViolation, "") << "seed " << seed;
-        ASSERT_EQ(outcome.falseNotRun, 0U) << "seed " << seed;
-        completed += outcome.completed;
+        const SimulationReport report = Simulation(settings).run();
+        ASSERT_EQ(report.firstViolation, "") << "seed " << seed;
+        ASSERT_EQ(report.falseNotRun, 0U) << "seed " << seed;
+        completed += report.completed;
     }
     EXPECT_GE(completed * 100,
               completedWithoutFaults(GetParam().priorities) * GetParam().minPercent);
@@ -249,9 +249,9 @@
     for (std::uint64_t seed = firstSeed(); seed < endSeed(); ++seed) {
         SimulationSettings settings = crashingSettings(seed);
         settings.faults = GetParam().faults;
-        const SimulationOutcome outcome = Simulation(settings).run();
-        ASSERT_EQ(outcome.firstViolation, "") << "seed " << seed;
-        ASSERT_EQ(outcome.falseNotRun, 0U) << "seed " << seed;
+        const SimulationReport report = Simulation(settings).run();
+        ASSERT_EQ(report.firstViolation, "") << "seed " << seed;
+        ASSERT_EQ(report.falseNotRun, 0U) << "seed " << seed;
     }
 }
 
@@ -267,15 +267,15 @@
 // more than twice as many other jobs time out.
 TEST(CrashReports, LimitCrashesOfOtherJobs)
 {
-    SimulationOutcome reported;
-    SimulationOutcome unreported;
+    SimulationReport reported;
+    SimulationReport unreported;
     for (std::uint64_t seed = firstSeed(); seed < endSeed(); ++seed) {
         SimulationSettings settings = crashingSettings(seed);
         reported.othersTimedOut += Simulation(settings).run().othersTimedOut;
         settings.crashesNotReported = true;
-        const SimulationOutcome outcome = Simulation(settings).run();
-        unreported.othersTimedOut += outcome.othersTimedOut;
-        unreported.startsCrashing += outcome.startsCrashing;
+        const SimulationReport report = Simulation(settings).run();
+        unreported.othersTimedOut += report.othersTimedOut;
+        unreported.startsCrashing += report.startsCrashing;
     }
     EXPECT_GT(unreported.startsCrashing, 0U);
     EXPECT_LT(reported.othersTimedOut * 2, unreported.othersTimedOut);
--- a/tests/fleet/simulation.cpp
+++ b/tests/fleet/simulation.cpp
@@ -62,19 +62,19 @@
 {
     const std::uint64_t incarnation = process.incarnation;
     at(m_now + delay, [this, &process, incarnation, callback = std::move(callback)]() mutable {
-        if (!process.up || process.incarnation != incarnation)
+        if (!process.isUp || process.incarnation != incarnation)
             return;
         if (m_now < process.suspendedUntil)
             return at(process.suspendedUntil,
                       [this, &process, incarnation, callback = std::move(callback)] {
-                          if (process.up && process.incarnation == incarnation)
+                          if (process.isUp && process.incarnation == incarnation)
                               on(process, Milliseconds(0), callback);
                       });
         callback();
     });
 }
 
-SimulationOutcome Simulation::run()
+SimulationReport Simulation::run()
 {
     for (int i = 0; i < m_settings.entries; ++i)
         restartEntry(i, Milliseconds(0));
@@ -82,14 +82,14 @@
         restartAgent(i, Milliseconds(0));
     at(m_now + Milliseconds(2000), [this] { submitJobs(); });
     scheduleFaults();
-    while (!m_events.empty() && m_now < m_end + DrainTime) {
+    while (!m_events.empty() && m_now < m_end + DrainDuration) {
         const Event event = m_events.top();
         m_events.pop();
         m_now = std::max(m_now, event.when);
         event.callback();
         checkInvariants();
     }
-    return m_outcome;
+    return m_report;
 }
 
 // [SECTION] Callers
@@ -110,7 +110,7 @@
     step.demand = { cores(m_random), 64, 0 };
     spec.steps = { step };
     m_specs[spec.id] = spec;
-    ++m_outcome.submitted;
+    ++m_report.submitted;
     submit(spec, m_now);
     at(m_now + m_settings.jobInterval, [this] { submitJobs(); });
 }
@@ -121,7 +121,7 @@
     const int chosen = any(m_random);
     const std::uint64_t call = ++m_lastCall;
     Entry &entry = *m_entries[static_cast<std::size_t>(chosen)];
-    if (!entry.up)
+    if (!entry.isUp)
         return at(m_now + ResendAfter, [this, spec, firstSent] {
             if (m_now < firstSent + Milliseconds(4000))
                 submit(spec, firstSent);
@@ -203,19 +203,19 @@
     const std::string id = found == m_calls.end() ? "" : found->second.spec.id;
     switch (answer.outcome) {
     case scheduler::JobOutcome::Completed:
-        ++m_outcome.completed;
+        ++m_report.completed;
         break;
     case scheduler::JobOutcome::Failed:
-        ++m_outcome.failed;
+        ++m_report.failed;
         break;
     case scheduler::JobOutcome::NotRun:
-        ++m_outcome.notRun;
+        ++m_report.notRun;
         if (m_startedJobs.count(id) != 0 && !found->second.resent)
-            ++m_outcome.falseNotRun;
+            ++m_report.falseNotRun;
         break;
     case scheduler::JobOutcome::TimedOut:
-        ++m_outcome.timedOut;
-        m_outcome.othersTimedOut += id.empty() || isCrashing(id) ? 0 : 1;
+        ++m_report.timedOut;
+        m_report.othersTimedOut += id.empty() || isCrashing(id) ? 0 : 1;
         // A job that crashes endpoints is resent after this answer, as if it had not been answered.
         if (!id.empty() && isCrashing(id) && m_now < m_end)
             at(m_now + ResendAfter,
@@ -232,7 +232,7 @@
 {
     at(m_now + after, [this, number] {
         Entry &entry = *m_entries[static_cast<std::size_t>(number)];
-        entry.up = true;
+        entry.isUp = true;
         ++entry.incarnation;
         entry.lastTickAt = clockOf(entry);
         scheduler::SchedulerSettings settings = m_settings.scheduler;
@@ -270,7 +270,8 @@
 bool Simulation::isReachable(int entry, int agent) const
 {
     const Agent &to = *m_agents[static_cast<std::size_t>(agent)];
-    return m_entries[static_cast<std::size_t>(entry)]->up && to.up && m_now >= to.partitionedUntil;
+    return m_entries[static_cast<std::size_t>(entry)]->isUp && to.isUp
+            && m_now >= to.partitionedUntil;
 }
 
 void Simulation::connect(int number, int agentNumber)
@@ -305,7 +306,7 @@
     if (!session.open)
         return;
     session.open = false;
-    if (entry.up)
+    if (entry.isUp)
         on(entry, Milliseconds(0), [this, number, agentNumber] {
             Entry &target = *m_entries[static_cast<std::size_t>(number)];
             scheduler::recordSessionLost(target.probes, clockOf(target));
@@ -352,9 +353,9 @@
         return;
     on(*m_agents[static_cast<std::size_t>(agentNumber)], LinkDelay,
        [this, agentNumber, id = session.number, message = send.message] {
-           Agent &taker = *m_agents[static_cast<std::size_t>(agentNumber)];
-           runner::RunnerState &state = taker.state;
-           const Time now = clockOf(taker);
+           Agent &target = *m_agents[static_cast<std::size_t>(agentNumber)];
+           runner::RunnerState &state = target.state;
+           const Time now = clockOf(target);
            if (const auto *start = std::get_if<jobs::StartTasks>(&message))
                execute(agentNumber, runner::startTasks(state, id, *start, now));
            else if (const auto *stop = std::get_if<jobs::StopRuns>(&message))
@@ -383,7 +384,7 @@
 {
     at(m_now + after, [this, number] {
         Agent &agent = *m_agents[static_cast<std::size_t>(number)];
-        agent.up = true;
+        agent.isUp = true;
         ++agent.incarnation;
         // Agents store no fence; a new incarnation starts with a higher one, which the endpoint may
         // correct.
@@ -445,14 +446,14 @@
     const Time doneAt = m_now + (late ? Milliseconds(lateBy(m_random)) : CommandDelay + wait);
     if (!agent.unreachable)
         at(doneAt, [this, number, command, run, handle, lost] {
-            Agent &here = *m_agents[static_cast<std::size_t>(number)];
-            if (here.unreachable && !lost)
-                on(here, CommandTimeout, [handle] { handle({}); });
-            if (here.unreachable)
+            Agent &target = *m_agents[static_cast<std::size_t>(number)];
+            if (target.unreachable && !lost)
+                on(target, CommandTimeout, [handle] { handle({}); });
+            if (target.unreachable)
                 return;
-            const auto result = run(*here.endpoint, command);
+            const auto result = run(*target.endpoint, command);
             if (!lost)
-                on(here, CommandDelay, [handle, result] { handle(result); });
+                on(target, CommandDelay, [handle, result] { handle(result); });
         });
     if (lost)
         on(agent, wait + CommandTimeout, [handle] { handle({}); });
@@ -476,9 +477,9 @@
                 number, start, Milliseconds(0),
                 [this, number](FakeEndpoint &endpoint, const runner::StartCommand &command) {
                     const Milliseconds work = m_specs.at(command.id.task.job).steps[0].estimate;
-                    const bool wasThere = endpoint.runs().count(command.id) != 0;
+                    const bool alreadyRuns = endpoint.runs().count(command.id) != 0;
                     const auto result = endpoint.start(command, m_now, work);
-                    if (result.status == runner::CommandStatus::Ok && !wasThere)
+                    if (result.status == runner::CommandStatus::Ok && !alreadyRuns)
                         recordCrashingStart(number, command.id);
                     if (result.status == runner::CommandStatus::Ok)
                         m_startedJobs.insert(command.id.task.job);
@@ -498,10 +499,10 @@
                 [this](FakeEndpoint &endpoint, const runner::PollCommand &command) {
                     return endpoint.poll(command, m_now);
                 },
-                [this, number, id = poll.number](const runner::PollResult &seen) {
+                [this, number, id = poll.number](const runner::PollResult &result) {
                     Agent &agent = *m_agents[static_cast<std::size_t>(number)];
                     execute(number,
-                            runner::handlePollResult(agent.state, id, seen, clockOf(agent)));
+                            runner::handlePollResult(agent.state, id, result, clockOf(agent)));
                 });
     }
     const auto deliver = [&](std::uint64_t session, auto message, auto handle) {
--- a/tests/fleet/simulation.h
+++ b/tests/fleet/simulation.h
@@ -115,7 +115,7 @@
     bool fencesIgnored = false;
 };
 
-struct SimulationOutcome
+struct SimulationReport
 {
     std::uint64_t submitted = 0;
     std::uint64_t completed = 0;
@@ -156,7 +156,7 @@
     explicit Simulation(const SimulationSettings &settings);
     ~Simulation();
 
-    SimulationOutcome run();
+    SimulationReport run();
 
 private:
     struct Process;
@@ -261,7 +261,7 @@
     std::map<std::string, Time> m_cordonedSince;
     Time m_controlUnavailableUntil {};
     Time m_callsDelayedUntil {};
-    SimulationOutcome m_outcome;
+    SimulationReport m_report;
 };
 
 } // namespace foxwing::test
--- a/tests/fleet/simulationfaults.cpp
+++ b/tests/fleet/simulationfaults.cpp
@@ -76,11 +76,11 @@
 {
     const auto since = m_cordonedSince.find(dataCentreOf(agent));
     if (since != m_cordonedSince.end() && m_now > since->second + MaxCordonDelay)
-        recordViolation(m_outcome.startsCordoned, "task started in cordoned " + since->first);
+        recordViolation(m_report.startsCordoned, "task started in cordoned " + since->first);
     const Agent &target = *m_agents[static_cast<std::size_t>(agent)];
     if (target.endpoint->leaving && target.leavingAcknowledgedAt
         && m_now > *target.leavingAcknowledgedAt + MaxLeavingDelay)
-        recordViolation(m_outcome.startsLeaving,
+        recordViolation(m_report.startsLeaving,
                         "task started at leaving " + target.endpoint->endpointIncarnation);
 }
 
@@ -112,9 +112,9 @@
     const auto later = [&](auto callback) { at(m_now + faultDuration, callback); };
     switch (fault) {
     case Fault::EntryKill:
-        if (!entry.up)
+        if (!entry.isUp)
             return;
-        entry.up = false;
+        entry.isUp = false;
         for (int i = 0; i < m_settings.agents; ++i) {
             Session &session = entry.sessions[static_cast<std::size_t>(i)];
             // Half of the kills are power failures, which close no connections.
@@ -134,11 +134,11 @@
         suspend(entry, faultDuration);
         break;
     case Fault::AgentKill:
-        if (!agent.up)
+        if (!agent.isUp)
             return;
         for (int i = 0; i < m_settings.entries; ++i)
             disconnect(i, static_cast<int>(agentNumber));
-        agent.up = false;
+        agent.isUp = false;
         restartAgent(static_cast<int>(agentNumber), faultDuration);
         break;
     case Fault::AgentSuspend:
@@ -157,7 +157,7 @@
         restartEndpoint(static_cast<int>(agentNumber));
         break;
     case Fault::SessionsReleased:
-        if (entry.up)
+        if (entry.isUp)
             on(entry, Milliseconds(0), [this, entryNumber] {
                 constexpr int Rounds = 40;
                 releaseSessions(static_cast<int>(entryNumber), Rounds);
@@ -223,7 +223,7 @@
 void Simulation::disconnectCaller(int number, bool resends)
 {
     Entry &entry = *m_entries[static_cast<std::size_t>(number)];
-    if (!entry.up || entry.calls.empty())
+    if (!entry.isUp || entry.calls.empty())
         return;
     on(entry, LinkDelay, [this, number, resends, job = entry.calls.begin()->first] {
         Entry &target = *m_entries[static_cast<std::size_t>(number)];
@@ -255,7 +255,7 @@
     if (!isCrashing(id.task.job))
         return;
     if (m_crashes[id.task] >= CrashLimit && ++m_startsAfterLimit[id.task] > StartsAfterLimit)
-        recordViolation(m_outcome.startsCrashing,
+        recordViolation(m_report.startsCrashing,
                         "task started of " + id.task.job + ", which crashes endpoints");
     at(m_now + m_specs.at(id.task.job).steps[0].estimate / 2,
        [this, agent, id] { crashEndpoint(agent, id); });
@@ -290,7 +290,7 @@
 void Simulation::resetAll()
 {
     for (int i = 0; i < m_settings.entries; ++i) {
-        if (!m_entries[static_cast<std::size_t>(i)]->up)
+        if (!m_entries[static_cast<std::size_t>(i)]->isUp)
             continue;
         resetCallers(i);
         resetSessions(i);
@@ -319,10 +319,10 @@
 void Simulation::resetSessions(int number)
 {
     Entry &entry = *m_entries[static_cast<std::size_t>(number)];
-    std::uniform_int_distribution<std::int64_t> backAfter(0, MaxReconnectDelay.count());
+    std::uniform_int_distribution<std::int64_t> reopenAfter(0, MaxReconnectDelay.count());
     for (int agent = 0; agent < m_settings.agents; ++agent) {
         entry.sessions[static_cast<std::size_t>(agent)].reopenAt = m_now
-                + Milliseconds(backAfter(m_random));
+                + Milliseconds(reopenAfter(m_random));
         disconnect(number, agent);
     }
 }
@@ -358,8 +358,8 @@
 void Simulation::recordViolation(std::uint64_t &counter, const std::string &what)
 {
     ++counter;
-    if (m_outcome.firstViolation.empty())
-        m_outcome.firstViolation = what + " at "
+    if (m_report.firstViolation.empty())
+        m_report.firstViolation = what + " at "
                 + std::to_string(m_now.time_since_epoch().count() / 1000 - 1000000) + " ms";
 }
 
@@ -372,15 +372,15 @@
         for (const auto &[id, run] : agent->endpoint->runs()) {
             used += m_specs.at(id.task.job).steps[id.task.step].demand;
             if (!running.insert(id.task).second)
-                recordViolation(m_outcome.runsOverlapped,
+                recordViolation(m_report.runsOverlapped,
                                 "two concurrent runs of a task of " + id.task.job);
             const std::string &job = id.task.job;
             if (m_callers[job] == 0 && m_now > m_unwantedSince[job] + MaxUnwantedRun)
-                recordViolation(m_outcome.runsUnwanted,
+                recordViolation(m_report.runsUnwanted,
                                 "run goes on though no caller waits for " + job);
         }
         if (!jobs::fits(used, Capacity))
-            recordViolation(m_outcome.capacityExceeded,
+            recordViolation(m_report.capacityExceeded,
                             "capacity exceeded at " + agent->endpoint->endpointIncarnation);
         checkHeldRuns(*agent);
     }
@@ -389,7 +389,7 @@
 // An agent must not hold capacity for runs that have ended.
 void Simulation::checkHeldRuns(Agent &agent)
 {
-    const bool agentReachable = agent.up && !agent.unreachable && m_now >= agent.suspendedUntil
+    const bool agentReachable = agent.isUp && !agent.unreachable && m_now >= agent.suspendedUntil
             && m_now >= agent.lateUntil;
     std::map<jobs::RunId, Time> endedSince;
     for (const auto &[id, run] : agent.state.runs) {
@@ -398,7 +398,7 @@
         const auto known = agent.endedSince.find(id);
         endedSince[id] = known == agent.endedSince.end() ? m_now : known->second;
         if (m_now > endedSince[id] + MaxEndReportDelay)
-            recordViolation(m_outcome.runsHeld,
+            recordViolation(m_report.runsHeld,
                             "capacity is held for a run of " + id.task.job + ", which has ended");
     }
     agent.endedSince.swap(endedSince);
--- a/tests/fleet/simulationparts.h
+++ b/tests/fleet/simulationparts.h
@@ -57,7 +57,7 @@
 constexpr int StartsAfterLimit = 2;
 
 // Simulated time after the last job was submitted, so that all jobs are answered.
-constexpr Milliseconds DrainTime { 20000 };
+constexpr Milliseconds DrainDuration { 20000 };
 
 inline std::string makeName(const char *kind, int number)
 {
@@ -70,7 +70,7 @@
 // during a suspension are handled when it resumes.
 struct Simulation::Process
 {
-    bool up = false;
+    bool isUp = false;
     std::uint64_t incarnation = 0;
     Time suspendedUntil {};
 
--- a/tests/fuzz/mutations.cpp
+++ b/tests/fuzz/mutations.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-std::uint64_t readEnvironment(const char *name, std::uint64_t fallback)
+std::uint64_t numberFromEnvironment(const char *name, std::uint64_t fallback)
 {
     const char *text = std::getenv(name);
     return text ? std::strtoull(text, nullptr, 10) : fallback;
@@ -25,12 +25,12 @@
 
 std::uint64_t fuzzMessages()
 {
-    return readEnvironment("FOXWING_FUZZ_MESSAGES", 20000);
+    return numberFromEnvironment("FOXWING_FUZZ_MESSAGES", 20000);
 }
 
 std::uint64_t fuzzSeed()
 {
-    return readEnvironment("FOXWING_FIRST_SEED", 1);
+    return numberFromEnvironment("FOXWING_FIRST_SEED", 1);
 }
 
 // [SECTION] Values
--- a/tests/rig/main.cpp
+++ b/tests/rig/main.cpp
@@ -119,13 +119,13 @@
         variant.change(settings);
         const RigReport one = foxwing::test::replay(settings);
         const double wrong = foxwing::test::wronglyRefusedPercent(settings, one);
-        const auto part = 1.0 / static_cast<double>(seeds);
-        sum.creditPercent += part * one.creditPercent;
-        sum.servedPercent += part * one.servedPercent;
-        sum.refusedImmediatelyPercent += part * one.refusedImmediatelyPercent;
-        sum.wronglyRefusedPercent += part * wrong;
-        sum.startsPerTask += part * one.startsPerTask;
-        sum.idleWhileWaitingPercent += part * one.idleWhileWaitingPercent;
+        const auto weight = 1.0 / static_cast<double>(seeds);
+        sum.creditPercent += weight * one.creditPercent;
+        sum.servedPercent += weight * one.servedPercent;
+        sum.refusedImmediatelyPercent += weight * one.refusedImmediatelyPercent;
+        sum.wronglyRefusedPercent += weight * wrong;
+        sum.startsPerTask += weight * one.startsPerTask;
+        sum.idleWhileWaitingPercent += weight * one.idleWhileWaitingPercent;
         sum.refusedDespiteCapacity += one.refusedDespiteCapacity;
         for (const auto &[name, queue] : one.queues)
             addQueue(sum.queues[name], queue);
--- a/tests/rig/rig.cpp
+++ b/tests/rig/rig.cpp
@@ -95,9 +95,9 @@
     RigReport replay();
 
 private:
-    void schedule(Time when, std::function<void()> action)
+    void schedule(Time when, std::function<void()> callback)
     {
-        m_events.push({ when, ++m_lastSequence, std::move(action) });
+        m_events.push({ when, ++m_lastSequence, std::move(callback) });
     }
     double normal(double spread) { return std::normal_distribution<double>(0, spread)(m_random); }
 
@@ -134,7 +134,7 @@
     {
         Time when {};
         std::uint64_t sequence = 0;
-        std::function<void()> action;
+        std::function<void()> callback;
         bool operator<(const Event &other) const
         {
             return std::tie(other.when, other.sequence) < std::tie(when, sequence);
@@ -246,12 +246,12 @@
         schedule(m_start + period.until, [this, period] { setCordon(period, false); });
     }
     schedule(m_start, [this] { sample(); });
-    constexpr Milliseconds DrainPeriod { 4000 };
-    while (!m_events.empty() && m_events.top().when < m_end + DrainPeriod) {
+    constexpr Milliseconds DrainDuration { 4000 };
+    while (!m_events.empty() && m_events.top().when < m_end + DrainDuration) {
         const Event event = m_events.top();
         m_events.pop();
         m_now = event.when;
-        event.action();
+        event.callback();
     }
     std::uint64_t starts = 0;
     for (const EntryHost &entry : m_entries)
--- a/tests/rig/rig_test.cpp
+++ b/tests/rig/rig_test.cpp
@@ -213,9 +213,9 @@
 
 TEST(RigGuarantee, IsKeptForTheLeastUrgentQueue)
 {
-    const double held = servedPercent("long", withGuarantee(GuaranteedPercent));
-    EXPECT_GE(held, GuaranteedPercent);
-    EXPECT_GE(held, servedPercent("long", withGuarantee(0)) + 5);
+    const double served = servedPercent("long", withGuarantee(GuaranteedPercent));
+    EXPECT_GE(served, GuaranteedPercent);
+    EXPECT_GE(served, servedPercent("long", withGuarantee(0)) + 5);
 }
 
 TEST(RigGuarantee, ServesTheMiddleQueueBetterThanNoBacklogAtAgents)
--- a/tests/schedules/schedules_test.cpp
+++ b/tests/schedules/schedules_test.cpp
@@ -20,7 +20,7 @@
 namespace foxwing::schedules {
 namespace {
 
-std::uint64_t numberFrom(const char *variable, std::uint64_t fallback)
+std::uint64_t numberFromEnvironment(const char *variable, std::uint64_t fallback)
 {
     const char *text = std::getenv(variable);
     return text ? std::strtoull(text, nullptr, 10) : fallback;
@@ -74,10 +74,10 @@
 
 TEST(Schedules, InvariantsHoldUnderFaults)
 {
-    const std::uint64_t first = numberFrom("FOXWING_SEED", 1);
-    const std::uint64_t count = numberFrom("FOXWING_SCHEDULES", 2000);
-    const bool guarded = BrokenGuard == Guard::None;
-    const Summary summary = runMany(first, count, !guarded);
+    const std::uint64_t first = numberFromEnvironment("FOXWING_SEED", 1);
+    const std::uint64_t count = numberFromEnvironment("FOXWING_SCHEDULES", 2000);
+    const bool guardsIntact = BrokenGuard == Guard::None;
+    const Summary summary = runMany(first, count, !guardsIntact);
     const Report &total = summary.total;
     std::printf("schedules %llu starts %llu complete %llu failed %llu not run %llu unknown %llu "
                 "takeovers %llu joins %llu crashes %llu messages %llu\n",
@@ -93,7 +93,7 @@
                 static_cast<unsigned long long>(total.messages));
     for (std::size_t i = 0; i < summary.violations.size() && i < 10; ++i)
         std::printf("%s\n", summary.violations[i].c_str());
-    if (guarded) {
+    if (guardsIntact) {
         EXPECT_TRUE(summary.violations.empty()) << summary.violations.size() << " violations";
         EXPECT_GT(total.complete, count);
     } else {
--- a/tests/schedules/simulation.cpp
+++ b/tests/schedules/simulation.cpp
@@ -216,9 +216,9 @@
     claims::renewControlLease(process.entry->claims, *sentAt);
     if (update.hasAgents) {
         process.entry->agents = { {}, update.agentsCompleteSince };
-        for (const control::AgentStatus &hint : update.agents)
+        for (const control::AgentStatus &status : update.agents)
             process.entry->agents.agents.push_back(
-                    { hint.id, hint.service, hint.lostAt, hint.live });
+                    { status.id, status.service, status.lostAt, status.live });
     }
     if (update.view.number != 0)
         execute(simulation, process, entry::setView(*process.entry, update.view, simulation.now));
