--- a/bench/capacity.sh
+++ b/bench/capacity.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Measures the scaling figures of docs/CAPACITY.md: processor time, memory and bytes of control per node,
-# of an entry and an agent per start, and memory per claim. All figures are of this run.
+# Measures the scaling figures of docs/CAPACITY.md: processor time, memory and bytes of control per node, processor
+# time and memory of an entry and an agent per start, and memory per claim.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 source bench/cluster.sh
--- a/bench/control.sh
+++ b/bench/control.sh
@@ -19,14 +19,14 @@
 now() { date +%s%N; }
 
 echo "== 300 changes, one after the other, each a call of the command line; and 8 writers at once"
-: >"$dir/spans"
+: >"$dir/durations"
 for i in $(seq 300); do
     echo "${spec//NAME/serial}" | sed "s/NUMBER/$i/" >"$dir/change.json"
     begin=$(now)
     $foxwing apply "$dir/change.json" >/dev/null
-    echo $(((now_end = $(now)) - begin)) >>"$dir/spans"
+    echo $(((now_end = $(now)) - begin)) >>"$dir/durations"
 done
-sort -n "$dir/spans" | awk '{v[NR] = $1 / 1e6} END {printf "p50 %.1f ms, p99 %.1f ms, with the start of the program\n", v[int(NR / 2)], v[int(NR * 0.99)]}'
+sort -n "$dir/durations" | awk '{v[NR] = $1 / 1e6} END {printf "p50 %.1f ms, p99 %.1f ms, with the start of the program\n", v[int(NR / 2)], v[int(NR * 0.99)]}'
 begin=$(now)
 for writer in $(seq 8); do
     (
--- a/bench/faults.sh
+++ b/bench/faults.sh
@@ -46,8 +46,8 @@
 
 for i in $(seq 0 5); do curl -fs "http://127.0.0.1:$((7600 + i))/starts"; done >"$dir/starts.txt"
 doubled=$(cluster_doubled <"$dir/starts.txt")
-false_not_run=$(awk -F, 'NR == FNR {if ($2 == "not run" && $3 != "conflict" && $3 != "not-found") said[$1] = 1; next}
-    {split($0, p, "/"); if (p[4] in said) print p[4]}' "$dir/outcomes.csv" "$dir/starts.txt" | sort -u)
+false_not_run=$(awk -F, 'NR == FNR {if ($2 == "not run" && $3 != "conflict" && $3 != "not-found") reported[$1] = 1; next}
+    {split($0, p, "/"); if (p[4] in reported) print p[4]}' "$dir/outcomes.csv" "$dir/starts.txt" | sort -u)
 echo "killed $killed, stopped $stopped; starts seen by endpoints: $(awk '{n += $2} END {print n}' "$dir/starts.txt")"
 echo "started twice: $(printf '%s' "$doubled" | grep -c . || true); false \"not run\": $(printf '%s' "$false_not_run" | grep -c . || true)"
 printf '%s\n%s\n' "$doubled" "$false_not_run" | grep . && exit 1
--- a/bench/heartbeats.cpp
+++ b/bench/heartbeats.cpp
@@ -5,7 +5,7 @@
         heartbeats CONTROL_ADDRESS SECRET AGENTS SECONDS PORT
 
     Prints the numbers of heartbeats and replies and their bytes per node and second. The script
-   that runs this reads the resource use of control from its process.
+    that runs this program reads the resource use of the control process.
 
     [SECTION] Agents
     [SECTION] Main
--- a/packages/fleet/src/controlrole.cpp
+++ b/packages/fleet/src/controlrole.cpp
@@ -1,6 +1,6 @@
 /*
-    The role control: a member of the consensus group, which replicates the catalog and the cordons,
-    and the directory of nodes. The operators' interface is in operatorapi.h.
+    The role control: takes part in the consensus group, which replicates the catalog and the
+    cordons, and maintains the directory of nodes. The operators' interface is in operatorapi.h.
 
     [SECTION] Role
     [SECTION] Nodes
@@ -47,9 +47,9 @@
 // How often changes of the group's members are considered
 constexpr Milliseconds MembersInterval { 200 };
 
-// Committed entries between snapshots. At its start a host replays all catalogs since the last
-// snapshot (11 ms each with 360 queues) before it can send one to entries, so few. A snapshot
-// rewrites the journal, so not one for each entry.
+// Committed entries between snapshots. Few, because a starting host replays all catalogs since the
+// last snapshot (11 ms each with 360 queues) before it can send one to entries. More than one,
+// because each snapshot rewrites the journal.
 constexpr std::uint32_t SnapshotEvery = 8;
 
 // After a failed write the journal must be read again, since its contents are uncertain. A full
--- a/packages/fleet/src/core.h
+++ b/packages/fleet/src/core.h
@@ -84,7 +84,7 @@
     std::function<void(const std::string &from, const directory::DirectoryUpdate &)> directory;
     std::function<void(const AgreedPush &)> agreed;
 
-    // No longer a peer; its directory updates are void.
+    // The host is no longer a peer; its directory updates no longer count.
     std::function<void(const std::string &host)> removed;
 };
 
--- a/packages/fleet/src/entryrole.cpp
+++ b/packages/fleet/src/entryrole.cpp
@@ -33,7 +33,7 @@
 // and callers have timed out.
 constexpr Milliseconds PauseThreshold { 400 };
 
-// Upper limit of a queue's stretch; larger values mean the same: no limit on a job's time.
+// Upper limit of a queue's stretch. Larger values have the same effect: no limit on a job's time.
 constexpr double MaxStretch = 1000;
 
 // The platform checks readiness every second and stops sending connections after two failures.
@@ -84,8 +84,8 @@
     void refuse(const ExchangePtr &exchange, CallerRefusal refusal, const std::string &reason);
     void handleCallerGone(std::uint64_t number, const ExchangePtr &exchange);
 
-    // Abandons jobs whose callers' connections are closed, though the loop has not read that yet.
-    // Must run before anything that may place tasks.
+    // Abandons jobs whose callers have closed their connections, even if the event loop has not
+    // read the close yet. Must run before anything that may place tasks.
     void probeCallers(Time now);
     void probeCallersOf(std::uint64_t number);
     bool isCallerGone(const ExchangePtr &exchange, const std::string &job);
@@ -123,7 +123,7 @@
     catalog::Catalog m_catalog;
     Time m_catalogAppliedAt {};
 
-    // Cordons were received from control, possibly none
+    // Whether control has sent the cordons, which may be empty
     bool m_knowsCordons = false;
     HeldCalls m_held;
     std::map<std::uint64_t, std::vector<ExchangePtr>> m_waiting;
@@ -154,7 +154,8 @@
             [this](const ExchangePtr &exchange) { handleCaller(exchange); }, reason);
     if (!m_callers)
         return false;
-    // Until a caller that lost its entry has resent its job, and lost runs have certainly stopped
+    // Long enough that callers that lost their entry have resent their jobs, and that lost runs
+    // have certainly stopped
     m_callerProbes.settings.probeWindow =
             std::max(m_callerProbes.settings.probeWindow,
                      m_core.settings.resendAfter + m_core.settings.scheduler.lostRunTimeout);
--- a/packages/fleet/src/messages.h
+++ b/packages/fleet/src/messages.h
@@ -2,7 +2,7 @@
     The frames that processes of a fleet send each other.
 
     [SECTION] Control
-    [SECTION] Agreement
+    [SECTION] Consensus group
     [SECTION] Frames
 */
 #pragma once
@@ -64,7 +64,7 @@
     fields("declared", answer.declared);
 }
 
-// [SECTION] Agreement
+// [SECTION] Consensus group
 
 // A message of the consensus group to the member with this id. A host with a new disk at the same
 // address is another member and must ignore it.
--- a/packages/fleet/src/operatorapi.h
+++ b/packages/fleet/src/operatorapi.h
@@ -38,7 +38,8 @@
     // A call from an operator
     void handle(const fabric::ExchangePtr &exchange);
 
-    // A call that another control host forwarded, and the leader's answer to one of this host
+    // A call that another control host forwarded, and the leader's answer to a call that this host
+    // forwarded
     void handleForwarded(std::uint64_t connection, const ForwardedCall &forwarded);
     void handleForwardedAnswer(const ForwardedAnswer &answer);
 
--- a/packages/fleet/tests/entryrole_test.cpp
+++ b/packages/fleet/tests/entryrole_test.cpp
@@ -1,6 +1,6 @@
 /*
-    An entry with real connections to a fake control host, agent and caller. Guards against placing
-    tasks for callers whose connections were closed before the entry read that.
+    An entry with real connections to a fake control host, agent and caller. Guards against starting
+    tasks for a caller that has closed its connection, when the entry has not read the close yet.
 
     [SECTION] Dialect
     [SECTION] Fixture
--- a/packages/fleet/tests/peertable_test.cpp
+++ b/packages/fleet/tests/peertable_test.cpp
@@ -102,7 +102,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Fleet, PeerRemoval,
-                         testing::Values(RemovalCase { "Gone", "b", false, false, true },
+                         testing::Values(RemovalCase { "NotListed", "b", false, false, true },
                                          RemovalCase { "Listed", "b", false, true, false },
                                          RemovalCase { "Connected", "b", true, false, false },
                                          RemovalCase { "Seed", "a", false, true, false }),
--- a/packages/fleet/tests/settings_test.cpp
+++ b/packages/fleet/tests/settings_test.cpp
@@ -115,7 +115,7 @@
 INSTANTIATE_TEST_SUITE_P(
         Fleet, InvalidSettings,
         testing::Values(
-                InvalidCase { "Role", "\"entry\"", "\"other\"", "role" },
+                InvalidCase { "Role", "\"entry\"", "\"boss\"", "role" },
                 InvalidCase { "NoName", "\"front-1\"", "\"\"", "name" },
                 InvalidCase { "NoSeeds", R"(["10.1.0.17:8166","10.2.0.34:8166"])", "[]", "seeds" },
                 InvalidCase { "Port", "7720", "77200", "inner_port" },
@@ -124,8 +124,8 @@
                 InvalidCase { "AgentWithoutEndpoint", "\"entry\"", "\"agent\"", "control" },
                 InvalidCase { "ControlWithoutFolder", "\"entry\"", "\"control\"", "data_folder" },
                 InvalidCase { "Losses", "losses = 1", "losses = 80", "tolerated_losses" },
-                InvalidCase { "Order", "\"latest-begin\"", "\"other\"", "order" },
-                InvalidCase { "Placement", "\"most-room\"", "\"other\"", "placement" },
+                InvalidCase { "Order", "\"latest-begin\"", "\"sideways\"", "order" },
+                InvalidCase { "Placement", "\"most-room\"", "\"nowhere\"", "placement" },
                 InvalidCase { "Wait", "wait_percent = 0", "wait_percent = 101", "wait_percent" },
                 InvalidCase { "Waiting", "\"all-but-least\"", "\"all\"", "waiting_queues" },
                 InvalidCase { "Floor", "floor_percent = 65", "floor_percent = 101",
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -53,8 +53,7 @@
     const char *name;
     std::vector<Fault> faults;
 
-    // Minimum of completed jobs relative to the same seeds without faults, in percent: 2 to 3 below
-    // the mean of 60 seeds
+    // Minimum of completed jobs relative to the same seeds without faults, in percent
     std::uint64_t minPercent;
 
     // With more than one the load is higher, so that starts wait at agents for capacity.
@@ -317,7 +316,7 @@
 INSTANTIATE_TEST_SUITE_P(
         Fleet, Guards,
         testing::Values(
-                // Without a session timeout an agent continues the runs of a dead entry.
+                // Without a session timeout an agent continues the runs of a killed entry.
                 GuardCase { "SessionTimeout",
                             [](SimulationSettings &s) {
                                 s.runner.sessionTimeout = std::chrono::hours(1);
--- a/tests/fleet/simulation.h
+++ b/tests/fleet/simulation.h
@@ -57,7 +57,7 @@
     SessionsReleased,
 
     // Callers lose their entries unnoticed; just before they resend their jobs, all connections are
-    // reset. Entries read late or never which callers have disconnected, and their sessions are
+    // reset. Entries learn late or never which callers have disconnected, and their sessions are
     // reopened one by one.
     ConnectionsReset,
 
@@ -65,8 +65,8 @@
     CallsDelayed,
 };
 
-// The first of the enumeration, drawn together by allFaults(): after these every job is resent
-// until it is answered.
+// Number of faults at the start of the enumeration, which allFaults() combines: with these, every
+// job is resent until it is answered.
 constexpr int CommonFaults = 12;
 
 struct SimulationSettings
--- a/tests/fleet/simulationparts.h
+++ b/tests/fleet/simulationparts.h
@@ -33,7 +33,8 @@
 constexpr Milliseconds MaxReconnectDelay { 300 };
 constexpr Milliseconds MaxCloseReadDelay { 1000 };
 
-// The caller of a delayed call times out after the first; the call arrives between the two.
+// The caller of a delayed call times out after CallerTimeout. The call arrives after that, and
+// within MaxCallDelay.
 constexpr Milliseconds CallerTimeout { 300 };
 constexpr Milliseconds MaxCallDelay { 3000 };
 
--- a/tests/fuzz/frames_test.cpp
+++ b/tests/fuzz/frames_test.cpp
@@ -1,6 +1,6 @@
 /*
-    Mutated frames between processes: the decoder may not crash, hang or allocate more memory than
-    the frame has, and a decoded frame must survive another round trip unchanged.
+    Mutated frames between processes: the decoder must not crash, hang or allocate more memory than
+    the frame's size calls for, and a decoded frame must survive another round trip unchanged.
 
     [SECTION] Frames
 */
--- a/tests/rig/rig.cpp
+++ b/tests/rig/rig.cpp
@@ -24,13 +24,13 @@
 
 constexpr Milliseconds TickInterval { 20 };
 
-// A refusal within this time doesn't cost its caller anything.
+// Refusals within this time count as immediate: they cost callers nothing.
 constexpr Milliseconds ImmediateLimit { 5 };
 constexpr Milliseconds HeartbeatInterval { 1500 };
 constexpr Microseconds CommandDelay { 300 };
 constexpr Milliseconds PollTimeout { 25 };
 
-// Jobs of this first part meet idle endpoints, and aren't counted.
+// Jobs that arrive earlier meet idle endpoints, and aren't counted.
 constexpr Milliseconds WarmUp { 1500 };
 
 // Between two samples of the idle capacity
--- a/tests/rig/rig.h
+++ b/tests/rig/rig.h
@@ -167,7 +167,7 @@
     // Refusals within 5 ms, in percent of all refusals
     double refusedImmediatelyPercent = 0;
 
-    // Wrong ones among these, as wronglyRefusedPercent() finds them; 0 if it was not called
+    // Result of wronglyRefusedPercent() for these refusals; set only by callers of that function
     double wronglyRefusedPercent = 0;
 
     // Start commands per task, including those that agents refused
@@ -188,8 +188,8 @@
 
 RigReport replay(const RigSettings &settings);
 
-// Replays the load without refusals at arrival; returns how many of the calls that the report shows
-// as refused immediately then complete, in percent.
+// Replays the load without refusals at arrival. Returns the percentage of the calls refused
+// immediately in the report that complete in this replay.
 double wronglyRefusedPercent(const RigSettings &settings, const RigReport &report);
 
 // Overload for 4 s, with endpoints that fail all runs and others that are unreachable.
--- a/tests/schedules/schedules_test.cpp
+++ b/tests/schedules/schedules_test.cpp
@@ -97,7 +97,7 @@
         EXPECT_TRUE(summary.violations.empty()) << summary.violations.size() << " violations";
         EXPECT_GT(total.complete, count);
     } else {
-        EXPECT_FALSE(summary.violations.empty()) << "the broken guard was not noticed";
+        EXPECT_FALSE(summary.violations.empty()) << "the broken guard was not detected";
     }
 }
 
--- a/tools/soak/soak.py
+++ b/tools/soak/soak.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""A soak test: the real programs as separate processes on one machine, with injected faults.
+"""A soak test: the real programs as separate processes on one host, with injected faults.
 
     tools/soak/soak.py --daemon build/apps/foxwingd --seed 1 --seconds 20
 
@@ -13,7 +13,7 @@
 - a catalog that was acknowledged is never read back older, and is still there at the end;
 - when the faults are over, all jobs are served.
 
-The exit code is the result. A seed repeats its faults, although the timing of the machine differs. Logs of
+The exit code is the result. A seed repeats its faults, although the timing of the host differs. Logs of
 the processes are kept under --folder. Only processes that were started here are ended, by their ids.
 """
 import argparse
@@ -37,10 +37,10 @@
 # A slow entry is stopped except for the last part of each period.
 SLOW_PERIOD_S, SLOW_RUNS_S = 0.04, 0.006
 
-# Below the event loop lag of a slow entry, and above the lag of one that shares its machine with the whole fleet.
+# Below the event loop lag of a slow entry, and above the lag of one that shares its host with the whole fleet.
 WITHDRAW_ABOVE_MS = 10
 
-# After this time a process has started up and handles signals, even on a busy machine.
+# After this time a process has started up and handles signals, even on a busy host.
 STARTUP_S = 0.7
 
 
