--- a/packages/fleet/src/entryrole.cpp
+++ b/packages/fleet/src/entryrole.cpp
@@ -299,8 +299,8 @@
     m_queueOf[number] = queue.name;
     m_receivedAt.emplace(number, arrival);
     exchange->onDisconnect([this, number, weak = std::weak_ptr<fabric::Exchange>(exchange)] {
-        if (const auto gone = weak.lock())
-            handleCallerGone(number, gone);
+        if (const auto closed = weak.lock())
+            handleCallerGone(number, closed);
     });
     execute(std::move(actions));
 }
--- a/packages/fleet/src/settings.cpp
+++ b/packages/fleet/src/settings.cpp
@@ -111,25 +111,25 @@
     scheduler::SchedulerSettings &policy = settings.scheduler;
     std::string order = scheduler::toString(policy.order);
     table.text("order", order);
-    const auto known = scheduler::parseOrder(order);
-    if (known)
-        policy.order = *known;
+    const auto parsedOrder = scheduler::parseOrder(order);
+    if (parsedOrder)
+        policy.order = *parsedOrder;
     else
         table.refuse("order",
                      "must be \"latest-begin\", \"newest\", \"first-come\", \"priority\" or "
                      "\"least-work\"");
     std::string placement = scheduler::toString(policy.placement);
     table.text("placement", placement);
-    const auto knownPlacement = scheduler::parsePlacement(placement);
-    if (knownPlacement)
-        policy.placement = *knownPlacement;
+    const auto parsedPlacement = scheduler::parsePlacement(placement);
+    if (parsedPlacement)
+        policy.placement = *parsedPlacement;
     else
         table.refuse("placement", "must be \"fastest\", \"random\" or \"most-room\"");
     std::string waiting = scheduler::toString(policy.waitingQueues);
     table.text("waiting_queues", waiting);
-    const auto knownWaiting = scheduler::parseWaitingQueues(waiting);
-    if (knownWaiting)
-        policy.waitingQueues = *knownWaiting;
+    const auto parsedWaitingQueues = scheduler::parseWaitingQueues(waiting);
+    if (parsedWaitingQueues)
+        policy.waitingQueues = *parsedWaitingQueues;
     else
         table.refuse("waiting_queues", "must be \"most-urgent\" or \"all-but-least\"");
     table.integer("margin_percent", policy.marginPercent, 0, 1000);
--- a/tests/fleet/simulation.cpp
+++ b/tests/fleet/simulation.cpp
@@ -150,8 +150,8 @@
 void Simulation::receiveCall(int number, std::uint64_t call, const jobs::JobSpec &spec)
 {
     Entry &entry = *m_entries[static_cast<std::size_t>(number)];
-    const bool gone = entry.unreadCloses.count(call) != 0;
-    if (gone && !m_settings.callersNotProbed)
+    const bool disconnected = entry.unreadCloses.count(call) != 0;
+    if (disconnected && !m_settings.callersNotProbed)
         return;
     probeCallers(number);
     scheduler::JobOptions options;
@@ -167,7 +167,7 @@
     std::uint64_t job = 0;
     const auto actions = scheduler::submit(entry.state, spec, options, clockOf(entry), &job);
     entry.calls[job] = call;
-    if (gone)
+    if (disconnected)
         handleClosedLater(number, job, call);
     execute(number, actions);
 }
