--- a/tests/fleet/simulation.h
+++ b/tests/fleet/simulation.h
@@ -57,7 +57,7 @@
     SessionsReleased,
 
     // Callers lose their entries unnoticed; just before they resend their jobs, all connections are
-    // reset. Entries read late or never which callers have disconnected, and their sessions are
+    // reset. Entries learn late or never which callers have disconnected, and their sessions are
     // reopened one by one.
     ConnectionsReset,
 
@@ -65,8 +65,8 @@
     CallsDelayed,
 };
 
-// The first of the enumeration, drawn together by allFaults(): after these every job is resent
-// until it is answered.
+// Number of faults at the start of the enumeration, which allFaults() combines: with these, every
+// job is resent until it is answered.
 constexpr int CommonFaults = 12;
 
 struct SimulationSettings
@@ -115,7 +115,7 @@
     bool fencesIgnored = false;
 };
 
-struct SimulationOutcome
+struct SimulationReport
 {
     std::uint64_t submitted = 0;
     std::uint64_t completed = 0;
@@ -156,7 +156,7 @@
     explicit Simulation(const SimulationSettings &settings);
     ~Simulation();
 
-    SimulationOutcome run();
+    SimulationReport run();
 
 private:
     struct Process;
@@ -261,7 +261,7 @@
     std::map<std::string, Time> m_cordonedSince;
     Time m_controlUnavailableUntil {};
     Time m_callsDelayedUntil {};
-    SimulationOutcome m_outcome;
+    SimulationReport m_report;
 };
 
 } // namespace foxwing::test
--- a/tests/fleet/simulationparts.h
+++ b/tests/fleet/simulationparts.h
@@ -33,7 +33,8 @@
 constexpr Milliseconds MaxReconnectDelay { 300 };
 constexpr Milliseconds MaxCloseReadDelay { 1000 };
 
-// The caller of a delayed call times out after the first; the call arrives between the two.
+// The caller of a delayed call times out after CallerTimeout. The call arrives after that, and
+// within MaxCallDelay.
 constexpr Milliseconds CallerTimeout { 300 };
 constexpr Milliseconds MaxCallDelay { 3000 };
 
@@ -57,7 +58,7 @@
 constexpr int StartsAfterLimit = 2;
 
 // Simulated time after the last job was submitted, so that all jobs are answered.
-constexpr Milliseconds DrainTime { 20000 };
+constexpr Milliseconds DrainDuration { 20000 };
 
 inline std::string makeName(const char *kind, int number)
 {
@@ -70,7 +71,7 @@
 // during a suspension are handled when it resumes.
 struct Simulation::Process
 {
-    bool up = false;
+    bool isUp = false;
     std::uint64_t incarnation = 0;
     Time suspendedUntil {};
 
