--- a/demo.sh
+++ b/demo.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# The demo: builds foxwing, starts it with a stand-in endpoint, and shows each feature with its answer.
+# The demo: builds foxwing, starts it with a fake endpoint, and shows each feature with its answer.
 set -euo pipefail
 cd "$(dirname "$0")"
 bash tools/build.sh | tail -n 1
