--- a/bench/faults.sh
+++ b/bench/faults.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Faults over real processes: kills (-9), stops and continues entries, agents and control while load
-# with resubmissions and cancellations runs, then holds what callers were told against what the
-# endpoints saw. Exit code 1 if any promise was broken.
+# Fault test with real processes: kills (-9), pauses and restarts entries, agents and control under load with
+# resubmissions and cancellations, then compares the answers to callers with the starts that endpoints saw. Exit
+# code 1 if a task started twice, an answer was wrong, or a job ran although it was reported as not run.
 #
 #   bench/faults.sh [SECONDS] [SEED] [CONTROL HOSTS]
 set -euo pipefail
@@ -46,8 +46,8 @@
 
 for i in $(seq 0 5); do curl -fs "http://127.0.0.1:$((7600 + i))/starts"; done >"$dir/starts.txt"
 doubled=$(cluster_doubled <"$dir/starts.txt")
-false_not_run=$(awk -F, 'NR == FNR {if ($2 == "not run" && $3 != "conflict" && $3 != "not-found") said[$1] = 1; next}
-    {split($0, p, "/"); if (p[4] in said) print p[4]}' "$dir/outcomes.csv" "$dir/starts.txt" | sort -u)
+false_not_run=$(awk -F, 'NR == FNR {if ($2 == "not run" && $3 != "conflict" && $3 != "not-found") reported[$1] = 1; next}
+    {split($0, p, "/"); if (p[4] in reported) print p[4]}' "$dir/outcomes.csv" "$dir/starts.txt" | sort -u)
 echo "killed $killed, stopped $stopped; starts seen by endpoints: $(awk '{n += $2} END {print n}' "$dir/starts.txt")"
 echo "started twice: $(printf '%s' "$doubled" | grep -c . || true); false \"not run\": $(printf '%s' "$false_not_run" | grep -c . || true)"
 printf '%s\n%s\n' "$doubled" "$false_not_run" | grep . && exit 1
--- a/bench/beats.cpp
+++ b/bench/heartbeats.cpp
@@ -1,11 +1,11 @@
 /*
-    Many small stand-in agents against real control hosts, in one process: each beats once a second
-   as an agent does, and counts what comes back.
+    Simulates many agents in one process against real control hosts: each sends a heartbeat once a
+    second, as an agent does, and counts the replies.
 
-        beats CONTROL_ADDRESS SECRET AGENTS SECONDS FIRST_PORT
+        heartbeats CONTROL_ADDRESS SECRET AGENTS SECONDS PORT
 
-    Prints beats, answers, bytes of messages a node and second, and how long answers took. What
-   control spends is read from its own process by the script that runs this.
+    Prints the numbers of heartbeats and replies and their bytes per node and second. The script
+    that runs this program reads the resource use of the control process.
 
     [SECTION] Agents
     [SECTION] Main
@@ -21,8 +21,8 @@
 #include <foxwing/base/codec.h>
 #include <foxwing/control/messages.h>
 #include <foxwing/control/reporter.h>
-#include <foxwing/wire/lanes.h>
 #include <foxwing/wire/rpcserver.h>
+#include <foxwing/wire/senderpool.h>
 
 using namespace foxwing;
 
@@ -30,19 +30,19 @@
 
 // [SECTION] Agents
 
-struct StandIn
+struct FakeAgent
 {
     control::Reporter reporter;
 };
 
-class Fleet
+class FakeAgents
 {
 public:
-    Fleet(std::size_t count, const std::string &address)
+    FakeAgents(std::size_t count, const std::string &address)
         : m_agents(count)
     {
         for (std::size_t i = 0; i < count; ++i) {
-            control::Beat identity;
+            control::Heartbeat identity;
             identity.id = "stand-in-" + std::to_string(i);
             identity.incarnation = i + 1;
             identity.address = address;
@@ -54,19 +54,19 @@
         }
     }
 
-    control::Beat beat(std::size_t number)
+    control::Heartbeat nextHeartbeat(std::size_t number)
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        return control::nextBeat(m_agents[number].reporter, steadyNow());
+        return control::nextHeartbeat(m_agents[number].reporter, steadyNow());
     }
 
-    // Updates do not name the agent; here its incarnation does.
-    void take(const wire::Envelope &envelope)
+    // Updates don't name the agent; the incarnation is unique per agent here and identifies it.
+    void handleReply(const wire::Envelope &envelope)
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
         for (const Json::Value &message : envelope.messages) {
-            ++answers;
-            answerBytes += writeJson(message).size();
+            ++replies;
+            replyBytes += writeJson(message).size();
             Error ignored;
             const auto decoded = decodeMessage<control::FromControl>(message, &ignored);
             if (!decoded)
@@ -77,12 +77,12 @@
         }
     }
 
-    std::atomic<std::uint64_t> answers { 0 };
-    std::atomic<std::uint64_t> answerBytes { 0 };
+    std::atomic<std::uint64_t> replies { 0 };
+    std::atomic<std::uint64_t> replyBytes { 0 };
 
 private:
     std::mutex m_mutex;
-    std::vector<StandIn> m_agents;
+    std::vector<FakeAgent> m_agents;
 };
 
 } // namespace
@@ -92,58 +92,59 @@
 int main(int argc, char **argv)
 {
     if (argc != 6) {
-        std::fprintf(stderr, "use: beats CONTROL_ADDRESS SECRET AGENTS SECONDS PORT\n");
+        std::fprintf(stderr, "use: heartbeats CONTROL_ADDRESS SECRET AGENTS SECONDS PORT\n");
         return 2;
     }
     const std::string control = argv[1];
     const auto count = static_cast<std::size_t>(std::atol(argv[3]));
     const int seconds = std::atoi(argv[4]);
     const std::string address = std::string("127.0.0.1:") + argv[5];
-    Fleet fleet(count, address);
+    FakeAgents agents(count, address);
     wire::RpcServerSettings serverSettings;
     serverSettings.port = std::atoi(argv[5]);
     serverSettings.secret = argv[2];
     wire::RpcServer server(serverSettings,
-                           [&](wire::Envelope &&envelope) { fleet.take(envelope); });
+                           [&](wire::Envelope &&envelope) { agents.handleReply(envelope); });
     Error reason;
     if (!server.start(&reason)) {
         std::fprintf(stderr, "%s\n", reason.message.c_str());
         return 1;
     }
-    // Each agent would have a connection of its own; a pool for each keeps them from sharing calls.
-    std::vector<std::unique_ptr<wire::LanePool>> pools;
+    // A real agent has its own connection. With separate pools, calls of many agents aren't
+    // batched.
+    std::vector<std::unique_ptr<wire::SenderPool>> pools;
     constexpr std::size_t Pools = 40;
     for (std::size_t i = 0; i < std::min(Pools, count); ++i) {
-        wire::LaneSettings lanes;
-        lanes.threads = 1;
-        lanes.from = "stand-in-" + std::to_string(i);
-        lanes.address = address;
-        lanes.secret = argv[2];
-        lanes.mostInCall = 1;
-        pools.push_back(std::make_unique<wire::LanePool>(lanes,
-                                                         [](const std::string &,
-                                                            std::vector<Json::Value> &&) {}));
+        wire::SenderSettings senderSettings;
+        senderSettings.threads = 1;
+        senderSettings.from = "stand-in-" + std::to_string(i);
+        senderSettings.address = address;
+        senderSettings.secret = argv[2];
+        senderSettings.maxBatchSize = 1;
+        pools.push_back(std::make_unique<wire::SenderPool>(senderSettings,
+                                                           [](const std::string &,
+                                                              std::vector<Json::Value> &&) {}));
     }
-    std::uint64_t beats = 0;
-    std::uint64_t beatBytes = 0;
-    const auto begin = std::chrono::steady_clock::now();
-    const auto gap = std::chrono::nanoseconds(1000000000LL / static_cast<std::int64_t>(count));
+    std::uint64_t heartbeats = 0;
+    std::uint64_t heartbeatBytes = 0;
+    const auto start = std::chrono::steady_clock::now();
+    const auto interval = std::chrono::nanoseconds(1000000000LL / static_cast<std::int64_t>(count));
     const auto total = static_cast<std::size_t>(seconds) * count;
     for (std::size_t i = 0; i < total; ++i) {
-        std::this_thread::sleep_until(begin + gap * static_cast<std::int64_t>(i));
-        std::variant<control::Beat> message = fleet.beat(i % count);
+        std::this_thread::sleep_until(start + interval * static_cast<std::int64_t>(i));
+        std::variant<control::Heartbeat> message = agents.nextHeartbeat(i % count);
         Json::Value json = encodeMessage(message);
-        beatBytes += writeJson(json).size();
-        ++beats;
+        heartbeatBytes += writeJson(json).size();
+        ++heartbeats;
         pools[i % pools.size()]->send(control, std::move(json));
     }
     std::this_thread::sleep_for(std::chrono::seconds(1));
     const double nodeSeconds = static_cast<double>(count) * seconds;
     std::printf("agents %zu beats %llu answers %llu, bytes a node and second: sent %.0f received "
                 "%.0f\n",
-                count, static_cast<unsigned long long>(beats),
-                static_cast<unsigned long long>(fleet.answers.load()),
-                static_cast<double>(beatBytes) / nodeSeconds,
-                static_cast<double>(fleet.answerBytes.load()) / nodeSeconds);
+                count, static_cast<unsigned long long>(heartbeats),
+                static_cast<unsigned long long>(agents.replies.load()),
+                static_cast<double>(heartbeatBytes) / nodeSeconds,
+                static_cast<double>(agents.replyBytes.load()) / nodeSeconds);
     return 0;
 }
--- a/packages/agent/src/lease.cpp
+++ b/packages/agent/src/lease.cpp
@@ -1,8 +1,8 @@
 /*
-    Slot leases: the agent chooses the one entry that may start work on its slots.
+    Slot leases: the agent chooses the one entry that may start tasks on its slots.
 
-    The epoch rises whenever the owner changes, and a start in an earlier epoch is refused, so an
-    owner that slept through its lease can do no harm when it wakes up.
+    The epoch increases whenever the owner changes, and a start in an earlier epoch is refused. So
+    an owner that was paused until its lease expired cannot start tasks when it resumes.
 
     [SECTION] Choice
     [SECTION] Renewal
@@ -18,23 +18,24 @@
 
 // [SECTION] Choice
 
-const EntryHint *preferredOwner(const std::string &agentId, const std::string &dataCentre,
-                                const std::vector<EntryHint> &entries, const std::string &excluded)
+const OwnerCandidate *preferredOwner(const std::string &agentId, const std::string &dataCentre,
+                                     const std::vector<OwnerCandidate> &entries,
+                                     const std::string &excluded)
 {
-    const EntryHint *best = nullptr;
-    bool bestIsNear = false;
+    const OwnerCandidate *best = nullptr;
+    bool bestIsLocal = false;
     std::uint64_t bestWeight = 0;
-    for (const EntryHint &entry : entries) {
+    for (const OwnerCandidate &entry : entries) {
         if (entry.id == excluded && entries.size() > 1)
             continue;
-        const bool near = entry.dataCentre == dataCentre;
+        const bool isLocal = entry.dataCentre == dataCentre;
         const std::uint64_t weight = rendezvousWeight(agentId, entry.id);
-        const bool better = !best || (near && !bestIsNear)
-                || (near == bestIsNear && weight > bestWeight);
+        const bool better = !best || (isLocal && !bestIsLocal)
+                || (isLocal == bestIsLocal && weight > bestWeight);
         if (!better)
             continue;
         best = &entry;
-        bestIsNear = near;
+        bestIsLocal = isLocal;
         bestWeight = weight;
     }
     return best;
@@ -44,28 +45,30 @@
 
 bool ownerIsListed(const AgentState &agent)
 {
-    return std::any_of(agent.entries.begin(), agent.entries.end(), [&](const EntryHint &entry) {
-        return entry.id == agent.lease.owner && entry.incarnation == agent.lease.ownerIncarnation;
-    });
+    return std::any_of(agent.entries.begin(), agent.entries.end(),
+                       [&](const OwnerCandidate &entry) {
+                           return entry.id == agent.lease.owner
+                                   && entry.incarnation == agent.lease.ownerIncarnation;
+                       });
 }
 
-void moveLease(AgentState &agent, const EntryHint &owner, Time now)
+void assignLease(AgentState &agent, const OwnerCandidate &owner, Time now)
 {
     agent.lease.owner = owner.id;
     agent.lease.ownerIncarnation = owner.incarnation;
     ++agent.lease.epoch;
     ++agent.counters.ownerChanges;
-    agent.lease.heldUntil = now + agent.settings.leaseSpan;
+    agent.lease.expiresAt = now + agent.settings.leaseDuration;
     agent.lease.nextOffer = now;
 }
 
 void chooseOwner(AgentState &agent, const std::string &excluded, Time now)
 {
     const AgentSettings &settings = agent.settings;
-    const EntryHint *owner = preferredOwner(settings.id, settings.dataCentre, agent.entries,
-                                            excluded);
+    const OwnerCandidate *owner = preferredOwner(settings.id, settings.dataCentre, agent.entries,
+                                                 excluded);
     if (owner)
-        moveLease(agent, *owner, now);
+        assignLease(agent, *owner, now);
     else
         agent.lease.owner.clear();
 }
@@ -86,17 +89,17 @@
     agent.lease.nextOffer = now + settings.offerInterval;
 }
 
-// Earlier owners hear nothing of the lease any more; without this they would give up their tasks.
-void reassureEarlierOwners(const AgentState &agent, AgentActions &actions)
+// Previous owners no longer receive offers; without these messages they would give up their tasks.
+void sendKeepAlives(const AgentState &agent, AgentActions &actions)
 {
-    std::vector<std::string> told { agent.lease.owner };
+    std::vector<std::string> notified { agent.lease.owner };
     for (const TaskRef &ref : agent.running) {
         const std::string &owner = agent.jobs.at(ref.job).owner;
-        if (std::find(told.begin(), told.end(), owner) != told.end())
+        if (std::find(notified.begin(), notified.end(), owner) != notified.end())
             continue;
-        told.push_back(owner);
-        const Alive alive { agent.settings.id, agent.settings.incarnation };
-        actions.sends.push_back({ owner, alive });
+        notified.push_back(owner);
+        const KeepAlive keepAlive { agent.settings.id, agent.settings.incarnation };
+        actions.sends.push_back({ owner, keepAlive });
     }
 }
 
@@ -104,48 +107,51 @@
 
 // [SECTION] Renewal
 
-void takeLeaseAnswer(AgentState &agent, const LeaseTaken &taken, Time now)
+void handleLeaseAccepted(AgentState &agent, const LeaseAccepted &accepted, Time now)
 {
-    const bool current = taken.agentIncarnation == agent.settings.incarnation
-            && taken.leaseEpoch == agent.lease.epoch && taken.owner == agent.lease.owner
-            && taken.ownerIncarnation == agent.lease.ownerIncarnation;
+    const bool current = accepted.agentIncarnation == agent.settings.incarnation
+            && accepted.leaseEpoch == agent.lease.epoch && accepted.owner == agent.lease.owner
+            && accepted.ownerIncarnation == agent.lease.ownerIncarnation;
     if (current)
-        agent.lease.heldUntil = now + agent.settings.leaseSpan;
+        agent.lease.expiresAt = now + agent.settings.leaseDuration;
 }
 
 void renewLease(AgentState &agent, Time now, AgentActions &actions)
 {
     if (agent.lease.owner.empty() || !ownerIsListed(agent))
         chooseOwner(agent, {}, now);
-    else if (now >= agent.lease.heldUntil)
+    else if (now >= agent.lease.expiresAt)
         chooseOwner(agent, agent.lease.owner, now);
     if (!agent.lease.owner.empty() && now >= agent.lease.nextOffer) {
         offerLease(agent, now, actions);
-        reassureEarlierOwners(agent, actions);
+        sendKeepAlives(agent, actions);
     }
 }
 
-void takeYield(AgentState &agent, const Yield &yield, Time now, AgentActions &actions)
+void handleTransferLease(AgentState &agent, const TransferLease &transfer, Time now,
+                         AgentActions &actions)
 {
-    const bool current = yield.agentIncarnation == agent.settings.incarnation
-            && yield.leaseEpoch == agent.lease.epoch && yield.from == agent.lease.owner;
-    const auto heir = std::find_if(agent.entries.begin(), agent.entries.end(),
-                                   [&](const EntryHint &entry) { return entry.id == yield.to; });
-    if (!current || heir == agent.entries.end())
+    const bool current = transfer.agentIncarnation == agent.settings.incarnation
+            && transfer.leaseEpoch == agent.lease.epoch && transfer.from == agent.lease.owner;
+    const auto successor = std::find_if(agent.entries.begin(), agent.entries.end(),
+                                        [&](const OwnerCandidate &entry) {
+                                            return entry.id == transfer.to;
+                                        });
+    if (!current || successor == agent.entries.end())
         return;
-    moveLease(agent, *heir, now);
+    assignLease(agent, *successor, now);
     renewLease(agent, now, actions);
 }
 
-bool leaseCovers(const AgentState &agent, const Start &start)
+bool isFromLeaseHolder(const AgentState &agent, const Start &start)
 {
-    if (!holds(Guard::Fence))
+    if (!isEnabled(Guard::Fence))
         return true;
     return start.owner == agent.lease.owner && start.leaseEpoch == agent.lease.epoch
             && start.ownerIncarnation == agent.lease.ownerIncarnation;
 }
 
-void offerSoon(AgentState &agent, Time now)
+void scheduleOffer(AgentState &agent, Time now)
 {
     agent.lease.nextOffer = now;
 }
--- a/packages/agent/src/lease.h
+++ b/packages/agent/src/lease.h
@@ -1,5 +1,5 @@
 /*
-    Inside the agent: who owns its slots.
+    Lease of the agent's slots, internal to the agent.
 
     [SECTION] Functions
 */
@@ -11,19 +11,20 @@
 
 // [SECTION] Functions
 
-// Takes the owner's word that it holds the present epoch.
-void takeLeaseAnswer(AgentState &agent, const LeaseTaken &taken, Time now);
+// Extends the lease when its owner confirms that it holds the current epoch.
+void handleLeaseAccepted(AgentState &agent, const LeaseAccepted &accepted, Time now);
 
-// Moves the lease away from an owner that is gone or silent, and offers it when due.
+// Moves the lease away from an owner that is lost or does not answer, and sends offers when due.
 void renewLease(AgentState &agent, Time now, AgentActions &actions);
 
-// Whether a start comes from the owner in the present epoch.
-bool leaseCovers(const AgentState &agent, const Start &start);
+// Whether a start comes from the owner in the current epoch.
+bool isFromLeaseHolder(const AgentState &agent, const Start &start);
 
-// Moves the lease to the entry that its owner names.
-void takeYield(AgentState &agent, const Yield &yield, Time now, AgentActions &actions);
+// Moves the lease to the entry that its current owner names.
+void handleTransferLease(AgentState &agent, const TransferLease &transfer, Time now,
+                         AgentActions &actions);
 
-// Makes the next renewLease() send an offer at once.
-void offerSoon(AgentState &agent, Time now);
+// Makes the next renewLease() send an offer, even before the interval has passed.
+void scheduleOffer(AgentState &agent, Time now);
 
 } // namespace foxwing::agent
--- a/packages/base/include/foxwing/base/binary.h
+++ b/packages/base/include/foxwing/base/binary.h
@@ -1,14 +1,14 @@
 /*
-    Typed messages to compact bytes and back, through the same describe() as the JSON codec.
+    Compact binary encoding of typed messages, through the same describe() as the JSON codec.
 
         std::string bytes = toBinary(message);
         if (!fromBinary(bytes, &message, &reason))
             ...
 
-    Numbers are variable-length, fields stand in the order of describe(). Both ends must run the
-    same version of a message: a reader takes what is there and leaves later fields at their
-    defaults, so fields may only be added at the end. encodeFrame() and decodeFrame() put the
-    alternative of a std::variant before it.
+    Integers are variable-length, and fields are in the order of describe(). Both ends must run the
+    same version of a message, except that fields may be added at the end: a reader leaves fields
+    that are missing there at their defaults. encodeFrame() and decodeFrame() encode a std::variant
+    and put the index of its alternative first.
 
     [SECTION] Writer
     [SECTION] Reader
@@ -93,7 +93,7 @@
     template<class T>
     void operator()(const char *, T &value)
     {
-        // Fields that an older writer does not know keep their defaults.
+        // Fields that an older writer doesn't know keep their defaults.
         if (m_ok && !m_rest.empty())
             read(value);
     }
@@ -103,7 +103,7 @@
     std::uint64_t readUnsigned()
     {
         std::uint64_t value = 0;
-        // The tenth byte has room for one more bit.
+        // Nine bytes hold 63 bits; the tenth may hold one more.
         constexpr unsigned LastShift = 63;
         for (unsigned shift = 0; shift <= LastShift; shift += 7) {
             if (m_rest.empty())
@@ -127,15 +127,16 @@
             value = T(static_cast<typename T::rep>(readSigned()));
         } else if constexpr (std::is_same_v<T, std::string>) {
             const std::uint64_t size = readUnsigned();
-            value = std::string(takeBytes(size));
+            value = std::string(readBytes(size));
         } else if constexpr (std::is_same_v<T, double>) {
-            const std::string_view raw = takeBytes(sizeof(double));
+            const std::string_view raw = readBytes(sizeof(double));
             if (m_ok)
                 std::memcpy(&value, raw.data(), sizeof(double));
         } else if constexpr (std::is_enum_v<T> || std::is_unsigned_v<T>) {
-            value = takeValue<T>();
+            value = readValue<T>();
         } else if constexpr (std::is_integral_v<T>) {
-            static_assert(sizeof(T) == sizeof(std::int64_t), "narrower ones need a check");
+            static_assert(sizeof(T) == sizeof(std::int64_t),
+                          "narrower signed types need a range check");
             value = static_cast<T>(readSigned());
         } else if constexpr (IsVector<T>::value) {
             readVector(value);
@@ -151,31 +152,31 @@
         return static_cast<std::int64_t>(raw >> 1U) ^ -static_cast<std::int64_t>(raw & 1U);
     }
 
-    // Cut down to the field's type, damage would pass for a value.
+    // Checks the range: truncated to the field's type, a corrupt number could pass for a valid one.
     template<class T>
-    T takeValue()
+    T readValue()
     {
         const std::uint64_t number = readUnsigned();
         m_ok = m_ok && isValueOf<T>(number);
         return m_ok ? static_cast<T>(number) : T {};
     }
 
-    std::string_view takeBytes(std::uint64_t size)
+    std::string_view readBytes(std::uint64_t size)
     {
         if (size > m_rest.size()) {
             m_ok = false;
             return {};
         }
-        const std::string_view taken = m_rest.substr(0, size);
+        const std::string_view bytes = m_rest.substr(0, size);
         m_rest.remove_prefix(size);
-        return taken;
+        return bytes;
     }
 
     template<class T>
     void readVector(std::vector<T> &value)
     {
         const std::uint64_t size = readUnsigned();
-        // Each item takes a byte at least: a larger number is damage, and must not take memory.
+        // Each item has at least one byte, so a larger size is corrupt and must not be allocated.
         if (size > m_rest.size()) {
             m_ok = false;
             return;
@@ -209,7 +210,7 @@
     reader.read(*message);
     if (!reader.ok())
         fail(reason, ErrorKind::BadRequest,
-             "a message is cut short; check that both processes run the same version");
+             "message truncated or invalid; check that both processes run the same version");
     return reader.ok();
 }
 
@@ -218,25 +219,26 @@
 {
     BinaryWriter writer;
     writer.writeUnsigned(message.index());
-    std::visit([&writer](const auto &held) { writer.write(held); }, message);
+    std::visit([&writer](const auto &alternative) { writer.write(alternative); }, message);
     return writer.take();
 }
 
 template<class Variant, std::size_t Index = 0>
-std::optional<Variant> readAlternative(std::uint64_t wanted, BinaryReader &reader, Error *reason)
+std::optional<Variant> readAlternative(std::uint64_t index, BinaryReader &reader, Error *reason)
 {
     if constexpr (Index == std::variant_size_v<Variant>) {
         return fail(reason, ErrorKind::BadRequest,
-                    "unknown message " + std::to_string(wanted)
+                    "unknown message index " + std::to_string(index)
                             + "; upgrade the process that received it");
     } else {
-        if (wanted != Index)
-            return readAlternative<Variant, Index + 1>(wanted, reader, reason);
+        if (index != Index)
+            return readAlternative<Variant, Index + 1>(index, reader, reason);
         std::variant_alternative_t<Index, Variant> message;
         reader.read(message);
         if (!reader.ok())
             return fail(reason, ErrorKind::BadRequest,
-                        "a message is cut short; check that both processes run the same version");
+                        "message truncated or invalid; check that both processes run the same "
+                        "version");
         return Variant(std::move(message));
     }
 }
--- a/packages/control/src/control.cpp
+++ b/packages/control/src/control.cpp
@@ -1,10 +1,10 @@
 /*
-    Control's decisions.
+    Control: nodes' state, updates for them and new views.
 
     [SECTION] Nodes
     [SECTION] Updates
     [SECTION] Views
-    [SECTION] Entry points
+    [SECTION] Public functions
 */
 #include <foxwing/control/control.h>
 #include <foxwing/control/validation.h>
@@ -15,150 +15,152 @@
 
 namespace {
 
-// A tick that comes later than this shows that control itself stood still.
-constexpr Milliseconds LongestTickGap { 500 };
+// A longer gap between ticks means that this process was paused.
+constexpr Milliseconds MaxTickGap { 500 };
 
-// Resources in one update; the rest follows with the next beats.
-constexpr std::size_t ChangesInUpdate = 200;
+// Changes in one update; the rest follows in the answers to the next heartbeats.
+constexpr std::size_t MaxChangesPerUpdate = 200;
 
 // [SECTION] Nodes
 
-void endLife(ControlState &control, NodeRecord &node, Time now, WallTime wallNow)
+void markLost(ControlState &control, NodeRecord &node, Time now, WallTime wallNow)
 {
     node.live = false;
-    node.diedAt = now;
+    node.lostSince = now;
     node.lostAt = wallNow.time_since_epoch().count();
     ++control.agentsVersion;
 }
 
-// The death of a process that came back before its silence was noticed.
-void noteRestart(ControlState &control, NodeRecord &node, WallTime wallNow)
+// The process was restarted before the loss of its previous incarnation was detected.
+void recordRestart(ControlState &control, NodeRecord &node, WallTime wallNow)
 {
     ++control.counters.restarts;
     for (auto &team : control.shares.teams) {
-        const auto held = team.second.find(node.last.id);
-        if (held != team.second.end())
-            held->second.reported.share = 0;
+        const auto share = team.second.find(node.last.id);
+        if (share != team.second.end())
+            share->second.reported.share = 0;
     }
     node.lostAt = wallNow.time_since_epoch().count();
     ++control.agentsVersion;
 }
 
-NodeRecord *takeBeat(ControlState &control, const Beat &beat, Time now, WallTime wallNow)
+NodeRecord *updateNode(ControlState &control, const Heartbeat &heartbeat, Time now,
+                       WallTime wallNow)
 {
-    const auto inserted = control.nodes.try_emplace(beat.id);
+    const auto inserted = control.nodes.try_emplace(heartbeat.id);
     NodeRecord &node = inserted.first->second;
     const bool known = !inserted.second;
-    if (known && beat.incarnation < node.last.incarnation)
-        return nullptr; // a late word of an earlier life
-    if (known && beat.incarnation > node.last.incarnation)
-        noteRestart(control, node, wallNow);
-    if (!known || !node.live || beat.address != node.last.address)
+    if (known && heartbeat.incarnation < node.last.incarnation)
+        return nullptr; // a late heartbeat of an earlier incarnation
+    if (known && heartbeat.incarnation > node.last.incarnation)
+        recordRestart(control, node, wallNow);
+    if (!known || !node.live || heartbeat.address != node.last.address)
         ++control.agentsVersion;
-    node.live = !beat.leaving;
-    node.last = beat;
-    node.heardAt = now;
+    node.live = !heartbeat.leaving;
+    node.last = heartbeat;
+    node.lastReceivedAt = now;
     return &node;
 }
 
-void buryDead(ControlState &control, Time now, WallTime wallNow)
+void detectLostNodes(ControlState &control, Time now, WallTime wallNow)
 {
-    for (auto &entry : control.nodes) {
-        NodeRecord &node = entry.second;
-        if (!node.live || now < node.heardAt + control.settings.deadAfter)
+    for (auto &item : control.nodes) {
+        NodeRecord &node = item.second;
+        if (!node.live || now < node.lastReceivedAt + control.settings.nodeTimeout)
             continue;
-        ++control.counters.deaths;
-        endLife(control, node, now, wallNow);
+        ++control.counters.nodesLost;
+        markLost(control, node, now, wallNow);
     }
 }
 
-void forgetDead(ControlState &control, Time now)
+void forgetLostNodes(ControlState &control, Time now)
 {
     for (auto it = control.nodes.begin(); it != control.nodes.end();) {
-        const bool old = !it->second.live
-                && now >= it->second.diedAt + control.settings.agentMemory;
-        it = old ? control.nodes.erase(it) : std::next(it);
+        const bool expired = !it->second.live
+                && now >= it->second.lostSince + control.settings.agentRetention;
+        it = expired ? control.nodes.erase(it) : std::next(it);
     }
 }
 
-// If this process stood still, nobody else was silent.
-void forgivePause(ControlState &control, Time now)
+// While this process was paused it could not receive heartbeats: the pause does not count as
+// silence of the nodes.
+void compensatePause(ControlState &control, Time now)
 {
-    const Microseconds gap = control.ticked ? now - control.lastTick : Microseconds::zero();
-    control.ticked = true;
-    control.lastTick = now;
-    if (gap < LongestTickGap)
+    const Microseconds gap = control.hasTicked ? now - control.lastTickAt : Microseconds::zero();
+    control.hasTicked = true;
+    control.lastTickAt = now;
+    if (gap < MaxTickGap)
         return;
-    for (auto &entry : control.nodes)
-        entry.second.heardAt += gap;
+    for (auto &item : control.nodes)
+        item.second.lastReceivedAt += gap;
 }
 
 // [SECTION] Updates
 
-bool wants(const Beat &beat, const Resource &resource)
+bool isRelevant(const Heartbeat &heartbeat, const Resource &resource)
 {
-    return beat.isEntry || (resource.kind == "service" && resource.name == beat.service);
+    return heartbeat.isEntry || (resource.kind == "service" && resource.name == heartbeat.service);
 }
 
-void addChanges(const ControlState &control, const Beat &beat, Update &update)
+void addChanges(const ControlState &control, const Heartbeat &heartbeat, Update &update)
 {
-    const Store &store = control.cluster.store;
+    const ResourceStore &store = control.cluster.store;
     update.revision = store.revision;
-    if (beat.revision == store.revision)
+    if (heartbeat.revision == store.revision)
         return;
     Error ignored;
-    const auto missed = changesSince(store, beat.revision, &ignored);
+    const auto missed = changesSince(store, heartbeat.revision, &ignored);
     if (missed) {
         for (const Resource &change : *missed) {
-            if (update.changes.size() == ChangesInUpdate) {
+            if (update.changes.size() == MaxChangesPerUpdate) {
                 update.revision = change.revision - 1;
                 return;
             }
-            if (wants(beat, change))
+            if (isRelevant(heartbeat, change))
                 update.changes.push_back(change);
         }
         return;
     }
     update.reset = true;
     for (const auto &resource : store.resources) {
-        if (wants(beat, resource.second))
+        if (isRelevant(heartbeat, resource.second))
             update.changes.push_back(resource.second);
     }
 }
 
-void addView(const ControlState &control, const Beat &beat, Update &update)
+void addView(const ControlState &control, const Heartbeat &heartbeat, Update &update)
 {
     const claims::View &view = control.cluster.view;
-    claims::View held;
-    held.number = beat.view;
-    held.update = beat.viewUpdate;
-    if (!claims::isNewer(view, held))
+    claims::View nodeView;
+    nodeView.number = heartbeat.view;
+    nodeView.update = heartbeat.viewUpdate;
+    if (!claims::isNewer(view, nodeView))
         return;
     update.view = view;
-    // Only entries keep claims.
-    if (!beat.isEntry)
+    // Only entries hold claims.
+    if (!heartbeat.isEntry)
         update.view.bases.clear();
 }
 
-void addAgents(const ControlState &control, const Beat &beat, Update &update)
+void addAgents(const ControlState &control, const Heartbeat &heartbeat, Update &update)
 {
     update.agentsVersion = control.agentsVersion;
-    if (!beat.isEntry || beat.agentsVersion == control.agentsVersion)
+    if (!heartbeat.isEntry || heartbeat.agentsVersion == control.agentsVersion)
         return;
     update.hasAgents = true;
-    update.agentsSince = control.agentsSince;
-    for (const auto &entry : control.nodes) {
-        const NodeRecord &node = entry.second;
+    update.agentsCompleteSince = control.agentsCompleteSince;
+    for (const auto &item : control.nodes) {
+        const NodeRecord &node = item.second;
         if (!node.last.isAgent)
             continue;
         update.agents.push_back(
-                { entry.first, node.last.address, node.last.service, node.lostAt, node.live });
+                { item.first, node.last.address, node.last.service, node.lostAt, node.live });
     }
 }
 
 void refreshQuotas(ControlState &control)
 {
-    const Store &store = control.cluster.store;
+    const ResourceStore &store = control.cluster.store;
     if (control.quotasRevision == store.revision)
         return;
     control.quotasRevision = store.revision;
@@ -167,38 +169,39 @@
     for (auto it = store.resources.lower_bound("team/"); it != store.resources.end(); ++it) {
         if (it->second.kind != "team")
             break;
-        const auto spec = readTeamSpec(it->second.spec, &ignored);
+        const auto spec = parseTeamSpec(it->second.spec, &ignored);
         if (spec && spec->concurrency > 0)
             control.quotas.push_back({ it->second.name, spec->concurrency });
     }
 }
 
-// Takes the entry's reports in, and adds the shares that are news to it.
-void addShares(ControlState &control, const Beat &beat, Time now, Update &update)
+// Applies the entry's reports, and adds the shares that differ from what it reported.
+void addShares(ControlState &control, const Heartbeat &heartbeat, Time now, Update &update)
 {
-    if (!beat.isEntry)
+    if (!heartbeat.isEntry)
         return;
     refreshQuotas(control);
-    takeShareReports(control.shares, beat.id, beat.shares, now);
+    applyShareReports(control.shares, heartbeat.id, heartbeat.shares, now);
     std::vector<std::string> entries;
     for (const claims::Member &member : control.cluster.view.members)
         entries.push_back(member.replica.id);
-    for (ShareGrant &grant : grantShares(control.shares, beat.id, entries, control.quotas, now)) {
-        const HeldShare &held = control.shares.teams[grant.team][beat.id];
-        if (held.reported.share != grant.share || held.reported.team.empty())
+    for (ShareGrant &grant :
+         grantShares(control.shares, heartbeat.id, entries, control.quotas, now)) {
+        const EntryShare &share = control.shares.teams[grant.team][heartbeat.id];
+        if (share.reported.share != grant.share || share.reported.team.empty())
             update.shares.push_back(std::move(grant));
     }
 }
 
-Update makeUpdate(const ControlState &control, const Beat &beat)
+Update makeUpdate(const ControlState &control, const Heartbeat &heartbeat)
 {
     Update update;
     update.from = control.settings.self;
-    update.number = beat.number;
-    update.incarnation = beat.incarnation;
-    addChanges(control, beat, update);
-    addView(control, beat, update);
-    addAgents(control, beat, update);
+    update.number = heartbeat.number;
+    update.incarnation = heartbeat.incarnation;
+    addChanges(control, heartbeat, update);
+    addView(control, heartbeat, update);
+    addAgents(control, heartbeat, update);
     return update;
 }
 
@@ -207,9 +210,9 @@
 std::vector<claims::Member> liveEntries(const ControlState &control)
 {
     std::vector<claims::Member> members;
-    for (const auto &entry : control.nodes) {
-        const Beat &last = entry.second.last;
-        if (entry.second.live && last.isEntry)
+    for (const auto &item : control.nodes) {
+        const Heartbeat &last = item.second.last;
+        if (item.second.live && last.isEntry)
             members.push_back({ { last.id, last.incarnation }, last.address, last.dataCentre });
     }
     return members;
@@ -230,11 +233,11 @@
     actions.proposals.push_back(ViewCommand { std::move(view) });
 }
 
-void takeReadyShards(ControlState &control, const Beat &beat)
+void recordReadyShards(ControlState &control, const Heartbeat &heartbeat)
 {
-    if (beat.view != control.cluster.view.number)
+    if (heartbeat.view != control.cluster.view.number)
         return;
-    for (const std::uint32_t number : beat.readyShards) {
+    for (const std::uint32_t number : heartbeat.readyShards) {
         if (number < claims::ShardCount)
             control.readyShards.insert(number);
     }
@@ -247,13 +250,14 @@
     const claims::View &view = control.cluster.view;
     std::vector<claims::Member> members = liveEntries(control);
     if (!sameMembers(members, view.members) && now >= control.nextViewAt
-        && now >= control.settledAt) {
-        const std::int64_t floor =
+        && now >= control.viewsAllowedAt) {
+        const std::int64_t lossCutoff =
                 (wallNow + control.settings.clockSkew).time_since_epoch().count();
         control.readyShards.clear();
-        control.nextViewAt = now + control.settings.viewPause;
+        control.nextViewAt = now + control.settings.minViewInterval;
         return proposeView(control,
-                           nextView(view, std::move(members), control.settings.replicaCount, floor),
+                           nextView(view, std::move(members), control.settings.replicaCount,
+                                    lossCutoff),
                            actions);
     }
     if (control.readyShards.empty())
@@ -267,7 +271,7 @@
 
 } // namespace
 
-// [SECTION] Entry points
+// [SECTION] Public functions
 
 ControlState makeControl(const ControlSettings &settings, ClusterState cluster, Time now,
                          WallTime wallNow)
@@ -275,32 +279,33 @@
     ControlState control;
     control.settings = settings;
     control.cluster = std::move(cluster);
-    // Versions of earlier leaders must not be taken for this one's.
+    // Must differ from versions that previous leaders have sent.
     control.agentsVersion = static_cast<std::uint64_t>(wallNow.time_since_epoch().count());
     const WallTime since = wallNow + settings.configurationLease;
     if (!control.cluster.view.members.empty())
-        control.agentsSince = since.time_since_epoch().count();
-    control.shares.shareLife = settings.configurationLease + settings.deadAfter;
+        control.agentsCompleteSince = since.time_since_epoch().count();
+    control.shares.leaseDuration = settings.configurationLease + settings.nodeTimeout;
     if (!control.cluster.view.members.empty())
-        control.shares.grantsFrom = now + control.shares.shareLife;
-    // After a restart the members of the last view need the time to beat once.
+        control.shares.grantsAllowedAt = now + control.shares.leaseDuration;
+    // After a restart the members of the last view need time for one heartbeat.
     if (!control.cluster.view.members.empty())
-        control.settledAt = now + settings.deadAfter;
+        control.viewsAllowedAt = now + settings.nodeTimeout;
     return control;
 }
 
-ControlActions handleBeat(ControlState &control, const Beat &beat, Time now, WallTime wallNow)
+ControlActions handleHeartbeat(ControlState &control, const Heartbeat &heartbeat, Time now,
+                               WallTime wallNow)
 {
     ControlActions actions;
-    ++control.counters.beats;
-    if (!takeBeat(control, beat, now, wallNow))
+    ++control.counters.heartbeats;
+    if (!updateNode(control, heartbeat, now, wallNow))
         return actions;
-    takeReadyShards(control, beat);
+    recordReadyShards(control, heartbeat);
     proposeViews(control, now, wallNow, actions);
-    Update update = makeUpdate(control, beat);
-    addShares(control, beat, now, update);
+    Update update = makeUpdate(control, heartbeat);
+    addShares(control, heartbeat, now, update);
     control.counters.changesSent += update.changes.size();
-    actions.sends.push_back({ beat.id, std::move(update) });
+    actions.sends.push_back({ heartbeat.id, std::move(update) });
     return actions;
 }
 
@@ -310,7 +315,7 @@
     ChangeResult result = applyCommand(control.cluster, command);
     if (std::holds_alternative<ViewCommand>(command))
         control.viewProposed = false;
-    // What was ready in the view before says nothing about this one.
+    // Readiness of shards in the previous view does not apply to this one.
     if (control.cluster.view.number != number)
         control.readyShards.clear();
     return result;
@@ -319,25 +324,25 @@
 ControlActions tick(ControlState &control, Time now, WallTime wallNow)
 {
     ControlActions actions;
-    forgivePause(control, now);
-    buryDead(control, now, wallNow);
-    forgetDead(control, now);
+    compensatePause(control, now);
+    detectLostNodes(control, now, wallNow);
+    forgetLostNodes(control, now);
     proposeViews(control, now, wallNow, actions);
     return actions;
 }
 
-InForce inForce(const ControlState &control, std::uint64_t revision)
+RolloutStatus rolloutStatus(const ControlState &control, std::uint64_t revision)
 {
-    InForce state;
-    state.revision = revision;
-    for (const auto &entry : control.nodes) {
-        if (!entry.second.live)
+    RolloutStatus status;
+    status.revision = revision;
+    for (const auto &item : control.nodes) {
+        if (!item.second.live)
             continue;
-        ++state.nodes;
-        if (entry.second.last.revision < revision)
-            state.lagging.push_back(entry.first);
+        ++status.nodes;
+        if (item.second.last.revision < revision)
+            status.lagging.push_back(item.first);
     }
-    return state;
+    return status;
 }
 
 } // namespace foxwing::control
--- a/packages/control/src/resources.cpp
+++ b/packages/control/src/resources.cpp
@@ -16,34 +16,34 @@
 
 namespace {
 
-ChangeResult refuse(ErrorKind kind, std::string message, std::uint64_t version)
+ChangeResult reject(ErrorKind kind, std::string message, std::uint64_t version)
 {
     return { kind, std::move(message), version, 0 };
 }
 
-// The result of a change that the store has not seen before.
-ChangeResult decide(Store &store, const ChangeRequest &change)
+// Applies a change whose request id was not seen before.
+ChangeResult applyNew(ResourceStore &store, const ChangeRequest &change)
 {
     const std::string key = resourceKey(change.kind, change.name);
     const auto found = store.resources.find(key);
-    const std::uint64_t present = found == store.resources.end() ? 0 : found->second.version;
-    if (change.remove && present == 0)
-        return refuse(ErrorKind::NotFound, key + " does not exist; nothing was deleted", 0);
-    const bool checked = change.expectedVersion >= 0;
-    if (checked && static_cast<std::uint64_t>(change.expectedVersion) != present)
-        return refuse(ErrorKind::StaleVersion,
-                      key + " has version " + std::to_string(present)
-                              + " by now; show it, merge your change and apply again",
-                      present);
+    const std::uint64_t currentVersion = found == store.resources.end() ? 0 : found->second.version;
+    if (change.remove && currentVersion == 0)
+        return reject(ErrorKind::NotFound, key + " does not exist; nothing was deleted", 0);
+    const bool versionGiven = change.expectedVersion >= 0;
+    if (versionGiven && static_cast<std::uint64_t>(change.expectedVersion) != currentVersion)
+        return reject(ErrorKind::StaleVersion,
+                      key + " is at version " + std::to_string(currentVersion)
+                              + "; show it, merge your change and apply again",
+                      currentVersion);
     Resource resource;
     resource.kind = change.kind;
     resource.name = change.name;
-    resource.version = present + 1;
+    resource.version = currentVersion + 1;
     resource.revision = ++store.revision;
     resource.spec = change.spec;
     resource.deleted = change.remove;
     store.changes.push_back(resource);
-    if (store.changes.size() > KeptChanges)
+    if (store.changes.size() > MaxRetainedChanges)
         store.changes.pop_front();
     if (change.remove)
         store.resources.erase(found);
@@ -52,11 +52,11 @@
     return { ErrorKind::None, {}, resource.version, resource.revision };
 }
 
-void remember(Store &store, const std::string &requestId, const ChangeResult &result)
+void rememberResult(ResourceStore &store, const std::string &requestId, const ChangeResult &result)
 {
     store.answered.push_back({ requestId, result });
     store.answeredById[requestId] = result;
-    if (store.answered.size() <= KeptRequests)
+    if (store.answered.size() <= MaxRetainedRequests)
         return;
     store.answeredById.erase(store.answered.front().requestId);
     store.answered.pop_front();
@@ -64,20 +64,20 @@
 
 } // namespace
 
-ChangeResult applyChange(Store &store, const ChangeRequest &change)
+ChangeResult applyChange(ResourceStore &store, const ChangeRequest &change)
 {
     if (change.requestId.empty())
-        return decide(store, change);
+        return applyNew(store, change);
     const auto answered = store.answeredById.find(change.requestId);
     if (answered != store.answeredById.end())
         return answered->second;
-    ChangeResult result = decide(store, change);
-    remember(store, change.requestId, result);
+    ChangeResult result = applyNew(store, change);
+    rememberResult(store, change.requestId, result);
     return result;
 }
 
-std::optional<std::vector<Resource>> changesSince(const Store &store, std::uint64_t revision,
-                                                  Error *reason)
+std::optional<std::vector<Resource>> changesSince(const ResourceStore &store,
+                                                  std::uint64_t revision, Error *reason)
 {
     const std::uint64_t oldest = store.changes.empty() ? store.revision + 1
                                                        : store.changes.front().revision;
@@ -88,7 +88,7 @@
     if (revision + 1 < oldest)
         return fail(reason, ErrorKind::Expired,
                     "changes since revision " + std::to_string(revision)
-                            + " are no longer kept; list the resources and watch from there");
+                            + " are no longer available; list the resources and watch from there");
     std::vector<Resource> missed;
     for (const Resource &change : store.changes) {
         if (change.revision > revision)
@@ -97,7 +97,7 @@
     return missed;
 }
 
-Json::Value saveStore(const Store &store)
+Json::Value saveStore(const ResourceStore &store)
 {
     Json::Value json(Json::objectValue);
     json["revision"] = static_cast<Json::UInt64>(store.revision);
@@ -113,9 +113,9 @@
     return json;
 }
 
-bool loadStore(const Json::Value &json, Store *store, Error *reason)
+bool loadStore(const Json::Value &json, ResourceStore *store, Error *reason)
 {
-    Store loaded;
+    ResourceStore loaded;
     JsonReader reader(json, {}, reason);
     std::vector<Resource> resources;
     std::vector<Resource> changes;
@@ -130,7 +130,7 @@
         loaded.resources[resourceKey(resource.kind, resource.name)] = std::move(resource);
     loaded.changes.assign(changes.begin(), changes.end());
     for (AnsweredRequest &request : answered)
-        remember(loaded, request.requestId, request.result);
+        rememberResult(loaded, request.requestId, request.result);
     *store = std::move(loaded);
     return true;
 }
--- a/packages/control/tests/resources_test.cpp
+++ b/packages/control/tests/resources_test.cpp
@@ -1,5 +1,5 @@
 /*
-    Versions, request ids, watches, validation.
+    Versions, request ids, watches and validation of declared resources.
 
     [SECTION] Store
     [SECTION] Validation
@@ -19,46 +19,46 @@
 
 // [SECTION] Store
 
-TEST(Store, EqualVersionsRaceToExactlyOneWinner)
+TEST(ResourceStore, OneOfTwoChangesOfOneVersionIsAccepted)
 {
-    Store store;
+    ResourceStore store;
     EXPECT_EQ(applyChange(store, change("1", "svc", 0)).kind, ErrorKind::None);
     EXPECT_EQ(applyChange(store, change("2", "svc", 1)).version, 2U);
-    const ChangeResult loser = applyChange(store, change("3", "svc", 1));
-    EXPECT_EQ(loser.kind, ErrorKind::StaleVersion);
-    EXPECT_EQ(loser.version, 2U);
+    const ChangeResult rejected = applyChange(store, change("3", "svc", 1));
+    EXPECT_EQ(rejected.kind, ErrorKind::StaleVersion);
+    EXPECT_EQ(rejected.version, 2U);
     EXPECT_EQ(store.revision, 2U);
 }
 
-TEST(Store, AResentChangeGetsTheFirstAnswerAgain)
+TEST(ResourceStore, ResentChangeGetsFirstAnswer)
 {
-    Store store;
+    ResourceStore store;
     const ChangeResult first = applyChange(store, change("1", "svc", 0));
     applyChange(store, change("2", "svc", 1));
     const ChangeResult again = applyChange(store, change("1", "svc", 0));
     EXPECT_EQ(again.kind, ErrorKind::None);
     EXPECT_EQ(again.version, first.version);
     EXPECT_EQ(store.revision, 2U);
-    Store copy;
+    ResourceStore copy;
     Error reason;
     ASSERT_TRUE(loadStore(saveStore(store), &copy, &reason)) << reason.message;
     EXPECT_EQ(applyChange(copy, change("1", "svc", 0)).revision, first.revision)
             << "also after a snapshot";
 }
 
-TEST(Store, RequestIdsAndChangesAreBounded)
+TEST(ResourceStore, RequestIdsAndChangesAreBounded)
 {
-    Store store;
-    for (std::size_t i = 0; i < KeptRequests + 100; ++i)
+    ResourceStore store;
+    for (std::size_t i = 0; i < MaxRetainedRequests + 100; ++i)
         applyChange(store, change(std::to_string(i), "svc", -1));
-    EXPECT_EQ(store.answered.size(), KeptRequests);
-    EXPECT_EQ(store.answeredById.size(), KeptRequests);
-    EXPECT_EQ(store.changes.size(), KeptChanges);
+    EXPECT_EQ(store.answered.size(), MaxRetainedRequests);
+    EXPECT_EQ(store.answeredById.size(), MaxRetainedRequests);
+    EXPECT_EQ(store.changes.size(), MaxRetainedChanges);
 }
 
-TEST(Store, AWatchSeesEachChangeOnceOrIsToldThatItIsTooOld)
+TEST(ResourceStore, WatchSeesEachChangeOnceOrExpires)
 {
-    Store store;
+    ResourceStore store;
     std::uint64_t seen = 0;
     std::uint64_t count = 0;
     for (int i = 0; i < 500; ++i) {
@@ -74,7 +74,7 @@
         }
     }
     EXPECT_EQ(count, seen);
-    for (std::size_t i = 0; i < KeptChanges; ++i)
+    for (std::size_t i = 0; i < MaxRetainedChanges; ++i)
         applyChange(store, change("more" + std::to_string(i), "svc", -1));
     Error reason;
     EXPECT_FALSE(changesSince(store, 1, &reason));
@@ -83,9 +83,9 @@
     EXPECT_TRUE(changesSince(store, store.revision, &reason)->empty());
 }
 
-TEST(Store, DeletionIsAChangeLikeOthers)
+TEST(ResourceStore, DeletionIsAVersionedChange)
 {
-    Store store;
+    ResourceStore store;
     applyChange(store, change("1", "svc", 0));
     const ChangeRequest removal { "2", "service", "svc", {}, true, 1 };
     EXPECT_EQ(applyChange(store, removal).revision, 2U);
@@ -97,7 +97,7 @@
 
 // [SECTION] Validation
 
-struct BadChange
+struct InvalidChange
 {
     const char *name;
     const char *kind;
@@ -106,10 +106,10 @@
     const char *expected;
 };
 
-class RefusedChange : public testing::TestWithParam<BadChange>
+class RejectedChange : public testing::TestWithParam<InvalidChange>
 { };
 
-TEST_P(RefusedChange, NamesFieldAndRemedy)
+TEST_P(RejectedChange, NamesFieldAndRemedy)
 {
     Error reason;
     const ChangeRequest request { "1", GetParam().kind, GetParam().resource, GetParam().spec, false,
@@ -119,23 +119,24 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-        Table, RefusedChange,
-        testing::Values(BadChange { "Kind", "serbice", "svc", "{}", "use team or service" },
-                        BadChange { "EmptyName", "service", "", "{}", "\"name\"" },
-                        BadChange { "NameWithSlash", "service", "a/b", "{}", "\"name\"" },
-                        BadChange { "UpperCase", "service", "Svc", "{}", "\"name\"" },
-                        BadChange { "NotJson", "service", "svc", "{", "can't be read" },
-                        BadChange { "NotAnObject", "service", "svc", "[]", "must be an object" },
-                        BadChange { "UnknownField", "service", "svc", R"({"tasks":1})",
-                                    "\"tasks\" is not known" },
-                        BadChange { "OutOfRange", "service", "svc", R"({"mostTasks":0})",
-                                    "\"mostTasks\" must be a whole number from 1" },
-                        BadChange { "Negative", "service", "svc", R"({"mostTasks":-1})",
-                                    "\"mostTasks\"" },
-                        BadChange { "PlainToken", "team", "a", R"({"tokenHash":"secret"})",
-                                    "foxwing token" },
-                        BadChange { "Weight", "team", "a", R"({"weight":"2"})", "\"weight\"" }),
-        [](const testing::TestParamInfo<BadChange> &given) { return given.param.name; });
+        Table, RejectedChange,
+        testing::Values(InvalidChange { "Kind", "serbice", "svc", "{}", "use team or service" },
+                        InvalidChange { "EmptyName", "service", "", "{}", "\"name\"" },
+                        InvalidChange { "NameWithSlash", "service", "a/b", "{}", "\"name\"" },
+                        InvalidChange { "UpperCase", "service", "Svc", "{}", "\"name\"" },
+                        InvalidChange { "NotJson", "service", "svc", "{", "can't be read" },
+                        InvalidChange { "NotAnObject", "service", "svc", "[]",
+                                        "must be an object" },
+                        InvalidChange { "UnknownField", "service", "svc", R"({"tasks":1})",
+                                        "\"tasks\" is not known" },
+                        InvalidChange { "OutOfRange", "service", "svc", R"({"mostTasks":0})",
+                                        "\"mostTasks\" must be a whole number from 1" },
+                        InvalidChange { "Negative", "service", "svc", R"({"mostTasks":-1})",
+                                        "\"mostTasks\"" },
+                        InvalidChange { "PlainToken", "team", "a", R"({"tokenHash":"secret"})",
+                                        "foxwing token" },
+                        InvalidChange { "Weight", "team", "a", R"({"weight":"2"})", "\"weight\"" }),
+        [](const testing::TestParamInfo<InvalidChange> &given) { return given.param.name; });
 
 } // namespace
 } // namespace foxwing::control
--- a/packages/dispatch/include/foxwing/dispatch/workerpool.h
+++ b/packages/dispatch/include/foxwing/dispatch/workerpool.h
@@ -1,8 +1,8 @@
 /*
-    The workers of one service whose slots this entry holds under lease.
+    The workers of one service whose slots this entry has leased.
 
-    takeOffer() adds or renews a worker; pickWorker() finds a free slot in logarithmic time, in the
-    entry's own data centre first, on the worker with most free slots.
+    applyOffer() adds or renews a worker. pickWorker() finds a free slot in logarithmic time: in the
+    entry's own data centre first, on the worker with the fewest busy slots.
 
     [SECTION] State
     [SECTION] Functions
@@ -29,36 +29,36 @@
     std::uint64_t leaseEpoch = 0;
     std::string dataCentre;
 
-    // Slots: in all, taken by our tasks, and taken by tasks of earlier owners.
+    // Slots in total, used by tasks of this entry, and used by tasks of previous owners.
     std::uint32_t slots = 0;
-    std::uint32_t ours = 0;
-    std::uint32_t others = 0;
+    std::uint32_t ownTasks = 0;
+    std::uint32_t otherTasks = 0;
 
     // Liveness
-    Time lastOffer {};
-    Time lastHeard {};
+    Time lastOfferAt {};
+    Time lastReceivedAt {};
     bool leased = false;
     bool leaving = false;
 
-    // A worker that said "no free slot" is left alone until then.
-    Time restUntil {};
+    // A worker that refused a task gets no other one before this.
+    Time backoffUntil {};
 
     WorkerHealth health;
 };
 
-// Where a worker stands in the order of choice; the least goes first.
-struct FreeOrder
+// Order in which workers are chosen; the smallest goes first.
+struct WorkerOrder
 {
-    bool farAway = false;
-    std::uint32_t taken = 0;
+    bool remote = false;
+    std::uint32_t busySlots = 0;
     std::string id;
 
-    bool operator<(const FreeOrder &other) const
+    bool operator<(const WorkerOrder &other) const
     {
-        if (farAway != other.farAway)
-            return !farAway;
-        if (taken != other.taken)
-            return taken < other.taken;
+        if (remote != other.remote)
+            return !remote;
+        if (busySlots != other.busySlots)
+            return busySlots < other.busySlots;
         return id < other.id;
     }
 };
@@ -68,46 +68,44 @@
     std::string dataCentre;
     std::unordered_map<std::string, Worker> workers;
 
-    // Workers in good standing with a free slot, and those on trial with nothing to do.
-    std::set<FreeOrder> free;
-    std::set<FreeOrder> trial;
+    // Healthy workers with a free slot, and workers on probation that have no task of this entry.
+    std::set<WorkerOrder> available;
+    std::set<WorkerOrder> probation;
     ServiceHealth health;
 
-    // Over all leased workers
+    // Totals over all leased workers
     std::uint32_t slots = 0;
     std::uint32_t leasedWorkers = 0;
 };
 
-// What an offer changed.
 enum class OfferEffect {
     None,
-    // The agent restarted: everything sent to the earlier incarnation may have run.
+    // The agent restarted; tasks sent to its previous incarnation may have run.
     Restarted,
-    // An offer of an earlier incarnation or epoch, to be ignored.
+    // The offer is from an earlier incarnation or epoch and was ignored.
     Stale,
 };
 
 // [SECTION] Functions
 
-OfferEffect takeOffer(WorkerPool &pool, const agent::LeaseOffer &offer, Time now);
+OfferEffect applyOffer(WorkerPool &pool, const agent::LeaseOffer &offer, Time now);
 
-// A worker with a free slot, or null. Workers on trial get repeatable work only.
+// Returns a worker with a free slot, or null. Workers on probation get repeatable work only.
 Worker *pickWorker(WorkerPool &pool, bool repeatable);
 
-// Counts a task of ours in or out of a worker's slots.
+// Adds or removes one of this entry's tasks on a worker.
 void occupySlot(WorkerPool &pool, Worker &worker);
 void releaseSlot(WorkerPool &pool, Worker &worker);
 
-// Puts a worker into the sets that it belongs to by now. Call after any change to it.
-void placeWorker(WorkerPool &pool, Worker &worker);
+// Inserts a worker into the sets that fit its state. Call after any change to it.
+void indexWorker(WorkerPool &pool, Worker &worker);
 
-// Takes a worker out of the sets before it is changed.
-void unplaceWorker(WorkerPool &pool, const Worker &worker);
+// Removes a worker from the sets. Call before any change to it.
+void unindexWorker(WorkerPool &pool, const Worker &worker);
 
-// The lease is over; the worker stays known while tasks of ours run there.
+// Ends the lease of a worker. The worker stays in the pool until removeWorker().
 void endLease(WorkerPool &pool, Worker &worker);
 
-// Removes a worker for good.
-void dropWorker(WorkerPool &pool, const std::string &id);
+void removeWorker(WorkerPool &pool, const std::string &id);
 
 } // namespace foxwing::dispatch
--- a/packages/edge/src/httpclient.cpp
+++ b/packages/edge/src/httpclient.cpp
@@ -1,5 +1,5 @@
 /*
-    The client.
+    The HTTP client's calls to cpprestsdk.
 
     [SECTION] Client
 */
@@ -14,7 +14,7 @@
 
 namespace {
 
-// cpprestsdk says only in words that no connection could be made.
+// cpprestsdk reports a failed connection only in its message text.
 bool failedToConnect(const std::string &reason)
 {
     return reason.find("Failed to connect") != std::string::npos
@@ -49,11 +49,11 @@
             request.headers().add(header.first, header.second);
         if (!body.empty())
             request.set_body(body, "application/json");
-        const std::size_t limit = m_settings.mostBodyBytes;
+        const std::size_t limit = m_settings.maxBodyBytes;
         m_client.request(request)
                 .then([limit](http::http_response response) {
                     if (response.headers().content_length() > limit)
-                        throw std::length_error("the answer is too long");
+                        throw std::length_error("the response is too long");
                     return response.extract_vector().then(
                             [status = response.status_code()](
                                     const std::vector<unsigned char> &content) {
@@ -64,7 +64,7 @@
                             });
                 })
                 .then([receiver = std::move(receiver)](const pplx::task<HttpReply> &done) {
-                    receiver(take(done));
+                    receiver(toReply(done));
                 });
     }
 
@@ -77,7 +77,7 @@
         return config;
     }
 
-    static HttpReply take(const pplx::task<HttpReply> &done)
+    static HttpReply toReply(const pplx::task<HttpReply> &done)
     {
         try {
             return done.get();
--- a/packages/edge/src/httpserver.cpp
+++ b/packages/edge/src/httpserver.cpp
@@ -1,5 +1,5 @@
 /*
-    The listener.
+    The HTTP server's listener and its requests.
 
     [SECTION] Responder
     [SECTION] Server
@@ -39,7 +39,7 @@
         if (retryAfter.count() > 0)
             response.headers().add("Retry-After",
                                    std::to_string((retryAfter.count() + 999) / 1000));
-        // A caller that has gone is no error of ours.
+        // A caller that has disconnected is not an error.
         m_request.reply(response).then([](const pplx::task<void> &done) {
             try {
                 done.get();
@@ -114,7 +114,7 @@
         const std::string url = (secure ? "https://" : "http://") + m_settings.host + ":"
                 + std::to_string(m_settings.port);
         http::experimental::listener::http_listener_config config;
-        config.set_timeout(std::chrono::duration_cast<utility::seconds>(m_settings.bodySpan));
+        config.set_timeout(std::chrono::duration_cast<utility::seconds>(m_settings.bodyTimeout));
         if (secure)
             config.set_ssl_context_callback([this](boost::asio::ssl::context &context) {
                 context.set_options(boost::asio::ssl::context::default_workarounds
@@ -132,7 +132,7 @@
         } catch (const std::exception &exception) {
             fail(reason, ErrorKind::Unavailable,
                  "can't listen on " + url + " (" + exception.what()
-                         + "); give an IPv4 number of this host and a port that nobody uses");
+                         + "); use an IPv4 address of this host and a free port");
             return false;
         }
     }
@@ -145,31 +145,31 @@
         try {
             m_listener.close().wait();
         } catch (const std::exception &) {
-            return; // the process ends anyway
+            return; // the process is about to exit
         }
     }
 
-    std::size_t arriving() const
+    std::size_t pendingBodies() const
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        return m_arriving.size();
+        return m_pendingBodies.size();
     }
 
-    // Numbers grow with time, so the first that is not overdue ends the search.
-    void dropOverdue()
+    // Ids increase with time, so the search ends at the first request that is not overdue.
+    void expirePendingBodies()
     {
         std::vector<Responder> overdue;
         {
             const std::lock_guard<std::mutex> lock(m_mutex);
             const Time now = steadyNow();
-            while (!m_arriving.empty() && m_arriving.begin()->second.until <= now) {
-                overdue.push_back(m_arriving.begin()->second.responder);
-                m_arriving.erase(m_arriving.begin());
+            while (!m_pendingBodies.empty() && m_pendingBodies.begin()->second.deadline <= now) {
+                overdue.push_back(m_pendingBodies.begin()->second.responder);
+                m_pendingBodies.erase(m_pendingBodies.begin());
             }
         }
         for (const Responder &responder : overdue)
             refuse(responder, ErrorKind::BadRequest,
-                   "the body did not arrive in time; send it without pauses");
+                   "the request body did not arrive in time; send it without pauses");
     }
 
 private:
@@ -182,65 +182,66 @@
             return m_handler(request, responder);
         if (!message.headers().has("Content-Length"))
             return refuse(responder, ErrorKind::BadRequest,
-                          "send the body with a Content-Length header, not in chunks");
-        if (message.headers().content_length() > m_settings.mostBodyBytes)
+                          "send the body with a Content-Length header instead of in chunks");
+        if (message.headers().content_length() > m_settings.maxBodyBytes)
             return refuse(responder, ErrorKind::TooLarge,
-                          "a body may have at most " + std::to_string(m_settings.mostBodyBytes)
+                          "a request body may have at most "
+                                  + std::to_string(m_settings.maxBodyBytes)
                                   + " bytes; split the job");
-        if (arriving() >= m_settings.mostArriving)
+        if (pendingBodies() >= m_settings.maxPendingBodies)
             return refuse(responder, ErrorKind::Unavailable,
-                          "too many requests arrive at this entry; come back in a second");
+                          "too many incomplete requests at this node; retry in a second");
         readBody(message, std::move(request), responder);
     }
 
-    // A request whose body is still coming.
-    struct Arriving
+    // A request whose body is incomplete.
+    struct PendingBody
     {
         Responder responder;
-        Time until;
+        Time deadline;
     };
 
     void readBody(const http::http_request &message, HttpRequest request,
                   const Responder &responder)
     {
-        const std::uint64_t number = addArriving(responder);
-        // Copies of a request share its state.
+        const std::uint64_t id = addPendingBody(responder);
+        // Copies of an http_request share its state.
         http::http_request(message).extract_vector().then(
-                [this, number, request = std::move(request),
+                [this, id, request = std::move(request),
                  responder](const pplx::task<std::vector<unsigned char>> &arrived) mutable {
-                    const bool inTime = removeArriving(number);
+                    const bool inTime = removePendingBody(id);
                     try {
                         const std::vector<unsigned char> body = arrived.get();
                         request.body.assign(body.begin(), body.end());
                     } catch (const std::exception &) {
-                        return; // the caller went away before its request was whole
+                        return; // the caller disconnected before the body was complete
                     }
                     if (inTime)
                         m_handler(request, responder);
                 });
     }
 
-    std::uint64_t addArriving(const Responder &responder)
+    std::uint64_t addPendingBody(const Responder &responder)
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        m_arriving.emplace(++m_lastArriving,
-                           Arriving { responder, steadyNow() + m_settings.bodySpan });
-        return m_lastArriving;
+        m_pendingBodies.emplace(++m_lastBodyId,
+                                PendingBody { responder, steadyNow() + m_settings.bodyTimeout });
+        return m_lastBodyId;
     }
 
-    // False if it was given up already.
-    bool removeArriving(std::uint64_t number)
+    // False if it was refused already.
+    bool removePendingBody(std::uint64_t id)
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        return m_arriving.erase(number) == 1;
+        return m_pendingBodies.erase(id) == 1;
     }
 
     HttpServerSettings m_settings;
     Handler m_handler;
     http::experimental::listener::http_listener m_listener;
     mutable std::mutex m_mutex;
-    std::map<std::uint64_t, Arriving> m_arriving;
-    std::uint64_t m_lastArriving = 0;
+    std::map<std::uint64_t, PendingBody> m_pendingBodies;
+    std::uint64_t m_lastBodyId = 0;
     bool m_open = false;
 };
 
@@ -258,14 +259,14 @@
     return m_impl->start(reason);
 }
 
-std::size_t HttpServer::arriving() const
+std::size_t HttpServer::pendingBodies() const
 {
-    return m_impl->arriving();
+    return m_impl->pendingBodies();
 }
 
-void HttpServer::dropOverdue()
+void HttpServer::expirePendingBodies()
 {
-    m_impl->dropOverdue();
+    m_impl->expirePendingBodies();
 }
 
 void HttpServer::stop()
@@ -278,7 +279,7 @@
     try {
         crossplat::threadpool::initialize_with_threads(threads);
     } catch (const std::exception &) {
-        return; // already running with another number
+        return; // the pool already runs
     }
 }
 
--- a/packages/edge/tests/edge_test.cpp
+++ b/packages/edge/tests/edge_test.cpp
@@ -1,5 +1,5 @@
 /*
-    What the HTTP listener lets through, and what it turns away.
+    Which requests the HTTP server passes to the handler, and which it refuses.
 
     [SECTION] Helpers
     [SECTION] Tests
@@ -20,7 +20,7 @@
 
 // [SECTION] Helpers
 
-// A port that nobody uses at present.
+// A port that is free at the moment.
 int freePort()
 {
     const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
@@ -40,11 +40,11 @@
     void SetUp() override
     {
         m_settings.port = freePort();
-        m_settings.mostBodyBytes = 1000;
-        listenWith(m_settings);
+        m_settings.maxBodyBytes = 1000;
+        startServer(m_settings);
     }
 
-    void listenWith(const HttpServerSettings &settings)
+    void startServer(const HttpServerSettings &settings)
     {
         m_server = std::make_unique<HttpServer>(settings,
                                                 [this](const HttpRequest &request,
@@ -60,8 +60,9 @@
 
     std::string url() const { return "http://127.0.0.1:" + std::to_string(m_settings.port); }
 
-    // Sends bytes as they are, and reads until the listener has answered or closed.
-    std::string raw(const std::string &bytes) const
+    // Sends raw bytes and returns the first part of the response; empty if the server closed the
+    // connection.
+    std::string sendRaw(const std::string &bytes) const
     {
         const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
         sockaddr_in address {};
@@ -85,7 +86,7 @@
 
 // [SECTION] Tests
 
-TEST_F(EdgeTest, ARequestArrivesWholeAndIsAnsweredOnce)
+TEST_F(EdgeTest, RequestIsDecodedAndAnsweredOnce)
 {
     HttpClient client(url(), {});
     const HttpReply reply = client.callAndWait("POST", "/v1/jobs/a%20b?wait=5&x=%2F", "body",
@@ -100,7 +101,7 @@
     EXPECT_EQ(m_requests[0].body, "body");
 }
 
-TEST_F(EdgeTest, ALongBodyIsTurnedAwayUnread)
+TEST_F(EdgeTest, TooLongBodyIsRefusedUnread)
 {
     HttpClient client(url(), {});
     const HttpReply reply = client.callAndWait("POST", "/", std::string(1001, 'x'), {});
@@ -109,15 +110,16 @@
     EXPECT_TRUE(m_requests.empty());
 }
 
-TEST_F(EdgeTest, ABodyWithoutALengthIsTurnedAway)
+TEST_F(EdgeTest, BodyWithoutLengthIsRefused)
 {
-    const std::string reply = raw("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"
-                                  "5\r\nhello\r\n0\r\n\r\n");
+    const std::string reply = sendRaw(
+            "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"
+            "5\r\nhello\r\n0\r\n\r\n");
     EXPECT_NE(reply.find("400"), std::string::npos) << reply;
     EXPECT_TRUE(m_requests.empty());
 }
 
-TEST_F(EdgeTest, HalfARequestReachesNobodyAndHoldsUpNobody)
+TEST_F(EdgeTest, IncompleteRequestDoesNotBlockOthers)
 {
     const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in address {};
@@ -125,8 +127,8 @@
     address.sin_port = htons(static_cast<std::uint16_t>(m_settings.port));
     address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     ASSERT_EQ(::connect(socket, reinterpret_cast<sockaddr *>(&address), sizeof address), 0);
-    const std::string half = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 100\r\n\r\nhalf";
-    ::send(socket, half.data(), half.size(), MSG_NOSIGNAL);
+    const std::string incomplete = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 100\r\n\r\nhalf";
+    ::send(socket, incomplete.data(), incomplete.size(), MSG_NOSIGNAL);
     HttpClient client(url(), {});
     EXPECT_EQ(client.callAndWait("GET", "/", {}, {}).status, 200);
     ::close(socket);
@@ -134,24 +136,24 @@
     EXPECT_EQ(m_requests.size(), 2U);
 }
 
-TEST_F(EdgeTest, ABodyThatComesTooLateIsRefused)
+TEST_F(EdgeTest, LateBodyIsRefused)
 {
     m_server->stop();
     m_settings.port = freePort();
-    m_settings.bodySpan = Milliseconds(0);
-    listenWith(m_settings);
+    m_settings.bodyTimeout = Milliseconds(0);
+    startServer(m_settings);
     const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in address {};
     address.sin_family = AF_INET;
     address.sin_port = htons(static_cast<std::uint16_t>(m_settings.port));
     address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     ASSERT_EQ(::connect(socket, reinterpret_cast<const sockaddr *>(&address), sizeof address), 0);
-    const std::string half = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 100\r\n\r\nhalf";
-    ::send(socket, half.data(), half.size(), MSG_NOSIGNAL);
-    while (m_server->arriving() == 0)
+    const std::string incomplete = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 100\r\n\r\nhalf";
+    ::send(socket, incomplete.data(), incomplete.size(), MSG_NOSIGNAL);
+    while (m_server->pendingBodies() == 0)
         std::this_thread::yield();
-    m_server->dropOverdue();
-    EXPECT_EQ(m_server->arriving(), 0U);
+    m_server->expirePendingBodies();
+    EXPECT_EQ(m_server->pendingBodies(), 0U);
     const std::string rest(96, 'x');
     ::send(socket, rest.data(), rest.size(), MSG_NOSIGNAL);
     char buffer[1000];
@@ -162,13 +164,13 @@
     EXPECT_TRUE(m_requests.empty());
 }
 
-TEST_F(EdgeTest, NoiseIsNoRequest)
+TEST_F(EdgeTest, NonHttpInputIsIgnored)
 {
-    raw("\x16\x03\x01\x02 this is no HTTP\r\n\r\n");
+    sendRaw("\x16\x03\x01\x02 this is no HTTP\r\n\r\n");
     EXPECT_TRUE(m_requests.empty());
 }
 
-TEST(Edge, NobodyListensMeansNeverSent)
+TEST(Edge, ConnectionRefusedMeansNeverSent)
 {
     HttpClient client("http://127.0.0.1:" + std::to_string(freePort()), {});
     const HttpReply reply = client.callAndWait("POST", "/", "body", {});
--- a/packages/entry/include/foxwing/entry/placement.h
+++ b/packages/entry/include/foxwing/entry/placement.h
@@ -1,10 +1,10 @@
 /*
-    Which entry should own a new job, and which workers should change owners.
+    Load balancing between entries: chooses the owner of a new job, and moves workers.
 
-    Every worker is leased to one entry, so a job is best run by an entry that has free slots.
-   Entries tell each other how busy they are; a job that can't start at once goes whole to the entry
-   where it waits least. Workers follow demand more slowly: idle ones go where there are fewer, and
-   one goes at once to an entry that has work waiting and no worker at all.
+    Each worker is leased to one entry, and an entry can only use its own workers. Entries exchange
+    load reports. A job that can't start at once goes as a whole to the entry with the shortest
+    expected wait. Workers are moved more slowly: idle ones to entries that have fewer, and one at
+    once to an entry that has work waiting but no worker.
 
         std::string owner = chooseOwner(placement, "svc", own, 8, now);
 
@@ -27,9 +27,9 @@
 // [SECTION] Settings
 
 enum class PlacementPolicy {
-    // The entry where the job waits least; its own if that is as good.
+    // The entry with the shortest expected wait; the receiving one if no other is clearly better.
     LeastLoaded,
-    // Always the entry that was asked, unless it has no worker. The baseline.
+    // Always the receiving entry, unless it has no worker. Baseline for comparisons.
     Local,
 };
 
@@ -39,15 +39,15 @@
     std::string dataCentre;
     PlacementPolicy policy = PlacementPolicy::LeastLoaded;
 
-    // Changes are reported this often at the most, and without a change this often at least.
-    Milliseconds reportInterval { 100 };
-    Milliseconds quietInterval { 1000 };
+    // Shortest time between two reports, and longest time without one.
+    Milliseconds minReportInterval { 100 };
+    Milliseconds maxReportInterval { 1000 };
 
-    // A report older than this is not believed.
-    Milliseconds reportLife { 2500 };
+    // Older reports are ignored.
+    Milliseconds maxReportAge { 2500 };
 
-    // Between two workers given away.
-    Milliseconds yieldInterval { 200 };
+    // Shortest time between two transfers of workers
+    Milliseconds transferInterval { 200 };
 };
 
 // [SECTION] State
@@ -55,43 +55,43 @@
 struct PeerLoad
 {
     LoadReport report;
-    Time heardAt {};
+    Time lastReceivedAt {};
 };
 
 struct Placement
 {
     PlacementSettings settings;
     std::unordered_map<std::string, PeerLoad> peers;
-    LoadReport lastSent;
+    LoadReport lastReport;
     Time nextReport {};
-    Time nextQuietReport {};
-    Time nextYield {};
+    Time nextForcedReport {};
+    Time nextTransfer {};
 };
 
-// A worker of this service should go to that entry.
-struct YieldAdvice
+// One worker of this service should be transferred to another entry, its successor as owner.
+struct WorkerTransfer
 {
     std::string service;
-    std::string heir;
-    std::string heirDataCentre;
-    bool heirHasNone = false;
+    std::string successor;
+    std::string successorDataCentre;
+    bool successorStarved = false;
 };
 
 // [SECTION] Functions
 
-void takeLoadReport(Placement &placement, const LoadReport &report, Time now);
+void handleLoadReport(Placement &placement, const LoadReport &report, Time now);
 
-// The entry that should own a job of so many tasks: this one or a peer. Counts the job against the
-// peer until its next report.
+// Chooses the entry that should own a job with this number of tasks. A chosen peer is charged with
+// the tasks until its next report.
 std::string chooseOwner(Placement &placement, const std::string &service,
                         const dispatch::ServiceLoad &own, std::uint32_t tasks, Time now);
 
-// The report to be sent to the other entries, if one is due.
-std::optional<LoadReport> dueReport(Placement &placement, const dispatch::Dispatcher &dispatcher,
-                                    bool leaving, Time now);
+// Returns the report for the other entries if one is due.
+std::optional<LoadReport> reportIfDue(Placement &placement, const dispatch::Dispatcher &dispatcher,
+                                      bool leaving, Time now);
 
-// Whether a worker should change owners now.
-std::optional<YieldAdvice> adviseYield(Placement &placement, const dispatch::Dispatcher &dispatcher,
-                                       Time now);
+// Returns the worker transfer that is due now, if any.
+std::optional<WorkerTransfer> chooseTransfer(Placement &placement,
+                                             const dispatch::Dispatcher &dispatcher, Time now);
 
 } // namespace foxwing::entry
--- a/packages/entry/src/admission.cpp
+++ b/packages/entry/src/admission.cpp
@@ -1,9 +1,9 @@
 /*
-    What a submission must be before anything is done about it.
+    Checks of a submission before it is claimed.
 
     [SECTION] Keys
     [SECTION] Refusals
-    [SECTION] Records
+    [SECTION] Conversions
 */
 #include "internal.h"
 
@@ -22,7 +22,7 @@
 
 // [SECTION] Refusals
 
-dispatch::Answer refused(Error error)
+dispatch::Answer errorAnswer(Error error)
 {
     dispatch::Answer answer;
     answer.outcome = error.outcome;
@@ -30,44 +30,44 @@
     return answer;
 }
 
-// Why this entry can take nothing at present. An id may be running elsewhere, so only work without
-// one is certain not to run; the same id is welcome at any other entry.
-std::optional<Error> outOfService(const EntryState &entry, const SubmitRequest &request, Time now)
+std::optional<Error> checkAvailability(const EntryState &entry, const SubmitRequest &request,
+                                       Time now)
 {
     const Outcome outcome = request.submission.empty() ? Outcome::NotRun : Outcome::Unknown;
     if (entry.leaving)
-        return Error { ErrorKind::Leaving, "this entry is stopping; send the same to another one",
-                       outcome, Milliseconds { 100 } };
-    if (!configured(entry, now))
+        return Error { ErrorKind::Leaving,
+                       "this entry is stopping; send the request to another one", outcome,
+                       Milliseconds { 100 } };
+    if (!hasFreshConfiguration(entry, now))
         return Error {
             ErrorKind::NotReady,
-            "this entry could not confirm its configuration; send the same to another one", outcome,
-            Milliseconds { 1000 }
+            "this entry could not confirm its configuration; send the request to another one",
+            outcome, Milliseconds { 1000 }
         };
     return std::nullopt;
 }
 
 namespace {
 
-// Work that the service could never run, however long it waited.
-std::optional<Error> beyondLimits(const Service &service, const SubmitRequest &request)
+// Checks limits that waiting can't satisfy.
+std::optional<Error> checkLimits(const Service &service, const SubmitRequest &request)
 {
     Error error { ErrorKind::CanNeverRun, {}, Outcome::NotRun, Milliseconds { 0 } };
-    if (request.payloads.empty() || request.payloads.size() > service.mostTasks) {
+    if (request.payloads.empty() || request.payloads.size() > service.maxTasks) {
         error.message = "a submission to " + service.name + " must have 1 to "
-                + std::to_string(service.mostTasks) + " tasks; split the job";
+                + std::to_string(service.maxTasks) + " tasks; split the job";
         return error;
     }
     for (const std::string &payload : request.payloads) {
-        if (payload.size() <= service.mostPayloadBytes)
+        if (payload.size() <= service.maxPayloadBytes)
             continue;
-        error.message = "a payload may have at most " + std::to_string(service.mostPayloadBytes)
+        error.message = "a payload may have at most " + std::to_string(service.maxPayloadBytes)
                 + " bytes; pass a reference to the data instead";
         return error;
     }
-    if (request.declaredTime > service.longestTime) {
+    if (request.declaredTime > service.maxTaskTime) {
         error.message = "a task may take at most "
-                + std::to_string(std::chrono::duration_cast<Milliseconds>(service.longestTime)
+                + std::to_string(std::chrono::duration_cast<Milliseconds>(service.maxTaskTime)
                                          .count())
                 + " ms; split the work";
         return error;
@@ -80,18 +80,19 @@
     return std::nullopt;
 }
 
-std::optional<Error> invalidId(const EntryState &entry, const std::string &submission,
-                               WallTime wallNow)
+std::optional<Error> validateId(const EntryState &entry, const std::string &submission,
+                                WallTime wallNow)
 {
     if (submission.empty())
         return std::nullopt;
     Error error;
-    const std::optional<WallTime> made = submissionTime(submission, &error);
-    if (!made)
+    const std::optional<WallTime> idTime = submissionTime(submission, &error);
+    if (!idTime)
         return error;
-    if (*made > wallNow + entry.settings.claims.clockSkew) {
+    if (*idTime > wallNow + entry.settings.claims.clockSkew) {
         error.kind = ErrorKind::BadRequest;
-        error.message = "the submission id is from the future; set the clock of the caller's host";
+        error.message =
+                "the submission id has a time in the future; set the clock of the caller's host";
         return error;
     }
     return std::nullopt;
@@ -99,21 +100,20 @@
 
 } // namespace
 
-// What is wrong with a request by itself. It can't have been accepted before.
-std::optional<Error> invalid(const EntryState &entry, const SubmitRequest &request,
-                             WallTime wallNow)
+std::optional<Error> validate(const EntryState &entry, const SubmitRequest &request,
+                              WallTime wallNow)
 {
-    const auto found = entry.directory.services.find(request.service);
-    if (found == entry.directory.services.end())
+    const auto found = entry.registry.services.find(request.service);
+    if (found == entry.registry.services.end())
         return Error { ErrorKind::NotFound,
                        "there is no service \"" + request.service
-                               + "\"; look at the services with: foxwing show service",
+                               + "\"; list the services with: foxwing show service",
                        Outcome::NotRun, Milliseconds { 0 } };
-    const std::optional<Error> error = beyondLimits(found->second, request);
-    return error ? error : invalidId(entry, request.submission, wallNow);
+    const std::optional<Error> error = checkLimits(found->second, request);
+    return error ? error : validateId(entry, request.submission, wallNow);
 }
 
-// [SECTION] Records
+// [SECTION] Conversions
 
 dispatch::JobSpec jobSpec(const std::string &key, const SubmitRequest &request, Time deadline)
 {
@@ -137,7 +137,7 @@
     pending.request = request;
     pending.deadline = deadline;
     pending.nonce = entry.nextNonce++;
-    pending.sendWait = entry.settings.askInterval;
+    pending.resendDelay = entry.settings.claimInterval;
     return pending;
 }
 
--- a/packages/entry/src/peers.cpp
+++ b/packages/entry/src/peers.cpp
@@ -1,8 +1,8 @@
 /*
-    Dealing with the other entries: handing work over, taking it, and moving workers.
+    Work and workers that move between entries.
 
-    [SECTION] Handing over
-    [SECTION] Taking over
+    [SECTION] Outgoing work
+    [SECTION] Incoming work
     [SECTION] Balance
 */
 #include "internal.h"
@@ -13,10 +13,10 @@
 
 namespace foxwing::entry {
 
-// [SECTION] Handing over
+// [SECTION] Outgoing work
 
-// The peer that should own this submission; none if this entry should.
-std::optional<claims::Replica> otherOwner(EntryState &entry, const SubmitRequest &request, Time now)
+std::optional<claims::EntryIdentity> choosePeer(EntryState &entry, const SubmitRequest &request,
+                                                Time now)
 {
     const std::string owner = chooseOwner(entry.placement, request.service,
                                           dispatch::serviceLoad(entry.dispatcher, request.service),
@@ -28,9 +28,7 @@
     return std::nullopt;
 }
 
-// Gives the submission to another entry. A request without an id gets one, so that the other entry
-// can't run it twice whatever the network does.
-void handOff(EntryState &entry, SubmitRequest request, const claims::Replica &owner, Time now,
+void handOff(EntryState &entry, SubmitRequest request, const claims::EntryIdentity &owner, Time now,
              WallTime wallNow, EntryActions &actions)
 {
     if (request.submission.empty())
@@ -41,17 +39,17 @@
     pending.state = PendingState::Joined;
     pending.handedOff = true;
     pending.owner = owner;
-    pending.sendWait = entry.settings.joinInterval;
+    pending.resendDelay = entry.settings.joinInterval;
     addWaiter(entry, pending, request.waiter);
-    entry.watched.push_back(key);
+    entry.remotePending.push_back(key);
     sendJoin(entry, key, pending, now, actions);
 }
 
-// [SECTION] Taking over
+// [SECTION] Incoming work
 
 namespace {
 
-SubmitRequest requestOf(const Handoff &handoff)
+SubmitRequest makeRequest(const Handoff &handoff)
 {
     SubmitRequest request;
     request.team = handoff.team;
@@ -69,8 +67,7 @@
 
 } // namespace
 
-// Work that a peer hands to this entry. It is claimed like any other and never handed on.
-void takeHandoff(EntryState &entry, const Handoff &handoff, Time now, EntryActions &actions)
+void handleHandoff(EntryState &entry, const Handoff &handoff, Time now, EntryActions &actions)
 {
     const std::string key = keyOf(handoff.team, handoff.submission);
     const dispatch::Job *job = dispatch::findJob(entry.dispatcher, key);
@@ -81,47 +78,48 @@
         actions.sends.push_back({ handoff.from, EntryMessage(leaving) });
         return;
     }
-    const SubmitRequest request = requestOf(handoff);
+    const SubmitRequest request = makeRequest(handoff);
     const Time deadline = now + request.timeLeft;
-    const std::optional<Error> refusal = dispatch::refuseJob(entry.dispatcher,
-                                                             jobSpec(key, request, deadline), now);
+    const std::optional<Error> refusal = dispatch::checkAdmission(entry.dispatcher,
+                                                                  jobSpec(key, request, deadline),
+                                                                  now);
     Pending &pending = addPending(entry, key, request, deadline);
     pending.joinedBy.push_back(handoff.from);
     if (refusal)
         pending.refusal = *refusal;
-    startAsking(entry, key, pending, now, actions);
+    startClaim(entry, key, pending, now, actions);
 }
 
-void takeJoinAnswer(EntryState &entry, const JoinAnswer &joined, Time now, EntryActions &actions)
+void handleJoinAnswer(EntryState &entry, const JoinAnswer &joined, Time now, EntryActions &actions)
 {
     const auto found = entry.pending.find(joined.job);
     if (found == entry.pending.end() || found->second.state != PendingState::Joined)
         return;
     Pending &pending = found->second;
     if (joined.kind == ErrorKind::Leaving && pending.handedOff)
-        return askAnew(entry, joined.job, pending, now, actions);
+        return restartClaim(entry, joined.job, pending, now, actions);
     dispatch::Answer answer = makeAnswer(joined.outcome, joined.kind, joined.message);
     answer.results = joined.results;
-    conclude(entry, joined.job, answer, actions);
+    finishPending(entry, joined.job, answer, actions);
 }
 
 // [SECTION] Balance
 
-// Tells the peers how busy this entry is, and moves a worker if that helps.
 void balance(EntryState &entry, Time now, EntryActions &actions)
 {
-    const auto report = dueReport(entry.placement, entry.dispatcher, entry.leaving, now);
+    const auto report = reportIfDue(entry.placement, entry.dispatcher, entry.leaving, now);
     if (report) {
         for (const claims::Member &member : entry.claims.view.members) {
             if (member.replica.id != entry.settings.self.id)
                 actions.sends.push_back({ member.replica.id, EntryMessage(*report) });
         }
     }
-    if (const auto advice = adviseYield(entry.placement, entry.dispatcher, now))
-        carry(entry,
-              dispatch::yieldWorker(entry.dispatcher, advice->service, advice->heir,
-                                    advice->heirDataCentre, advice->heirHasNone),
-              now, actions);
+    if (const auto transfer = chooseTransfer(entry.placement, entry.dispatcher, now))
+        appendActions(entry,
+                      dispatch::transferWorker(entry.dispatcher, transfer->service,
+                                               transfer->successor, transfer->successorDataCentre,
+                                               transfer->successorStarved),
+                      now, actions);
 }
 
 } // namespace foxwing::entry
--- a/packages/entry/tests/entry_test.cpp
+++ b/packages/entry/tests/entry_test.cpp
@@ -1,5 +1,5 @@
 /*
-    What an entry refuses before anything is done about it, and whom it knows.
+    Refusals, readiness, authentication and placement of an entry.
 
     [SECTION] Helpers
     [SECTION] Refusals
@@ -16,7 +16,7 @@
 
 // [SECTION] Helpers
 
-constexpr Time Begin { Milliseconds(1000) };
+constexpr Time StartTime { Milliseconds(1000) };
 const WallTime Wall { Milliseconds(1'796'000'000'000) };
 
 EntryState configuredEntry()
@@ -24,14 +24,13 @@
     EntrySettings settings;
     settings.self = { "entry-a", 1 };
     EntryState entry = makeEntry(settings);
-    entry.directory.services["svc"] = { "svc", 10, 100, Milliseconds(5000) };
-    entry.directory.teams["team"] = { "team", "salt-salt", hashSecret("salt-salt", "secret"), 1,
-                                      0 };
-    claims::hearMaster(entry.claims, Begin);
+    entry.registry.services["svc"] = { "svc", 10, 100, Milliseconds(5000) };
+    entry.registry.teams["team"] = { "team", "salt-salt", hashSecret("salt-salt", "secret"), 1, 0 };
+    claims::renewControlLease(entry.claims, StartTime);
     return entry;
 }
 
-SubmitRequest goodRequest()
+SubmitRequest validRequest()
 {
     SubmitRequest request;
     request.waiter = 7;
@@ -48,20 +47,20 @@
 struct BadSubmission
 {
     const char *name;
-    void (*spoil)(EntryState &, SubmitRequest &);
+    void (*mutate)(EntryState &, SubmitRequest &);
     ErrorKind kind;
     const char *remedy;
 };
 
-class Refused : public testing::TestWithParam<BadSubmission>
+class InvalidSubmission : public testing::TestWithParam<BadSubmission>
 { };
 
-TEST_P(Refused, AtOnceAndWithTheRemedy)
+TEST_P(InvalidSubmission, IsRefusedWithARemedy)
 {
     EntryState entry = configuredEntry();
-    SubmitRequest request = goodRequest();
-    GetParam().spoil(entry, request);
-    const EntryActions actions = submit(entry, request, Begin, Wall);
+    SubmitRequest request = validRequest();
+    GetParam().mutate(entry, request);
+    const EntryActions actions = submit(entry, request, StartTime, Wall);
     EXPECT_TRUE(actions.sends.empty());
     ASSERT_EQ(actions.replies.size(), 1U);
     const dispatch::Answer &answer = actions.replies[0].answer;
@@ -70,17 +69,18 @@
     EXPECT_EQ(answer.error.kind, GetParam().kind);
     EXPECT_NE(answer.error.message.find(GetParam().remedy), std::string::npos)
             << answer.error.message;
-    EXPECT_TRUE(entry.pending.empty() && entry.dispatcher.jobs.empty()) << "nothing is kept";
+    EXPECT_TRUE(entry.pending.empty() && entry.dispatcher.jobs.empty())
+            << "state of a refused submission was kept";
 }
 
 INSTANTIATE_TEST_SUITE_P(
-        Table, Refused,
+        Table, InvalidSubmission,
         testing::Values(
                 BadSubmission {
                         "UnknownService",
                         [](EntryState &, SubmitRequest &request) { request.service = "no"; },
                         ErrorKind::NotFound, "foxwing show service" },
-                BadSubmission { "HugeTaskCount",
+                BadSubmission { "TooManyTasks",
                                 [](EntryState &, SubmitRequest &request) {
                                     request.payloads.assign(100000, "payload");
                                 },
@@ -89,27 +89,27 @@
                         "NoTasks",
                         [](EntryState &, SubmitRequest &request) { request.payloads.clear(); },
                         ErrorKind::CanNeverRun, "1 to 10 tasks" },
-                BadSubmission { "HugePayload",
+                BadSubmission { "PayloadTooLarge",
                                 [](EntryState &, SubmitRequest &request) {
                                     request.payloads[0].assign(101, 'x');
                                 },
                                 ErrorKind::CanNeverRun, "pass a reference" },
-                BadSubmission { "DeclaredTooLong",
+                BadSubmission { "DeclaredTimeTooLong",
                                 [](EntryState &, SubmitRequest &request) {
                                     request.declaredTime = Seconds(6);
                                     request.timeLeft = Seconds(60);
                                 },
                                 ErrorKind::CanNeverRun, "at most 5000 ms" },
-                BadSubmission { "DeclaredBeyondDeadline",
+                BadSubmission { "DeclaredTimeBeyondDeadline",
                                 [](EntryState &, SubmitRequest &request) {
                                     request.declaredTime = Seconds(3);
                                 },
                                 ErrorKind::DeadlineUnreachable, "allow more time" },
                 BadSubmission {
-                        "IdIsNoUuid",
+                        "IdNotAUuid",
                         [](EntryState &, SubmitRequest &request) { request.submission = "job-1"; },
                         ErrorKind::BadRequest, "version 7 UUID" },
-                BadSubmission { "IdFromTheFuture",
+                BadSubmission { "IdInTheFuture",
                                 [](EntryState &, SubmitRequest &request) {
                                     std::mt19937_64 random(1);
                                     request.submission = makeSubmissionId(Wall + Seconds(10),
@@ -118,7 +118,7 @@
                                 ErrorKind::BadRequest, "set the clock" },
                 BadSubmission { "NotConfigured",
                                 [](EntryState &entry, SubmitRequest &) {
-                                    entry.claims.masterHeard = false;
+                                    entry.claims.controlConfirmed = false;
                                 },
                                 ErrorKind::NotReady, "another one" },
                 BadSubmission { "Leaving",
@@ -126,41 +126,42 @@
                                 ErrorKind::Leaving, "another one" }),
         [](const testing::TestParamInfo<BadSubmission> &given) { return given.param.name; });
 
-// Work with an id may be running elsewhere: an entry that can't ask must not say "not run".
-TEST(Entry, WithoutItsClaimsNothingIsSaidOfWorkWithAnId)
+// Work with an id may run on another entry, so an entry that can't check must not answer "not run".
+TEST(Entry, AnswersUnknownForAnIdThatItCannotCheck)
 {
     for (const bool leaving : { true, false }) {
         EntryState entry = configuredEntry();
         entry.leaving = leaving;
-        entry.claims.masterHeard = leaving;
-        SubmitRequest request = goodRequest();
+        entry.claims.controlConfirmed = leaving;
+        SubmitRequest request = validRequest();
         std::mt19937_64 random(1);
         request.submission = makeSubmissionId(Wall, random);
-        const EntryActions actions = submit(entry, request, Begin, Wall);
+        const EntryActions actions = submit(entry, request, StartTime, Wall);
         ASSERT_EQ(actions.replies.size(), 1U);
         EXPECT_EQ(actions.replies[0].answer.outcome, Outcome::Unknown);
     }
 }
 
-// In the first rolling restart all entries were unready at each change of view.
-TEST(Entry, StaysReadyWhileClaimsMove)
+// Guards against all entries turning unready at once when the view changes.
+TEST(Entry, StaysReadyWhileShardsMove)
 {
     EntryState entry = configuredEntry();
-    EXPECT_FALSE(ready(entry, Begin));
+    EXPECT_FALSE(ready(entry, StartTime));
     claims::View view;
     view.number = 1;
     view.members = { { { "entry-a", 1 }, "", "" } };
     view.bases.resize(claims::ShardCount);
     for (claims::ShardBase &base : view.bases)
-        base.activeIn = 1;
-    setView(entry, view, Begin);
-    tick(entry, Begin, Wall);
-    EXPECT_TRUE(ready(entry, Begin));
+        base.lastActiveView = 1;
+    setView(entry, view, StartTime);
+    tick(entry, StartTime, Wall);
+    EXPECT_TRUE(ready(entry, StartTime));
     view.number = 2;
-    setView(entry, view, Begin);
-    tick(entry, Begin, Wall);
-    EXPECT_TRUE(ready(entry, Begin)) << "no shard is in service in the new view yet";
-    EXPECT_FALSE(ready(entry, Begin + Seconds(11))) << "control was not heard from";
+    setView(entry, view, StartTime);
+    tick(entry, StartTime, Wall);
+    EXPECT_TRUE(ready(entry, StartTime)) << "unready although only the shards move";
+    EXPECT_FALSE(ready(entry, StartTime + Seconds(11)))
+            << "ready after the configuration lease expired";
 }
 
 // [SECTION] Tokens
@@ -168,14 +169,14 @@
 class Token : public testing::TestWithParam<const char *>
 { };
 
-TEST_P(Token, OfNobodyIsRefusedAlike)
+TEST_P(Token, IsRejectedWithTheSameMessage)
 {
     Error reason;
-    EXPECT_FALSE(authenticate(configuredEntry().directory, GetParam(), &reason));
+    EXPECT_FALSE(authenticate(configuredEntry().registry, GetParam(), &reason));
     EXPECT_EQ(reason.kind, ErrorKind::Unauthenticated);
     Error unknownTeam;
-    authenticate(configuredEntry().directory, "nobody.secret", &unknownTeam);
-    EXPECT_EQ(reason.message, unknownTeam.message) << "does not tell whether the team exists";
+    authenticate(configuredEntry().registry, "nobody.secret", &unknownTeam);
+    EXPECT_EQ(reason.message, unknownTeam.message) << "the message reveals whether the team exists";
 }
 
 INSTANTIATE_TEST_SUITE_P(Table, Token,
@@ -183,19 +184,19 @@
                                          "TEAM.secret", ".secret", "nobody.secret",
                                          "team.secret.secret"));
 
-TEST(Tokens, AReplacedTokenIsOver)
+TEST(Tokens, ReplacedTokenIsRejected)
 {
     Error reason;
     EntryState entry = configuredEntry();
-    EXPECT_EQ(authenticate(entry.directory, "team.secret", &reason), "team");
-    entry.directory.teams["team"].tokenHash = hashSecret("salt-salt", "newer");
-    EXPECT_FALSE(authenticate(entry.directory, "team.secret", &reason));
-    EXPECT_EQ(authenticate(entry.directory, "team.newer", &reason), "team");
+    EXPECT_EQ(authenticate(entry.registry, "team.secret", &reason), "team");
+    entry.registry.teams["team"].tokenHash = hashSecret("salt-salt", "newer");
+    EXPECT_FALSE(authenticate(entry.registry, "team.secret", &reason));
+    EXPECT_EQ(authenticate(entry.registry, "team.newer", &reason), "team");
 }
 
 // [SECTION] Placement
 
-struct Choice
+struct OwnerCase
 {
     const char *name;
     dispatch::ServiceLoad own;
@@ -204,62 +205,62 @@
     const char *expected;
 };
 
-class Owner : public testing::TestWithParam<Choice>
+class Owner : public testing::TestWithParam<OwnerCase>
 { };
 
-TEST_P(Owner, IsWhereTheJobWaitsLeast)
+TEST_P(Owner, IsTheEntryWithTheShortestWait)
 {
     Placement placement;
     placement.settings.self = "entry-a";
-    takeLoadReport(placement, { "entry-b", "", false, { GetParam().peer } }, Begin);
-    EXPECT_EQ(chooseOwner(placement, "svc", GetParam().own, 4, Begin + GetParam().age),
+    handleLoadReport(placement, { "entry-b", "", false, { GetParam().peer } }, StartTime);
+    EXPECT_EQ(chooseOwner(placement, "svc", GetParam().own, 4, StartTime + GetParam().age),
               GetParam().expected);
 }
 
 INSTANTIATE_TEST_SUITE_P(Table, Owner,
-                         testing::Values(Choice { "OwnSlotsFree",
-                                                  { 8, 4, 0 },
-                                                  { "svc", 80, 0, 0 },
-                                                  Milliseconds(0),
-                                                  "entry-a" },
-                                         Choice { "OwnFullPeerFree",
-                                                  { 8, 8, 0 },
-                                                  { "svc", 8, 0, 0 },
-                                                  Milliseconds(0),
-                                                  "entry-b" },
-                                         Choice { "BothFullPeerWorse",
-                                                  { 8, 8, 0 },
-                                                  { "svc", 8, 8, 9 },
-                                                  Milliseconds(0),
-                                                  "entry-a" },
-                                         Choice { "NoWorkerHere",
-                                                  { 0, 0, 0 },
-                                                  { "svc", 8, 8, 40 },
-                                                  Milliseconds(0),
-                                                  "entry-b" },
-                                         Choice { "NoWorkerAnywhere",
-                                                  { 0, 0, 0 },
-                                                  { "svc", 0, 0, 0 },
-                                                  Milliseconds(0),
-                                                  "entry-a" },
-                                         Choice { "OldReport",
-                                                  { 8, 8, 0 },
-                                                  { "svc", 8, 0, 0 },
-                                                  Milliseconds(3000),
-                                                  "entry-a" }),
-                         [](const testing::TestParamInfo<Choice> &given) {
+                         testing::Values(OwnerCase { "OwnSlotsFree",
+                                                     { 8, 4, 0 },
+                                                     { "svc", 80, 0, 0 },
+                                                     Milliseconds(0),
+                                                     "entry-a" },
+                                         OwnerCase { "OwnFullPeerFree",
+                                                     { 8, 8, 0 },
+                                                     { "svc", 8, 0, 0 },
+                                                     Milliseconds(0),
+                                                     "entry-b" },
+                                         OwnerCase { "BothFullPeerWorse",
+                                                     { 8, 8, 0 },
+                                                     { "svc", 8, 8, 9 },
+                                                     Milliseconds(0),
+                                                     "entry-a" },
+                                         OwnerCase { "NoLocalWorker",
+                                                     { 0, 0, 0 },
+                                                     { "svc", 8, 8, 40 },
+                                                     Milliseconds(0),
+                                                     "entry-b" },
+                                         OwnerCase { "NoWorkerAnywhere",
+                                                     { 0, 0, 0 },
+                                                     { "svc", 0, 0, 0 },
+                                                     Milliseconds(0),
+                                                     "entry-a" },
+                                         OwnerCase { "StaleReport",
+                                                     { 8, 8, 0 },
+                                                     { "svc", 8, 0, 0 },
+                                                     Milliseconds(3000),
+                                                     "entry-a" }),
+                         [](const testing::TestParamInfo<OwnerCase> &given) {
                              return given.param.name;
                          });
 
-TEST(Placement, ABurstDoesNotAllGoToOnePeer)
+TEST(Placement, BurstIsSpreadOverPeers)
 {
     Placement placement;
     placement.settings.self = "entry-a";
     for (const char *peer : { "entry-b", "entry-c" })
-        takeLoadReport(placement, { peer, "", false, { { "svc", 8, 0, 0 } } }, Begin);
+        handleLoadReport(placement, { peer, "", false, { { "svc", 8, 0, 0 } } }, StartTime);
     std::map<std::string, int> chosen;
     for (int i = 0; i < 4; ++i)
-        ++chosen[chooseOwner(placement, "svc", { 8, 8, 8 }, 4, Begin)];
+        ++chosen[chooseOwner(placement, "svc", { 8, 8, 8 }, 4, StartTime)];
     EXPECT_EQ(chosen["entry-b"], 2);
     EXPECT_EQ(chosen["entry-c"], 2);
 }
--- a/packages/eventlog/src/eventlog.cpp
+++ b/packages/eventlog/src/eventlog.cpp
@@ -1,5 +1,5 @@
 /*
-    Lines, their limits and their buffer.
+    Formatting, limits and buffer of log lines.
 
     [SECTION] Event
     [SECTION] Log
@@ -76,10 +76,10 @@
     return *this;
 }
 
-Event &Event::with(const char *field, Microseconds span)
+Event &Event::with(const char *field, Microseconds duration)
 {
     char text[32];
-    std::snprintf(text, sizeof text, "%.1f", toMilliseconds(span));
+    std::snprintf(text, sizeof text, "%.1f", toMilliseconds(duration));
     appendName(m_fields, field);
     m_fields += text;
     return *this;
@@ -87,9 +87,9 @@
 
 // [SECTION] Log
 
-EventLog::EventLog(std::string nodeName, EventLogSettings with, int descriptor)
+EventLog::EventLog(std::string nodeName, EventLogSettings initialSettings, int descriptor)
     : node(std::move(nodeName))
-    , settings(with)
+    , settings(initialSettings)
     , output(descriptor)
 {
     const int flags = ::fcntl(output, F_GETFL);
@@ -112,34 +112,34 @@
     ++log.written;
 }
 
-// A new second: the limits begin anew, and what was left out is told.
-void beginSecond(EventLog &log, Time now, WallTime date)
+// Resets the limits and reports the lines that were dropped in the previous second.
+void startSecond(EventLog &log, Time now, WallTime date)
 {
-    log.secondBegan = now;
+    log.secondStart = now;
     log.requestLines = 0;
     log.changeLines = 0;
-    if (log.leftOut.empty())
+    if (log.dropped.empty())
         return;
-    Event told = change("lines-left-out");
-    for (const auto &[name, count] : log.leftOut)
-        told.with(name.c_str(), count);
-    log.leftOut.clear();
-    append(log, date, told);
+    Event report = change("lines-left-out");
+    for (const auto &[name, count] : log.dropped)
+        report.with(name.c_str(), count);
+    log.dropped.clear();
+    append(log, date, report);
 }
 
 } // namespace
 
 void writeEvent(EventLog &log, Time now, WallTime date, const Event &event)
 {
-    if (now >= log.secondBegan + Seconds(1))
-        beginSecond(log, now, date);
+    if (now >= log.secondStart + Seconds(1))
+        startSecond(log, now, date);
     const bool isChange = event.kind() == EventKind::Change;
     std::uint32_t &lines = isChange ? log.changeLines : log.requestLines;
-    const std::uint32_t most = isChange ? log.settings.changeLinesPerSecond
-                                        : log.settings.requestLinesPerSecond;
-    if (lines >= most || log.buffer.size() >= log.settings.mostBufferedBytes) {
-        ++log.leftOut[event.name()];
-        ++log.leftOutTotal;
+    const std::uint32_t limit = isChange ? log.settings.changeLinesPerSecond
+                                         : log.settings.requestLinesPerSecond;
+    if (lines >= limit || log.buffer.size() >= log.settings.maxBufferedBytes) {
+        ++log.dropped[event.name()];
+        ++log.droppedTotal;
         return;
     }
     ++lines;
--- a/packages/eventlog/tests/eventlog_test.cpp
+++ b/packages/eventlog/tests/eventlog_test.cpp
@@ -1,5 +1,5 @@
 /*
-    Lines are whole JSON, bounded, and never block.
+    Tests that log lines are valid JSON, are limited per second, and never block.
 
     [SECTION] Lines
     [SECTION] Limits
@@ -37,7 +37,7 @@
 class Lines : public testing::TestWithParam<LineCase>
 { };
 
-TEST_P(Lines, AreWholeJson)
+TEST_P(Lines, AreValidJson)
 {
     Pipe pipe;
     EventLog log("node-1", EventLogSettings(), pipe.ends[1]);
@@ -61,7 +61,7 @@
 
 // [SECTION] Limits
 
-TEST(EventLogLimits, TellsWhatWasLeftOut)
+TEST(EventLogLimits, ReportsDroppedLines)
 {
     Pipe pipe;
     EventLogSettings settings;
@@ -71,12 +71,12 @@
         writeEvent(log, Time(Seconds(5)), WallTime(), Event("answered"));
     writeEvent(log, Time(Seconds(5)), WallTime(), change("reloaded"));
     EXPECT_EQ(log.written, 4U);
-    EXPECT_EQ(log.leftOutTotal, 7U);
+    EXPECT_EQ(log.droppedTotal, 7U);
     writeEvent(log, Time(Seconds(6)), WallTime(), Event("answered"));
     EXPECT_NE(log.buffer.find("\"event\":\"lines-left-out\",\"answered\":7"), std::string::npos);
 }
 
-TEST(EventLogLimits, DoesNotBlockOnAReaderThatDoesNotRead)
+TEST(EventLogLimits, DoesNotBlockOnStalledReader)
 {
     Pipe pipe;
     EventLogSettings settings;
@@ -86,8 +86,8 @@
         writeEvent(log, Time(Seconds(5)), WallTime(), Event("answered"));
         flush(log);
     }
-    EXPECT_GT(log.leftOutTotal, 0U);
-    EXPECT_LE(log.buffer.size(), settings.mostBufferedBytes + 1000);
+    EXPECT_GT(log.droppedTotal, 0U);
+    EXPECT_LE(log.buffer.size(), settings.maxBufferedBytes + 1000);
 }
 
 } // namespace
--- a/packages/fleet/include/foxwing/fleet/dialect.h
+++ b/packages/fleet/include/foxwing/fleet/dialect.h
@@ -1,8 +1,8 @@
 /*
-    What a fleet needs to be told and to tell at its edges, apart from how it is said.
+    The interface between a fleet and its HTTP protocol.
 
-    A dialect is a set of functions that turn HTTP messages into these types and back. The fleet
-    decides; a dialect only translates, and keeps no state.
+    A dialect is a set of functions that translate HTTP messages into these types and back. It is
+    stateless; all decisions are made in the fleet.
 
     [SECTION] Callers
     [SECTION] Endpoints
@@ -25,55 +25,56 @@
 
 // [SECTION] Callers
 
-enum class CallerWish {
+enum class CallerAction {
     Submit,
-    AskState,
+    GetState,
     Cancel,
-    AskWaiting,
+    CountWaiting,
 
-    // Nothing that the interface has
+    // Not a request of the interface
     Other,
 };
 
-// A caller's request, read as far as is needed to find its queue.
-struct CallerCall
+// A caller's request, parsed as far as needed to find its queue.
+struct CallerRequest
 {
-    CallerWish wish = CallerWish::Other;
+    CallerAction action = CallerAction::Other;
     std::string host;
     std::string path;
 
-    // How long the caller waits; left out, as long as the queue allows.
-    std::optional<Milliseconds> patience;
+    // How long the caller waits; unset: as long as the queue allows.
+    std::optional<Milliseconds> timeout;
 };
 
-// Why a call gets no job.
+// Why a request creates no job.
 enum class CallerRefusal {
     NoSuchQueue,
 
-    // This entry can't tell yet which queues there are.
+    // This entry has not received the catalog yet.
     NotConfigured,
     BadRequest,
 
-    // No such job is known.
-    Gone,
-    NotServed,
+    NoSuchJob,
+    Unavailable,
 };
 
 // [SECTION] Endpoints
 
-enum class EndpointWish {
-    Beat,
-    Leave,
+enum class EndpointAction {
+    Heartbeat,
+    Deregister,
     Other,
 };
 
-// What an endpoint tells its agent.
-struct EndpointCall
+// A request of an endpoint to its agent.
+struct EndpointRequest
 {
-    EndpointWish wish = EndpointWish::Other;
+    EndpointAction action = EndpointAction::Other;
 
-    // Leave: which life of it has ended; Beat: what it says of itself
-    runner::LifeId life;
+    // Deregister: the incarnation that ended
+    runner::IncarnationId endpointIncarnation;
+
+    // Heartbeat
     runner::EndpointReport report;
 };
 
@@ -87,34 +88,34 @@
 struct Dialect
 {
     // Callers
-    CallerCall (*readCall)(const fabric::Request &request) = nullptr;
+    CallerRequest (*readCallerRequest)(const fabric::Request &request) = nullptr;
 
-    // A submitted job; rest is the path behind the queue's prefix.
+    // A submitted job; rest is the path after the queue's prefix.
     std::optional<jobs::JobSpec> (*readJob)(const fabric::Request &request, const std::string &rest,
                                             Error *reason) = nullptr;
     fabric::Response (*writeJobAnswer)(const scheduler::JobAnswer &answer) = nullptr;
-    fabric::Response (*writeWaiting)(std::size_t jobs) = nullptr;
+    fabric::Response (*writeWaitingCount)(std::size_t jobs) = nullptr;
     fabric::Response (*writeRefusal)(CallerRefusal refusal, const std::string &reason) = nullptr;
 
-    // The platform's question whether new connections should come here
-    bool (*asksReadiness)(const fabric::Request &request) = nullptr;
+    // The platform's readiness check, before it sends new connections here
+    bool (*isReadinessRequest)(const fabric::Request &request) = nullptr;
     fabric::Response (*writeReadiness)(bool ready) = nullptr;
 
     // Endpoints
-    std::optional<EndpointCall> (*readEndpointCall)(const fabric::Request &request,
-                                                    Error *reason) = nullptr;
-    fabric::Response (*writeEndpointAnswer)(bool understood, const std::string &reason) = nullptr;
-    fabric::Request (*writeStart)(const runner::StartOrder &order) = nullptr;
-    fabric::Request (*writeStop)(const runner::StopOrder &order) = nullptr;
-    fabric::Request (*writeLook)(const runner::LookOrder &order) = nullptr;
-    runner::Answered (*readAnswer)(const fabric::Response &response) = nullptr;
-    runner::Look (*readLook)(const fabric::Response &response) = nullptr;
+    std::optional<EndpointRequest> (*readEndpointRequest)(const fabric::Request &request,
+                                                          Error *reason) = nullptr;
+    fabric::Response (*writeEndpointResponse)(bool accepted, const std::string &reason) = nullptr;
+    fabric::Request (*writeStart)(const runner::StartCommand &command) = nullptr;
+    fabric::Request (*writeStop)(const runner::StopCommand &command) = nullptr;
+    fabric::Request (*writePoll)(const runner::PollCommand &command) = nullptr;
+    runner::CommandResult (*readCommandResult)(const fabric::Response &response) = nullptr;
+    runner::PollResult (*readPollResult)(const fabric::Response &response) = nullptr;
 
     // Operators
-    std::optional<OperatorRequest> (*readOperatorCall)(const fabric::Request &request,
-                                                       Error *reason) = nullptr;
-    fabric::Response (*writeOperatorAnswer)(OperatorOutcome outcome,
-                                            const std::string &reason) = nullptr;
+    std::optional<OperatorRequest> (*readOperatorRequest)(const fabric::Request &request,
+                                                          Error *reason) = nullptr;
+    fabric::Response (*writeOperatorResponse)(OperatorOutcome outcome,
+                                              const std::string &reason) = nullptr;
     fabric::Response (*writeCatalog)(const catalog::DeclaredCatalog &declared) = nullptr;
 };
 
--- a/packages/fleet/src/core.h
+++ b/packages/fleet/src/core.h
@@ -1,6 +1,5 @@
 /*
-    What every role of a fleet's process stands on: the loop, the log, the metrics, and the
-    connections to control.
+    What the roles share: the event loop, the log, the metrics, and the connections to control.
 
     [SECTION] Core
     [SECTION] Role
@@ -23,7 +22,7 @@
 #include <foxwing/metrics/metrics.h>
 
 #include "messages.h"
-#include "peerbook.h"
+#include "peertable.h"
 
 namespace foxwing::fleet {
 
@@ -31,12 +30,12 @@
 
 struct Core
 {
-    explicit Core(FleetSettings with)
-        : settings(std::move(with))
+    explicit Core(FleetSettings initialSettings)
+        : settings(std::move(initialSettings))
         , log(settings.name, settings.log)
     { }
 
-    // One thread runs it; a second one, of the journal, only posts to it.
+    // Run by one thread; the journal's thread only posts to it.
     fabric::asio::io_context io { 1 };
     FleetSettings settings;
     eventlog::EventLog log;
@@ -46,34 +45,34 @@
 
 // [SECTION] Role
 
-// What a role adds to the process.
-class RoleShell
+// One role of the process: entry, agent or control.
+class NodeRole
 {
 public:
-    virtual ~RoleShell() = default;
+    virtual ~NodeRole() = default;
     virtual bool start(Error *reason) = 0;
 
-    // Every TickInterval
+    // Called every TickInterval
     virtual void tick(Time now) = 0;
 
-    // The settings were read anew; core.settings holds them.
+    // Called after core.settings was reloaded
     virtual void reloaded() = 0;
 
-    // A planned stop begins; done once stopped() holds.
-    virtual void beginStop(Time now) = 0;
+    // Begins a graceful shutdown; it is complete once stopped() returns true.
+    virtual void beginShutdown(Time now) = 0;
     virtual bool stopped(Time now) = 0;
     virtual std::vector<metrics::Sample> samples() const = 0;
 };
 
-// Fine enough for the shortest span that decisions wait for, 40 ms, and coarse enough to cost an
-// idle process next to nothing.
+// At most half of the shortest timeout in use (40 ms), at negligible cost for an idle process.
 constexpr Milliseconds TickInterval { 20 };
 
 // [SECTION] Listening
 
-// Links of other processes of the fleet; nothing, with the reason, if the address can't be had.
-std::unique_ptr<fabric::Listener> listenInside(Core &core, fabric::Listener::Accepted onAccepted,
-                                               Error *reason);
+// Accepts links from other processes of the fleet. Returns null, with the reason, if it can't
+// listen at the address.
+std::unique_ptr<fabric::Listener> listenForPeers(Core &core, fabric::Listener::Accepted onAccepted,
+                                                 Error *reason);
 
 std::unique_ptr<fabric::HttpServer> serveHttp(Core &core, const std::string &address,
                                               fabric::HttpServer::Handler handler, Error *reason);
@@ -85,12 +84,11 @@
     std::function<void(const std::string &from, const directory::DirectoryUpdate &)> directory;
     std::function<void(const AgreedPush &)> agreed;
 
-    // No longer a peer; what it has told counts no more.
-    std::function<void(const std::string &host)> forgotten;
+    // The host is no longer a peer; its directory updates no longer count.
+    std::function<void(const std::string &host)> removed;
 };
 
-// An entry's or agent's connections to every control host it knows of: the seeds, and those that
-// the directory tells of.
+// An entry's or agent's connections to control hosts: the seeds, and those listed in the directory.
 class ControlLinks
 {
 public:
@@ -100,38 +98,38 @@
     void tick(Time now);
     void reloadSeeds();
 
-    // What this node says of itself has changed.
+    // Sends core.self to all control hosts, after a change.
     void announce();
     std::size_t connected() const;
 
 private:
     struct Peer;
-    void keep(const std::string &address);
+    void addPeer(const std::string &address);
     void dial(const std::string &address);
-    void keepBook(Time now);
+    void updatePeers(Time now);
     void connected(Peer &peer, const std::shared_ptr<fabric::Link> &link);
     void received(Peer &peer, std::string_view bytes);
 
-    // The last frame of what is agreed that was read. All control hosts send the same, and reading
-    // it takes an entry that has just begun longer than anything else.
+    // The last AgreedPush frame that was decoded. All control hosts send the same bytes, and
+    // decoding it is the most expensive step of an entry's start.
     std::string m_lastAgreed;
 
     Core &m_core;
     ControlEvents m_events;
-    PeerBook m_book;
+    PeerTable m_peerTable;
     std::map<std::string, std::unique_ptr<Peer>> m_peers;
 };
 
 // [SECTION] Frames
 
-// The cordoned data centres in one text, for log lines
-std::string joinedNames(const catalog::Cordons &cordons);
+// The cordoned data centres, separated by spaces, for log events
+std::string joinNames(const catalog::Cordons &cordons);
 
-// Logs and answers nothing if the bytes are no frame.
+// Logs and returns nothing if the bytes can't be decoded.
 std::optional<Frame> readFrame(Core &core, const std::string &from, std::string_view bytes);
 
-std::unique_ptr<RoleShell> makeEntryShell(Core &core, const Dialect &dialect);
-std::unique_ptr<RoleShell> makeAgentShell(Core &core, const Dialect &dialect);
-std::unique_ptr<RoleShell> makeControlShell(Core &core, const Dialect &dialect);
+std::unique_ptr<NodeRole> makeEntryRole(Core &core, const Dialect &dialect);
+std::unique_ptr<NodeRole> makeAgentRole(Core &core, const Dialect &dialect);
+std::unique_ptr<NodeRole> makeControlRole(Core &core, const Dialect &dialect);
 
 } // namespace foxwing::fleet
--- a/packages/fleet/src/heldcalls.cpp
+++ b/packages/fleet/src/heldcalls.cpp
@@ -1,5 +1,5 @@
 /*
-    Calls held until the queues are known.
+    Calls held until the catalog arrives.
 
     [SECTION] Functions
 */
@@ -13,24 +13,25 @@
 
 bool hold(HeldCalls &held, const fabric::ExchangePtr &exchange, Time now)
 {
-    if (now >= held.startedAt + held.settings.afterStart
-        || held.calls.size() >= held.settings.mostCalls)
+    if (now >= held.startedAt + held.settings.startupGrace
+        || held.calls.size() >= held.settings.maxCalls)
         return false;
     held.calls.push_back({ exchange, now });
     return true;
 }
 
-std::vector<HeldCall> expired(HeldCalls &held, Time now)
+std::vector<HeldCall> takeExpired(HeldCalls &held, Time now)
 {
-    std::vector<HeldCall> over;
-    while (!held.calls.empty() && now >= held.calls.front().cameAt + held.settings.mostHold) {
-        over.push_back(std::move(held.calls.front()));
+    std::vector<HeldCall> expired;
+    while (!held.calls.empty()
+           && now >= held.calls.front().receivedAt + held.settings.holdTimeout) {
+        expired.push_back(std::move(held.calls.front()));
         held.calls.pop_front();
     }
-    return over;
+    return expired;
 }
 
-std::vector<HeldCall> release(HeldCalls &held)
+std::vector<HeldCall> takeAll(HeldCalls &held)
 {
     std::vector<HeldCall> all(std::make_move_iterator(held.calls.begin()),
                               std::make_move_iterator(held.calls.end()));
--- a/packages/fleet/src/node.cpp
+++ b/packages/fleet/src/node.cpp
@@ -1,5 +1,5 @@
 /*
-    One process: its signals, its settings file, its metrics, and the role that it plays.
+    One process: its signals, settings file, metrics and role.
 
     [SECTION] State
     [SECTION] Metrics
@@ -23,7 +23,7 @@
 
 namespace {
 
-// The settings file may change without a signal.
+// How often the settings file is checked for changes
 constexpr Milliseconds SettingsInterval { 500 };
 
 std::string readText(const std::string &path)
@@ -38,10 +38,10 @@
 
 struct Node::State
 {
-    State(FleetSettings settings, std::string path, const Dialect &with)
+    State(FleetSettings settings, std::string path, const Dialect &dialectToUse)
         : core(std::move(settings))
         , settingsPath(std::move(path))
-        , dialect(with)
+        , dialect(dialectToUse)
         , signals(core.io)
         , timer(core.io)
     { }
@@ -50,14 +50,14 @@
     void turn();
     void reload(const char *why);
     void checkSettings(Time now);
-    void beginStop(const char *why);
+    void beginShutdown(const char *why);
     bool serveMetrics(Error *reason);
 
     Core core;
     std::string settingsPath;
     std::string settingsText;
     Dialect dialect;
-    std::unique_ptr<RoleShell> role;
+    std::unique_ptr<NodeRole> role;
     std::unique_ptr<fabric::HttpServer> metricsServer;
     fabric::asio::signal_set signals;
     fabric::asio::steady_timer timer;
@@ -77,8 +77,9 @@
                 std::vector<metrics::Sample> samples = role->samples();
                 samples.push_back({ "foxwing_log_lines_total", "Log lines written",
                                     static_cast<double>(core.log.written) });
-                samples.push_back({ "foxwing_log_lines_left_out_total", "Log lines left out",
-                                    static_cast<double>(core.log.leftOutTotal) });
+                samples.push_back({ "foxwing_log_lines_left_out_total",
+                                    "Log lines suppressed by the rate limit",
+                                    static_cast<double>(core.log.droppedTotal) });
                 exchange->answer(
                         fabric::makeResponse(200, "text/plain; version=0.0.4",
                                              metrics::writeExposition(core.metrics, samples)));
@@ -115,29 +116,29 @@
         return;
     nextSettings = now + SettingsInterval;
     if (readText(settingsPath) != settingsText)
-        reload("the file has changed");
+        reload("settings file changed");
 }
 
 // [SECTION] Signals and time
 
-void Node::State::beginStop(const char *why)
+void Node::State::beginShutdown(const char *why)
 {
     if (stopping)
         return;
     stopping = true;
     writeEvent(core.log, change("stopping").with("why", why));
-    role->beginStop(steadyNow());
+    role->beginShutdown(steadyNow());
 }
 
 void Node::State::watchSignals()
 {
-    signals.async_wait([this](boost::system::error_code wrong, int number) {
-        if (wrong)
+    signals.async_wait([this](boost::system::error_code error, int number) {
+        if (error)
             return;
         if (number == SIGHUP && !settingsPath.empty())
             reload("SIGHUP");
         else if (number != SIGHUP)
-            beginStop("a stop signal");
+            beginShutdown("stop signal");
         watchSignals();
     });
 }
@@ -155,8 +156,8 @@
         return;
     }
     timer.expires_after(TickInterval);
-    timer.async_wait([this](boost::system::error_code ended) {
-        if (!ended)
+    timer.async_wait([this](boost::system::error_code error) {
+        if (!error)
             turn();
     });
 }
@@ -173,7 +174,7 @@
 {
     State &state = *m_state;
     const FleetSettings &settings = state.core.settings;
-    // First of all: a stop signal that comes while a journal is read must not just end the process.
+    // Before all else: a stop signal during the replay of a journal must not kill the process.
     state.signals.add(SIGTERM);
     state.signals.add(SIGINT);
     state.signals.add(SIGHUP);
@@ -186,13 +187,13 @@
             wallClockNow().time_since_epoch().count());
     switch (settings.role) {
     case directory::Role::Entry:
-        state.role = makeEntryShell(state.core, state.dialect);
+        state.role = makeEntryRole(state.core, state.dialect);
         break;
     case directory::Role::Agent:
-        state.role = makeAgentShell(state.core, state.dialect);
+        state.role = makeAgentRole(state.core, state.dialect);
         break;
     case directory::Role::Control:
-        state.role = makeControlShell(state.core, state.dialect);
+        state.role = makeControlRole(state.core, state.dialect);
         break;
     }
     if (!state.role->start(reason) || !state.serveMetrics(reason))
--- a/packages/fleet/src/settings.cpp
+++ b/packages/fleet/src/settings.cpp
@@ -1,5 +1,5 @@
 /*
-    Reading and checking the settings file of a fleet's process.
+    Parsing and validation of the settings file of a fleet's process.
 
     [SECTION] Tables
     [SECTION] Functions
@@ -17,17 +17,17 @@
 
 namespace {
 
-constexpr int HighestPort = 65535;
+constexpr int MaxPort = 65535;
 
-// Groups beyond this many voters agree too slowly; the library's own bound is far above it.
-constexpr std::int64_t MostToleratedLosses = 7;
+// Larger consensus groups commit too slowly; packages/quorum itself allows more voters.
+constexpr std::int64_t MaxToleratedLosses = 7;
 
-// An agent's silence bound and its endpoint's lease must end a run before its caller sends the job
-// again.
+// An agent's session timeout and its endpoint's lease must end a run this long before its caller
+// resends the job.
 constexpr Milliseconds ResendMargin { 100 };
 
-// No turn counts as later than LagSettings::mostLate; a bound near it would hardly be reached.
-constexpr Milliseconds MostStandBackAbove { 400 };
+// LagSettings::maxDelay caps the measured delay; a limit close to it would rarely be exceeded.
+constexpr Milliseconds MaxWithdrawAbove { 400 };
 
 void readNode(TomlReader table, FleetSettings &settings)
 {
@@ -44,23 +44,23 @@
     else if (role != "entry")
         table.refuse("role", "must be \"entry\", \"agent\" or \"control\"");
     if (settings.name.empty())
-        table.refuse("name", "must name this process");
+        table.refuse("name", "must not be empty; set the name of this process");
     if (settings.role == directory::Role::Control && settings.dataFolder.empty())
-        table.refuse("data_folder", "must name the folder for a control host's journal");
+        table.refuse("data_folder", "must be the folder for a control host's journal");
     table.finish();
 }
 
 void readCluster(TomlReader table, FleetSettings &settings)
 {
-    table.whole("inner_port", settings.innerPort, 1, HighestPort);
+    table.integer("inner_port", settings.innerPort, 1, MaxPort);
     table.list("seeds", settings.seeds);
     table.list("data_centres", settings.dataCentres);
-    table.flag("first_start", settings.firstStart);
-    table.whole("tolerated_losses", settings.toleratedLosses, 0, MostToleratedLosses);
+    table.boolean("first_start", settings.firstStart);
+    table.integer("tolerated_losses", settings.toleratedLosses, 0, MaxToleratedLosses);
     if (settings.innerPort == 0)
-        table.refuse("inner_port", "must be the port for the fleet's own messages");
+        table.refuse("inner_port", "must be the port for connections within the fleet");
     if (settings.seeds.empty())
-        table.refuse("seeds", "must name the address of at least one control host");
+        table.refuse("seeds", "must list the address of at least one control host");
     table.finish();
 }
 
@@ -86,14 +86,14 @@
     table.finish();
 }
 
-// The platform gives some spans as numbers without a unit: the key names it.
+// The platform writes some durations as plain numbers, with the unit in the key.
 void readTiming(TomlReader table, FleetSettings &settings)
 {
-    constexpr double MostSeconds = 600;
+    constexpr double MaxSeconds = 600;
     double grace = std::chrono::duration<double>(settings.stopGrace).count();
     std::int64_t resend = settings.resendAfter.count();
-    table.number("stop_grace_seconds", grace, 0.5, MostSeconds);
-    table.whole("resend_after_milliseconds", resend, 1, 600000);
+    table.number("stop_grace_seconds", grace, 0.5, MaxSeconds);
+    table.integer("resend_after_milliseconds", resend, 1, 600000);
     settings.stopGrace = Milliseconds(static_cast<std::int64_t>(grace * 1000));
     settings.resendAfter = Milliseconds(resend);
     table.finish();
@@ -101,9 +101,9 @@
 
 void readLag(TomlReader &policy, FleetSettings &settings)
 {
-    std::int64_t above = settings.lag.standBackAbove.count();
-    policy.whole("stand_back_above_milliseconds", above, 0, MostStandBackAbove.count());
-    settings.lag.standBackAbove = Milliseconds(above);
+    std::int64_t above = settings.lag.withdrawAbove.count();
+    policy.integer("stand_back_above_milliseconds", above, 0, MaxWithdrawAbove.count());
+    settings.lag.withdrawAbove = Milliseconds(above);
 }
 
 void readPolicy(TomlReader table, FleetSettings &settings)
@@ -111,66 +111,67 @@
     scheduler::SchedulerSettings &policy = settings.scheduler;
     std::string order = scheduler::toString(policy.order);
     table.text("order", order);
-    const auto known = scheduler::orderNamed(order);
-    if (known)
-        policy.order = *known;
+    const auto parsedOrder = scheduler::parseOrder(order);
+    if (parsedOrder)
+        policy.order = *parsedOrder;
     else
         table.refuse("order",
                      "must be \"latest-begin\", \"newest\", \"first-come\", \"priority\" or "
                      "\"least-work\"");
     std::string placement = scheduler::toString(policy.placement);
     table.text("placement", placement);
-    const auto knownPlacement = scheduler::placementNamed(placement);
-    if (knownPlacement)
-        policy.placement = *knownPlacement;
+    const auto parsedPlacement = scheduler::parsePlacement(placement);
+    if (parsedPlacement)
+        policy.placement = *parsedPlacement;
     else
         table.refuse("placement", "must be \"fastest\", \"random\" or \"most-room\"");
     std::string waiting = scheduler::toString(policy.waitingQueues);
     table.text("waiting_queues", waiting);
-    const auto knownWaiting = scheduler::waitingQueuesNamed(waiting);
-    if (knownWaiting)
-        policy.waitingQueues = *knownWaiting;
+    const auto parsedWaitingQueues = scheduler::parseWaitingQueues(waiting);
+    if (parsedWaitingQueues)
+        policy.waitingQueues = *parsedWaitingQueues;
     else
         table.refuse("waiting_queues", "must be \"most-urgent\" or \"all-but-least\"");
-    table.whole("margin_percent", policy.marginPercent, 0, 1000);
-    table.number("refuse_above", policy.refuseAbove, 0.01, 100);
-    table.number("far_factor", policy.farFactor, 1, 100);
-    table.whole("away_percent", policy.awayPercent, 0, 1000);
-    table.flag("refuse_late", policy.refuseLate);
-    table.flag("serve_late", policy.serveLate);
-    table.flag("forecast", policy.forecast);
-    table.whole("refuse_at_arrival_percent", policy.refuseAtArrivalPercent, 0, 1000);
-    table.whole("wait_percent", policy.waitPercent, 0, 100);
-    table.whole("floor_percent", policy.shares.floorPercent, 0, 100);
-    table.flag("learn_run_times", policy.learnRunTimes);
-    table.flag("move_runs", policy.moveRuns);
-    table.whole("subset_size", settings.subset.least, 1, 100000);
-    table.whole("entries_per_agent", settings.subset.entriesPerAgent, 1, 1000);
+    table.integer("margin_percent", policy.marginPercent, 0, 1000);
+    table.number("refuse_above", policy.maxWaitFactor, 0.01, 100);
+    table.number("far_factor", policy.offRackFactor, 1, 100);
+    table.integer("away_percent", policy.remotePercent, 0, 1000);
+    table.boolean("refuse_late", policy.refuseLate);
+    table.boolean("serve_late", policy.serveLate);
+    table.boolean("forecast", policy.forecast);
+    table.integer("refuse_at_arrival_percent", policy.maxWaitPercent, 0, 1000);
+    table.integer("wait_percent", policy.maxShortfallPercent, 0, 100);
+    table.integer("floor_percent", policy.shares.guaranteedPercent, 0, 100);
+    table.boolean("learn_run_times", policy.learnRunTimes);
+    table.boolean("move_runs", policy.moveRuns);
+    table.integer("subset_size", settings.subset.minSize, 1, 100000);
+    table.integer("entries_per_agent", settings.subset.entriesPerAgent, 1, 1000);
     readLag(table, settings);
-    table.flag("judge_endpoint", settings.runner.judgeEndpoint);
+    table.boolean("judge_endpoint", settings.runner.probationEnabled);
     table.finish();
 }
 
-// Where callers send again sooner than the usual bounds allow, the bounds shrink with it.
-void fitToResend(FleetSettings &settings)
+// Scales the timeouts down where callers resend sooner than the defaults allow.
+void fitTimeoutsToResend(FleetSettings &settings)
 {
     scheduler::SchedulerSettings &entry = settings.scheduler;
     runner::RunnerSettings &agent = settings.runner;
-    const Milliseconds most = settings.resendAfter - ResendMargin;
-    if (entry.certainSilence <= most || most.count() <= 0)
+    const Milliseconds limit = settings.resendAfter - ResendMargin;
+    if (entry.lostRunTimeout <= limit || limit.count() <= 0)
         return;
-    const double factor = static_cast<double>(most.count())
-            / static_cast<double>(entry.certainSilence.count());
-    const auto shrink = [factor](Milliseconds &span) {
-        span = Milliseconds(static_cast<std::int64_t>(static_cast<double>(span.count()) * factor));
+    const double factor = static_cast<double>(limit.count())
+            / static_cast<double>(entry.lostRunTimeout.count());
+    const auto scale = [factor](Milliseconds &timeout) {
+        timeout = Milliseconds(
+                static_cast<std::int64_t>(static_cast<double>(timeout.count()) * factor));
     };
-    shrink(entry.certainSilence);
-    shrink(entry.agentSilence);
-    shrink(entry.beatInterval);
-    shrink(entry.quietAfter);
-    shrink(agent.ownerSilence);
-    shrink(agent.leaseSpan);
-    shrink(agent.calmInterval);
+    scale(entry.lostRunTimeout);
+    scale(entry.agentTimeout);
+    scale(entry.heartbeatInterval);
+    scale(entry.suspectAfter);
+    scale(agent.sessionTimeout);
+    scale(agent.leaseDuration);
+    scale(agent.idleUpdateInterval);
 }
 
 } // namespace
@@ -194,7 +195,7 @@
     readPolicy(root.table("policy"), settings);
     if (!root.finish())
         return std::nullopt;
-    fitToResend(settings);
+    fitTimeoutsToResend(settings);
     settings.scheduler.dataCentre = settings.dataCentre;
     return settings;
 }
--- a/packages/forecast/src/forecast.cpp
+++ b/packages/forecast/src/forecast.cpp
@@ -1,7 +1,7 @@
 /*
-    The forecast: sums over what agents have told, and one division.
+    Wait estimates: waiting work divided by the rate of freed capacity.
 
-    [SECTION] Picture
+    [SECTION] Input
     [SECTION] Wait
 */
 #include <foxwing/forecast/forecast.h>
@@ -11,58 +11,58 @@
 
 namespace foxwing::forecast {
 
-// [SECTION] Picture
+// [SECTION] Input
 
 namespace {
 
-void addWaiting(Picture &picture, const jobs::WaitingRoom &told)
+void addBacklog(ServiceLoad &serviceLoad, const jobs::PriorityBacklog &backlog)
 {
-    const auto before = [](const jobs::WaitingRoom &row, std::uint32_t priority) {
+    const auto isMoreUrgent = [](const jobs::PriorityBacklog &row, std::uint32_t priority) {
         return row.priority < priority;
     };
-    const auto row = std::lower_bound(picture.waiting.begin(), picture.waiting.end(), told.priority,
-                                      before);
-    if (row != picture.waiting.end() && row->priority == told.priority)
-        row->milliCores += told.milliCores;
+    const auto row = std::lower_bound(serviceLoad.waiting.begin(), serviceLoad.waiting.end(),
+                                      backlog.priority, isMoreUrgent);
+    if (row != serviceLoad.waiting.end() && row->priority == backlog.priority)
+        row->milliCores += backlog.milliCores;
     else
-        picture.waiting.insert(row, told);
+        serviceLoad.waiting.insert(row, backlog);
 }
 
 } // namespace
 
-void addAgent(Picture &picture, const AgentNews &news, Time now)
+void addAgent(ServiceLoad &serviceLoad, const AgentReport &report, Time now)
 {
-    const Microseconds age = now - news.heardAt;
-    if (age > OldestNews)
+    const Microseconds age = now - report.lastReceivedAt;
+    if (age > MaxReportAge)
         return;
-    picture.age = std::max(picture.age, age);
-    picture.freedPerSecond += news.freedPerSecond;
-    if (news.freeMilliCores > 0)
-        picture.free.push_back(news.freeMilliCores);
-    for (const jobs::WaitingRoom &row : news.waiting)
-        addWaiting(picture, row);
+    serviceLoad.age = std::max(serviceLoad.age, age);
+    serviceLoad.freedPerSecond += report.freedPerSecond;
+    if (report.freeMilliCores > 0)
+        serviceLoad.free.push_back(report.freeMilliCores);
+    for (const jobs::PriorityBacklog &row : report.waiting)
+        addBacklog(serviceLoad, row);
 }
 
 // [SECTION] Wait
 
 namespace {
 
-double waitingAtAgents(const Picture &picture, std::uint32_t priority)
+double agentBacklog(const ServiceLoad &serviceLoad, std::uint32_t priority)
 {
     double milliCores = 0;
-    for (const jobs::WaitingRoom &row : picture.waiting) {
+    for (const jobs::PriorityBacklog &row : serviceLoad.waiting) {
         if (row.priority <= priority)
             milliCores += static_cast<double>(row.milliCores);
     }
     return milliCores;
 }
 
-// Room for whole tasks of this size: what is left at each endpoint beside them is of no use.
-double usableRoom(const Picture &picture, std::int64_t taskMilliCores)
+// Free capacity in whole tasks of this size; an endpoint's remainder can't be used.
+double usableCapacity(const ServiceLoad &serviceLoad, std::int64_t taskMilliCores)
 {
     const std::int64_t task = std::max<std::int64_t>(1, taskMilliCores);
     double milliCores = 0;
-    for (const std::int64_t free : picture.free) {
+    for (const std::int64_t free : serviceLoad.free) {
         const std::int64_t tasks = free / task;
         milliCores += static_cast<double>(tasks * task);
     }
@@ -71,38 +71,39 @@
 
 Milliseconds rounded(double seconds)
 {
-    const double most = std::chrono::duration<double>(LongestWait).count();
-    return Milliseconds(std::llround(std::min(seconds, most) * 1000));
+    const double maxSeconds = std::chrono::duration<double>(MaxWait).count();
+    return Milliseconds(std::llround(std::min(seconds, maxSeconds) * 1000));
 }
 
 } // namespace
 
-bool hasWorkBefore(const Picture &picture, const Wanted &wanted)
+bool hasWorkAhead(const ServiceLoad &serviceLoad, const JobDemand &demand)
 {
-    return wanted.beforeIt > 0 || waitingAtAgents(picture, wanted.priority) > 0;
+    return demand.queuedAhead > 0 || agentBacklog(serviceLoad, demand.priority) > 0;
 }
 
-std::optional<Milliseconds> expectedWait(const Picture &picture, const Wanted &wanted)
+std::optional<Milliseconds> expectedWait(const ServiceLoad &serviceLoad, const JobDemand &demand)
 {
-    // The room that agents tell as free has the starts that wait there taken off already.
-    const double here = static_cast<double>(wanted.beforeIt + wanted.milliCores)
-            - usableRoom(picture, wanted.taskMilliCores);
-    if (here <= 0)
+    // The free capacity reported by agents already excludes their own waiting starts.
+    const double localDemand = static_cast<double>(demand.queuedAhead + demand.milliCores)
+            - usableCapacity(serviceLoad, demand.taskMilliCores);
+    if (localDemand <= 0)
         return Milliseconds(0);
-    const double pace = picture.freedPerSecond * picture.share;
-    if (pace <= 0)
+    const double localRate = serviceLoad.freedPerSecond * serviceLoad.share;
+    if (localRate <= 0)
         return std::nullopt;
-    return rounded(waitingAtAgents(picture, wanted.priority) / picture.freedPerSecond
-                   + here / pace);
+    return rounded(agentBacklog(serviceLoad, demand.priority) / serviceLoad.freedPerSecond
+                   + localDemand / localRate);
 }
 
-Milliseconds comeBackAfter(const Picture &picture, const Wanted &wanted, double chance)
+Milliseconds estimateRetryAfter(const ServiceLoad &serviceLoad, const JobDemand &demand,
+                                double jitter)
 {
-    const Milliseconds wait = expectedWait(picture, wanted).value_or(MostComeBack);
+    const Milliseconds wait = expectedWait(serviceLoad, demand).value_or(MaxRetryAfter);
     const double base = static_cast<double>(
-            std::clamp(wait, LeastComeBack, MostComeBack / 2).count());
-    const double spread = std::clamp(chance, 0.0, 1.0);
-    return std::min(MostComeBack, Milliseconds(std::llround(base * (1 + spread))));
+            std::clamp(wait, MinRetryAfter, MaxRetryAfter / 2).count());
+    const double spread = std::clamp(jitter, 0.0, 1.0);
+    return std::min(MaxRetryAfter, Milliseconds(std::llround(base * (1 + spread))));
 }
 
 } // namespace foxwing::forecast
--- a/packages/jobs/include/foxwing/jobs/job.h
+++ b/packages/jobs/include/foxwing/jobs/job.h
@@ -1,10 +1,10 @@
 /*
-    What a job is: steps of tasks, and the room that each task takes.
+    Job specification: steps of tasks, and the resources that each task takes.
 
-    A job's tasks are named by step and index. A start of a task is a run; runs of one task are
-    numbered from 1 and never overlap.
+    A job's tasks are identified by step and index. Each start of a task is a run; the runs of one
+    task are numbered from 1 and never overlap.
 
-    [SECTION] Room
+    [SECTION] Resources
     [SECTION] Tasks
     [SECTION] Jobs
 */
@@ -19,10 +19,10 @@
 
 namespace foxwing::jobs {
 
-// [SECTION] Room
+// [SECTION] Resources
 
-// What a task takes of an endpoint, or what an endpoint has.
-struct Room
+// Resources that a task takes or that an endpoint has.
+struct ResourceVector
 {
     // Thousandths of a core
     std::int64_t milliCores = 0;
@@ -30,36 +30,36 @@
     std::int64_t accelerators = 0;
 };
 template<class Fields>
-void describe(Fields &fields, Room &room)
+void describe(Fields &fields, ResourceVector &resources)
 {
-    fields("milliCores", room.milliCores);
-    fields("megabytes", room.megabytes);
-    fields("accelerators", room.accelerators);
+    fields("milliCores", resources.milliCores);
+    fields("megabytes", resources.megabytes);
+    fields("accelerators", resources.accelerators);
 }
 
-inline bool fits(const Room &needed, const Room &free)
+inline bool fits(const ResourceVector &demand, const ResourceVector &free)
 {
-    return needed.milliCores <= free.milliCores && needed.megabytes <= free.megabytes
-            && needed.accelerators <= free.accelerators;
+    return demand.milliCores <= free.milliCores && demand.megabytes <= free.megabytes
+            && demand.accelerators <= free.accelerators;
 }
 
-inline Room &operator+=(Room &room, const Room &other)
+inline ResourceVector &operator+=(ResourceVector &resources, const ResourceVector &other)
 {
-    room.milliCores += other.milliCores;
-    room.megabytes += other.megabytes;
-    room.accelerators += other.accelerators;
-    return room;
+    resources.milliCores += other.milliCores;
+    resources.megabytes += other.megabytes;
+    resources.accelerators += other.accelerators;
+    return resources;
 }
 
-inline Room &operator-=(Room &room, const Room &other)
+inline ResourceVector &operator-=(ResourceVector &resources, const ResourceVector &other)
 {
-    room.milliCores -= other.milliCores;
-    room.megabytes -= other.megabytes;
-    room.accelerators -= other.accelerators;
-    return room;
+    resources.milliCores -= other.milliCores;
+    resources.megabytes -= other.megabytes;
+    resources.accelerators -= other.accelerators;
+    return resources;
 }
 
-inline bool operator==(const Room &left, const Room &right)
+inline bool operator==(const ResourceVector &left, const ResourceVector &right)
 {
     return left.milliCores == right.milliCores && left.megabytes == right.megabytes
             && left.accelerators == right.accelerators;
@@ -69,10 +69,10 @@
 
 struct TaskId
 {
-    // As the caller named it
+    // Chosen by the caller
     std::string job;
 
-    // Which time of a repeated job, from 0
+    // Iteration of a repeated job, from 0
     std::uint32_t repeat = 0;
     std::uint32_t step = 0;
     std::uint32_t index = 0;
@@ -121,45 +121,45 @@
 struct StepSpec
 {
     std::uint32_t tasks = 0;
-    Room room;
+    ResourceVector demand;
 
-    // The caller's guess of one task's time; often far off.
+    // The caller's estimate of one task's run time; often far off
     Milliseconds estimate { 0 };
 
-    // Steps whose tasks must all be done first
+    // Steps that must be complete before this one starts
     std::vector<std::uint32_t> after;
 
-    // A label that the endpoint must have; empty for any
+    // Label that the endpoint must have; empty: any endpoint
     std::string label;
 
-    // The rack where the data lies; elsewhere the work takes longer. Empty for any
+    // Preferred rack, the one that holds the data; elsewhere tasks run slower. Empty: any
     std::string rack;
 
-    // Tasks of this step on one endpoint at the most; 0 for any number
-    std::uint32_t mostPerEndpoint = 0;
+    // Maximum number of this step's tasks on one endpoint; 0: unlimited
+    std::uint32_t maxPerEndpoint = 0;
 };
 
-// What makes a job more than tasks that run once and are answered.
+// Features beyond tasks that run once and return a result.
 struct JobTraits
 {
-    // The caller asks for the state later: the job must outlive this process.
-    bool kept = true;
+    // The caller queries the job's state later, so the job must outlive this process.
+    bool durable = true;
 
-    // Tasks of a step that only work together
+    // The tasks of a step only work when they all run together.
     bool gang = false;
 
-    // Tasks that run until the job is cancelled
-    bool lasting = false;
+    // Tasks run until the job is cancelled.
+    bool longRunning = false;
 
-    // Steps that run again and again at set times
-    bool timed = false;
+    // Steps run repeatedly at set times.
+    bool recurring = false;
 };
 
 struct JobSpec
 {
     std::string id;
 
-    // Handed to each task as it is
+    // Passed to each task unchanged
     std::string payload;
     std::vector<StepSpec> steps;
     JobTraits traits;
--- a/packages/jobs/include/foxwing/jobs/messages.h
+++ b/packages/jobs/include/foxwing/jobs/messages.h
@@ -1,9 +1,9 @@
 /*
-    What an entry and an agent tell each other about runs.
+    Messages between an entry and an agent about runs.
 
-    An entry opens a session with Hello; the agent answers Welcome once nothing of this entry's
-    earlier sessions runs any more. A session ends with its connection, or when either side has not
-    heard the other for a while; the agent then stops what the session runs.
+    An entry opens a session; the agent answers with SessionAccepted once all runs of this entry's
+    earlier sessions have ended. A session ends with its connection, or when either side has
+    received nothing from the other for a while; the agent then stops the session's runs.
 
     [SECTION] From the entry
     [SECTION] From the agent
@@ -18,24 +18,23 @@
 
 // [SECTION] From the entry
 
-// Tasks of one step of a job, to be started now or refused now.
+// Starts tasks of one step of a job. The agent starts or refuses each.
 struct StartTasks
 {
     std::string job;
     std::uint32_t repeat = 0;
     std::uint32_t step = 0;
 
-    // Handed to each task as it is
+    // Passed to each task unchanged
     std::string payload;
-    Room room;
+    ResourceVector demand;
     Milliseconds estimate { 0 };
 
-    // Of the job's queue; smaller is more urgent
+    // Priority of the job's queue; smaller is more urgent
     std::uint32_t priority = 0;
 
-    // Where there is no room, a start may wait for it at the agent for this long; zero: it is
-    // refused at once.
-    Milliseconds mayWait { 0 };
+    // How long a start may wait at the agent for free capacity; zero: refuse it at once.
+    Milliseconds maxWait { 0 };
 
     struct Start
     {
@@ -57,10 +56,10 @@
     fields("repeat", message.repeat);
     fields("step", message.step);
     fields("payload", message.payload);
-    fields("room", message.room);
+    fields("room", message.demand);
     fields("estimate", message.estimate);
     fields("priority", message.priority);
-    fields("mayWait", message.mayWait);
+    fields("mayWait", message.maxWait);
     fields("starts", message.starts);
 }
 
@@ -74,85 +73,85 @@
     fields("runs", message.runs);
 }
 
-// Keeps the session alive when there is nothing else to say.
-struct SessionBeat
+// Keeps the session alive when there is nothing else to send.
+struct SessionHeartbeat
 {
     std::uint64_t number = 0;
 
-    // Work waits at the entry for room: it needs fresh news of it.
-    bool wantsRoom = false;
+    // Work at the entry waits for capacity, so the agent should report changes of it soon.
+    bool needsCapacity = false;
 };
 template<class Fields>
-void describe(Fields &fields, SessionBeat &beat)
+void describe(Fields &fields, SessionHeartbeat &heartbeat)
 {
-    fields("number", beat.number);
-    fields("wantsRoom", beat.wantsRoom);
+    fields("number", heartbeat.number);
+    fields("wantsRoom", heartbeat.needsCapacity);
 }
 
 // [SECTION] From the agent
 
 // How a run ended.
-enum class RunEnd {
+enum class RunOutcome {
     Done,
 
-    // By its own fault or the endpoint's
+    // Error of the task or of the endpoint
     Failed,
 
-    // Told to stop
+    // Stopped on request
     Stopped,
 
-    // Killed at the end of the endpoint's lease
-    Lapsed,
+    // Killed when the endpoint's lease expired
+    LeaseExpired,
 
-    // Its endpoint is gone, as it had said.
+    // The endpoint left after announcing it.
     Lost,
 
-    // Certainly never began.
-    NeverBegan,
+    // The task is known not to have begun.
+    NeverStarted,
 
-    // Its endpoint is gone and had not said that it leaves.
+    // The endpoint disappeared without announcing that it leaves.
     Crashed,
 };
-constexpr RunEnd lastOf(RunEnd)
+constexpr RunOutcome lastOf(RunOutcome)
 {
-    return RunEnd::Crashed;
+    return RunOutcome::Crashed;
 }
 
-const char *toString(RunEnd end);
+const char *toString(RunOutcome outcome);
 
-// Why an agent did not even try a start. The task certainly did not begin.
-enum class RefusedStart {
+// Why an agent refused a start. The task is known not to have begun.
+enum class StartRefusal {
     None,
-    NoRoom,
+    NoCapacity,
     Leaving,
     NotReady,
 
-    // A run with this number or a higher one was there before.
-    OldRun,
+    // A run of the task with this number or a higher one has been seen.
+    StaleRun,
 
-    // The endpoint had no time left to begin it, or turned it down.
+    // The endpoint rejected the start, or the time left was too short to begin it.
     Endpoint,
 
     // The data centre is cordoned.
     Cordoned,
 };
-constexpr RefusedStart lastOf(RefusedStart)
+constexpr StartRefusal lastOf(StartRefusal)
 {
-    return RefusedStart::Cordoned;
+    return StartRefusal::Cordoned;
 }
 
-const char *toString(RefusedStart why);
+const char *toString(StartRefusal refusal);
 
 struct RunReport
 {
     RunId id;
-    RunEnd end = RunEnd::Done;
+    RunOutcome end = RunOutcome::Done;
 
-    // NeverBegan only
-    RefusedStart refused = RefusedStart::None;
+    // NeverStarted only
+    StartRefusal refused = StartRefusal::None;
 
-    // From the start's answer to the end, as the agent saw it
-    Milliseconds took { 0 };
+    // From the response to the start until the end, as measured by the agent
+    Milliseconds duration { 0 };
 };
 template<class Fields>
 void describe(Fields &fields, RunReport &report)
@@ -160,77 +159,78 @@
     fields("id", report.id);
     fields("end", report.end);
     fields("refused", report.refused);
-    fields("took", report.took);
+    fields("took", report.duration);
 }
 
-// A run that is far behind what its estimate promises.
-struct LagReport
+// A run that takes much longer than its estimate.
+struct StragglerReport
 {
     RunId id;
 
-    // What is left at its present pace; zero if it stands still.
-    Milliseconds left { 0 };
-    bool standsStill = false;
+    // Remaining time at the current rate of progress; zero without any progress
+    Milliseconds remaining { 0 };
+    bool stalled = false;
 
-    // Most of what runs beside it, of other jobs too, is behind: it is the endpoint, and not the
-    // estimate.
+    // Most runs on the endpoint, of more than one job, are late too: the endpoint is slow rather
+    // than the estimate wrong.
     bool endpointSlow = false;
 };
 template<class Fields>
-void describe(Fields &fields, LagReport &report)
+void describe(Fields &fields, StragglerReport &report)
 {
     fields("id", report.id);
-    fields("left", report.left);
-    fields("standsStill", report.standsStill);
+    fields("left", report.remaining);
+    fields("standsStill", report.stalled);
     fields("endpointSlow", report.endpointSlow);
 }
 
-// The agent's endpoint as an entry needs to know it.
+// State of the agent's endpoint, as entries need it for placement.
 struct EndpointView
 {
-    // One life of the endpoint; empty while none is known
-    std::string life;
+    // Incarnation of the endpoint; empty while unknown
+    std::string endpointIncarnation;
     std::string service;
     std::string dataCentre;
     std::vector<std::string> labels;
-    Room capacity;
-    Room free;
+    ResourceVector capacity;
+    ResourceVector free;
 
-    // Starts that are taken at the most just now: fewer than fit while the endpoint is on trial
-    std::uint32_t mostStarts = 0;
+    // Maximum number of starts accepted now; less than capacity allows while the endpoint is on
+    // probation
+    std::uint32_t maxStarts = 0;
 
-    // Time taken by work here against its estimates; smaller is faster. In thousandths
-    std::uint32_t paceMille = 1000;
+    // Run time relative to estimates, in thousandths; smaller is faster
+    std::uint32_t slowdownPermille = 1000;
     bool leaving = false;
 };
 template<class Fields>
 void describe(Fields &fields, EndpointView &view)
 {
-    fields("life", view.life);
+    fields("life", view.endpointIncarnation);
     fields("service", view.service);
     fields("dataCentre", view.dataCentre);
     fields("labels", view.labels);
     fields("capacity", view.capacity);
     fields("free", view.free);
-    fields("mostStarts", view.mostStarts);
-    fields("paceMille", view.paceMille);
+    fields("mostStarts", view.maxStarts);
+    fields("paceMille", view.slowdownPermille);
     fields("leaving", view.leaving);
 }
 
-// Starts that wait at an agent for room, of one priority.
-struct WaitingRoom
+// Starts of one priority that wait at an agent for capacity.
+struct PriorityBacklog
 {
     std::uint32_t priority = 0;
     std::int64_t milliCores = 0;
 };
 template<class Fields>
-void describe(Fields &fields, WaitingRoom &waiting)
+void describe(Fields &fields, PriorityBacklog &backlog)
 {
-    fields("priority", waiting.priority);
-    fields("milliCores", waiting.milliCores);
+    fields("priority", backlog.priority);
+    fields("milliCores", backlog.milliCores);
 }
 
-// How often the agent's endpoint crashed while it ran the task, as far as the agent remembers.
+// How often the agent's endpoint crashed while it ran the task, as far as the agent remembers
 struct CrashReport
 {
     TaskId task;
@@ -243,63 +243,63 @@
     fields("crashes", report.crashes);
 }
 
-struct Welcome
+struct SessionAccepted
 {
-    // One life of the agent
+    // Incarnation of the agent
     std::uint64_t incarnation = 0;
     EndpointView endpoint;
 
-    // All that it remembers
+    // All crashes that the agent remembers
     std::vector<CrashReport> crashed;
 };
 template<class Fields>
-void describe(Fields &fields, Welcome &welcome)
+void describe(Fields &fields, SessionAccepted &accepted)
 {
-    fields("incarnation", welcome.incarnation);
-    fields("endpoint", welcome.endpoint);
-    fields("crashed", welcome.crashed);
+    fields("incarnation", accepted.incarnation);
+    fields("endpoint", accepted.endpoint);
+    fields("crashed", accepted.crashed);
 }
 
-// What changed. Everything that happened before free was worked out is in it.
+// Changes at the agent. Contains all that happened before `free` was computed.
 struct AgentUpdate
 {
-    // The last beat that was heard
-    std::uint64_t beat = 0;
-
-    // Starts of this session that were dealt with so far; free has them in it.
-    std::uint64_t startsTaken = 0;
-    Room free;
-    std::uint32_t mostStarts = 0;
-    std::uint32_t paceMille = 1000;
+    // Number of the last heartbeat received
+    std::uint64_t heartbeat = 0;
+
+    // Number of this session's starts handled so far; `free` accounts for them.
+    std::uint64_t startsHandled = 0;
+    ResourceVector free;
+    std::uint32_t maxStarts = 0;
+    std::uint32_t slowdownPermille = 1000;
     bool leaving = false;
 
-    // Starts of all entries that wait here, a row for each priority; most urgent first
-    std::vector<WaitingRoom> waiting;
+    // Waiting starts of all entries, one row per priority, most urgent first
+    std::vector<PriorityBacklog> waiting;
 
-    // Room that runs of all entries gave back here of late, in thousandths of a core a second
+    // Capacity recently freed by runs of all entries, in millicores per second
     std::uint32_t freedPerSecond = 0;
     std::vector<RunReport> ended;
-    std::vector<LagReport> lagging;
+    std::vector<StragglerReport> stragglers;
 
-    // Set if it changed since the last update.
+    // One element if it changed since the last update, otherwise empty
     std::vector<EndpointView> endpoint;
 
-    // What changed since the last update
+    // Changes since the last update
     std::vector<CrashReport> crashed;
 };
 template<class Fields>
 void describe(Fields &fields, AgentUpdate &update)
 {
-    fields("beat", update.beat);
-    fields("startsTaken", update.startsTaken);
+    fields("beat", update.heartbeat);
+    fields("startsTaken", update.startsHandled);
     fields("free", update.free);
-    fields("mostStarts", update.mostStarts);
-    fields("paceMille", update.paceMille);
+    fields("mostStarts", update.maxStarts);
+    fields("paceMille", update.slowdownPermille);
     fields("leaving", update.leaving);
     fields("waiting", update.waiting);
     fields("freedPerSecond", update.freedPerSecond);
     fields("ended", update.ended);
-    fields("lagging", update.lagging);
+    fields("lagging", update.stragglers);
     fields("endpoint", update.endpoint);
     fields("crashed", update.crashed);
 }
--- a/packages/lag/src/lag.cpp
+++ b/packages/lag/src/lag.cpp
@@ -1,7 +1,7 @@
 /*
-    From late turns to standing back.
+    Average delay of event-loop turns, and the decision to withdraw or return.
 
-    [SECTION] Measure
+    [SECTION] Measurement
     [SECTION] Decision
     [SECTION] Functions
 */
@@ -14,70 +14,72 @@
 
 namespace {
 
-// [SECTION] Measure
+// [SECTION] Measurement
 
-Microseconds middle(std::array<Microseconds, JudgedTurns> late)
+Microseconds median(std::array<Microseconds, MedianTurns> delays)
 {
-    std::sort(late.begin(), late.end());
-    return late[JudgedTurns / 2];
+    std::sort(delays.begin(), delays.end());
+    return delays[MedianTurns / 2];
 }
 
-// What the turn adds to the average weighs as much as the time it stands for.
-void measure(LagState &lag, Microseconds late, Time now)
+// Updates the average; a turn's weight depends on the time since the turn before.
+void updateAverage(LagState &lag, Microseconds delay, Time now)
 {
-    lag.late[lag.next] = std::clamp<Microseconds>(late, Microseconds(0), lag.settings.mostLate);
-    lag.next = (lag.next + 1) % JudgedTurns;
-    const double spans = toMilliseconds(now - lag.at) / toMilliseconds(lag.settings.span);
-    const double weight = 1 - std::exp(-spans);
-    const double step = weight * toMilliseconds(middle(lag.late) - lag.behind);
-    lag.behind += std::chrono::duration_cast<Microseconds>(
-            std::chrono::duration<double, std::milli>(step));
+    lag.delays[lag.next] = std::clamp<Microseconds>(delay, Microseconds(0), lag.settings.maxDelay);
+    lag.next = (lag.next + 1) % MedianTurns;
+    const double windows = toMilliseconds(now - lag.lastTurnAt)
+            / toMilliseconds(lag.settings.window);
+    const double weight = 1 - std::exp(-windows);
+    const double change = weight * toMilliseconds(median(lag.delays) - lag.averageDelay);
+    lag.averageDelay += std::chrono::duration_cast<Microseconds>(
+            std::chrono::duration<double, std::milli>(change));
 }
 
 // [SECTION] Decision
 
-void judge(LagState &lag)
+void updateLagging(LagState &lag)
 {
-    const Microseconds above = lag.settings.standBackAbove;
-    const Microseconds below = std::min<Microseconds>(lag.settings.takeAgainBelow, above / 2);
-    if (above.count() > 0 && lag.behind > above)
-        lag.slow = true;
-    else if (lag.behind < below)
-        lag.slow = false;
+    const Microseconds upper = lag.settings.withdrawAbove;
+    const Microseconds lower = std::min<Microseconds>(lag.settings.resumeBelow, upper / 2);
+    if (upper.count() > 0 && lag.averageDelay > upper)
+        lag.lagging = true;
+    else if (lag.averageDelay < lower)
+        lag.lagging = false;
 }
 
-bool drawsToStandBack(LagState &lag)
+bool drawsToWithdraw(LagState &lag)
 {
-    // By remainder and not by a distribution of the library, whose draws differ between libraries.
-    constexpr std::uint64_t All = 100;
-    return lag.random() % All < lag.settings.standBackPercent;
+    // Remainder instead of a standard distribution, whose results differ between libraries.
+    constexpr std::uint64_t Hundred = 100;
+    return lag.random() % Hundred < lag.settings.withdrawPercent;
 }
 
-bool standBackIfDue(LagState &lag, Time now)
+bool withdrawIfDue(LagState &lag, Time now)
 {
-    // The average falls slowly: once the turns are on time, what made them late is over.
-    const bool over = middle(lag.late) <= lag.settings.standBackAbove;
-    if (!lag.slow || over || now < lag.mayStandBackFrom)
+    // The average falls slowly, so check that turns are still late.
+    const bool onTime = median(lag.delays) <= lag.settings.withdrawAbove;
+    if (!lag.lagging || onTime || now < lag.nextWithdrawalAt)
         return false;
-    if (!drawsToStandBack(lag)) {
-        lag.mayStandBackFrom = now + lag.settings.askAgainAfter;
+    if (!drawsToWithdraw(lag)) {
+        lag.nextWithdrawalAt = now + lag.settings.redrawInterval;
         return false;
     }
-    lag.back = true;
-    lag.backSince = now;
-    ++lag.timesBack;
+    lag.withdrawn = true;
+    lag.withdrawnSince = now;
+    ++lag.withdrawals;
     return true;
 }
 
-bool takeAgainIfDue(LagState &lag, Time now)
+bool resumeIfDue(LagState &lag, Time now)
 {
-    const Microseconds paused = now - lag.backSince;
-    if (paused < lag.settings.leastPause || (lag.slow && paused < lag.settings.mostPause))
+    const Microseconds duration = now - lag.withdrawnSince;
+    if (duration < lag.settings.minWithdrawal
+        || (lag.lagging && duration < lag.settings.maxWithdrawal))
         return false;
-    lag.back = false;
-    // A host that was suspended meanwhile did not stand back for all of that time.
-    const Microseconds counted = std::min<Microseconds>(paused, lag.settings.mostPause);
-    lag.mayStandBackFrom = now + counted * lag.settings.workForPauses;
+    lag.withdrawn = false;
+    // A suspended host has not been withdrawn for all of the time suspended.
+    const Microseconds counted = std::min<Microseconds>(duration, lag.settings.maxWithdrawal);
+    lag.nextWithdrawalAt = now + counted * lag.settings.serviceRatio;
     return true;
 }
 
@@ -93,32 +95,32 @@
     return lag;
 }
 
-bool noteTurn(LagState &lag, Time dueAt, Time now)
+bool recordTurn(LagState &lag, Time dueAt, Time now)
 {
-    if (lag.at == Time {}) {
-        lag.at = now;
-        lag.mayStandBackFrom = now + lag.settings.afterStart;
+    if (lag.lastTurnAt == Time {}) {
+        lag.lastTurnAt = now;
+        lag.nextWithdrawalAt = now + lag.settings.startupGrace;
         return false;
     }
-    measure(lag, now - dueAt, now);
-    lag.at = now;
-    judge(lag);
-    return lag.back ? takeAgainIfDue(lag, now) : standBackIfDue(lag, now);
+    updateAverage(lag, now - dueAt, now);
+    lag.lastTurnAt = now;
+    updateLagging(lag);
+    return lag.withdrawn ? resumeIfDue(lag, now) : withdrawIfDue(lag, now);
 }
 
-bool standsBack(const LagState &lag)
+bool isWithdrawn(const LagState &lag)
 {
-    return lag.back;
+    return lag.withdrawn;
 }
 
-bool sendsCallersAway(const LagState &lag)
+bool closesConnections(const LagState &lag)
 {
-    return lag.back && lag.at >= lag.backSince + lag.settings.noticedAfter;
+    return lag.withdrawn && lag.lastTurnAt >= lag.withdrawnSince + lag.settings.closeAfter;
 }
 
-bool isBehind(const LagState &lag)
+bool isLagging(const LagState &lag)
 {
-    return lag.slow;
+    return lag.lagging;
 }
 
 } // namespace foxwing::lag
--- a/packages/load/src/experiment.cpp
+++ b/packages/load/src/experiment.cpp
@@ -1,5 +1,5 @@
 /*
-    Reading experiments.
+    Reads experiments from TOML.
 
     [SECTION] Mixes
     [SECTION] Function
@@ -17,20 +17,20 @@
 
 // [SECTION] Mixes
 
-constexpr double MostRate = 1e6;
+constexpr double MaxRate = 1e6;
 
-void readSpread(settings::TomlReader &table, Spread &spread)
+void readDistribution(settings::TomlReader &table, Distribution &distribution)
 {
     std::string name = "fixed";
     table.text("spread", name);
     if (name == "fixed")
-        spread = Spread::Fixed;
+        distribution = Distribution::Fixed;
     else if (name == "uniform")
-        spread = Spread::Uniform;
+        distribution = Distribution::Uniform;
     else if (name == "lognormal")
-        spread = Spread::LogNormal;
+        distribution = Distribution::LogNormal;
     else if (name == "bimodal")
-        spread = Spread::Bimodal;
+        distribution = Distribution::Bimodal;
     else
         table.refuse("spread", "must be fixed, uniform, lognormal or bimodal");
 }
@@ -41,19 +41,19 @@
     table.text("class", mix.workClass);
     table.text("service", mix.service);
     table.text("token", mix.token);
-    table.number("rate", mix.rate, 0.001, MostRate);
-    table.whole("fewest_tasks", mix.fewestTasks, 1, 10000);
-    mix.mostTasks = mix.fewestTasks;
-    table.whole("most_tasks", mix.mostTasks, mix.fewestTasks, 10000);
-    table.span("mean", mix.mean);
-    readSpread(table, mix.spread);
-    table.number("declared_wrong", mix.declaredWrong, 0, 100);
-    table.span("deadline", mix.deadline);
-    table.flag("request", mix.request);
-    table.flag("repeatable", mix.repeatable);
+    table.number("rate", mix.rate, 0.001, MaxRate);
+    table.integer("fewest_tasks", mix.minTasks, 1, 10000);
+    mix.maxTasks = mix.minTasks;
+    table.integer("most_tasks", mix.maxTasks, mix.minTasks, 10000);
+    table.duration("mean", mix.mean);
+    readDistribution(table, mix.distribution);
+    table.number("declared_wrong", mix.estimateErrorFactor, 0, 100);
+    table.duration("deadline", mix.deadline);
+    table.boolean("request", mix.request);
+    table.boolean("repeatable", mix.repeatable);
     if (mix.service.empty() || mix.token.empty())
         table.refuse("service", "and \"token\" must be set for each mix");
-    if (mix.request && mix.mostTasks > 1)
+    if (mix.request && mix.maxTasks > 1)
         table.refuse("request", "has one task; leave \"fewest_tasks\" and \"most_tasks\" out");
     table.finish();
     return mix;
@@ -70,32 +70,33 @@
     std::ostringstream text;
     text << file.rdbuf();
     if (!file)
-        return fail(reason, ErrorKind::NotFound, path + ": can't be read; name an existing file");
+        return fail(reason, ErrorKind::NotFound,
+                    path + ": can't be read; give the path of an existing file");
     std::optional<toml::table> document = settings::parseToml(text.str(), path, reason);
     if (!document)
         return std::nullopt;
     Experiment experiment;
     settings::TomlReader root(std::move(*document), path, reason);
     root.list("urls", experiment.urls);
-    root.flag("follow_ready", experiment.followReady);
+    root.boolean("follow_ready", experiment.followReady);
     root.list("metrics_urls", experiment.metricsUrls);
     root.text("baseline_url", experiment.baselineUrl);
-    root.whole("seed", experiment.seed, 0, INT64_MAX);
-    root.span("duration", experiment.duration);
-    root.span("warm_up", experiment.warmUp);
-    root.span("burst_every", experiment.burstEvery);
-    root.span("burst_length", experiment.burstLength);
+    root.integer("seed", experiment.seed, 0, INT64_MAX);
+    root.duration("duration", experiment.duration);
+    root.duration("warm_up", experiment.warmUp);
+    root.duration("burst_every", experiment.burstEvery);
+    root.duration("burst_length", experiment.burstLength);
     root.number("burst_factor", experiment.burstFactor, 0, 1000);
     root.number("resubmit_share", experiment.resubmitShare, 0, 1);
     root.number("cancel_share", experiment.cancelShare, 0, 1);
-    root.span("drain", experiment.drain);
+    root.duration("drain", experiment.drain);
     root.text("trace", experiment.traceFile);
     for (settings::TomlReader &table : root.tables("mix"))
         experiment.mixes.push_back(readMix(table));
     if (experiment.urls.empty())
         root.refuse("urls", "must name at least one entry");
     if (experiment.mixes.empty())
-        root.refuse("mix", "must be there at least once, as [[mix]]");
+        root.refuse("mix", "must be given at least once, as [[mix]]");
     if (!root.finish())
         return std::nullopt;
     return experiment;
--- a/packages/metrics/tests/metrics_test.cpp
+++ b/packages/metrics/tests/metrics_test.cpp
@@ -1,5 +1,5 @@
 /*
-    Histograms count what they are given and stay bounded.
+    Tests of histograms, of their limits and of the text format.
 
     [SECTION] Tests
 */
@@ -29,13 +29,13 @@
     EXPECT_NE(text.find("# TYPE starts_total counter\nstarts_total 7\n"), std::string::npos);
 }
 
-TEST(Metrics, NamesOfClassesCanNotFillTheMemory)
+TEST(Metrics, SeriesAreLimited)
 {
     Metrics metrics;
-    for (std::size_t i = 0; i < MostSeries * 2; ++i)
+    for (std::size_t i = 0; i < MaxSeries * 2; ++i)
         observe(metrics, "response_ms", { "a", "class " + std::to_string(i) }, 1);
-    EXPECT_LE(metrics.histograms.at("response_ms").size(), MostSeries + 1);
-    EXPECT_EQ(metrics.histograms.at("response_ms").at({ "a", "other" }).buckets[0], MostSeries);
+    EXPECT_LE(metrics.histograms.at("response_ms").size(), MaxSeries + 1);
+    EXPECT_EQ(metrics.histograms.at("response_ms").at({ "a", "other" }).buckets[0], MaxSeries);
 }
 
 TEST(Metrics, SeriesOfOneNameAreDescribedOnce)
--- a/packages/node/include/foxwing/node/message.h
+++ b/packages/node/include/foxwing/node/message.h
@@ -1,5 +1,5 @@
 /*
-    Every message that one process can send to another.
+    The variant of all messages between processes.
 
     [SECTION] Variant
 */
@@ -18,28 +18,29 @@
 // [SECTION] Variant
 
 using Message = std::variant<
-        agent::Start, agent::Void, agent::Cancel, agent::Settle, agent::Fence, agent::LeaseTaken,
-        agent::Yield, agent::LeaseOffer, agent::Finished, agent::NotStarted, agent::Started,
-        agent::Alive, agent::Fenced, claims::Ask, claims::AskAnswer, claims::Release,
-        claims::Released, claims::Copy, claims::Copied, claims::ShardPart, claims::ShardPartTaken,
-        claims::ShardsHeld, entry::Join, entry::JoinAnswer, entry::Handoff, entry::LoadReport,
-        control::Beat, control::Update, quorum::VoteRequest, quorum::VoteReply, quorum::Append,
-        quorum::AppendReply, quorum::InstallSnapshot>;
-
-// Whether a message of this type can be held by a narrower variant.
+        agent::Start, agent::Void, agent::Cancel, agent::Settle, agent::Fence, agent::LeaseAccepted,
+        agent::TransferLease, agent::LeaseOffer, agent::Finished, agent::NotStarted, agent::Started,
+        agent::KeepAlive, agent::Fenced, claims::ClaimRequest, claims::ClaimResponse,
+        claims::Release, claims::Released, claims::Replicate, claims::ReplicateAck,
+        claims::ShardPart, claims::ShardPartAck, claims::ShardsReady, entry::Join,
+        entry::JoinAnswer, entry::Handoff, entry::LoadReport, control::Heartbeat, control::Update,
+        quorum::VoteRequest, quorum::VoteReply, quorum::Append, quorum::AppendReply,
+        quorum::InstallSnapshot>;
+
+// Whether a narrower variant can hold a message of this type.
 template<class Narrow, class Held>
-constexpr bool isOneOf()
+constexpr bool canHold()
 {
     return std::is_constructible_v<Narrow, Held>;
 }
 
-// The message as one of a narrower variant, if it is one.
+// Converts to a narrower variant; nothing if that can't hold the message.
 template<class Narrow>
 std::optional<Narrow> narrow(const Message &message)
 {
     return std::visit(
             [](const auto &held) -> std::optional<Narrow> {
-                if constexpr (isOneOf<Narrow, std::decay_t<decltype(held)>>())
+                if constexpr (canHold<Narrow, std::decay_t<decltype(held)>>())
                     return Narrow(held);
                 else
                     return std::nullopt;
@@ -47,7 +48,7 @@
             message);
 }
 
-// A message of a narrower variant as one of all.
+// Converts a message of a narrower variant.
 template<class Narrow>
 Message widen(Narrow message)
 {
--- a/packages/node/src/agentrole.h
+++ b/packages/node/src/agentrole.h
@@ -1,5 +1,5 @@
 /*
-    The role agent of a node: the shell around agent::AgentState.
+    The agent role of a node: connects agent::AgentState to messages and to the endpoint.
 
     [SECTION] Role
 */
@@ -12,7 +12,7 @@
 #include <foxwing/metrics/metrics.h>
 
 #include "endpoint.h"
-#include "postoffice.h"
+#include "messagerouter.h"
 
 namespace foxwing::node {
 
@@ -21,21 +21,21 @@
 class AgentRole
 {
 public:
-    AgentRole(const settings::Settings &settings, std::uint64_t incarnation, Loop &loop,
-              PostOffice &post);
+    AgentRole(const settings::Settings &settings, std::uint64_t incarnation, EventLoop &loop,
+              MessageRouter &router);
 
     void receive(const agent::ToAgent &message);
-    void takeUpdate(const control::Update &update);
+    void applyUpdate(const control::Update &update);
     void tick(bool configurationStale);
     void leave();
     bool drained() const;
     void addSamples(std::vector<metrics::Sample> &samples) const;
 
 private:
-    void carryOut(agent::AgentActions &&actions);
+    void execute(agent::AgentActions &&actions);
 
     agent::AgentState m_state;
-    PostOffice &m_post;
+    MessageRouter &m_router;
     Endpoint m_endpoint;
 };
 
--- a/packages/node/src/controlrole.h
+++ b/packages/node/src/controlrole.h
@@ -1,7 +1,8 @@
 /*
-    The role control of a node: the shell around control::ControlState, and operators' requests.
+    The control role of a node: connects control::ControlState to messages, the replicated log and
+    operators' requests.
 
-    Only the leader of the group answers nodes and operators; every host keeps the state.
+    Only the leader of the consensus group answers nodes and operators; every host has the state.
 
     [SECTION] Role
 */
@@ -17,8 +18,8 @@
 #include <foxwing/metrics/metrics.h>
 #include <foxwing/settings/settings.h>
 
-#include "grouplog.h"
-#include "postoffice.h"
+#include "messagerouter.h"
+#include "replicatedlog.h"
 
 namespace foxwing::node {
 
@@ -27,42 +28,42 @@
 class ControlRole
 {
 public:
-    ControlRole(const settings::Settings &settings, Loop &loop, PostOffice &post);
+    ControlRole(const settings::Settings &settings, EventLoop &loop, MessageRouter &router);
 
-    // Opens the journal.
+    // Opens the journal and restores the state from it.
     bool start(Error *reason);
 
-    // An operator's request, on the loop's thread. False if its path is none of control's.
+    // Serves an operator's request, on the loop's thread. False if control does not serve its path.
     bool serve(const edge::HttpRequest &request, const edge::Responder &responder);
 
-    void receive(const control::Beat &beat);
+    void receive(const control::Heartbeat &heartbeat);
     void receive(const quorum::QuorumMessage &message) { m_log.receive(message); }
     void tick();
     void addSamples(std::vector<metrics::Sample> &samples) const;
 
 private:
-    // An operator who waits for a change to be committed.
-    struct WaitingChange
+    // A change that is not committed yet.
+    struct PendingChange
     {
         std::uint64_t term = 0;
         edge::Responder responder;
     };
 
-    // An operator who waits for changes after a revision.
+    // A watch that waits for changes after a revision.
     struct Watcher
     {
         edge::Responder responder;
         std::uint64_t revision = 0;
-        Time until {};
+        Time deadline {};
     };
 
-    void carryOut(control::ControlActions &&actions);
+    void execute(control::ControlActions &&actions);
     void onCommitted(const control::Command &command, std::uint64_t index, std::uint64_t term);
     void onInstalled(control::ClusterState &&cluster);
     void onRead(std::uint64_t id, bool confirmed);
     void onFailed(const Error &error);
-    void followLeadership();
-    void dropOperators();
+    void updateLeadership();
+    void refusePending();
     void answerChange(std::uint64_t index, std::uint64_t term, const control::ChangeResult &result);
 
     bool isOperator(const std::string &token) const;
@@ -73,25 +74,25 @@
     void serveWatch(const edge::HttpRequest &request, const edge::Responder &responder);
     void serveNodes(const edge::Responder &responder) const;
 
-    // Calls this once a quorum has confirmed that this host still leads.
+    // Calls read() once a quorum has confirmed that this host is still the leader.
     void afterConfirmation(const edge::Responder &responder, std::function<void()> read);
     void answerWatchers(Time now);
-    bool answerWatcher(const Watcher &watcher, bool overdue) const;
+    bool answerWatcher(const Watcher &watcher, bool timedOut) const;
 
     settings::Settings m_settings;
-    PostOffice &m_post;
-    GroupLog m_log;
+    MessageRouter &m_router;
+    ReplicatedLog m_log;
     control::ControlState m_state;
     bool m_leading = false;
 
-    struct WaitingRead
+    struct PendingRead
     {
         edge::Responder responder;
         std::function<void()> read;
     };
-    std::map<std::uint64_t, WaitingRead> m_reads;
-    std::uint64_t m_nextRead = 1;
-    std::map<std::uint64_t, WaitingChange> m_waiting;
+    std::map<std::uint64_t, PendingRead> m_pendingReads;
+    std::uint64_t m_nextReadId = 1;
+    std::map<std::uint64_t, PendingChange> m_pendingChanges;
     std::vector<Watcher> m_watchers;
     bool m_failed = false;
 };
--- a/packages/node/src/endpoint.h
+++ b/packages/node/src/endpoint.h
@@ -1,9 +1,9 @@
 /*
-    Inside a node with the role agent: calls to the endpoint over HTTP.
+    Calls from an agent to its endpoint over HTTP.
 
-    A task is POSTed to /tasks/TEAM/SUBMISSION/TASK/ATTEMPT with its payload as the body; any status
-    of 200 to 299 means success, and the body is the result. DELETE on the same path asks the
-   endpoint to stop it.
+    A task is POSTed to /tasks/TEAM/SUBMISSION/TASK/ATTEMPT with its payload as the body. Any status
+    from 200 to 299 means success, and the response body is the result. DELETE on the same path asks
+    the endpoint to stop the task.
 
     [SECTION] Endpoint
 */
@@ -15,7 +15,7 @@
 
 #include <foxwing/agent/agent.h>
 #include <foxwing/edge/httpclient.h>
-#include <foxwing/node/loop.h>
+#include <foxwing/node/eventloop.h>
 #include <foxwing/settings/settings.h>
 
 namespace foxwing::node {
@@ -28,32 +28,32 @@
     // Called on the loop's thread, exactly once for each call().
     using Done = std::function<void(const agent::TaskRef &, agent::TaskEnd, std::string)>;
 
-    Endpoint(const settings::EndpointSettings &settings, Loop &loop, Done onDone);
+    Endpoint(const settings::EndpointSettings &settings, EventLoop &loop, Done onDone);
 
-    // All on the loop's thread.
+    // All may be called only on the loop's thread.
     void call(const agent::EndpointCall &call);
     void stop(const agent::EndpointStop &stop, Time now);
 
-    // Cuts calls that were told to stop and did not end in time.
+    // Abandons calls that did not end within the grace period after a request to stop.
     void tick(Time now);
 
 private:
     struct OpenCall
     {
         agent::TaskRef ref;
-        bool stopped = false;
-        Time cutAt {};
+        bool stopRequested = false;
+        Time abandonAt {};
     };
 
-    void finish(const std::string &path, const edge::HttpReply &reply);
-    void end(const std::string &path, agent::TaskEnd end, std::string body);
+    void handleReply(const std::string &path, const edge::HttpReply &reply);
+    void complete(const std::string &path, agent::TaskEnd end, std::string body);
 
     settings::EndpointSettings m_settings;
-    Loop &m_loop;
+    EventLoop &m_loop;
     Done m_onDone;
     edge::HttpClient m_client;
     std::unordered_map<std::string, OpenCall> m_open;
-    std::size_t m_stopping = 0;
+    std::size_t m_stopsPending = 0;
 };
 
 } // namespace foxwing::node
--- a/packages/node/src/log.cpp
+++ b/packages/node/src/log.cpp
@@ -1,5 +1,5 @@
 /*
-    Structured lines over Boost.Log.
+    Structured log lines on Boost.Log.
 
     [SECTION] Functions
 */
@@ -41,7 +41,7 @@
     return name;
 }
 
-// Values with blanks or quotes are quoted, so that lines can be taken apart again.
+// Quotes values with blanks, quotes, equals signs or line breaks, so that lines can be parsed.
 std::string quoted(const std::string &value)
 {
     if (value.find_first_of(" \"=\n") == std::string::npos && !value.empty())
@@ -57,19 +57,19 @@
 
 } // namespace
 
-void startLog(const std::string &level, const std::string &node)
+void initLog(const std::string &level, const std::string &node)
 {
     nodeName() = node;
-    trivial::severity_level lowest = trivial::info;
-    trivial::from_string(level.c_str(), level.size(), lowest);
+    trivial::severity_level minSeverity = trivial::info;
+    trivial::from_string(level.c_str(), level.size(), minSeverity);
     boost::log::add_common_attributes();
     boost::log::add_console_log(std::cerr,
                                 boost::log::keywords::format = "%TimeStamp% %Severity% %Message%",
                                 boost::log::keywords::auto_flush = true);
-    boost::log::core::get()->set_filter(trivial::severity >= lowest);
+    boost::log::core::get()->set_filter(trivial::severity >= minSeverity);
 }
 
-void logChange(LogLevel level, const char *event, std::initializer_list<LogField> fields)
+void logEvent(LogLevel level, const char *event, std::initializer_list<LogField> fields)
 {
     std::string line = "node=" + quoted(nodeName()) + " event=" + event;
     for (const LogField &field : fields)
