--- a/packages/node/src/operatorapi.cpp
+++ b/packages/node/src/operatorapi.cpp
@@ -1,7 +1,8 @@
 /*
-    Operators' requests: resources, watches and nodes.
+    Serves operators' requests: resources, watches, nodes and members.
 
-    [SECTION] Authority
+    [SECTION] Parsing
+    [SECTION] Authentication
     [SECTION] Changes
     [SECTION] Reads
     [SECTION] Watches
@@ -20,7 +21,7 @@
 
 namespace {
 
-constexpr std::size_t MostWatchers = 1000;
+constexpr std::size_t MaxWatchers = 1000;
 constexpr Milliseconds DefaultWatchWait { 30000 };
 
 void replyError(const edge::Responder &responder, const Error &error)
@@ -42,7 +43,7 @@
     return json;
 }
 
-// [SECTION] Changes
+// [SECTION] Parsing
 
 std::optional<control::ChangeRequest> readChange(const edge::HttpRequest &request, Error *reason)
 {
@@ -57,7 +58,7 @@
                 && text.find_first_not_of("0123456789") == std::string::npos;
         if (!digits)
             return fail(reason, ErrorKind::BadRequest,
-                        "\"version\" must be the version that you saw, or 0 to create");
+                        "\"version\" must be the last version that you read, or 0 to create");
         change.expectedVersion = std::stoll(text);
     }
     const auto id = request.query.find("requestId");
@@ -74,7 +75,7 @@
 
 } // namespace
 
-// [SECTION] Authority
+// [SECTION] Authentication
 
 bool ControlRole::isOperator(const std::string &token) const
 {
@@ -85,15 +86,15 @@
 bool ControlRole::serve(const edge::HttpRequest &request, const edge::Responder &responder)
 {
     const std::vector<std::string> &path = request.path;
-    const bool ours = path.size() >= 2 && path[0] == "v1"
+    const bool isServed = path.size() >= 2 && path[0] == "v1"
             && (path[1] == "resources" || path[1] == "watch" || path[1] == "nodes"
                 || path[1] == "members");
-    if (!ours)
+    if (!isServed)
         return false;
-    const bool changes = request.method == "PUT" || request.method == "DELETE";
+    const bool isChange = request.method == "PUT" || request.method == "DELETE";
     if (!isOperator(request.token))
         replyError(responder, ErrorKind::Unauthenticated,
-                   "only operators may do this; send the operators' token");
+                   "only operators are allowed to do this; send the operators' token");
     else if (!m_leading)
         refuseAsFollower(responder);
     else if (path[1] == "watch")
@@ -102,7 +103,7 @@
         afterConfirmation(responder, [this, responder] { serveNodes(responder); });
     else if (path[1] == "members")
         serveMembers(request, responder);
-    else if (changes && path.size() == 4)
+    else if (isChange && path.size() == 4)
         serveChange(request, responder);
     else if (request.method == "GET" && path.size() >= 3 && path.size() <= 4)
         afterConfirmation(responder, [this, request, responder] { serveRead(request, responder); });
@@ -118,34 +119,37 @@
     Error error { ErrorKind::Unavailable, {}, Outcome::Unknown, Milliseconds { 300 } };
     if (m_failed)
         error.message =
-                "this control host can't write its journal; mend its disk and start it anew, "
-                "and ask another control host with the same request id";
+                "this control host can't write its journal; repair its disk and restart it, "
+                "and repeat the request at another control host with the same request id";
     else if (leader.empty() || leader == m_settings.node.id)
-        error.message = "no control host leads at present; ask again soon with the same request id";
+        error.message = "no control host is the leader at present; retry with the same request id";
     else
-        error.message = "the control host " + leader + " leads; ask there with the same request id";
+        error.message = "the control host " + leader
+                + " is the leader; retry there with the same request id";
     replyError(responder, error);
 }
 
 void ControlRole::afterConfirmation(const edge::Responder &responder, std::function<void()> read)
 {
-    const std::uint64_t id = m_nextRead++;
-    m_reads.emplace(id, WaitingRead { responder, std::move(read) });
+    const std::uint64_t id = m_nextReadId++;
+    m_pendingReads.emplace(id, PendingRead { responder, std::move(read) });
     m_log.requestRead(id);
 }
 
+// [SECTION] Changes
+
 void ControlRole::serveMembers(const edge::HttpRequest &request, const edge::Responder &responder)
 {
     Error reason;
     if (request.method == "PUT") {
-        quorum::Members wanted;
+        quorum::Members members;
         const auto json = parseJson(request.body, &reason);
-        if (!json || !fromJson(*json, &wanted, &reason) || !m_log.proposeMembers(wanted, &reason))
+        if (!json || !fromJson(*json, &members, &reason) || !m_log.proposeMembers(members, &reason))
             return replyError(responder, reason);
     }
     Json::Value json = toJson(m_log.state().members);
     json["leader"] = m_log.state().leader;
-    json["committed"] = m_log.state().membersIndex <= m_log.state().commit;
+    json["committed"] = m_log.state().membersIndex <= m_log.state().commitIndex;
     responder.reply(200, "application/json", writeJson(json));
 }
 
@@ -156,9 +160,9 @@
     if (!change || !control::validateChange(*change, &reason))
         return replyError(responder, reason);
     if (request.query.count("dryRun") != 0) {
-        // Only what the change would do now; nothing is kept.
-        control::Store trial = m_state.cluster.store;
-        control::ChangeResult result = control::applyChange(trial, *change);
+        // Applied to a copy of the store only.
+        control::ResourceStore storeCopy = m_state.cluster.store;
+        control::ChangeResult result = control::applyChange(storeCopy, *change);
         Json::Value json = toJson(result);
         json["kind"] = toString(result.kind);
         json["dryRun"] = true;
@@ -169,8 +173,8 @@
     if (!entry)
         return refuseAsFollower(responder);
     // A group of one host may have committed it already.
-    if (m_log.state().applied < entry->index)
-        m_waiting.emplace(entry->index, WaitingChange { entry->term, responder });
+    if (m_log.state().appliedIndex < entry->index)
+        m_pendingChanges.emplace(entry->index, PendingChange { entry->term, responder });
 }
 
 // [SECTION] Reads
@@ -178,7 +182,7 @@
 void ControlRole::serveRead(const edge::HttpRequest &request,
                             const edge::Responder &responder) const
 {
-    const control::Store &store = m_state.cluster.store;
+    const control::ResourceStore &store = m_state.cluster.store;
     Json::Value json(Json::objectValue);
     json["revision"] = static_cast<Json::UInt64>(store.revision);
     if (request.path.size() == 3) {
@@ -193,15 +197,15 @@
     const auto found = store.resources.find(key);
     if (found == store.resources.end())
         return replyError(responder, ErrorKind::NotFound,
-                          "there is no " + key + "; list what there is with: foxwing show all");
+                          "there is no " + key + "; list all resources with: foxwing show all");
     json = resourceJson(found->second);
-    const control::InForce force = control::inForce(m_state, found->second.revision);
+    const control::RolloutStatus rollout = control::rolloutStatus(m_state, found->second.revision);
     Json::Value &status = json["status"] = Json::Value(Json::objectValue);
     status["accepted"] = true;
-    status["inForce"] = force.lagging.empty();
-    status["nodes"] = force.nodes;
+    status["inForce"] = rollout.lagging.empty();
+    status["nodes"] = rollout.nodes;
     status["lagging"] = Json::Value(Json::arrayValue);
-    for (const std::string &node : force.lagging)
+    for (const std::string &node : rollout.lagging)
         status["lagging"].append(node);
     responder.reply(200, "application/json", writeJson(json));
 }
@@ -213,7 +217,7 @@
     Json::Value &nodes = json["nodes"] = Json::Value(Json::arrayValue);
     const Time now = steadyNow();
     for (const auto &entry : m_state.nodes) {
-        const control::Beat &last = entry.second.last;
+        const control::Heartbeat &last = entry.second.last;
         Json::Value node(Json::objectValue);
         node["id"] = entry.first;
         node["live"] = entry.second.live;
@@ -223,7 +227,7 @@
         node["agent"] = last.isAgent;
         node["service"] = last.service;
         node["revision"] = static_cast<Json::UInt64>(last.revision);
-        node["silentMs"] = toMilliseconds(now - entry.second.heardAt);
+        node["silentMs"] = toMilliseconds(now - entry.second.lastReceivedAt);
         nodes.append(node);
     }
     responder.reply(200, "application/json", writeJson(json));
@@ -241,29 +245,29 @@
             && from->second.find_first_not_of("0123456789") == std::string::npos;
     if (!digits)
         return replyError(responder, ErrorKind::BadRequest,
-                          "\"from\" must be the last revision that you have seen");
+                          "\"from\" must be the last revision that you read");
     const std::string waitText = wait == request.query.end() ? std::string() : wait->second;
-    const auto span = readWait(waitText, DefaultWatchWait, &reason);
-    if (!span)
+    const auto timeout = parseWait(waitText, DefaultWatchWait, &reason);
+    if (!timeout)
         return replyError(responder, reason);
-    if (m_watchers.size() >= MostWatchers)
+    if (m_watchers.size() >= MaxWatchers)
         return replyError(responder, ErrorKind::Unavailable,
-                          "too many watches are open; close some, or watch less often");
-    const Watcher watcher { responder, std::stoull(from->second), steadyNow() + *span };
+                          "too many open watches; close some, or watch less often");
+    const Watcher watcher { responder, std::stoull(from->second), steadyNow() + *timeout };
     if (!answerWatcher(watcher, false))
         m_watchers.push_back(watcher);
 }
 
-bool ControlRole::answerWatcher(const Watcher &watcher, bool overdue) const
+bool ControlRole::answerWatcher(const Watcher &watcher, bool timedOut) const
 {
     Error reason;
-    const control::Store &store = m_state.cluster.store;
+    const control::ResourceStore &store = m_state.cluster.store;
     const auto changes = control::changesSince(store, watcher.revision, &reason);
     if (!changes) {
         replyError(watcher.responder, reason);
         return true;
     }
-    if (changes->empty() && !overdue)
+    if (changes->empty() && !timedOut)
         return false;
     Json::Value json(Json::objectValue);
     json["revision"] = static_cast<Json::UInt64>(store.revision);
@@ -277,7 +281,7 @@
 void ControlRole::answerWatchers(Time now)
 {
     const auto answered = [&](const Watcher &watcher) {
-        return answerWatcher(watcher, now >= watcher.until);
+        return answerWatcher(watcher, now >= watcher.deadline);
     };
     m_watchers.erase(std::remove_if(m_watchers.begin(), m_watchers.end(), answered),
                      m_watchers.end());
--- a/packages/node/src/grouplog.cpp
+++ b/packages/node/src/replicatedlog.cpp
@@ -1,11 +1,11 @@
 /*
-    Typed commands over one host of the agreement group.
+    Encodes control commands and cluster states for the replica.
 
     [SECTION] Settings
     [SECTION] Commands
     [SECTION] Calls
 */
-#include "grouplog.h"
+#include "replicatedlog.h"
 
 #include <foxwing/base/codec.h>
 #include <foxwing/node/log.h>
@@ -16,8 +16,8 @@
 
 // [SECTION] Settings
 
-// A single control host needs no word of the operator to begin: nobody else could know more.
-std::vector<std::string> firstVoters(const settings::Settings &settings)
+// A single control host needs no bootstrap setting: no other host can have newer state.
+std::vector<std::string> initialVoters(const settings::Settings &settings)
 {
     std::vector<std::string> voters;
     if (!settings.bootstrap && settings.cluster.control.size() > 1)
@@ -29,14 +29,14 @@
 
 replica::ReplicaSettings replicaSettings(const settings::Settings &settings)
 {
-    replica::ReplicaSettings made;
-    made.quorum.self = settings.node.id;
-    made.quorum.seed = static_cast<std::uint64_t>(wallClockNow().time_since_epoch().count());
-    made.quorum.firstVoters = firstVoters(settings);
-    made.dataFolder = settings.node.dataFolder;
-    made.addedDelay = settings.journal.addedDelay;
-    made.snapshotEvery = settings.journal.snapshotEvery;
-    return made;
+    replica::ReplicaSettings result;
+    result.quorum.self = settings.node.id;
+    result.quorum.seed = static_cast<std::uint64_t>(wallClockNow().time_since_epoch().count());
+    result.quorum.initialVoters = initialVoters(settings);
+    result.dataFolder = settings.node.dataFolder;
+    result.addedDelay = settings.journal.addedDelay;
+    result.snapshotEvery = settings.journal.snapshotEvery;
+    return result;
 }
 
 // [SECTION] Commands
@@ -54,19 +54,19 @@
 
 } // namespace
 
-GroupLog::GroupLog(Loop &loop, PostOffice &post, const settings::Settings &settings,
-                   GroupEvents events)
+ReplicatedLog::ReplicatedLog(EventLoop &loop, MessageRouter &router,
+                             const settings::Settings &settings, ReplicatedLogEvents events)
     : m_bootstrap(settings.bootstrap)
     , m_events(std::move(events))
-    , m_replica(replicaSettings(settings), replicaEvents(loop, post))
+    , m_replica(replicaSettings(settings), replicaEvents(loop, router))
 { }
 
-replica::ReplicaEvents GroupLog::replicaEvents(Loop &loop, PostOffice &post)
+replica::ReplicaEvents ReplicatedLog::replicaEvents(EventLoop &loop, MessageRouter &router)
 {
     replica::ReplicaEvents events;
-    events.runOnLoop = [&loop](std::function<void()> job) { loop.post(std::move(job)); };
-    events.send = [&post](const std::string &to, quorum::QuorumMessage message) {
-        post.send(to, widen(std::move(message)));
+    events.runOnLoop = [&loop](std::function<void()> callback) { loop.post(std::move(callback)); };
+    events.send = [&router](const std::string &to, quorum::QuorumMessage message) {
+        router.send(to, widen(std::move(message)));
     };
     events.committed = [this](const std::string &text, std::uint64_t index, std::uint64_t term,
                               Error *reason) { return apply(text, index, term, reason); };
@@ -78,8 +78,8 @@
     return events;
 }
 
-bool GroupLog::apply(const std::string &text, std::uint64_t index, std::uint64_t term,
-                     Error *reason)
+bool ReplicatedLog::apply(const std::string &text, std::uint64_t index, std::uint64_t term,
+                          Error *reason)
 {
     const auto json = parseJson(text, reason);
     const auto command = json ? decodeMessage<control::Command>(*json, reason) : std::nullopt;
@@ -88,7 +88,7 @@
     return command.has_value();
 }
 
-bool GroupLog::install(const std::string &state, Error *reason)
+bool ReplicatedLog::install(const std::string &state, Error *reason)
 {
     auto cluster = readCluster(state, reason);
     if (cluster)
@@ -98,26 +98,26 @@
 
 // [SECTION] Calls
 
-std::optional<control::ClusterState> GroupLog::open(Error *reason)
+std::optional<control::ClusterState> ReplicatedLog::open(Error *reason)
 {
     const auto state = m_replica.open(reason);
     if (!state)
         return std::nullopt;
-    if (m_bootstrap && !m_replica.wasBlank())
-        logChange(LogLevel::Warning, "bootstrap-left",
-                  { { "remedy",
-                      "remove control.bootstrap from the settings: the group has begun" } });
+    if (m_bootstrap && !m_replica.wasEmpty())
+        logEvent(LogLevel::Warning, "bootstrap-left",
+                 { { "remedy",
+                     "remove control.bootstrap from the settings: the group already exists" } });
     return readCluster(*state, reason);
 }
 
-std::optional<quorum::LogEntry> GroupLog::propose(const control::Command &command)
+std::optional<quorum::LogEntry> ReplicatedLog::propose(const control::Command &command)
 {
     return m_replica.propose(writeJson(encodeMessage(command)));
 }
 
-void GroupLog::offerSnapshot(const control::ClusterState &cluster)
+void ReplicatedLog::offerSnapshot(const control::ClusterState &cluster)
 {
-    if (m_replica.wantsSnapshot())
+    if (m_replica.needsSnapshot())
         m_replica.takeSnapshot(writeJson(control::saveCluster(cluster)));
 }
 
--- a/packages/quorum/src/members.cpp
+++ b/packages/quorum/src/members.cpp
@@ -1,7 +1,7 @@
 /*
-    Who belongs to the group.
+    Members of the group and their changes.
 
-    [SECTION] Present members
+    [SECTION] Current members
     [SECTION] Changes
     [SECTION] Self-managed groups
 */
@@ -11,7 +11,7 @@
 
 namespace foxwing::quorum {
 
-// [SECTION] Present members
+// [SECTION] Current members
 
 bool isVoter(const QuorumState &quorum, const std::string &id)
 {
@@ -30,7 +30,7 @@
         quorum.membersIndex = entry.index;
     }
     if (quorum.members.voters.empty() && lastIndex(quorum) == 0)
-        quorum.members.voters = quorum.settings.firstVoters;
+        quorum.members.voters = quorum.settings.initialVoters;
 }
 
 // [SECTION] Changes
@@ -59,34 +59,35 @@
     return false;
 }
 
-bool caughtUp(const QuorumState &quorum, const std::string &id)
+bool hasCaughtUp(const QuorumState &quorum, const std::string &id)
 {
     const auto peer = quorum.peers.find(id);
     return contains(quorum.members.learners, id) && peer != quorum.peers.end()
-            && peer->second.counts && peer->second.match >= quorum.commit;
+            && peer->second.joined && peer->second.matchIndex >= quorum.commitIndex;
 }
 
-bool mayChange(const QuorumState &quorum, const Members &wanted, Error *reason)
+bool canChange(const QuorumState &quorum, const Members &wanted, Error *reason)
 {
     const auto added = missingFrom(wanted.voters, quorum.members.voters);
     const auto removed = missingFrom(quorum.members.voters, wanted.voters);
     if (quorum.role != Role::Leader)
-        return refuse(reason, "this host does not lead the group; ask the leader");
-    if (quorum.membersIndex > quorum.commit || quorum.commit < quorum.termStart)
+        return refuse(reason, "this host is not the leader of the group; ask the leader");
+    if (quorum.membersIndex > quorum.commitIndex || quorum.commitIndex < quorum.termStartIndex)
         return refuse(reason, "the last change of members is not committed yet; try again soon");
     if (wanted.voters.empty())
         return refuse(reason, "a group needs at least one voter");
     if (added.size() + removed.size() > 1)
         return refuse(reason, "only one voter can be added or removed at a time");
-    if (!added.empty() && !caughtUp(quorum, added[0]))
-        return refuse(reason, added[0] + " has not caught up; add it as a learner, and wait");
-    // From an odd number to an even one only on the way of a replacement: a learner has become the
-    // additional voter, and the next change removes another.
+    if (!added.empty() && !hasCaughtUp(quorum, added[0]))
+        return refuse(reason,
+                      added[0] + " has not caught up; add it as a learner and wait until it has");
+    // An even number is allowed only while a host is being replaced: a learner was promoted, and
+    // the next change removes another voter.
     const bool even = wanted.voters.size() % 2 == 0;
     if (even && added.empty() && !quorum.settings.selfManaged)
         return refuse(reason,
-                      "an even number of voters tolerates no more failures than one fewer, and "
-                      "needs one more for a quorum; add a replacement before you remove a voter");
+                      "an even number of voters tolerates no more failures than one fewer but "
+                      "needs a larger quorum; add a replacement before you remove a voter");
     return true;
 }
 
@@ -95,7 +96,7 @@
 std::optional<QuorumActions> proposeMembers(QuorumState &quorum, const Members &members, Time now,
                                             Error *reason)
 {
-    if (!mayChange(quorum, members, reason))
+    if (!canChange(quorum, members, reason))
         return std::nullopt;
     QuorumActions actions;
     LogEntry entry;
@@ -103,7 +104,7 @@
     entry.term = quorum.term;
     entry.kind = EntryKind::Members;
     entry.members = members;
-    putEntry(quorum, entry, actions);
+    storeEntry(quorum, entry, actions);
     replicateAll(quorum, false, now, actions);
     advanceCommit(quorum, actions);
     return actions;
@@ -113,84 +114,87 @@
 
 namespace {
 
-// Ids are an address, a slash, and what tells one disk at that address from the next.
+// An id is an address, a slash, and a part that differs for each new disk at that address.
 std::string addressOf(const std::string &id)
 {
     return id.substr(0, id.find('/'));
 }
 
-bool isReplaced(const std::string &id, const std::vector<Candidate> &candidates)
+bool isReplaced(const std::string &id, const std::vector<AvailableHost> &availableHosts)
 {
-    return std::any_of(candidates.begin(), candidates.end(), [&](const Candidate &candidate) {
-        return candidate.address == addressOf(id) && candidate.id != id;
-    });
+    return std::any_of(availableHosts.begin(), availableHosts.end(),
+                       [&](const AvailableHost &host) {
+                           return host.address == addressOf(id) && host.id != id;
+                       });
 }
 
-bool heardWithin(const QuorumState &quorum, const std::string &id, Milliseconds span, Time now)
+bool receivedWithin(const QuorumState &quorum, const std::string &id, Milliseconds timeout,
+                    Time now)
 {
     const auto peer = quorum.peers.find(id);
     return id == quorum.settings.self
-            || (peer != quorum.peers.end() && now <= peer->second.heardAt + span);
+            || (peer != quorum.peers.end() && now <= peer->second.lastReceivedAt + timeout);
 }
 
-// A voter that is away, with enough others there.
-bool isSpare(const QuorumState &quorum, const std::string &id, Time now)
+// Whether a voter is silent and enough others are up to remove it.
+bool isRemovable(const QuorumState &quorum, const std::string &id, Time now)
 {
     const QuorumSettings &settings = quorum.settings;
     const std::vector<std::string> &voters = quorum.members.voters;
-    const auto there = static_cast<std::size_t>(
+    const auto activeVoters = static_cast<std::size_t>(
             std::count_if(voters.begin(), voters.end(), [&](const std::string &voter) {
-                return heardWithin(quorum, voter, settings.dropSpareAfter, now);
+                return receivedWithin(quorum, voter, settings.voterTimeout, now);
             }));
     const std::size_t majority = voters.size() / 2 + 1;
-    const bool bearsMore = there >= majority + settings.leastVoters / 2;
-    const Milliseconds span = bearsMore ? settings.dropIdleAfter : settings.dropSpareAfter;
-    return !heardWithin(quorum, id, span, now) && there >= settings.leastVoters;
+    const bool toleratesMore = activeVoters >= majority + settings.minVoters / 2;
+    const Milliseconds timeout = toleratesMore ? settings.longVoterTimeout : settings.voterTimeout;
+    return !receivedWithin(quorum, id, timeout, now) && activeVoters >= settings.minVoters;
 }
 
-bool isCandidate(const std::string &id, const std::vector<Candidate> &candidates)
+bool isAvailable(const std::string &id, const std::vector<AvailableHost> &availableHosts)
 {
-    return std::any_of(candidates.begin(), candidates.end(),
-                       [&](const Candidate &candidate) { return candidate.id == id; });
+    return std::any_of(availableHosts.begin(), availableHosts.end(),
+                       [&](const AvailableHost &host) { return host.id == id; });
 }
 
-void drop(std::vector<std::string> &list, const std::string &id)
+void removeFrom(std::vector<std::string> &list, const std::string &id)
 {
     list.erase(std::remove(list.begin(), list.end(), id), list.end());
 }
 
 } // namespace
 
-std::optional<Members> adviseMembers(const QuorumState &quorum,
-                                     const std::vector<Candidate> &candidates, Time now)
+std::optional<Members> nextMembers(const QuorumState &quorum,
+                                   const std::vector<AvailableHost> &availableHosts, Time now)
 {
-    const bool mayChangeNow = quorum.role == Role::Leader && quorum.membersIndex <= quorum.commit
-            && quorum.commit >= quorum.termStart;
-    if (!mayChangeNow)
+    const bool canChangeNow = quorum.role == Role::Leader
+            && quorum.membersIndex <= quorum.commitIndex
+            && quorum.commitIndex >= quorum.termStartIndex;
+    if (!canChangeNow)
         return std::nullopt;
     Members members = quorum.members;
     for (const std::string &id : members.voters) {
         if (id == quorum.settings.self
-            || (!isReplaced(id, candidates) && !isSpare(quorum, id, now)))
+            || (!isReplaced(id, availableHosts) && !isRemovable(quorum, id, now)))
             continue;
-        Members fewer = members;
-        drop(fewer.voters, id);
-        return fewer;
+        Members changed = members;
+        removeFrom(changed.voters, id);
+        return changed;
     }
     for (const std::string &id : members.learners) {
         Members changed = members;
-        drop(changed.learners, id);
-        if (isReplaced(id, candidates)
-            || !heardWithin(quorum, id, quorum.settings.forgetLearnerAfter, now))
+        removeFrom(changed.learners, id);
+        if (isReplaced(id, availableHosts)
+            || !receivedWithin(quorum, id, quorum.settings.learnerTimeout, now))
             return changed;
         changed.voters.push_back(id);
-        if (caughtUp(quorum, id) && isCandidate(id, candidates))
+        if (hasCaughtUp(quorum, id) && isAvailable(id, availableHosts))
             return changed;
     }
-    for (const Candidate &candidate : candidates) {
-        if (contains(members.voters, candidate.id) || contains(members.learners, candidate.id))
+    for (const AvailableHost &host : availableHosts) {
+        if (contains(members.voters, host.id) || contains(members.learners, host.id))
             continue;
-        members.learners.push_back(candidate.id);
+        members.learners.push_back(host.id);
         return members;
     }
     return std::nullopt;
--- a/packages/quorum/src/quorum.cpp
+++ b/packages/quorum/src/quorum.cpp
@@ -1,8 +1,8 @@
 /*
-    The entry points of the agreement group.
+    Public functions of the consensus group.
 
     [SECTION] Start
-    [SECTION] Messages and time
+    [SECTION] Messages and ticks
     [SECTION] Proposals and reads
 */
 #include <foxwing/quorum/quorum.h>
@@ -21,13 +21,13 @@
     if (const auto *vote = std::get_if<VoteRecord>(&record)) {
         recovered.vote = *vote;
     } else if (const auto *snapshot = std::get_if<SnapshotRecord>(&record)) {
-        std::vector<LogEntry> rest;
+        std::vector<LogEntry> remaining;
         for (const LogEntry &entry : recovered.entries) {
             if (entry.index > snapshot->index)
-                rest.push_back(entry);
+                remaining.push_back(entry);
         }
         recovered.snapshot = *snapshot;
-        recovered.entries = std::move(rest);
+        recovered.entries = std::move(remaining);
     } else {
         const LogEntry &entry = std::get<EntryRecord>(record).entry;
         while (!recovered.entries.empty() && recovered.entries.back().index >= entry.index)
@@ -43,24 +43,24 @@
     quorum.random.seed(settings.seed ^ hash64(settings.self));
     quorum.term = recovered.vote.term;
     quorum.votedFor = recovered.vote.votedFor;
-    const bool first = !settings.firstVoters.empty() && lastIndex(quorum) == 0;
-    quorum.joined = recovered.vote.joined || first || !holds(Guard::CatchUp);
+    const bool newGroup = !settings.initialVoters.empty() && lastIndex(quorum) == 0;
+    quorum.joined = recovered.vote.joined || newGroup || !isEnabled(Guard::CatchUp);
     quorum.snapshot = recovered.snapshot;
     quorum.log.assign(recovered.entries.begin(), recovered.entries.end());
-    quorum.commit = quorum.snapshot.index;
-    quorum.applied = quorum.snapshot.index;
+    quorum.commitIndex = quorum.snapshot.index;
+    quorum.appliedIndex = quorum.snapshot.index;
     quorum.syncedIndex = lastIndex(quorum);
     refreshMembers(quorum);
-    setElectionTime(quorum, now, settings.firstElectionSpan);
+    scheduleElection(quorum, now, settings.firstElectionTimeout);
     return quorum;
 }
 
-bool leads(const QuorumState &quorum)
+bool isLeader(const QuorumState &quorum)
 {
     return quorum.role == Role::Leader;
 }
 
-// [SECTION] Messages and time
+// [SECTION] Messages and ticks
 
 QuorumActions handle(QuorumState &quorum, const QuorumMessage &message, Time now)
 {
@@ -101,7 +101,7 @@
     entry.term = quorum.term;
     entry.payload = payload;
     *index = entry.index;
-    putEntry(quorum, entry, actions);
+    storeEntry(quorum, entry, actions);
     replicateAll(quorum, false, now, actions);
     advanceCommit(quorum, actions);
     return actions;
@@ -114,11 +114,11 @@
         actions.failedReads.push_back(id);
         return actions;
     }
-    if (!holds(Guard::QuorumCheck)) {
+    if (!isEnabled(Guard::QuorumCheck)) {
         actions.confirmedReads.push_back(id);
         return actions;
     }
-    quorum.reads.push_back({ id, ++quorum.round, quorum.commit });
+    quorum.reads.push_back({ id, ++quorum.round, quorum.commitIndex });
     replicateAll(quorum, true, now, actions);
     confirmReads(quorum, actions);
     return actions;
--- a/packages/quorum/src/replication.cpp
+++ b/packages/quorum/src/replication.cpp
@@ -1,10 +1,10 @@
 /*
-    The leader's log at the other hosts.
+    Replication of the leader's log to the other members.
 
     [SECTION] Sending
     [SECTION] Receiving
     [SECTION] Replies
-    [SECTION] Time
+    [SECTION] Timers
 */
 #include "internal.h"
 
@@ -18,7 +18,7 @@
 
 namespace {
 
-// A message that may be lost is sent again after this many heartbeats.
+// An unanswered message is sent again after this many heartbeat intervals.
 constexpr int ResendHeartbeats = 2;
 
 void sendSnapshot(QuorumState &quorum, const std::string &to, QuorumActions &actions)
@@ -37,18 +37,18 @@
     Append append;
     append.from = quorum.settings.self;
     append.term = quorum.term;
-    append.previousIndex = peer.next - 1;
+    append.previousIndex = peer.nextIndex - 1;
     append.previousTerm = termAt(quorum, append.previousIndex);
-    append.commit = quorum.commit;
+    append.commitIndex = quorum.commitIndex;
     append.round = quorum.round;
     const std::vector<std::string> &learners = quorum.members.learners;
     append.asLearner = std::find(learners.begin(), learners.end(), to) != learners.end();
-    for (std::uint64_t index = peer.next; index <= lastIndex(quorum); ++index) {
-        if (append.entries.size() == quorum.settings.mostEntries)
+    for (std::uint64_t index = peer.nextIndex; index <= lastIndex(quorum); ++index) {
+        if (append.entries.size() == quorum.settings.maxAppendEntries)
             break;
         append.entries.push_back(*entryAt(quorum, index));
     }
-    // Entries may go out before the leader itself has them on disk: it counts itself only after.
+    // Needs no sync: the leader counts itself towards the quorum only once the entries are synced.
     actions.sends.push_back({ to, std::move(append) });
 }
 
@@ -56,19 +56,20 @@
                QuorumActions &actions)
 {
     Peer &peer = quorum.peers[to];
-    const bool lacks = peer.next <= lastIndex(quorum);
-    const bool overdue = now >= peer.sentAt + ResendHeartbeats * quorum.settings.heartbeatInterval;
-    if (!heartbeat && (!lacks || (peer.waiting && !overdue)))
+    const bool lacksEntries = peer.nextIndex <= lastIndex(quorum);
+    const bool overdue = now
+            >= peer.lastSentAt + ResendHeartbeats * quorum.settings.heartbeatInterval;
+    if (!heartbeat && (!lacksEntries || (peer.awaitingReply && !overdue)))
         return;
-    peer.sentAt = now;
-    peer.waiting = lacks;
-    if (peer.next <= quorum.snapshot.index)
+    peer.lastSentAt = now;
+    peer.awaitingReply = lacksEntries;
+    if (peer.nextIndex <= quorum.snapshot.index)
         sendSnapshot(quorum, to, actions);
     else
         sendEntries(quorum, to, peer, actions);
 }
 
-std::vector<std::string> others(const QuorumState &quorum)
+std::vector<std::string> otherMembers(const QuorumState &quorum)
 {
     std::vector<std::string> ids = quorum.members.voters;
     ids.insert(ids.end(), quorum.members.learners.begin(), quorum.members.learners.end());
@@ -80,31 +81,31 @@
 
 void replicateAll(QuorumState &quorum, bool heartbeat, Time now, QuorumActions &actions)
 {
-    for (const std::string &id : others(quorum))
+    for (const std::string &id : otherMembers(quorum))
         replicate(quorum, id, heartbeat, now, actions);
 }
 
-void startLeading(QuorumState &quorum, Time now, QuorumActions &actions)
+void becomeLeader(QuorumState &quorum, Time now, QuorumActions &actions)
 {
     quorum.role = Role::Leader;
     quorum.leader = quorum.settings.self;
     quorum.peers.clear();
     quorum.votes.clear();
-    for (const std::string &id : others(quorum)) {
-        quorum.peers[id].next = lastIndex(quorum) + 1;
-        quorum.peers[id].heardAt = now;
+    for (const std::string &id : otherMembers(quorum)) {
+        quorum.peers[id].nextIndex = lastIndex(quorum) + 1;
+        quorum.peers[id].lastReceivedAt = now;
     }
     LogEntry entry;
     entry.index = lastIndex(quorum) + 1;
     entry.term = quorum.term;
-    entry.kind = EntryKind::Empty;
-    // The first entry of all says who the group is.
+    entry.kind = EntryKind::NoOp;
+    // The very first entry defines the members.
     if (entry.index == 1) {
         entry.kind = EntryKind::Members;
         entry.members = quorum.members;
     }
-    quorum.termStart = entry.index;
-    putEntry(quorum, entry, actions);
+    quorum.termStartIndex = entry.index;
+    storeEntry(quorum, entry, actions);
     ++quorum.round;
     quorum.nextHeartbeat = now + quorum.settings.heartbeatInterval;
     replicateAll(quorum, true, now, actions);
@@ -115,13 +116,13 @@
 
 namespace {
 
-// Entries that are not here yet, or that differ; the first difference ends what was here.
-void takeEntries(QuorumState &quorum, const Append &append, QuorumActions &actions)
+// Stores the entries that are missing or differ. The first that differs truncates the log.
+void storeEntries(QuorumState &quorum, const Append &append, QuorumActions &actions)
 {
     for (const LogEntry &entry : append.entries) {
         if (entry.index <= quorum.snapshot.index || termAt(quorum, entry.index) == entry.term)
             continue;
-        putEntry(quorum, entry, actions);
+        storeEntry(quorum, entry, actions);
     }
 }
 
@@ -131,11 +132,11 @@
     reply.from = quorum.settings.self;
     reply.term = quorum.term;
     reply.round = round;
-    reply.counts = quorum.joined;
+    reply.joined = quorum.joined;
     return reply;
 }
 
-// False if the message is from a deposed leader, who is told so.
+// False if the message is from an earlier term; its sender then gets a reply with the current term.
 bool acceptLeader(QuorumState &quorum, const std::string &from, std::uint64_t term,
                   std::uint64_t round, Time now, QuorumActions &actions)
 {
@@ -144,7 +145,7 @@
         return false;
     }
     becomeFollower(quorum, term, from, now, actions);
-    quorum.leaderHeardAt = now;
+    quorum.lastLeaderContact = now;
     return true;
 }
 
@@ -154,23 +155,23 @@
 {
     if (!acceptLeader(quorum, append.from, append.term, append.round, now, actions))
         return;
-    quorum.leaderCommit = append.commit;
+    quorum.leaderCommit = append.commitIndex;
     if (append.asLearner && !quorum.joined) {
         quorum.joined = true;
         writeRecord(quorum, VoteRecord { quorum.term, quorum.votedFor, true }, actions);
     }
     AppendReply reply = makeReply(quorum, append.round);
-    const bool known = append.previousIndex <= quorum.snapshot.index
+    const bool previousMatches = append.previousIndex <= quorum.snapshot.index
             || termAt(quorum, append.previousIndex) == append.previousTerm;
-    if (!known) {
+    if (!previousMatches) {
         reply.index = std::min(append.previousIndex - 1, lastIndex(quorum));
-        reply.index = std::max(reply.index, quorum.commit);
+        reply.index = std::max(reply.index, quorum.commitIndex);
         return sendAfterSync(quorum, append.from, reply, actions);
     }
-    takeEntries(quorum, append, actions);
+    storeEntries(quorum, append, actions);
     reply.matches = true;
     reply.index = std::max(append.previousIndex + append.entries.size(), quorum.snapshot.index);
-    commitUpTo(quorum, std::min(append.commit, reply.index), actions);
+    commitUpTo(quorum, std::min(append.commitIndex, reply.index), actions);
     sendAfterSync(quorum, append.from, reply, actions);
 }
 
@@ -180,15 +181,15 @@
     if (!acceptLeader(quorum, install.from, install.term, install.round, now, actions))
         return;
     const SnapshotRecord &snapshot = install.snapshot;
-    if (snapshot.index > quorum.commit) {
-        const bool continues = termAt(quorum, snapshot.index) == snapshot.term;
-        if (!continues)
+    if (snapshot.index > quorum.commitIndex) {
+        const bool matchesLog = termAt(quorum, snapshot.index) == snapshot.term;
+        if (!matchesLog)
             quorum.log.clear();
         while (!quorum.log.empty() && quorum.log.front().index <= snapshot.index)
             quorum.log.pop_front();
         quorum.snapshot = snapshot;
-        quorum.commit = snapshot.index;
-        quorum.applied = snapshot.index;
+        quorum.commitIndex = snapshot.index;
+        quorum.appliedIndex = snapshot.index;
         refreshMembers(quorum);
         quorum.syncedIndex = std::min(quorum.syncedIndex, snapshot.index);
         writeRecord(quorum, snapshot, actions);
@@ -211,15 +212,15 @@
     if (quorum.role != Role::Leader || reply.term < quorum.term || found == quorum.peers.end())
         return;
     Peer &peer = found->second;
-    peer.heardAt = now;
-    peer.counts = reply.counts;
-    peer.waiting = false;
+    peer.lastReceivedAt = now;
+    peer.joined = reply.joined;
+    peer.awaitingReply = false;
     peer.ackedRound = std::max(peer.ackedRound, reply.round);
     if (reply.matches) {
-        peer.match = std::max(peer.match, reply.index);
-        peer.next = std::max(peer.next, peer.match + 1);
+        peer.matchIndex = std::max(peer.matchIndex, reply.index);
+        peer.nextIndex = std::max(peer.nextIndex, peer.matchIndex + 1);
     } else {
-        peer.next = std::max(peer.match, std::min(reply.index, peer.next - 1)) + 1;
+        peer.nextIndex = std::max(peer.matchIndex, std::min(reply.index, peer.nextIndex - 1)) + 1;
     }
     advanceCommit(quorum, actions);
     confirmReads(quorum, actions);
@@ -228,20 +229,20 @@
 
 void advanceCommit(QuorumState &quorum, QuorumActions &actions)
 {
-    std::uint64_t index = quorum.commit;
-    const auto hasEntry = [&](std::uint64_t wanted) {
+    std::uint64_t index = quorum.commitIndex;
+    const auto isOnQuorum = [&](std::uint64_t wanted) {
         return majority(quorum, [&](const std::string &voter) {
             if (voter == quorum.settings.self)
-                return !holds(Guard::Sync) || quorum.syncedIndex >= wanted;
+                return !isEnabled(Guard::Sync) || quorum.syncedIndex >= wanted;
             const auto peer = quorum.peers.find(voter);
-            return peer != quorum.peers.end() && peer->second.counts
-                    && peer->second.match >= wanted;
+            return peer != quorum.peers.end() && peer->second.joined
+                    && peer->second.matchIndex >= wanted;
         });
     };
-    while (index < lastIndex(quorum) && hasEntry(index + 1))
+    while (index < lastIndex(quorum) && isOnQuorum(index + 1))
         ++index;
-    // Entries of earlier terms are committed only with one of this term.
-    if (index >= quorum.termStart)
+    // Entries of earlier terms are committed only together with one of the current term.
+    if (index >= quorum.termStartIndex)
         commitUpTo(quorum, index, actions);
 }
 
@@ -253,30 +254,30 @@
             if (voter == quorum.settings.self)
                 return true;
             const auto peer = quorum.peers.find(voter);
-            return peer != quorum.peers.end() && peer->second.counts
+            return peer != quorum.peers.end() && peer->second.joined
                     && peer->second.ackedRound >= read.round;
         });
-        if (!confirmed || quorum.commit < quorum.termStart)
+        if (!confirmed || quorum.commitIndex < quorum.termStartIndex)
             return;
         actions.confirmedReads.push_back(read.id);
         quorum.reads.pop_front();
     }
 }
 
-// [SECTION] Time
+// [SECTION] Timers
 
 void tickLeader(QuorumState &quorum, Time now, QuorumActions &actions)
 {
-    const bool heard = majority(quorum, [&](const std::string &voter) {
+    const bool hasQuorum = majority(quorum, [&](const std::string &voter) {
         if (voter == quorum.settings.self)
             return true;
         const auto peer = quorum.peers.find(voter);
-        return peer != quorum.peers.end() && peer->second.counts
-                && now < peer->second.heardAt + quorum.settings.electionSpan;
+        return peer != quorum.peers.end() && peer->second.joined
+                && now < peer->second.lastReceivedAt + quorum.settings.electionTimeout;
     });
     const bool removed = !isVoter(quorum, quorum.settings.self)
-            && quorum.commit >= std::max(quorum.membersIndex, quorum.termStart);
-    if ((!heard && holds(Guard::QuorumCheck)) || removed)
+            && quorum.commitIndex >= std::max(quorum.membersIndex, quorum.termStartIndex);
+    if ((!hasQuorum && isEnabled(Guard::QuorumCheck)) || removed)
         return becomeFollower(quorum, quorum.term, {}, now, actions);
     if (now >= quorum.nextHeartbeat) {
         ++quorum.round;
--- a/packages/replica/src/replica.cpp
+++ b/packages/replica/src/replica.cpp
@@ -1,5 +1,5 @@
 /*
-    The shell around one host of an agreement group.
+    Journal, writer thread and actions of one host of a consensus group.
 
     [SECTION] Recovery
     [SECTION] Actions
@@ -17,29 +17,29 @@
 
 // [SECTION] Recovery
 
-// A snapshot of the journal holds everything that the group keeps on disk.
-struct WholeState
+// Content of a journal snapshot: everything that the host keeps on disk.
+struct PersistentState
 {
     quorum::VoteRecord vote;
     quorum::SnapshotRecord snapshot;
     std::vector<quorum::LogEntry> entries;
 };
 template<class Fields>
-void describe(Fields &fields, WholeState &whole)
+void describe(Fields &fields, PersistentState &persistent)
 {
-    fields("vote", whole.vote);
-    fields("snapshot", whole.snapshot);
-    fields("entries", whole.entries);
+    fields("vote", persistent.vote);
+    fields("snapshot", persistent.snapshot);
+    fields("entries", persistent.entries);
 }
 
 bool recover(const journal::Recovered &found, quorum::RecoveredQuorum &recovered, Error *reason)
 {
     if (!found.snapshot.empty()) {
-        WholeState whole;
+        PersistentState persistent;
         const auto json = parseJson(found.snapshot, reason);
-        if (!json || !fromJson(*json, &whole, reason))
+        if (!json || !fromJson(*json, &persistent, reason))
             return false;
-        recovered = { whole.vote, whole.snapshot, whole.entries };
+        recovered = { persistent.vote, persistent.snapshot, persistent.entries };
     }
     for (const journal::Entry &entry : found.entries) {
         const auto json = parseJson(entry.payload, reason);
@@ -77,7 +77,7 @@
     quorum::RecoveredQuorum recovered;
     if (!recover(m_journal->takeRecovered(), recovered, reason))
         return std::nullopt;
-    m_wasBlank = recovered.vote.term == 0 && recovered.entries.empty();
+    m_wasEmpty = recovered.vote.term == 0 && recovered.entries.empty();
     m_state = quorum::makeQuorum(m_settings.quorum, recovered, steadyNow());
     m_writer = std::thread([this] { runWriter(); });
     return recovered.snapshot.state;
@@ -85,26 +85,28 @@
 
 // [SECTION] Actions
 
-std::string Replica::wholeState() const
+std::string Replica::persistentState() const
 {
     const quorum::VoteRecord vote { m_state.term, m_state.votedFor, m_state.joined };
-    const WholeState whole { vote, m_state.snapshot, { m_state.log.begin(), m_state.log.end() } };
-    return writeJson(toJson(whole));
+    const PersistentState persistent { vote,
+                                       m_state.snapshot,
+                                       { m_state.log.begin(), m_state.log.end() } };
+    return writeJson(toJson(persistent));
 }
 
 void Replica::queueWrite(quorum::QuorumActions &actions)
 {
-    WriteJob job;
-    job.syncNumber = actions.syncNumber;
+    PendingWrite pending;
+    pending.syncNumber = actions.syncNumber;
     for (const quorum::Record &record : actions.records) {
         if (std::holds_alternative<quorum::SnapshotRecord>(record))
-            job.snapshot = wholeState();
+            pending.snapshot = persistentState();
         else
-            job.records.push_back(writeJson(encodeMessage(record)));
+            pending.records.push_back(writeJson(encodeMessage(record)));
     }
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        m_jobs.push_back(std::move(job));
+        m_pendingWrites.push_back(std::move(pending));
     }
     m_wakeUp.notify_one();
 }
@@ -119,14 +121,14 @@
     }
 }
 
-void Replica::carryOut(quorum::QuorumActions &&actions)
+void Replica::execute(quorum::QuorumActions &&actions)
 {
     if (m_failed)
         return;
     if (!actions.records.empty())
         queueWrite(actions);
-    for (quorum::Outgoing &send : actions.sends)
-        m_events.send(send.to, std::move(send.message));
+    for (quorum::Outgoing &outgoing : actions.sends)
+        m_events.send(outgoing.to, std::move(outgoing.message));
     if (actions.installed) {
         Error reason;
         if (!m_events.installed(actions.installed->state, &reason))
@@ -149,15 +151,15 @@
 
 // [SECTION] Writer
 
-bool Replica::write(const std::vector<WriteJob> &jobs, Error *reason)
+bool Replica::write(const std::vector<PendingWrite> &writes, Error *reason)
 {
-    for (const WriteJob &job : jobs) {
-        for (const std::string &record : job.records)
+    for (const PendingWrite &pending : writes) {
+        for (const std::string &record : pending.records)
             m_journal->append(record);
-        if (job.snapshot.empty())
+        if (pending.snapshot.empty())
             continue;
-        // The whole state was taken after the records of the same job.
-        if (!m_journal->sync(reason) || !m_journal->replaceBySnapshot(job.snapshot, reason))
+        // The snapshot includes the effect of these records, so they must be synced first.
+        if (!m_journal->sync(reason) || !m_journal->replaceWithSnapshot(pending.snapshot, reason))
             return false;
     }
     if (m_settings.addedDelay.count() > 0)
@@ -169,16 +171,16 @@
 {
     std::unique_lock<std::mutex> lock(m_mutex);
     while (!m_stopping) {
-        m_wakeUp.wait(lock, [this] { return m_stopping || !m_jobs.empty(); });
-        std::vector<WriteJob> jobs;
-        jobs.swap(m_jobs);
-        if (jobs.empty())
+        m_wakeUp.wait(lock, [this] { return m_stopping || !m_pendingWrites.empty(); });
+        std::vector<PendingWrite> writes;
+        writes.swap(m_pendingWrites);
+        if (writes.empty())
             continue;
         lock.unlock();
         Error reason;
-        if (write(jobs, &reason)) {
-            m_events.runOnLoop([this, number = jobs.back().syncNumber] {
-                carryOut(quorum::synced(m_state, number, steadyNow()));
+        if (write(writes, &reason)) {
+            m_events.runOnLoop([this, number = writes.back().syncNumber] {
+                execute(quorum::synced(m_state, number, steadyNow()));
             });
         } else {
             m_events.runOnLoop([this, reason] { fail(reason); });
@@ -192,19 +194,19 @@
 void Replica::receive(const quorum::QuorumMessage &message)
 {
     if (!m_failed)
-        carryOut(quorum::handle(m_state, message, steadyNow()));
+        execute(quorum::handle(m_state, message, steadyNow()));
 }
 
 void Replica::tick()
 {
     if (!m_failed)
-        carryOut(quorum::tick(m_state, steadyNow()));
+        execute(quorum::tick(m_state, steadyNow()));
 }
 
-void Replica::voterReached()
+void Replica::voterConnected()
 {
     if (!m_failed)
-        quorum::voterReached(m_state, steadyNow());
+        quorum::voterConnected(m_state, steadyNow());
 }
 
 std::optional<quorum::LogEntry> Replica::propose(const std::string &command)
@@ -216,7 +218,7 @@
     if (!actions)
         return std::nullopt;
     entry.term = m_state.term;
-    carryOut(std::move(*actions));
+    execute(std::move(*actions));
     return entry;
 }
 
@@ -224,28 +226,28 @@
 {
     auto actions = quorum::proposeMembers(m_state, members, steadyNow(), reason);
     if (actions)
-        carryOut(std::move(*actions));
+        execute(std::move(*actions));
     return actions.has_value();
 }
 
 void Replica::requestRead(std::uint64_t id)
 {
-    carryOut(quorum::requestRead(m_state, id, steadyNow()));
+    execute(quorum::requestRead(m_state, id, steadyNow()));
 }
 
-bool Replica::wantsSnapshot() const
+bool Replica::needsSnapshot() const
 {
-    return m_state.applied >= m_state.snapshot.index + m_settings.snapshotEvery;
+    return m_state.appliedIndex >= m_state.snapshot.index + m_settings.snapshotEvery;
 }
 
 void Replica::takeSnapshot(const std::string &state)
 {
-    carryOut(quorum::compact(m_state, state));
+    execute(quorum::compact(m_state, state));
 }
 
-bool Replica::leadsNow() const
+bool Replica::isReadyLeader() const
 {
-    return !m_failed && quorum::leads(m_state) && m_state.commit >= m_state.termStart;
+    return !m_failed && quorum::isLeader(m_state) && m_state.commitIndex >= m_state.termStartIndex;
 }
 
 } // namespace foxwing::replica
--- a/packages/runner/src/runner.cpp
+++ b/packages/runner/src/runner.cpp
@@ -1,11 +1,11 @@
 /*
-    Runs, cordons and time. What entries ask for is in sessions.cpp, what the endpoint answers in
-    answers.cpp, its lives and heartbeats in lives.cpp.
+    Runs, cordons and timers. Messages of entries are in sessions.cpp, results of commands in
+    results.cpp, incarnations of the endpoint and its heartbeats in incarnations.cpp.
 
-    [SECTION] Names
+    [SECTION] Construction and names
     [SECTION] Runs
     [SECTION] Cordons
-    [SECTION] Time
+    [SECTION] Timers and shutdown
 */
 #include <foxwing/runner/runner.h>
 
@@ -17,34 +17,34 @@
 
 using eventlog::change;
 using eventlog::Event;
-using jobs::RefusedStart;
-using jobs::RunEnd;
 using jobs::RunId;
+using jobs::RunOutcome;
+using jobs::StartRefusal;
 
-// [SECTION] Names
+// [SECTION] Construction and names
 
-const char *toString(Answer answer)
+const char *toString(CommandStatus status)
 {
-    switch (answer) {
-    case Answer::Ok:
+    switch (status) {
+    case CommandStatus::Ok:
         return "ok";
-    case Answer::Fenced:
+    case CommandStatus::Fenced:
         return "fenced";
-    case Answer::OldRun:
+    case CommandStatus::StaleRun:
         return "old-run";
-    case Answer::TooLate:
+    case CommandStatus::TooLate:
         return "too-late";
-    case Answer::NoRoom:
+    case CommandStatus::NoCapacity:
         return "no-room";
-    case Answer::OtherLife:
+    case CommandStatus::OtherIncarnation:
         return "other-life";
-    case Answer::Busy:
+    case CommandStatus::Busy:
         return "busy";
-    case Answer::Invalid:
+    case CommandStatus::Invalid:
         return "invalid";
-    case Answer::Unreachable:
+    case CommandStatus::ConnectionRefused:
         return "unreachable";
-    case Answer::None:
+    case CommandStatus::None:
         break;
     }
     return "none";
@@ -73,13 +73,13 @@
 
 namespace {
 
-void countEnd(RunnerState &runner, RunEnd end)
+void countOutcome(RunnerState &runner, RunOutcome outcome)
 {
-    if (end == RunEnd::Done)
+    if (outcome == RunOutcome::Done)
         ++runner.done;
-    else if (end == RunEnd::Failed)
+    else if (outcome == RunOutcome::Failed)
         ++runner.failed;
-    else if (end == RunEnd::NeverBegan)
+    else if (outcome == RunOutcome::NeverStarted)
         ++runner.refused;
     else
         ++runner.stopped;
@@ -87,88 +87,88 @@
 
 } // namespace
 
-// Room of failed runs is left out: an endpoint that fails all that it starts would seem to give
-// back more room than any other.
-static void noteFreed(RunnerState &runner, const Run &run, RunEnd end, Time now)
+// Failed runs don't count: an endpoint where everything fails would seem to free the most capacity.
+static void recordFreed(RunnerState &runner, const Run &run, RunOutcome outcome, Time now)
 {
-    if (end == RunEnd::Done || end == RunEnd::Stopped)
-        addTo(runner.freed, runner.settings.freedSpan, static_cast<double>(run.room.milliCores),
+    if (outcome == RunOutcome::Done || outcome == RunOutcome::Stopped)
+        addTo(runner.freed, runner.settings.freedWindow, static_cast<double>(run.demand.milliCores),
               now);
 }
 
-void endRun(RunnerState &runner, const RunId &id, RunEnd end, RefusedStart refused, Time now,
-            RunnerActions &actions)
+void endRun(RunnerState &runner, const RunId &id, RunOutcome outcome, StartRefusal refused,
+            Time now, RunnerActions &actions)
 {
     const auto found = runner.runs.find(id);
     if (found == runner.runs.end())
         return;
     const Run run = found->second;
     runner.runs.erase(found);
-    countEnd(runner, end);
-    noteFreed(runner, run, end, now);
-    if (end == RunEnd::Crashed)
-        noteCrash(runner, id.task, now);
-    const bool began = run.startedAt != Time {};
-    const auto took = std::chrono::duration_cast<Milliseconds>(began ? now - run.startedAt
-                                                                     : Microseconds(0));
-    if (end == RunEnd::Done)
-        noteGood(runner, run, took);
-    if (end == RunEnd::Failed)
-        noteBad(runner, now);
-    if (end != RunEnd::Done)
+    countOutcome(runner, outcome);
+    recordFreed(runner, run, outcome, now);
+    if (outcome == RunOutcome::Crashed)
+        recordCrash(runner, id.task, now);
+    const bool started = run.startedAt != Time {};
+    const auto duration = std::chrono::duration_cast<Milliseconds>(started ? now - run.startedAt
+                                                                           : Microseconds(0));
+    if (outcome == RunOutcome::Done)
+        recordSuccess(runner, run, duration);
+    if (outcome == RunOutcome::Failed)
+        recordFault(runner, now);
+    if (outcome != RunOutcome::Done)
         actions.events.push_back(runEvent("run-ended", id)
-                                         .with("end", jobs::toString(end))
+                                         .with("end", jobs::toString(outcome))
                                          .with("refused", jobs::toString(refused))
-                                         .with("ran_ms", took));
+                                         .with("ran_ms", duration));
     const auto session = runner.sessions.find(run.session);
-    if (session == runner.sessions.end() || session->second.over)
+    if (session == runner.sessions.end() || session->second.closed)
         return;
-    session->second.ended.push_back({ id, end, refused, took });
+    session->second.ended.push_back({ id, outcome, refused, duration });
     session->second.dirty = true;
 }
 
-void orderStop(RunnerState &runner, const RunId &id, Run &run, Time now, RunnerActions &actions)
+void sendStop(RunnerState &runner, const RunId &id, Run &run, Time now, RunnerActions &actions)
 {
-    run.stopOrderedAt = now;
-    run.stopUnderWay = true;
-    actions.stops.push_back({ id, runner.fence, runner.endpoint.life.id });
+    run.stopSentAt = now;
+    run.stopPending = true;
+    actions.stops.push_back({ id, runner.fence, runner.endpoint.endpointIncarnation.id });
 }
 
-void beginStopping(RunnerState &runner, const RunId &id, Run &run, const char *why, Time now,
-                   RunnerActions &actions)
+void stopRun(RunnerState &runner, const RunId &id, Run &run, const char *why, Time now,
+             RunnerActions &actions)
 {
     if (run.state == RunState::Stopping)
         return;
     actions.events.push_back(runEvent("run-stopping", id)
                                      .with("why", why)
                                      .with("percent", run.percent)
-                                     .with("since_ordered_ms", now - run.orderedAt));
+                                     .with("since_ordered_ms", now - run.startSentAt));
     run.state = RunState::Stopping;
-    run.stopSince = now;
-    orderStop(runner, id, run, now, actions);
+    run.stoppingSince = now;
+    sendStop(runner, id, run, now, actions);
 }
 
-void takeClock(RunnerState &runner, const Answered &answered, Time now)
+void updateClock(RunnerState &runner, const CommandResult &result, Time now)
 {
-    if (!answered.endpointClock)
+    if (!result.endpointClock)
         return;
-    // Answers overtake each other: an older one must not set the clock back.
-    if (runner.life.clockSample && *answered.endpointClock < *runner.life.clockSample)
+    // Results may arrive out of order: an older one must not set the clock back.
+    if (runner.incarnationState.clockSample
+        && *result.endpointClock < *runner.incarnationState.clockSample)
         return;
-    runner.life.clockSample = answered.endpointClock;
-    runner.life.clockAt = now;
+    runner.incarnationState.clockSample = result.endpointClock;
+    runner.incarnationState.clockSampledAt = now;
 }
 
 // [SECTION] Cordons
 
-RunnerActions cordonsHeard(RunnerState &runner, const catalog::Cordons &cordons,
-                           CordonSource source, Time now)
+RunnerActions handleCordons(RunnerState &runner, const catalog::Cordons &cordons,
+                            CordonSource source, Time now)
 {
     RunnerActions actions;
     const bool wasCordoned = isCordoned(runner);
     if (cordons.revision > runner.cordons.revision)
         runner.cordons = cordons;
-    runner.heardFromEntry |= source == CordonSource::Entry;
+    runner.cordonsFromEntry |= source == CordonSource::Entry;
     runner.cordonsKnown |= source == CordonSource::Control;
     if (isCordoned(runner) != wasCordoned)
         actions.events.push_back(
@@ -181,17 +181,17 @@
     return actions;
 }
 
-// [SECTION] Time
+// [SECTION] Timers and shutdown
 
 namespace {
 
-// Without a word from control, what an entry knows counts after a while.
-void takeEntrysWord(RunnerState &runner, Time now, RunnerActions &actions)
+// Falls back to the cordons from an entry if control has not sent any in time.
+void acceptEntryCordons(RunnerState &runner, Time now, RunnerActions &actions)
 {
-    if (runner.firstTick == Time {})
-        runner.firstTick = now;
-    if (runner.cordonsKnown || !runner.heardFromEntry
-        || now < runner.firstTick + runner.settings.cordonWait)
+    if (runner.firstTickAt == Time {})
+        runner.firstTickAt = now;
+    if (runner.cordonsKnown || !runner.cordonsFromEntry
+        || now < runner.firstTickAt + runner.settings.cordonTimeout)
         return;
     runner.cordonsKnown = true;
     actions.events.push_back(change("cordons-from-entry")
@@ -199,40 +199,44 @@
                                      .with("cordoned", isCordoned(runner) ? 1 : 0));
 }
 
-// Endpoint clocks run up to 2 percent slow: so much of the time that passed here certainly passed
-// there.
+// Endpoint clocks run up to 2 percent slow: at least this percentage of the time elapsed here has
+// elapsed there.
 constexpr int SlowestClockPercent = 98;
 
-bool leaseIsOver(const RunnerState &runner, Time now)
+bool isLeaseExpired(const RunnerState &runner, Time now)
 {
-    // What was ordered for a former life may have been taken by this one, with a deadline of the
-    // other's clock.
-    const bool leftOver = std::any_of(runner.runs.begin(), runner.runs.end(),
-                                      [](const auto &item) { return item.second.ofFormerLife; });
-    if (!runner.life.clockSample || leftOver)
+    // Commands for a previous incarnation may have reached the current one, with a deadline on the
+    // previous one's clock.
+    const bool anyCarriedOver = std::any_of(runner.runs.begin(), runner.runs.end(),
+                                            [](const auto &item) {
+                                                return item.second.carriedOver;
+                                            });
+    if (!runner.incarnationState.clockSample || anyCarriedOver)
         return false;
-    const auto elapsed = std::chrono::duration_cast<Milliseconds>(now - runner.life.clockAt);
-    return *runner.life.clockSample + elapsed * SlowestClockPercent / 100 > runner.life.leaseUntil;
+    const auto elapsed = std::chrono::duration_cast<Milliseconds>(
+            now - runner.incarnationState.clockSampledAt);
+    return *runner.incarnationState.clockSample + elapsed * SlowestClockPercent / 100
+            > runner.incarnationState.leaseUntil;
 }
 
-void repeatStops(RunnerState &runner, Time now, RunnerActions &actions)
+void retryStops(RunnerState &runner, Time now, RunnerActions &actions)
 {
     for (auto &[id, run] : runner.runs) {
-        if (run.state == RunState::Stopping && !run.stopUnderWay
-            && now >= run.stopOrderedAt + runner.settings.stopRepeat)
-            orderStop(runner, id, run, now, actions);
+        if (run.state == RunState::Stopping && !run.stopPending
+            && now >= run.stopSentAt + runner.settings.stopRetryInterval)
+            sendStop(runner, id, run, now, actions);
     }
 }
 
-void endSilentSessions(RunnerState &runner, Time now, RunnerActions &actions)
+void endTimedOutSessions(RunnerState &runner, Time now, RunnerActions &actions)
 {
-    std::vector<std::uint64_t> silent;
+    std::vector<std::uint64_t> timedOut;
     for (const auto &[number, session] : runner.sessions) {
-        if (!session.over && now >= session.heardAt + runner.settings.ownerSilence)
-            silent.push_back(number);
+        if (!session.closed && now >= session.lastReceivedAt + runner.settings.sessionTimeout)
+            timedOut.push_back(number);
     }
-    for (const std::uint64_t number : silent)
-        endSession(runner, number, "its entry is silent", now, actions);
+    for (const std::uint64_t number : timedOut)
+        endSession(runner, number, "the entry has timed out", now, actions);
 }
 
 } // namespace
@@ -240,17 +244,18 @@
 RunnerActions tick(RunnerState &runner, Time now)
 {
     RunnerActions actions;
-    takeEntrysWord(runner, now, actions);
-    endSilentSessions(runner, now, actions);
-    repeatStops(runner, now, actions);
-    if (!runner.runs.empty() && runner.life.looksFailed > 0 && leaseIsOver(runner, now))
-        endAll(runner, RunEnd::Lapsed, "the lease is over and the endpoint out of reach", now,
-               actions);
+    acceptEntryCordons(runner, now, actions);
+    endTimedOutSessions(runner, now, actions);
+    retryStops(runner, now, actions);
+    if (!runner.runs.empty() && runner.incarnationState.failedPolls > 0
+        && isLeaseExpired(runner, now))
+        endAllRuns(runner, RunOutcome::LeaseExpired,
+                   "the lease has expired and the endpoint is unreachable", now, actions);
     finishEvent(runner, now, actions);
     return actions;
 }
 
-RunnerActions beginStop(RunnerState &runner, Time now)
+RunnerActions beginShutdown(RunnerState &runner, Time now)
 {
     RunnerActions actions;
     runner.stopping = true;
@@ -258,16 +263,16 @@
     return actions;
 }
 
-RunnerActions stopAll(RunnerState &runner, Time now)
+RunnerActions stopAllRuns(RunnerState &runner, Time now)
 {
     RunnerActions actions;
     for (auto &[id, run] : runner.runs)
-        beginStopping(runner, id, run, "the agent stops", now, actions);
+        stopRun(runner, id, run, "the agent shuts down", now, actions);
     finishEvent(runner, now, actions);
     return actions;
 }
 
-bool finished(const RunnerState &runner)
+bool isShutDown(const RunnerState &runner)
 {
     return runner.stopping && runner.runs.empty();
 }
--- a/packages/runner/src/sessions.cpp
+++ b/packages/runner/src/sessions.cpp
@@ -1,5 +1,5 @@
 /*
-    What entries ask for: sessions, starts and stops.
+    Messages of entries: sessions, starts, stops and heartbeats.
 
     [SECTION] Sessions
 */
@@ -10,9 +10,9 @@
 namespace foxwing::runner {
 
 using eventlog::change;
-using jobs::RefusedStart;
-using jobs::RunEnd;
 using jobs::RunId;
+using jobs::RunOutcome;
+using jobs::StartRefusal;
 
 // [SECTION] Sessions
 
@@ -20,74 +20,75 @@
                 RunnerActions &actions)
 {
     Session &session = runner.sessions.at(number);
-    if (session.over)
+    if (session.closed)
         return;
-    session.over = true;
+    session.closed = true;
     dropWaitingOf(runner, number);
     std::uint64_t runs = 0;
     for (auto &[id, run] : runner.runs) {
         if (run.session != number)
             continue;
         ++runs;
-        beginStopping(runner, id, run, why, now, actions);
+        stopRun(runner, id, run, why, now, actions);
     }
     actions.closes.push_back(number);
     actions.events.push_back(change("session-over")
                                      .with("entry", session.owner)
                                      .with("why", why)
-                                     .with("heard_ms_ago", now - session.heardAt)
+                                     .with("heard_ms_ago", now - session.lastReceivedAt)
                                      .with("runs_stopped", runs));
 }
 
 namespace {
 
-// A session that is alive, noted as heard. One that was silent for too long is ended instead: after
-// a pause of this process, or a cut, what was sent long ago arrives as if it were new.
-std::map<std::uint64_t, Session>::iterator hearSession(RunnerState &runner, std::uint64_t number,
-                                                       Time now, RunnerActions &actions)
+// Finds an open session and notes the time. A session that has timed out is closed instead: after a
+// pause of this process or a network partition, old messages arrive as if new.
+std::map<std::uint64_t, Session>::iterator touchSession(RunnerState &runner, std::uint64_t number,
+                                                        Time now, RunnerActions &actions)
 {
     const auto found = runner.sessions.find(number);
-    if (found == runner.sessions.end() || found->second.over)
+    if (found == runner.sessions.end() || found->second.closed)
         return runner.sessions.end();
-    if (now >= found->second.heardAt + runner.settings.ownerSilence) {
-        endSession(runner, number, "its entry was silent", now, actions);
+    if (now >= found->second.lastReceivedAt + runner.settings.sessionTimeout) {
+        endSession(runner, number, "the entry had timed out", now, actions);
         return runner.sessions.end();
     }
-    found->second.heardAt = now;
+    found->second.lastReceivedAt = now;
     return found;
 }
 
-RefusedStart checkStart(const RunnerState &runner, const RunId &id, const jobs::StartTasks &message,
+StartRefusal checkStart(const RunnerState &runner, const RunId &id, const jobs::StartTasks &message,
                         Time now)
 {
     if (runner.endpoint.leaving || runner.stopping)
-        return RefusedStart::Leaving;
+        return StartRefusal::Leaving;
     if (isCordoned(runner))
-        return RefusedStart::Cordoned;
-    if (mostStarts(runner, now) == 0)
-        return RefusedStart::NotReady;
+        return StartRefusal::Cordoned;
+    if (maxStarts(runner, now) == 0)
+        return StartRefusal::NotReady;
     const bool sameTask = std::any_of(runner.runs.begin(), runner.runs.end(),
                                       [&](const auto &run) { return run.first.task == id.task; });
     if (sameTask || isWaiting(runner, id.task))
-        return RefusedStart::NotReady;
-    jobs::Room free = freeRoom(runner);
-    free -= waitingRoom(runner, message.priority);
-    return jobs::fits(message.room, free) ? RefusedStart::None : RefusedStart::NoRoom;
+        return StartRefusal::NotReady;
+    jobs::ResourceVector free = freeCapacity(runner);
+    free -= waitingDemand(runner, message.priority);
+    return jobs::fits(message.demand, free) ? StartRefusal::None : StartRefusal::NoCapacity;
 }
 
 } // namespace
 
-void orderStart(RunnerState &runner, const RunId &id, Run &run, Time now, RunnerActions &actions)
+void sendStart(RunnerState &runner, const RunId &id, Run &run, Time now, RunnerActions &actions)
 {
-    StartOrder order;
-    order.id = id;
-    order.payload = run.payload;
-    order.deadline = *leaseDeadline(runner, now);
-    order.fence = runner.fence;
-    order.life = runner.endpoint.life.id;
-    runner.life.leaseUntil = std::max(runner.life.leaseUntil, order.deadline);
-    ++run.tries;
-    actions.starts.push_back(std::move(order));
+    StartCommand command;
+    command.id = id;
+    command.payload = run.payload;
+    command.deadline = *leaseDeadline(runner, now);
+    command.fence = runner.fence;
+    command.endpointIncarnation = runner.endpoint.endpointIncarnation.id;
+    runner.incarnationState.leaseUntil = std::max(runner.incarnationState.leaseUntil,
+                                                  command.deadline);
+    ++run.attempts;
+    actions.starts.push_back(std::move(command));
 }
 
 void startRun(RunnerState &runner, const WaitingStart &start, Time now, RunnerActions &actions)
@@ -95,24 +96,24 @@
     Run run;
     run.session = start.session;
     run.payload = start.payload;
-    run.room = start.room;
+    run.demand = start.demand;
     run.estimate = start.estimate;
-    run.orderedAt = now;
+    run.startSentAt = now;
     run.progressAt = now;
-    orderStart(runner, start.id, run, now, actions);
+    sendStart(runner, start.id, run, now, actions);
     runner.runs.emplace(start.id, std::move(run));
     ++runner.started;
 }
 
-void refuseStart(RunnerState &runner, std::uint64_t session, const RunId &id, RefusedStart why)
+void refuseStart(RunnerState &runner, std::uint64_t session, const RunId &id, StartRefusal why)
 {
     ++runner.refused;
     const auto found = runner.sessions.find(session);
     if (found == runner.sessions.end())
         return;
     found->second.dirty = true;
-    found->second.refusedRoom |= why == RefusedStart::NoRoom;
-    found->second.ended.push_back({ id, RunEnd::NeverBegan, why, Milliseconds(0) });
+    found->second.refusedForCapacity |= why == StartRefusal::NoCapacity;
+    found->second.ended.push_back({ id, RunOutcome::NeverStarted, why, Milliseconds(0) });
 }
 
 RunnerActions openSession(RunnerState &runner, std::uint64_t session, const std::string &owner,
@@ -121,11 +122,11 @@
     RunnerActions actions;
     for (auto &[number, other] : runner.sessions) {
         if (other.owner == owner)
-            endSession(runner, number, "its entry has opened another session", now, actions);
+            endSession(runner, number, "the entry has opened another session", now, actions);
     }
     Session opened;
     opened.owner = owner;
-    opened.heardAt = now;
+    opened.lastReceivedAt = now;
     runner.sessions.emplace(session, opened);
     finishEvent(runner, now, actions);
     return actions;
@@ -135,7 +136,7 @@
 {
     RunnerActions actions;
     if (runner.sessions.count(session) != 0)
-        endSession(runner, session, "its connection is closed", now, actions);
+        endSession(runner, session, "the connection was closed", now, actions);
     finishEvent(runner, now, actions);
     return actions;
 }
@@ -144,23 +145,24 @@
                          const jobs::StartTasks &message, Time now)
 {
     RunnerActions actions;
-    const auto found = hearSession(runner, session, now, actions);
-    if (found == runner.sessions.end() || !found->second.welcomed)
+    const auto found = touchSession(runner, session, now, actions);
+    if (found == runner.sessions.end() || !found->second.accepted)
         return actions;
-    for (const jobs::StartTasks::Start &wanted : message.starts) {
-        const RunId id { { message.job, message.repeat, message.step, wanted.index }, wanted.run };
-        ++found->second.startsTaken;
+    for (const jobs::StartTasks::Start &requested : message.starts) {
+        const RunId id { { message.job, message.repeat, message.step, requested.index },
+                         requested.run };
+        ++found->second.startsHandled;
         const WaitingStart start { id,
                                    session,
                                    message.payload,
-                                   message.room,
+                                   message.demand,
                                    message.estimate,
                                    message.priority,
-                                   now + message.mayWait };
-        const RefusedStart why = checkStart(runner, id, message, now);
-        if (why == RefusedStart::None)
+                                   now + message.maxWait };
+        const StartRefusal why = checkStart(runner, id, message, now);
+        if (why == StartRefusal::None)
             startRun(runner, start, now, actions);
-        else if (why == RefusedStart::NoRoom && mayWaitHere(runner, message))
+        else if (why == StartRefusal::NoCapacity && mayWaitHere(runner, message))
             addWaiting(runner, start);
         else
             refuseStart(runner, session, id, why);
@@ -173,28 +175,28 @@
                        Time now)
 {
     RunnerActions actions;
-    hearSession(runner, session, now, actions);
+    touchSession(runner, session, now, actions);
     for (const RunId &id : message.runs) {
         if (dropWaiting(runner, id))
             continue;
         const auto run = runner.runs.find(id);
         if (run != runner.runs.end() && run->second.session == session)
-            beginStopping(runner, id, run->second, "its entry asked", now, actions);
+            stopRun(runner, id, run->second, "the entry asked for it", now, actions);
     }
     finishEvent(runner, now, actions);
     return actions;
 }
 
-RunnerActions sessionBeat(RunnerState &runner, std::uint64_t session,
-                          const jobs::SessionBeat &message, Time now)
+RunnerActions handleSessionHeartbeat(RunnerState &runner, std::uint64_t session,
+                                     const jobs::SessionHeartbeat &message, Time now)
 {
     RunnerActions actions;
-    const auto found = hearSession(runner, session, now, actions);
+    const auto found = touchSession(runner, session, now, actions);
     if (found != runner.sessions.end()) {
-        Session &heard = found->second;
-        heard.beat = std::max(heard.beat, message.number);
-        heard.dirty |= message.wantsRoom && !heard.wantsRoom;
-        heard.wantsRoom = message.wantsRoom;
+        Session &sender = found->second;
+        sender.heartbeat = std::max(sender.heartbeat, message.number);
+        sender.dirty |= message.needsCapacity && !sender.needsCapacity;
+        sender.needsCapacity = message.needsCapacity;
     }
     finishEvent(runner, now, actions);
     return actions;
--- a/packages/runner/src/waiting.cpp
+++ b/packages/runner/src/waiting.cpp
@@ -1,10 +1,10 @@
 /*
-    Starts that wait at the agent for the next free room.
+    Starts that wait at the agent for capacity.
 
-    Of several entries that want the same room the most urgent gets it, whichever entry learns of
-    it first; and room does not stand idle for the time that its news takes to an entry and back.
+    Freed capacity goes to the most urgent start of all entries, whichever entry learns of it first,
+    and isn't idle for a round trip to an entry.
 
-    [SECTION] Waiting
+    [SECTION] Waiting starts
 */
 #include "internal.h"
 
@@ -12,40 +12,40 @@
 
 namespace foxwing::runner {
 
-using jobs::RefusedStart;
 using jobs::RunId;
+using jobs::StartRefusal;
 
-// [SECTION] Waiting
+// [SECTION] Waiting starts
 
-jobs::Room waitingRoom(const RunnerState &runner, std::uint32_t priority)
+jobs::ResourceVector waitingDemand(const RunnerState &runner, std::uint32_t priority)
 {
-    jobs::Room room;
+    jobs::ResourceVector demand;
     for (const WaitingStart &start : runner.waiting) {
         if (start.priority <= priority)
-            room += start.room;
+            demand += start.demand;
     }
-    return room;
+    return demand;
 }
 
-std::vector<jobs::WaitingRoom> waitingRows(const RunnerState &runner)
+std::vector<jobs::PriorityBacklog> backlogRows(const RunnerState &runner)
 {
-    std::vector<jobs::WaitingRoom> rows;
+    std::vector<jobs::PriorityBacklog> rows;
     for (const WaitingStart &start : runner.waiting) {
-        const bool full = rows.size() >= runner.settings.mostWaitingRows;
+        const bool full = rows.size() >= runner.settings.maxWaitingRows;
         if (rows.empty() || (rows.back().priority != start.priority && !full))
             rows.push_back({ start.priority, 0 });
-        rows.back().milliCores += start.room.milliCores;
+        rows.back().milliCores += start.demand.milliCores;
     }
     return rows;
 }
 
 bool mayWaitHere(const RunnerState &runner, const jobs::StartTasks &message)
 {
-    if (message.mayWait.count() <= 0 || !jobs::fits(message.room, runner.endpoint.capacity))
+    if (message.maxWait.count() <= 0 || !jobs::fits(message.demand, runner.endpoint.capacity))
         return false;
-    const std::int64_t waiting = waitingRoom(runner, message.priority).milliCores;
-    return (waiting + message.room.milliCores) * 100
-            <= runner.endpoint.capacity.milliCores * runner.settings.waitingPercent;
+    const std::int64_t waiting = waitingDemand(runner, message.priority).milliCores;
+    return (waiting + message.demand.milliCores) * 100
+            <= runner.endpoint.capacity.milliCores * runner.settings.maxWaitingPercent;
 }
 
 bool isWaiting(const RunnerState &runner, const jobs::TaskId &task)
@@ -63,25 +63,25 @@
 
 void startWaiting(RunnerState &runner, Time now, RunnerActions &actions)
 {
-    const bool mayStart = mostStarts(runner, now) > 0;
-    const RefusedStart never = runner.endpoint.leaving || runner.stopping ? RefusedStart::Leaving
-            : isCordoned(runner)                                          ? RefusedStart::Cordoned
-                                                                          : RefusedStart::NotReady;
-    std::vector<WaitingStart> rest;
-    rest.swap(runner.waiting);
+    const bool mayStart = maxStarts(runner, now) > 0;
+    const StartRefusal refusal = runner.endpoint.leaving || runner.stopping ? StartRefusal::Leaving
+            : isCordoned(runner)                                            ? StartRefusal::Cordoned
+                                 : StartRefusal::NotReady;
+    std::vector<WaitingStart> pending;
+    pending.swap(runner.waiting);
     bool blocked = false;
-    for (const WaitingStart &start : rest) {
-        if (!mayStart || mostStarts(runner, now) == 0) {
-            refuseStart(runner, start.session, start.id, never);
-        } else if (now >= start.until || !jobs::fits(start.room, runner.endpoint.capacity)) {
-            // Too late also where room is free by now: after a pause of this process its entry may
-            // have started the task elsewhere long ago, and both would run. And where the room has
-            // shrunk below it, it would only hold up the others.
-            refuseStart(runner, start.session, start.id, RefusedStart::NoRoom);
-        } else if (!blocked && jobs::fits(start.room, freeRoom(runner))) {
+    for (const WaitingStart &start : pending) {
+        if (!mayStart || maxStarts(runner, now) == 0) {
+            refuseStart(runner, start.session, start.id, refusal);
+        } else if (now >= start.until || !jobs::fits(start.demand, runner.endpoint.capacity)) {
+            // An expired start is refused even if it fits now: after a pause of this process its
+            // entry may have started the task elsewhere, and both would run. One that exceeds a
+            // reduced total capacity would only block the others.
+            refuseStart(runner, start.session, start.id, StartRefusal::NoCapacity);
+        } else if (!blocked && jobs::fits(start.demand, freeCapacity(runner))) {
             startRun(runner, start, now, actions);
         } else {
-            // What comes free is kept for it: smaller ones would take it away for ever.
+            // Freed capacity is reserved for it; otherwise smaller starts could starve it.
             blocked = true;
             runner.waiting.push_back(start);
         }
@@ -98,14 +98,14 @@
         return false;
     const std::uint64_t session = found->session;
     runner.waiting.erase(found);
-    refuseStart(runner, session, id, RefusedStart::NoRoom);
+    refuseStart(runner, session, id, StartRefusal::NoCapacity);
     return true;
 }
 
 void dropWaitingOf(RunnerState &runner, std::uint64_t session)
 {
-    const auto its = [&](const WaitingStart &start) { return start.session == session; };
-    runner.waiting.erase(std::remove_if(runner.waiting.begin(), runner.waiting.end(), its),
+    const auto ofSession = [&](const WaitingStart &start) { return start.session == session; };
+    runner.waiting.erase(std::remove_if(runner.waiting.begin(), runner.waiting.end(), ofSession),
                          runner.waiting.end());
 }
 
--- a/packages/scheduler/src/admission.cpp
+++ b/packages/scheduler/src/admission.cpp
@@ -1,5 +1,5 @@
 /*
-    Which jobs are taken in, what they are expected to take, and which are refused at once.
+    Admission of jobs: what their run times are expected to be, and which are refused at once.
 
     [SECTION] Admission
 */
@@ -13,20 +13,20 @@
 
 // [SECTION] Admission
 
-Microseconds scaled(Milliseconds span, double factor)
+Microseconds scaled(Milliseconds duration, double factor)
 {
-    return std::chrono::duration_cast<Microseconds>(
-            std::chrono::duration<double, std::milli>(static_cast<double>(span.count()) * factor));
+    return std::chrono::duration_cast<Microseconds>(std::chrono::duration<double, std::milli>(
+            static_cast<double>(duration.count()) * factor));
 }
 
 namespace {
 
-std::vector<Milliseconds> guesses(const jobs::JobSpec &spec)
+std::vector<Milliseconds> estimates(const jobs::JobSpec &spec)
 {
-    std::vector<Milliseconds> spans;
+    std::vector<Milliseconds> durations;
     for (const jobs::StepSpec &step : spec.steps)
-        spans.push_back(step.estimate);
-    return spans;
+        durations.push_back(step.estimate);
+    return durations;
 }
 
 std::uint64_t taskCount(const jobs::JobSpec &spec)
@@ -37,37 +37,38 @@
     return count;
 }
 
-// Without its tasks, which a job that is refused never gets: a caller may name millions.
-Job makeJob(const SchedulerState &scheduler, const jobs::JobSpec &spec, const JobTerms &terms,
+// Leaves out the tasks: a caller may ask for millions, and a refused job never needs them.
+Job makeJob(const SchedulerState &scheduler, const jobs::JobSpec &spec, const JobOptions &options,
             Time now)
 {
     const SchedulerSettings &settings = scheduler.settings;
     Job job;
     job.spec = spec;
-    job.terms = terms;
-    job.arrivedAt = terms.cameAt.value_or(now);
-    job.guessed = longestChain(spec, guesses(spec));
-    const auto times = scheduler.runTimes.find(terms.queue);
-    const bool learned = settings.learnRunTimes && times != scheduler.runTimes.end();
-    job.expected = learned ? expectedRunTime(times->second, job.guessed) : job.guessed;
-    const Milliseconds chain = job.expected;
-    job.objectiveAt = job.arrivedAt + scaled(chain, terms.stretch) + terms.targetLatency;
-    job.latestBegin = job.objectiveAt - chain;
-    job.onTimeUntil = std::max(now, job.latestBegin - chain * settings.marginPercent / 100);
+    job.options = options;
+    job.arrivedAt = options.receivedAt.value_or(now);
+    job.estimated = criticalPath(spec, estimates(spec));
+    const auto model = scheduler.runTimeModels.find(options.queue);
+    const bool learned = settings.learnRunTimes && model != scheduler.runTimeModels.end();
+    job.expected = learned ? expectedRunTime(model->second, job.estimated) : job.estimated;
+    const Milliseconds path = job.expected;
+    job.objectiveAt = job.arrivedAt + scaled(path, options.stretch) + options.targetLatency;
+    job.latestStart = job.objectiveAt - path;
+    job.onTimeUntil = std::max(now, job.latestStart - path * settings.marginPercent / 100);
     const auto objective = std::chrono::duration_cast<Milliseconds>(job.objectiveAt
                                                                     - job.arrivedAt);
-    job.worthUntil = job.arrivedAt + scaled(objective, settings.lateFactor) - chain;
-    const Time callerGone = terms.patienceUntil.value_or(Time::max());
-    job.lateUntil = std::max(job.onTimeUntil,
-                             std::min({ callerGone - chain, terms.beginBy, job.worthUntil }));
+    job.usefulUntil = job.arrivedAt + scaled(objective, settings.lateFactor) - path;
+    const Time callerDeadline = options.callerDeadline.value_or(Time::max());
+    job.lateStartUntil = std::max(job.onTimeUntil,
+                                  std::min({ callerDeadline - path, options.startDeadline,
+                                             job.usefulUntil }));
     return job;
 }
 
-// One step's estimate, corrected as the whole chain is.
-Milliseconds expectedOf(const Job &job, Milliseconds estimate)
+// One step's estimate, corrected by the same factor as the critical path.
+Milliseconds correctedEstimate(const Job &job, Milliseconds estimate)
 {
-    return job.guessed.count() > 0 ? estimate * job.expected.count() / job.guessed.count()
-                                   : estimate;
+    return job.estimated.count() > 0 ? estimate * job.expected.count() / job.estimated.count()
+                                     : estimate;
 }
 
 void addTasks(const SchedulerState &scheduler, Job &job)
@@ -80,163 +81,165 @@
             Task task;
             task.step = step;
             task.index = index;
-            task.expected = expectedOf(job, spec.steps[step].estimate);
-            task.crashes = crashesOf(scheduler, { spec.id, 0, step, index });
+            task.expected = correctedEstimate(job, spec.steps[step].estimate);
+            task.crashes = crashCount(scheduler, { spec.id, 0, step, index });
             job.tasks.push_back(task);
         }
     }
     job.waiting = static_cast<std::uint32_t>(job.tasks.size());
 }
 
-// Work that waits here and would go first, against the part of all room that this entry can count
-// on.
-Microseconds expectedWait(const SchedulerState &scheduler, const Job &wanted)
+// Waiting work of this entry that would go first, over its share of all capacity.
+Microseconds expectedWait(const SchedulerState &scheduler, const Job &arriving)
 {
     double waiting = 0;
     for (const QueueKey &key : scheduler.queue) {
         const Job &job = scheduler.jobs.at(key.number);
-        if (key.group > Rank::OnTime || job.latestBegin > wanted.latestBegin
-            || job.terms.service != wanted.terms.service)
+        if (key.group > QueueGroup::OnTime || job.latestStart > arriving.latestStart
+            || job.options.service != arriving.options.service)
             continue;
         const jobs::StepSpec &step = job.spec.steps.front();
-        waiting += static_cast<double>(job.waiting) * static_cast<double>(step.room.milliCores)
+        waiting += static_cast<double>(job.waiting) * static_cast<double>(step.demand.milliCores)
                 * static_cast<double>(step.estimate.count());
     }
-    double room = 0;
+    double capacity = 0;
     for (const auto &[name, agent] : scheduler.agents) {
-        if (agent.welcomed && agent.endpoint.service == wanted.terms.service
-            && agent.endpoint.mostStarts > 0 && !isCordoned(scheduler, agent))
-            room += static_cast<double>(agent.endpoint.capacity.milliCores);
+        if (agent.accepted && agent.endpoint.service == arriving.options.service
+            && agent.endpoint.maxStarts > 0 && !isCordoned(scheduler, agent))
+            capacity += static_cast<double>(agent.endpoint.capacity.milliCores);
     }
-    if (room <= 0)
+    if (capacity <= 0)
         return Microseconds(0);
-    // Declared rooms can be absurd; beyond an hour it makes no difference.
-    constexpr double MostMilliseconds = 3.6e6;
-    return scaled(Milliseconds(1), std::min(MostMilliseconds, waiting * scheduler.entries / room));
+    // Declared capacities are not validated; beyond an hour the value makes no difference.
+    constexpr double MaxMilliseconds = 3.6e6;
+    return scaled(Milliseconds(1),
+                  std::min(MaxMilliseconds, waiting * scheduler.entryCount / capacity));
 }
 
-// Whether what waits here and goes before this job takes, at the pace at which room came free here
-// of late, more time than the job has until it counts as late.
-bool waitsTooLong(const SchedulerState &scheduler, const Job &wanted, Time now)
+// Whether the work queued before this job at this entry takes longer than the job has until it
+// counts as late, at the rate at which capacity was recently freed for the entry.
+bool waitsTooLong(const SchedulerState &scheduler, const Job &arriving, Time now)
 {
-    const auto freed = scheduler.freed.find(wanted.terms.service);
-    if (freed == scheduler.freed.end() || scheduler.settings.refuseAtArrivalPercent == 0)
+    const auto freed = scheduler.freed.find(arriving.options.service);
+    if (freed == scheduler.freed.end() || scheduler.settings.maxWaitPercent == 0)
         return false;
-    const std::uint32_t priority = effectivePriority(scheduler, wanted);
+    const std::uint32_t priority = effectivePriority(scheduler, arriving);
     double waiting = 0;
     for (const QueueKey &key : scheduler.queue) {
         const Job &job = scheduler.jobs.at(key.number);
-        if (key.group > Rank::OnTime || job.terms.service != wanted.terms.service
-            || (key.group == Rank::OnTime && job.queuedPriority > priority))
+        if (key.group > QueueGroup::OnTime || job.options.service != arriving.options.service
+            || (key.group == QueueGroup::OnTime && job.queuedPriority > priority))
             continue;
         waiting += static_cast<double>(job.waiting)
-                * static_cast<double>(job.spec.steps.front().room.milliCores);
+                * static_cast<double>(job.spec.steps.front().demand.milliCores);
     }
     const double perMillisecond = freedPerMillisecond(scheduler, freed->second, now);
-    const auto slack = std::chrono::duration_cast<Milliseconds>(wanted.onTimeUntil - now);
-    const double most = static_cast<double>(slack.count())
-            * scheduler.settings.refuseAtArrivalPercent / 100;
-    return waiting > 0 && waiting > perMillisecond * most;
+    const auto slack = std::chrono::duration_cast<Milliseconds>(arriving.onTimeUntil - now);
+    const double limit = static_cast<double>(slack.count()) * scheduler.settings.maxWaitPercent
+            / 100;
+    return waiting > 0 && waiting > perMillisecond * limit;
 }
 
-// The same by the forecast; nothing if it does not know.
-std::optional<bool> forecastIsTooLong(const SchedulerState &scheduler, const Job &wanted, Time now)
+// The same by the forecast; nothing if there is none.
+std::optional<bool> forecastWaitsTooLong(const SchedulerState &scheduler, const Job &arriving,
+                                         Time now)
 {
     const SchedulerSettings &settings = scheduler.settings;
     const auto within = [&](std::optional<Milliseconds> wait, Time until) {
         const auto slack = std::chrono::duration_cast<Milliseconds>(until - now);
-        return wait && *wait * 100 <= slack * settings.refuseAtArrivalPercent;
+        return wait && *wait * 100 <= slack * settings.maxWaitPercent;
     };
-    if (!usesForecast(scheduler) || settings.refuseAtArrivalPercent == 0)
+    if (!usesForecast(scheduler) || settings.maxWaitPercent == 0)
         return std::nullopt;
-    const std::optional<Milliseconds> wait = waitOnTime(scheduler, wanted, now);
+    const std::optional<Milliseconds> wait = waitIfOnTime(scheduler, arriving, now);
     if (!wait)
         return std::nullopt;
-    if (within(wait, settings.refuseLate ? wanted.onTimeUntil : wanted.worthUntil))
+    if (within(wait, settings.refuseLate ? arriving.onTimeUntil : arriving.usefulUntil))
         return false;
-    const bool mayBeLate = settings.serveLate && wanted.lateUntil > wanted.onTimeUntil;
-    return !mayBeLate || !within(waitLate(scheduler, wanted, now), wanted.lateUntil);
+    const bool mayBeLate = settings.serveLate && arriving.lateStartUntil > arriving.onTimeUntil;
+    return !mayBeLate || !within(waitIfLate(scheduler, arriving, now), arriving.lateStartUntil);
 }
 
-bool anySuits(const SchedulerState &scheduler, const Job &job, const jobs::StepSpec &step)
+bool anySuitable(const SchedulerState &scheduler, const Job &job, const jobs::StepSpec &step)
 {
     bool any = false;
     for (const auto &[name, agent] : scheduler.agents) {
-        if (!agent.welcomed || agent.endpoint.service != job.terms.service)
+        if (!agent.accepted || agent.endpoint.service != job.options.service)
             continue;
         any = true;
-        if (suits(agent, job, step))
+        if (isSuitable(agent, job, step))
             return true;
     }
-    // Without a single endpoint of the service nothing is known of what would fit.
+    // Without any endpoint of the service, it is not known what would fit.
     return !any;
 }
 
 bool isPossible(const SchedulerState &scheduler, const Job &job)
 {
     const std::vector<jobs::StepSpec> &steps = job.spec.steps;
-    return job.terms.suitableElsewhere
+    return job.options.suitableUnconnected
             || std::all_of(steps.begin(), steps.end(), [&](const jobs::StepSpec &step) {
-                   return anySuits(scheduler, job, step);
+                   return anySuitable(scheduler, job, step);
                });
 }
 
-// Whether a call that waited before it was submitted has lost its time by that. One whose queue
-// leaves it no time from the start has lost nothing, and is tried like any other.
+// Whether a call that was held before it was submitted has missed its latest start because of that.
+// If its queue leaves it no slack from the start, holding cost it nothing and it is tried like any
+// other.
 bool heldTooLong(const Job &job, Time now)
 {
-    return job.terms.cameAt && job.latestBegin > job.arrivedAt && now > job.latestBegin;
+    return job.options.receivedAt && job.latestStart > job.arrivedAt && now > job.latestStart;
 }
 
-// Whether the work before the job takes longer than it may wait.
-bool lacksRoom(const SchedulerState &scheduler, const Job &job, Time now)
+// Whether the work queued before the job takes longer than the job may wait.
+bool lacksCapacity(const SchedulerState &scheduler, const Job &job, Time now)
 {
-    if (const auto tooLong = forecastIsTooLong(scheduler, job, now))
+    if (const auto tooLong = forecastWaitsTooLong(scheduler, job, now))
         return *tooLong;
     const auto objective = std::chrono::duration_cast<Milliseconds>(job.objectiveAt
                                                                     - job.arrivedAt);
-    return expectedWait(scheduler, job) > scaled(objective, scheduler.settings.refuseAbove)
+    return expectedWait(scheduler, job) > scaled(objective, scheduler.settings.maxWaitFactor)
             || waitsTooLong(scheduler, job, now);
 }
 
-// Why a job is not taken whatever room there is; empty if it may be.
-std::string refusal(const SchedulerState &scheduler, const Job &job, Time now)
+// Why a job is refused regardless of capacity; empty if it may be admitted.
+std::string refusalReason(const SchedulerState &scheduler, const Job &job, Time now)
 {
-    if (scheduler.jobs.size() >= scheduler.settings.mostJobs)
-        return "this entry holds as many jobs as it may";
+    if (scheduler.jobs.size() >= scheduler.settings.maxJobs)
+        return "this entry is at its limit of jobs";
     const jobs::JobTraits &traits = job.spec.traits;
-    if (traits.kept || traits.gang || traits.lasting || traits.timed)
+    if (traits.durable || traits.gang || traits.longRunning || traits.recurring)
         return "this kind of job is not served yet";
     const std::uint64_t tasks = taskCount(job.spec);
-    if (tasks == 0 || tasks > scheduler.settings.mostTasksPerJob)
-        return "a job needs at least one task, and at most the number in the settings";
-    const bool mayBeLate = scheduler.settings.serveLate && now < job.lateUntil;
+    if (tasks == 0 || tasks > scheduler.settings.maxTasksPerJob)
+        return "a job must have at least one task, and at most the number in the settings";
+    const bool mayBeLate = scheduler.settings.serveLate && now < job.lateStartUntil;
     if (heldTooLong(job, now) && scheduler.settings.refuseLate && !mayBeLate)
-        return "it waited too long before it could be taken up";
+        return "the call was held too long before it was admitted";
     return "";
 }
 
 void refuse(SchedulerState &scheduler, Job &job, JobOutcome outcome, const std::string &why,
             Time now, SchedulerActions &actions)
 {
-    // A job that never was in the table is answered through it, so that all answers are alike.
+    // Adds the job to the table although it is refused, since answerJob() expects it there.
     const std::uint64_t number = job.number;
-    Job &kept = scheduler.jobs.emplace(number, std::move(job)).first->second;
-    answerJob(scheduler, kept, outcome, why, now, actions);
+    Job &added = scheduler.jobs.emplace(number, std::move(job)).first->second;
+    answerJob(scheduler, added, outcome, why, now, actions);
 }
 
-// Counts the job as asked for, and refuses it if the work before it takes too long.
-bool refusedForRoom(SchedulerState &scheduler, Job &job, bool possible, Time now,
-                    SchedulerActions &actions)
+// Counts the job as requested work, and refuses it if the work before it takes too long.
+bool refusedForCapacity(SchedulerState &scheduler, Job &job, bool possible, Time now,
+                        SchedulerActions &actions)
 {
     if (possible)
-        noteAskedJob(scheduler, job, now);
-    if (!lacksRoom(scheduler, job, now))
+        recordRequestedJob(scheduler, job, now);
+    if (!lacksCapacity(scheduler, job, now))
         return false;
     if (possible)
-        noteRefusedJob(scheduler, job, now);
-    refuse(scheduler, job, JobOutcome::NotRun, "the work before it takes longer than it may wait",
-           now, actions);
+        recordRefusedJob(scheduler, job, now);
+    refuse(scheduler, job, JobOutcome::NotRun,
+           "the work before this job takes longer than it may wait", now, actions);
     return true;
 }
 
@@ -247,45 +250,45 @@
     return !job.mayHaveBegun && job.outstanding == 0;
 }
 
-SchedulerActions submit(SchedulerState &scheduler, const jobs::JobSpec &spec, const JobTerms &terms,
-                        Time now, std::uint64_t *number)
+SchedulerActions submit(SchedulerState &scheduler, const jobs::JobSpec &spec,
+                        const JobOptions &options, Time now, std::uint64_t *number)
 {
     SchedulerActions actions;
     const auto known = scheduler.byId.find(spec.id);
-    if (known != scheduler.byId.end() && !scheduler.jobs.at(known->second).over) {
+    if (known != scheduler.byId.end() && !scheduler.jobs.at(known->second).closed) {
         *number = known->second;
         actions.events.push_back(Event("job-joined").with("request", spec.id));
         return actions;
     }
     ++scheduler.counters.submitted;
-    scheduler.mostUrgent = std::min(scheduler.mostUrgent, terms.priority);
-    scheduler.leastUrgent = std::max(scheduler.leastUrgent, terms.priority);
-    Job job = makeJob(scheduler, spec, terms, now);
+    scheduler.mostUrgent = std::min(scheduler.mostUrgent, options.priority);
+    scheduler.leastUrgent = std::max(scheduler.leastUrgent, options.priority);
+    Job job = makeJob(scheduler, spec, options, now);
     job.number = ++scheduler.lastNumber;
     *number = job.number;
     if (isCrashing(scheduler, spec.id, now)) {
-        refuse(scheduler, job, JobOutcome::TimedOut, "endpoints have crashed under it before", now,
+        refuse(scheduler, job, JobOutcome::TimedOut, "endpoints crashed under this job before", now,
                actions);
         return actions;
     }
-    const std::string why = refusal(scheduler, job, now);
+    const std::string why = refusalReason(scheduler, job, now);
     if (!why.empty()) {
         refuse(scheduler, job, JobOutcome::NotRun, why, now, actions);
         return actions;
     }
     const bool possible = isPossible(scheduler, job);
-    if (refusedForRoom(scheduler, job, possible, now, actions))
+    if (refusedForCapacity(scheduler, job, possible, now, actions))
         return actions;
     if (!possible) {
-        refuse(scheduler, job, JobOutcome::Failed, "no endpoint of its service could ever run it",
+        refuse(scheduler, job, JobOutcome::Failed, "no endpoint of the service can run the job",
                now, actions);
         return actions;
     }
     addTasks(scheduler, job);
-    job.waitsFor = known == scheduler.byId.end() ? 0 : known->second;
+    job.predecessor = known == scheduler.byId.end() ? 0 : known->second;
     scheduler.byId[spec.id] = job.number;
-    Job &kept = scheduler.jobs.emplace(job.number, std::move(job)).first->second;
-    enqueue(scheduler, kept);
+    Job &added = scheduler.jobs.emplace(job.number, std::move(job)).first->second;
+    enqueue(scheduler, added);
     place(scheduler, now, actions);
     return actions;
 }
@@ -294,11 +297,11 @@
 {
     SchedulerActions actions;
     const auto found = scheduler.jobs.find(number);
-    if (found == scheduler.jobs.end() || found->second.over)
+    if (found == scheduler.jobs.end() || found->second.closed)
         return actions;
     Job &job = found->second;
     dequeue(scheduler, job);
-    job.over = true;
+    job.closed = true;
     ++scheduler.counters.abandoned;
     actions.events.push_back(Event("job-abandoned")
                                      .with("request", job.spec.id)
--- a/packages/scheduler/src/internal.h
+++ b/packages/scheduler/src/internal.h
@@ -1,12 +1,12 @@
 /*
-    Inside the scheduler: what its files share.
+    Internal declarations of the scheduler.
 
-    [SECTION] Placing
-    [SECTION] Freed room
-    [SECTION] Outlook
+    [SECTION] Placement
+    [SECTION] Freed capacity
+    [SECTION] Forecast
     [SECTION] Crashes
-    [SECTION] Floors
-    [SECTION] Ending
+    [SECTION] Guaranteed shares
+    [SECTION] Completion
 */
 #pragma once
 
@@ -14,133 +14,136 @@
 
 namespace foxwing::scheduler {
 
-// [SECTION] Placing
+// [SECTION] Placement
 
-// Starts what can start now.
+// Starts whatever can start now.
 void place(SchedulerState &scheduler, Time now, SchedulerActions &actions);
 
-// The same where only one agent's room has grown since work was last placed: nothing that waits
-// found room elsewhere then, and nothing does now.
+// The same if only one agent's free capacity has grown since the last pass: the waiting work did
+// not fit elsewhere then, and does not now.
 void placeAt(SchedulerState &scheduler, const std::string &agent, Time now,
              SchedulerActions &actions);
 QueueKey keyOf(const SchedulerState &scheduler, const Job &job);
 
-// All waiting jobs in their order, after each has found its rank at this time.
-std::vector<QueueKey> sortOut(SchedulerState &scheduler, Time now);
+// All waiting jobs in order, after updating the group and priority of each.
+std::vector<QueueKey> refreshQueue(SchedulerState &scheduler, Time now);
 void enqueue(SchedulerState &scheduler, Job &job);
 void dequeue(SchedulerState &scheduler, const Job &job);
 
-// Keeps an agent's session alive, and tells it whether work waits here for room.
-void beatAgent(const SchedulerState &scheduler, const std::string &name, Agent &agent, Time now,
-               SchedulerActions &actions);
+// Sends a heartbeat, which also tells the agent whether work waits here for capacity.
+void sendHeartbeat(const SchedulerState &scheduler, const std::string &name, Agent &agent, Time now,
+                   SchedulerActions &actions);
 
-// Whether its caller's patience is over: nothing more of it is placed, since the caller may send it
-// elsewhere. The next tick gives it up.
-bool isUnwanted(const Job &job, Time now);
+// Whether its caller's deadline has passed. Nothing more of the job is placed then, since the
+// caller may retry elsewhere; the next tick gives it up.
+bool callerDeadlinePassed(const Job &job, Time now);
 
-// Nothing of the job has begun; a start that is under way may begin.
+// Whether no task of the job has begun or may begin through a start already sent.
 bool certainlyNotBegun(const Job &job);
 
-// Whether the endpoint's data centre is cordoned, as far as this entry knows.
+// Whether this entry knows the endpoint's data centre to be cordoned.
 bool isCordoned(const SchedulerState &scheduler, const Agent &agent);
 
-// Room that this entry may count on at an agent.
-jobs::Room roomAt(const Agent &agent);
+// The agent's free capacity, less the starts that its last update does not include.
+jobs::ResourceVector freeAt(const Agent &agent);
 
-// The same for a job: one that waits on though it is late takes only room that nobody else wants.
-jobs::Room roomFor(const SchedulerState &scheduler, const Agent &agent, const Job &job);
+// The same for one job: a late job only gets capacity that nobody else wants.
+jobs::ResourceVector freeFor(const SchedulerState &scheduler, const Agent &agent, const Job &job);
 
-// Whether the endpoint may run the step at all, whatever runs on it now.
-bool suits(const Agent &agent, const Job &job, const jobs::StepSpec &step);
+// Whether the endpoint could run the step when empty.
+bool isSuitable(const Agent &agent, const Job &job, const jobs::StepSpec &step);
 
-// The longest chain through the steps, with these spans for the steps.
-Milliseconds longestChain(const jobs::JobSpec &spec, const std::vector<Milliseconds> &spans);
-Microseconds scaled(Milliseconds span, double factor);
+// Critical path through the steps, given the time of each.
+Milliseconds criticalPath(const jobs::JobSpec &spec, const std::vector<Milliseconds> &durations);
+Microseconds scaled(Milliseconds duration, double factor);
 
-// [SECTION] Freed room
+// [SECTION] Freed capacity
 
-// A run of the job has ended like this and given its room back.
-void noteFreed(SchedulerState &scheduler, const Job &job, const jobs::Room &room, jobs::RunEnd end,
-               Time now);
+// A run of the job ended with this outcome and freed its capacity.
+void recordFreed(SchedulerState &scheduler, const Job &job, const jobs::ResourceVector &demand,
+                 jobs::RunOutcome outcome, Time now);
 
-// Of the room that came free of late, only this part goes on coming free.
+// Scales the recently freed capacity of a service, when only this part of its endpoints is still
+// usable.
 void scaleFreed(SchedulerState &scheduler, const std::string &service, double part);
 
-// Thousandths of a core that came free in a millisecond, of late.
-double freedPerMillisecond(const SchedulerState &scheduler, const FreedRoom &freed, Time now);
+// Recently freed millicores per millisecond.
+double freedPerMillisecond(const SchedulerState &scheduler, const FreedCapacity &freed, Time now);
 
-// [SECTION] Outlook
+// [SECTION] Forecast
 
 bool usesForecast(const SchedulerState &scheduler);
 
-// What the agents of the service have told, without those that take nothing.
-forecast::Picture pictureOf(const SchedulerState &scheduler, const std::string &service, Time now);
+// Forecast input from the service's agents that take work.
+forecast::ServiceLoad serviceLoadOf(const SchedulerState &scheduler, const std::string &service,
+                                    Time now);
 
-// Part of the freed room that comes to this entry, for jobs of any priority.
-double wholeShare(const SchedulerState &scheduler, const std::string &service, Time now);
+// This entry's share of freed capacity, over all priorities.
+double totalShare(const SchedulerState &scheduler, const std::string &service, Time now);
 
-// Until a job that comes now has found room, if it can be on time and if it can't. Nothing if that
-// is not known.
-std::optional<Milliseconds> waitOnTime(const SchedulerState &scheduler, const Job &job, Time now);
-std::optional<Milliseconds> waitLate(const SchedulerState &scheduler, const Job &job, Time now);
+// Expected wait of a job that arrives now, if it is on time and if it is late; nothing if not
+// known.
+std::optional<Milliseconds> waitIfOnTime(const SchedulerState &scheduler, const Job &job, Time now);
+std::optional<Milliseconds> waitIfLate(const SchedulerState &scheduler, const Job &job, Time now);
 
-// Jobs that can't be on time any more, and wait on since they begin before their callers are gone.
-std::set<std::uint64_t> worthWaiting(SchedulerState &scheduler, Time now);
+// Late jobs that keep waiting since they start before their callers are gone.
+std::set<std::uint64_t> lateJobsToKeep(SchedulerState &scheduler, Time now);
 
-// Starts of the job were sent; if it began late, late jobs have got so much room.
-void noteLateStart(SchedulerState &scheduler, const Job &job, std::int64_t milliCores, Time now);
+// Starts of the job were sent; if that was late, counts their capacity as given to late jobs.
+void recordLateStart(SchedulerState &scheduler, const Job &job, std::int64_t milliCores, Time now);
 
-// When a caller that is refused now should come back, by the forecast.
-Milliseconds comeBackAfter(SchedulerState &scheduler, const Job &job, Time now);
+// When a caller that is refused now should retry, by the forecast.
+Milliseconds estimateRetryAfter(SchedulerState &scheduler, const Job &job, Time now);
 
-// Adds up what agents tell of freed room.
-void addTold(SchedulerState &scheduler, Time now);
+// Adds up the freed capacity that agents report.
+void addReportedFreed(SchedulerState &scheduler, Time now);
 
-// Whether there is room for all tasks with which a job that has not begun begins.
-bool fitsWhole(const SchedulerState &scheduler, const Job &job, Time now);
+// Whether all tasks that the job starts with fit now. For jobs that have not started.
+bool fitsEntirely(const SchedulerState &scheduler, const Job &job, Time now);
 
 // [SECTION] Crashes
 
-// An agent tells of tasks under which its endpoint crashed; jobs that are at work here and have
-// crashed too many are given up.
-void takeCrashes(SchedulerState &scheduler, const std::string &agent,
-                 const std::vector<jobs::CrashReport> &reports, Time now,
-                 SchedulerActions &actions);
+// Handles an agent's reports of tasks that ran when its endpoint crashed, and gives up open jobs
+// with too many crashes.
+void handleCrashReports(SchedulerState &scheduler, const std::string &agent,
+                        const std::vector<jobs::CrashReport> &reports, Time now,
+                        SchedulerActions &actions);
 
-// Crashes under the task that agents have told of, all entries' runs counted
-std::uint32_t crashesOf(const SchedulerState &scheduler, const jobs::TaskId &task);
+// Number of reported crashes while the task ran, for any entry
+std::uint32_t crashCount(const SchedulerState &scheduler, const jobs::TaskId &task);
 
-// Whether endpoints have crashed too often under the job of late.
+// Whether endpoints recently crashed too often while running the job.
 bool isCrashing(SchedulerState &scheduler, const std::string &id, Time now);
 
-// Gives the job up if endpoints have crashed too often under the task.
+// Gives the job up if endpoints have crashed too often while running the task.
 void giveUpIfCrashing(SchedulerState &scheduler, Job &job, const Task &task,
                       const std::string &agent, Time now, SchedulerActions &actions);
 
-// [SECTION] Floors
+// [SECTION] Guaranteed shares
 
-// A job has come that endpoints could serve; such a job is refused since room lacks.
-void noteAskedJob(SchedulerState &scheduler, const Job &job, Time now);
-void noteRefusedJob(SchedulerState &scheduler, const Job &job, Time now);
+// A job arrived that some endpoint could serve; such a job is refused for lack of capacity.
+void recordRequestedJob(SchedulerState &scheduler, const Job &job, Time now);
+void recordRefusedJob(SchedulerState &scheduler, const Job &job, Time now);
 
-// Finds the queues that are below their floor, and what their jobs go by.
-void updateStandings(SchedulerState &scheduler, Time now, SchedulerActions &actions);
+// Updates which queues are below their guaranteed share, and their effective priorities.
+void updateQueueStatuses(SchedulerState &scheduler, Time now, SchedulerActions &actions);
 
-// Whether the job's starts are not to wait at agents, so that a less urgent queue that is below its
-// floor gets some of the freed room.
+// Whether the job's starts may not wait at agents, so that a less urgent queue below its guaranteed
+// share gets some of the freed capacity.
 bool yields(const SchedulerState &scheduler, const Job &job);
 
-// [SECTION] Ending
+// [SECTION] Completion
 
 void answerJob(SchedulerState &scheduler, Job &job, JobOutcome outcome, const std::string &reason,
                Time now, SchedulerActions &actions);
-void runEnded(SchedulerState &scheduler, const std::string &agent, const jobs::RunReport &report,
-              Time now, SchedulerActions &actions);
-void runLags(SchedulerState &scheduler, const std::string &agent, const jobs::LagReport &report,
-             Time now, SchedulerActions &actions);
-
-// The task's run is certainly over without a result: it may be started again.
-void freeTask(SchedulerState &scheduler, Job &job, Task &task);
+void handleRunReport(SchedulerState &scheduler, const std::string &agent,
+                     const jobs::RunReport &report, Time now, SchedulerActions &actions);
+void handleStragglerReport(SchedulerState &scheduler, const std::string &agent,
+                           const jobs::StragglerReport &report, Time now,
+                           SchedulerActions &actions);
+
+// The task's run is certainly over without a result: it may start again.
+void requeueTask(SchedulerState &scheduler, Job &job, Task &task);
 void removeIfFinished(SchedulerState &scheduler, std::uint64_t number);
 void stopTask(SchedulerState &scheduler, const Job &job, Task &task, SchedulerActions &actions);
 Task *findTask(SchedulerState &scheduler, const jobs::RunId &id, Job **job);
--- a/packages/scheduler/src/placing.cpp
+++ b/packages/scheduler/src/placement.cpp
@@ -1,8 +1,8 @@
 /*
-    Where waiting tasks start.
+    Placement of waiting tasks on endpoints.
 
     [SECTION] Endpoints
-    [SECTION] Placing
+    [SECTION] Placement
 */
 #include <algorithm>
 #include <limits>
@@ -13,22 +13,22 @@
 
 // [SECTION] Endpoints
 
-jobs::Room roomAt(const Agent &agent)
+jobs::ResourceVector freeAt(const Agent &agent)
 {
-    jobs::Room room = agent.endpoint.free;
+    jobs::ResourceVector free = agent.endpoint.free;
     for (const Agent::Pending &pending : agent.pending)
-        room -= pending.room;
-    return room;
+        free -= pending.demand;
+    return free;
 }
 
-jobs::Room roomFor(const SchedulerState &scheduler, const Agent &agent, const Job &job)
+jobs::ResourceVector freeFor(const SchedulerState &scheduler, const Agent &agent, const Job &job)
 {
-    jobs::Room room = roomAt(agent);
-    if (scheduler.settings.serveLate && job.group == Rank::Late) {
-        const std::int64_t rested = std::min(agent.leastFree, agent.leastFreeBefore);
-        room.milliCores -= agent.endpoint.free.milliCores - rested;
+    jobs::ResourceVector free = freeAt(agent);
+    if (scheduler.settings.serveLate && job.group == QueueGroup::Late) {
+        const std::int64_t idle = std::min(agent.minFree, agent.previousMinFree);
+        free.milliCores -= agent.endpoint.free.milliCores - idle;
     }
-    return room;
+    return free;
 }
 
 bool isCordoned(const SchedulerState &scheduler, const Agent &agent)
@@ -46,46 +46,47 @@
 
 bool isAvoided(const Task &task, const std::string &agent)
 {
-    return std::find(task.avoid.begin(), task.avoid.end(), agent) != task.avoid.end();
+    return std::find(task.avoidedAgents.begin(), task.avoidedAgents.end(), agent)
+            != task.avoidedAgents.end();
 }
 
-bool isQuiet(const SchedulerState &scheduler, const Agent &agent, Time now)
+bool isSuspect(const SchedulerState &scheduler, const Agent &agent, Time now)
 {
-    return now >= agent.heardAt + scheduler.settings.quietAfter;
+    return now >= agent.lastReceivedAt + scheduler.settings.suspectAfter;
 }
 
-bool belowStepLimit(const Job &job, std::uint32_t step, std::uint32_t most,
+bool belowStepLimit(const Job &job, std::uint32_t step, std::uint32_t limit,
                     const std::string &agent)
 {
-    if (most == 0)
+    if (limit == 0)
         return true;
     const auto here = std::count_if(job.tasks.begin(), job.tasks.end(), [&](const Task &task) {
         return task.step == step && task.agent == agent && task.state != TaskState::Waiting
                 && task.state != TaskState::Done;
     });
-    return static_cast<std::uint32_t>(here) < most;
+    return static_cast<std::uint32_t>(here) < limit;
 }
 
-bool isAway(const SchedulerState &scheduler, const Agent &agent)
+bool isRemote(const SchedulerState &scheduler, const Agent &agent)
 {
     const std::string &here = scheduler.settings.dataCentre;
     return !here.empty() && agent.endpoint.dataCentre != here;
 }
 
-// What speaks against an endpoint in another data centre, on the scale of paces.
-double awayCost(const SchedulerState &scheduler, const Agent &agent)
+// Added cost of an endpoint in another data centre, on the scale of its slowdown.
+double remoteCost(const SchedulerState &scheduler, const Agent &agent)
 {
-    return isAway(scheduler, agent) ? scheduler.settings.awayPercent / 100.0 : 0;
+    return isRemote(scheduler, agent) ? scheduler.settings.remotePercent / 100.0 : 0;
 }
 
-// Smaller is better. Speed first, and the own data centre; then a little for endpoints that are
-// less full, since work of other entries goes where there is room too; and a little chance, so that
-// entries differ.
-double costOf(SchedulerState &scheduler, const Agent &agent, const jobs::Room &free,
+// Smaller is better. Speed and the entry's own data centre come first. Load counts a little, since
+// other entries also send their work where there is capacity, and so does chance, so that entries
+// make different choices.
+double costOf(SchedulerState &scheduler, const Agent &agent, const jobs::ResourceVector &free,
               const jobs::StepSpec &step, const Task &task)
 {
     constexpr double LoadWeight = 0.3;
-    constexpr double ChanceWeight = 0.1;
+    constexpr double RandomWeight = 0.1;
     std::uniform_real_distribution<double> chance(0, 1);
     if (scheduler.settings.placement == Placement::Random)
         return chance(scheduler.random);
@@ -93,29 +94,29 @@
                                              static_cast<double>(
                                                      agent.endpoint.capacity.milliCores));
     const double load = 1 - static_cast<double>(free.milliCores) / capacity;
-    if (scheduler.settings.placement == Placement::MostRoom || task.crashes > 0)
+    if (scheduler.settings.placement == Placement::MostFree || task.crashes > 0)
         return load;
-    const double pace = static_cast<double>(agent.endpoint.paceMille) / 1000;
-    const double far = hasLabel(agent, step.rack) ? 1 : scheduler.settings.farFactor;
-    return pace * far * (1 + LoadWeight * load) + awayCost(scheduler, agent)
-            + ChanceWeight * chance(scheduler.random);
+    const double slowdown = static_cast<double>(agent.endpoint.slowdownPermille) / 1000;
+    const double rackFactor = hasLabel(agent, step.rack) ? 1 : scheduler.settings.offRackFactor;
+    return slowdown * rackFactor * (1 + LoadWeight * load) + remoteCost(scheduler, agent)
+            + RandomWeight * chance(scheduler.random);
 }
 
-bool mayTake(const SchedulerState &scheduler, const Agent &agent)
+bool acceptsStarts(const SchedulerState &scheduler, const Agent &agent)
 {
-    return agent.welcomed && !agent.endpoint.leaving
-            && agent.pending.size() < agent.endpoint.mostStarts && !isCordoned(scheduler, agent);
+    return agent.accepted && !agent.endpoint.leaving
+            && agent.pending.size() < agent.endpoint.maxStarts && !isCordoned(scheduler, agent);
 }
 
-bool mayTakeTask(const SchedulerState &scheduler, const Agent &agent, const Job &job,
+bool acceptsTask(const SchedulerState &scheduler, const Agent &agent, const Job &job,
                  const Task &task, const std::string &id)
 {
     const jobs::StepSpec &step = job.spec.steps[task.step];
-    return mayTake(scheduler, agent) && suits(agent, job, step)
-            && belowStepLimit(job, task.step, step.mostPerEndpoint, id);
+    return acceptsStarts(scheduler, agent) && isSuitable(agent, job, step)
+            && belowStepLimit(job, task.step, step.maxPerEndpoint, id);
 }
 
-// The agents that are looked at.
+// The agents to examine.
 struct AgentRange
 {
     std::map<std::string, Agent>::iterator from;
@@ -125,24 +126,24 @@
     std::map<std::string, Agent>::iterator end() const { return to; }
 };
 
-// Where its room comes free soonest: by what is lacking against all that the endpoint has, and by
-// pace. Nothing if too much is lacking everywhere.
-Agent *chooseWait(SchedulerState &scheduler, const AgentRange &agents, const Job &job,
-                  const Task &task, Time now, std::string *name)
+// The agent where capacity for the task is likely to be free soonest: by the lacking part of the
+// endpoint's capacity, and by speed. Nothing if too much is lacking everywhere.
+Agent *chooseWaitAgent(SchedulerState &scheduler, const AgentRange &agents, const Job &job,
+                       const Task &task, Time now, std::string *name)
 {
-    const std::int64_t most = scheduler.settings.waitPercent;
-    constexpr double LackWeight = 5;
+    const std::int64_t maxShortfall = scheduler.settings.maxShortfallPercent;
+    constexpr double ShortfallWeight = 5;
     const jobs::StepSpec &step = job.spec.steps[task.step];
     Agent *best = nullptr;
     double bestCost = 0;
     for (auto &[id, agent] : agents) {
-        const std::int64_t lacks = step.room.milliCores - roomAt(agent).milliCores;
+        const std::int64_t shortfall = step.demand.milliCores - freeAt(agent).milliCores;
         const std::int64_t capacity = agent.endpoint.capacity.milliCores;
-        if (!mayTakeTask(scheduler, agent, job, task, id) || isAvoided(task, id)
-            || isQuiet(scheduler, agent, now) || lacks * 100 > capacity * most)
+        if (!acceptsTask(scheduler, agent, job, task, id) || isAvoided(task, id)
+            || isSuspect(scheduler, agent, now) || shortfall * 100 > capacity * maxShortfall)
             continue;
-        const double cost = static_cast<double>(agent.endpoint.paceMille) / 1000
-                + LackWeight * static_cast<double>(lacks)
+        const double cost = static_cast<double>(agent.endpoint.slowdownPermille) / 1000
+                + ShortfallWeight * static_cast<double>(shortfall)
                         / static_cast<double>(std::max<std::int64_t>(1, capacity));
         if (best && cost >= bestCost)
             continue;
@@ -162,10 +163,10 @@
     bool bestAvoided = false;
     for (auto &[id, agent] : agents) {
         ++scheduler.counters.endpointsTried;
-        const jobs::Room free = roomFor(scheduler, agent, job);
-        if (!jobs::fits(step.room, free) || !mayTakeTask(scheduler, agent, job, task, id))
+        const jobs::ResourceVector free = freeFor(scheduler, agent, job);
+        if (!jobs::fits(step.demand, free) || !acceptsTask(scheduler, agent, job, task, id))
             continue;
-        const bool avoided = isAvoided(task, id) || isQuiet(scheduler, agent, now);
+        const bool avoided = isAvoided(task, id) || isSuspect(scheduler, agent, now);
         const double cost = costOf(scheduler, agent, free, step, task);
         if (best && (avoided > bestAvoided || (avoided == bestAvoided && cost >= bestCost)))
             continue;
@@ -179,17 +180,17 @@
 
 } // namespace
 
-bool suits(const Agent &agent, const Job &job, const jobs::StepSpec &step)
+bool isSuitable(const Agent &agent, const Job &job, const jobs::StepSpec &step)
 {
-    return agent.endpoint.service == job.terms.service && hasLabel(agent, step.label)
-            && jobs::fits(step.room, agent.endpoint.capacity);
+    return agent.endpoint.service == job.options.service && hasLabel(agent, step.label)
+            && jobs::fits(step.demand, agent.endpoint.capacity);
 }
 
-// [SECTION] Placing
+// [SECTION] Placement
 
-bool isUnwanted(const Job &job, Time now)
+bool callerDeadlinePassed(const Job &job, Time now)
 {
-    return job.terms.patienceUntil && now >= *job.terms.patienceUntil;
+    return job.options.callerDeadline && now >= *job.options.callerDeadline;
 }
 
 namespace {
@@ -214,55 +215,55 @@
     message.job = job.spec.id;
     message.step = task.step;
     message.payload = job.spec.payload;
-    message.room = spec.room;
+    message.demand = spec.demand;
     message.estimate = task.expected;
     message.priority = job.queuedPriority;
-    message.mayWait = wait;
+    message.maxWait = wait;
     messages.emplace_back(agent, std::move(message));
     return messages.back().second;
 }
 
 // How long the job's starts may wait at an agent.
-Milliseconds waitFor(const SchedulerState &scheduler, const Job &job, Time now)
+Milliseconds allowedWait(const SchedulerState &scheduler, const Job &job, Time now)
 {
     const bool all = scheduler.settings.waitingQueues == WaitingQueues::AllButLeast;
-    const bool first = job.terms.priority < scheduler.leastUrgent
-            && (all || job.terms.priority <= scheduler.mostUrgent);
-    // What is late and has not begun is refused at the next tick, or waits on behind the rest.
+    const bool urgent = job.options.priority < scheduler.leastUrgent
+            && (all || job.options.priority <= scheduler.mostUrgent);
+    // A late job that has not begun is refused at the next tick, or waits behind all others.
     const bool late = scheduler.settings.refuseLate && now > job.onTimeUntil
             && certainlyNotBegun(job);
-    const bool beganLate = scheduler.settings.serveLate && job.firstPlacedAt > job.onTimeUntil;
-    if (scheduler.settings.waitPercent <= 0 || !first || late || beganLate
+    const bool startedLate = scheduler.settings.serveLate && job.firstPlacedAt > job.onTimeUntil;
+    if (scheduler.settings.maxShortfallPercent <= 0 || !urgent || late || startedLate
         || yields(scheduler, job))
         return Milliseconds(0);
-    constexpr Milliseconds Least { 10 };
-    const auto slack = std::chrono::duration_cast<Milliseconds>(job.latestBegin - now);
-    return std::clamp(slack, Least, scheduler.settings.mostWait);
+    constexpr Milliseconds MinWait { 10 };
+    const auto slack = std::chrono::duration_cast<Milliseconds>(job.latestStart - now);
+    return std::clamp(slack, MinWait, scheduler.settings.maxAgentWait);
 }
 
-// A run of the task is ordered at the agent.
-void notePlaced(SchedulerState &scheduler, Agent &agent, const std::string &name, Job &job,
-                Task &task, Time now)
+// A start of the task is sent to the agent.
+void recordPlaced(SchedulerState &scheduler, Agent &agent, const std::string &name, Job &job,
+                  Task &task, Time now)
 {
     task.state = TaskState::Placed;
     task.agent = name;
     task.placedAt = now;
-    task.stopAsked = false;
+    task.stopRequested = false;
     ++task.run;
     --job.waiting;
     ++job.outstanding;
     ++job.runs;
     ++scheduler.counters.starts;
-    agent.pending.push_back({ ++agent.startsSent, job.spec.steps[task.step].room });
-    agent.sentAt = now;
+    agent.pending.push_back({ ++agent.startsSent, job.spec.steps[task.step].demand });
+    agent.lastSentAt = now;
 }
 
-// Starts as many of the job's tasks as find room; true if none is left waiting.
+// Starts as many of the job's tasks as fit; true if no ready task is left waiting.
 bool placeJob(SchedulerState &scheduler, const AgentRange &agents, Job &job, Time now,
               SchedulerActions &actions)
 {
     std::vector<std::pair<std::string, jobs::StartTasks>> messages;
-    const Milliseconds wait = waitFor(scheduler, job, now);
+    const Milliseconds wait = allowedWait(scheduler, job, now);
     std::int64_t milliCores = 0;
     bool all = true;
     for (Task &task : job.tasks) {
@@ -270,22 +271,22 @@
             continue;
         std::string name;
         Agent *agent = chooseAgent(scheduler, agents, job, task, now, &name);
-        // What may crash an endpoint is not put where all room is taken.
+        // A task that may crash endpoints is not queued at a full one.
         if (!agent && wait.count() > 0 && task.crashes == 0)
-            agent = chooseWait(scheduler, agents, job, task, now, &name);
+            agent = chooseWaitAgent(scheduler, agents, job, task, now, &name);
         if (!agent) {
             all = false;
             break;
         }
-        notePlaced(scheduler, *agent, name, job, task, now);
-        milliCores += job.spec.steps[task.step].room.milliCores;
+        recordPlaced(scheduler, *agent, name, job, task, now);
+        milliCores += job.spec.steps[task.step].demand.milliCores;
         messageFor(messages, name, job, task, wait).starts.push_back({ task.index, task.run });
     }
     if (!messages.empty() && job.firstPlacedAt == Time {})
         job.firstPlacedAt = now;
     if (job.waiting == 0 && job.allPlacedAt == Time {})
         job.allPlacedAt = now;
-    noteLateStart(scheduler, job, milliCores, now);
+    recordLateStart(scheduler, job, milliCores, now);
     for (auto &[to, message] : messages)
         actions.sends.push_back({ to, std::move(message) });
     return all;
@@ -298,61 +299,61 @@
     });
 }
 
-// Work has found no room: agents that think otherwise are asked for news of theirs.
-void wantRoom(SchedulerState &scheduler, Time now, SchedulerActions &actions)
+// Work did not fit: asks agents that don't know of it yet for fresh updates.
+void requestUpdates(SchedulerState &scheduler, Time now, SchedulerActions &actions)
 {
-    scheduler.wantsRoomUntil = now + scheduler.settings.wantRoomFor;
+    scheduler.needsCapacityUntil = now + scheduler.settings.needsCapacityFor;
     for (auto &[name, agent] : scheduler.agents) {
-        if (agent.welcomed && !agent.toldWantsRoom)
-            beatAgent(scheduler, name, agent, now, actions);
+        if (agent.accepted && !agent.reportedNeed)
+            sendHeartbeat(scheduler, name, agent, now, actions);
     }
 }
 
-// Jobs that found no room while work was placed.
-struct PassedOver
+// Jobs that did not fit in this pass.
+struct UnplacedJobs
 {
     std::size_t others = 0;
 
-    // Late jobs that wait on
+    // Late jobs that keep waiting
     std::size_t late = 0;
 };
 
-// A late job that waits on takes no room while others wait for it that can be on time, and begins
-// only as a whole: begun in part, it would go before them.
-bool isKeptBack(const SchedulerState &scheduler, const Job &job, const PassedOver &passedOver,
+// A late job gets nothing while jobs that can be on time wait for capacity, and starts only as a
+// whole: once started in part, it would go before them.
+bool isHeldBack(const SchedulerState &scheduler, const Job &job, const UnplacedJobs &unplaced,
                 Time now)
 {
-    return passedOver.others > 0 || passedOver.late >= scheduler.settings.mostPassedOver
-            || !fitsWhole(scheduler, job, now);
+    return unplaced.others > 0 || unplaced.late >= scheduler.settings.maxUnplaced
+            || !fitsEntirely(scheduler, job, now);
 }
 
-bool waitsOn(const SchedulerState &scheduler, const Job &job)
+bool isWaitingLate(const SchedulerState &scheduler, const Job &job)
 {
-    return scheduler.settings.serveLate && job.group == Rank::Late;
+    return scheduler.settings.serveLate && job.group == QueueGroup::Late;
 }
 
 void placeAmong(SchedulerState &scheduler, const AgentRange &agents, Time now,
                 SchedulerActions &actions)
 {
-    PassedOver passedOver;
-    for (const QueueKey &key : sortOut(scheduler, now)) {
-        if (passedOver.others >= scheduler.settings.mostPassedOver)
+    UnplacedJobs unplaced;
+    for (const QueueKey &key : refreshQueue(scheduler, now)) {
+        if (unplaced.others >= scheduler.settings.maxUnplaced)
             break;
         Job &job = scheduler.jobs.at(key.number);
-        if (isUnwanted(job, now) || !hasReadyTask(job))
+        if (callerDeadlinePassed(job, now) || !hasReadyTask(job))
             continue;
-        if (waitsOn(scheduler, job) && isKeptBack(scheduler, job, passedOver, now)) {
-            ++passedOver.late;
+        if (isWaitingLate(scheduler, job) && isHeldBack(scheduler, job, unplaced, now)) {
+            ++unplaced.late;
             continue;
         }
         dequeue(scheduler, job);
         if (!placeJob(scheduler, agents, job, now, actions))
-            ++passedOver.others;
+            ++unplaced.others;
         enqueue(scheduler, job);
     }
-    scheduler.untried = false;
-    if (passedOver.others + passedOver.late > 0)
-        wantRoom(scheduler, now, actions);
+    scheduler.placementPending = false;
+    if (unplaced.others + unplaced.late > 0)
+        requestUpdates(scheduler, now, actions);
 }
 
 } // namespace
--- a/packages/scheduler/tests/admission_test.cpp
+++ b/packages/scheduler/tests/admission_test.cpp
@@ -1,9 +1,9 @@
 /*
-    Which jobs are taken in, and which are refused at once.
+    Which jobs are admitted, and which are refused at once.
 
     [SECTION] Admission
 */
-#include "bench.h"
+#include "fixture.h"
 
 namespace foxwing::scheduler {
 namespace {
@@ -14,7 +14,7 @@
 {
     const char *name;
     jobs::JobTraits traits;
-    std::int64_t taskCores;
+    std::int64_t taskMilliCores;
     std::optional<JobOutcome> outcome;
 };
 
@@ -23,18 +23,18 @@
 
 TEST_P(Admission, AnswersAtOnceWhatItCantServe)
 {
-    Bench bench({ 4000 });
-    bench.traits = GetParam().traits;
+    SchedulerFixture fixture({ 4000 });
+    fixture.traits = GetParam().traits;
     jobs::StepSpec step;
     step.tasks = 1;
-    step.room = { GetParam().taskCores, 10, 0 };
+    step.demand = { GetParam().taskMilliCores, 10, 0 };
     step.estimate = Milliseconds(100);
-    const SchedulerActions actions = bench.submit("job", { step });
+    const SchedulerActions actions = fixture.submit("job", { step });
     ASSERT_EQ(actions.answers.size(), GetParam().outcome ? 1U : 0U);
     if (GetParam().outcome) {
         EXPECT_EQ(actions.answers[0].outcome, *GetParam().outcome);
         EXPECT_FALSE(actions.answers[0].reason.empty());
-        EXPECT_TRUE(bench.scheduler.jobs.empty());
+        EXPECT_TRUE(fixture.scheduler.jobs.empty());
     }
 }
 
@@ -42,21 +42,23 @@
         Scheduler, Admission,
         testing::Values(
                 AdmissionCase { "BestEffort", { false, false, false, false }, 1000, {} },
-                AdmissionCase { "Kept", { true, false, false, false }, 1000, JobOutcome::NotRun },
+                AdmissionCase {
+                        "Durable", { true, false, false, false }, 1000, JobOutcome::NotRun },
                 AdmissionCase { "Gang", { false, true, false, false }, 1000, JobOutcome::NotRun },
                 AdmissionCase {
-                        "Lasting", { false, false, true, false }, 1000, JobOutcome::NotRun },
-                AdmissionCase { "Timed", { false, false, false, true }, 1000, JobOutcome::NotRun },
+                        "LongRunning", { false, false, true, false }, 1000, JobOutcome::NotRun },
+                AdmissionCase {
+                        "Recurring", { false, false, false, true }, 1000, JobOutcome::NotRun },
                 AdmissionCase {
                         "FitsNowhere", { false, false, false, false }, 5000, JobOutcome::Failed }),
         [](const auto &tested) { return tested.param.name; });
 
 TEST(SchedulerAdmission, RefusesWhatWouldWaitTooLong)
 {
-    Bench bench({ 1000 });
+    SchedulerFixture fixture({ 1000 });
     std::size_t refused = 0;
     for (int i = 0; i < 30; ++i) {
-        for (const JobAnswer &answer : bench.submit("job-" + std::to_string(i), 1).answers) {
+        for (const JobAnswer &answer : fixture.submit("job-" + std::to_string(i), 1).answers) {
             EXPECT_EQ(answer.outcome, JobOutcome::NotRun);
             EXPECT_GT(answer.retryAfter, Milliseconds(0));
             ++refused;
@@ -80,23 +82,23 @@
 class Arrivals : public testing::TestWithParam<ArrivalCase>
 { };
 
-// Of late 2500 thousandths of a core came free within 300 ms, and a job has 70 ms until it counts
-// as late: in twice that time room for one task comes free, and not for two.
-TEST_P(Arrivals, AreRefusedAtOnceIfTheRoomThatComesFreeIsTooLittle)
+// 2500 millicores were freed in the last 300 ms, and a job has 70 ms until it counts as late: in
+// twice that time, capacity for one task is freed and not for two.
+TEST_P(Arrivals, AreRefusedAtOnceIfTooLittleCapacityIsFreed)
 {
     SchedulerSettings settings;
-    settings.refuseAtArrivalPercent = GetParam().percent;
-    Bench bench({ 3000 }, settings);
-    bench.priority = 1;
-    bench.submit("running", 3);
-    bench.report("agent-0", { endOf("running", 0, 1, RunEnd::Done) }, 0);
-    bench.report("agent-0", { endOf("running", 1, 1, RunEnd::Done) }, 0);
-    bench.report("agent-0", { endOf("running", 2, 1, RunEnd::Done) }, 0);
-    bench.now += Milliseconds(55);
+    settings.maxWaitPercent = GetParam().percent;
+    SchedulerFixture fixture({ 3000 }, settings);
+    fixture.priority = 1;
+    fixture.submit("running", 3);
+    fixture.report("agent-0", { runReport("running", 0, 1, RunOutcome::Done) }, 0);
+    fixture.report("agent-0", { runReport("running", 1, 1, RunOutcome::Done) }, 0);
+    fixture.report("agent-0", { runReport("running", 2, 1, RunOutcome::Done) }, 0);
+    fixture.now += Milliseconds(55);
     for (int i = 0; i < GetParam().waiting; ++i)
-        bench.submit("waiting-" + std::to_string(i), 1);
-    bench.priority = GetParam().priority;
-    const SchedulerActions actions = bench.submit("job", 1);
+        fixture.submit("waiting-" + std::to_string(i), 1);
+    fixture.priority = GetParam().priority;
+    const SchedulerActions actions = fixture.submit("job", 1);
     ASSERT_EQ(actions.answers.size(), GetParam().refused ? 1U : 0U);
     if (GetParam().refused) {
         EXPECT_EQ(actions.answers[0].outcome, JobOutcome::NotRun);
@@ -113,44 +115,46 @@
                          [](const auto &tested) { return tested.param.name; });
 
 // A body of 256 KiB can name more tasks than there is memory for.
-TEST(SchedulerAdmission, RefusesMoreTasksThanAJobMayHaveBeforeItMakesThem)
+TEST(SchedulerAdmission, RefusesTooManyTasksBeforeCreatingThem)
 {
-    Bench bench({ 4000 });
+    SchedulerFixture fixture({ 4000 });
     jobs::StepSpec step;
     step.tasks = 100000;
-    step.room = { 1000, 10, 0 };
+    step.demand = { 1000, 10, 0 };
     step.estimate = Milliseconds(100);
-    const SchedulerActions actions = bench.submit("job", std::vector<jobs::StepSpec>(10000, step));
+    const SchedulerActions actions = fixture.submit("job",
+                                                    std::vector<jobs::StepSpec>(10000, step));
     ASSERT_EQ(actions.answers.size(), 1U);
     EXPECT_EQ(actions.answers[0].outcome, JobOutcome::NotRun);
 }
 
-TEST(SchedulerAdmission, TheSameIdJoinsTheJobThatIsAtWork)
+TEST(SchedulerAdmission, TheSameIdJoinsTheOpenJob)
 {
-    Bench bench({ 4000 });
-    bench.submit("job", 1);
-    const std::uint64_t first = bench.number;
-    EXPECT_EQ(startsIn(bench.submit("job", 1)), 0U);
-    EXPECT_EQ(bench.number, first);
+    SchedulerFixture fixture({ 4000 });
+    fixture.submit("job", 1);
+    const std::uint64_t first = fixture.number;
+    EXPECT_EQ(startsIn(fixture.submit("job", 1)), 0U);
+    EXPECT_EQ(fixture.number, first);
 }
 
 TEST(SchedulerAdmission, TheSameIdWaitsForTheRunsOfAnAbandonedJob)
 {
-    Bench bench({ 4000 });
-    bench.submit("job", 1);
-    EXPECT_EQ(stopsIn(abandon(bench.scheduler, bench.number, bench.now)), 1U);
-    EXPECT_EQ(startsIn(bench.submit("job", 1)), 0U);
-    EXPECT_EQ(startsIn(bench.report("agent-0", { endOf("job", 0, 1, RunEnd::Stopped) })), 1U);
+    SchedulerFixture fixture({ 4000 });
+    fixture.submit("job", 1);
+    EXPECT_EQ(stopsIn(abandon(fixture.scheduler, fixture.number, fixture.now)), 1U);
+    EXPECT_EQ(startsIn(fixture.submit("job", 1)), 0U);
+    EXPECT_EQ(startsIn(fixture.report("agent-0", { runReport("job", 0, 1, RunOutcome::Stopped) })),
+              1U);
 }
 
-// A chain of jobs of one id: the first is abandoned with its run on, each of the others goes before
-// that run is over.
+// Jobs of one id: the first is abandoned while its run goes on, and all but the last of the others
+// before that run is over.
 struct ChainCase
 {
     const char *name;
 
-    // Callers that come and go while the first job's run is on
-    int gone;
+    // Jobs submitted and abandoned during the first job's run
+    int abandoned;
 };
 
 std::ostream &operator<<(std::ostream &out, const ChainCase &tested)
@@ -161,22 +165,23 @@
 class Chains : public testing::TestWithParam<ChainCase>
 { };
 
-TEST_P(Chains, OfOneIdBeginOnlyAfterTheFirstOnesRuns)
+TEST_P(Chains, OfOneIdStartOnlyAfterTheFirstJobsRuns)
 {
-    Bench bench({ 4000 });
-    bench.submit("job", 1);
-    abandon(bench.scheduler, bench.number, bench.now);
-    for (int i = 0; i < GetParam().gone; ++i) {
-        EXPECT_EQ(startsIn(bench.submit("job", 1)), 0U);
-        abandon(bench.scheduler, bench.number, bench.now);
+    SchedulerFixture fixture({ 4000 });
+    fixture.submit("job", 1);
+    abandon(fixture.scheduler, fixture.number, fixture.now);
+    for (int i = 0; i < GetParam().abandoned; ++i) {
+        EXPECT_EQ(startsIn(fixture.submit("job", 1)), 0U);
+        abandon(fixture.scheduler, fixture.number, fixture.now);
     }
-    EXPECT_EQ(startsIn(bench.submit("job", 1)), 0U);
-    EXPECT_EQ(startsIn(bench.pass(Milliseconds(20))), 0U);
-    const SchedulerActions ended = bench.report("agent-0", { endOf("job", 0, 1, RunEnd::Stopped) });
+    EXPECT_EQ(startsIn(fixture.submit("job", 1)), 0U);
+    EXPECT_EQ(startsIn(fixture.advance(Milliseconds(20))), 0U);
+    const SchedulerActions ended = fixture.report("agent-0",
+                                                  { runReport("job", 0, 1, RunOutcome::Stopped) });
     EXPECT_EQ(startsIn(ended), 1U);
-    bench.report("agent-0", { endOf("job", 0, 1, RunEnd::Done) });
-    EXPECT_TRUE(bench.scheduler.jobs.empty());
-    EXPECT_TRUE(bench.scheduler.byId.empty());
+    fixture.report("agent-0", { runReport("job", 0, 1, RunOutcome::Done) });
+    EXPECT_TRUE(fixture.scheduler.jobs.empty());
+    EXPECT_TRUE(fixture.scheduler.byId.empty());
 }
 
 INSTANTIATE_TEST_SUITE_P(Scheduler, Chains,
@@ -185,55 +190,55 @@
                                          ChainCase { "ThreeBetween", 3 }),
                          [](const auto &tested) { return tested.param.name; });
 
-// A job of one task of 100 ms under these terms.
-SchedulerActions submitOne(Bench &bench, const JobTerms &terms)
+// A job of one task of 100 ms.
+SchedulerActions submitOne(SchedulerFixture &fixture, const JobOptions &options)
 {
     jobs::JobSpec spec;
     spec.id = "job";
-    spec.traits = bench.traits;
+    spec.traits = fixture.traits;
     jobs::StepSpec step;
     step.tasks = 1;
-    step.room = { 1000, 10, 0 };
+    step.demand = { 1000, 10, 0 };
     step.estimate = Milliseconds(100);
     spec.steps = { step };
-    return submit(bench.scheduler, spec, terms, bench.now, &bench.number);
+    return submit(fixture.scheduler, spec, options, fixture.now, &fixture.number);
 }
 
-// Room that comes free before the next tick, for a job that waits and whose caller waits for 100
-// ms.
-struct PatienceCase
+// Capacity is freed before the next tick, for a waiting job whose caller waits for 100 ms.
+struct DeadlineCase
 {
     const char *name;
     Milliseconds after;
     std::size_t starts;
 };
 
-std::ostream &operator<<(std::ostream &out, const PatienceCase &tested)
+std::ostream &operator<<(std::ostream &out, const DeadlineCase &tested)
 {
     return out << tested.name;
 }
 
-class Patience : public testing::TestWithParam<PatienceCase>
+class CallerDeadlines : public testing::TestWithParam<DeadlineCase>
 { };
 
-TEST_P(Patience, EndsTheTimeInWhichAJobIsPlaced)
+TEST_P(CallerDeadlines, EndPlacement)
 {
-    Bench bench({ 1000 });
-    bench.submit("first", 1);
-    JobTerms terms = bench.terms();
-    terms.patienceUntil = bench.now + Milliseconds(100);
-    EXPECT_EQ(startsIn(submitOne(bench, terms)), 0U);
-    bench.now += GetParam().after;
-    const SchedulerActions freed = bench.report("agent-0", { endOf("first", 0, 1, RunEnd::Done) });
-    EXPECT_EQ(startsIn(freed), GetParam().starts);
+    SchedulerFixture fixture({ 1000 });
+    fixture.submit("first", 1);
+    JobOptions options = fixture.options();
+    options.callerDeadline = fixture.now + Milliseconds(100);
+    EXPECT_EQ(startsIn(submitOne(fixture, options)), 0U);
+    fixture.now += GetParam().after;
+    const SchedulerActions actions = fixture.report("agent-0",
+                                                    { runReport("first", 0, 1, RunOutcome::Done) });
+    EXPECT_EQ(startsIn(actions), GetParam().starts);
 }
 
-INSTANTIATE_TEST_SUITE_P(Scheduler, Patience,
-                         testing::Values(PatienceCase { "InTime", Milliseconds(99), 1 },
-                                         PatienceCase { "Over", Milliseconds(100), 0 }),
+INSTANTIATE_TEST_SUITE_P(Scheduler, CallerDeadlines,
+                         testing::Values(DeadlineCase { "InTime", Milliseconds(99), 1 },
+                                         DeadlineCase { "Passed", Milliseconds(100), 0 }),
                          [](const auto &tested) { return tested.param.name; });
 
-// Calls that came while an entry did not know its queues yet. A job of 100 ms work has to begin
+// Calls that were held while an entry did not know its queues yet. A job of 100 ms has to start
 // within 120 ms of its call.
 struct HeldCase
 {
@@ -242,15 +247,15 @@
     bool starts;
 };
 
-class Held : public testing::TestWithParam<HeldCase>
+class HeldCalls : public testing::TestWithParam<HeldCase>
 { };
 
-TEST_P(Held, JobsCountFromTheirCall)
+TEST_P(HeldCalls, CountFromTheirArrival)
 {
-    Bench bench({ 4000 });
-    JobTerms terms = bench.terms();
-    terms.cameAt = bench.now - GetParam().held;
-    const SchedulerActions actions = submitOne(bench, terms);
+    SchedulerFixture fixture({ 4000 });
+    JobOptions options = fixture.options();
+    options.receivedAt = fixture.now - GetParam().held;
+    const SchedulerActions actions = submitOne(fixture, options);
     EXPECT_EQ(startsIn(actions), GetParam().starts ? 1U : 0U);
     ASSERT_EQ(actions.answers.size(), GetParam().starts ? 0U : 1U);
     if (!GetParam().starts) {
@@ -258,22 +263,22 @@
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(Scheduler, Held,
+INSTANTIATE_TEST_SUITE_P(Scheduler, HeldCalls,
                          testing::Values(HeldCase { "NotAtAll", Milliseconds(0), true },
                                          HeldCase { "Shortly", Milliseconds(120), true },
                                          HeldCase { "TooLong", Milliseconds(121), false }),
                          [](const auto &tested) { return tested.param.name; });
 
-// A queue that allows its jobs no more than their work: each is late from its first moment. It is
-// tried all the same, and a call that was on its way for a millisecond is not a held one.
+// A queue whose objective is the run time itself, so that each job is late from the start: jobs are
+// tried all the same, also after a millisecond on the way.
 TEST(HeldJob, OfAQueueWithoutSlackIsTried)
 {
-    Bench bench({ 4000 });
-    JobTerms terms = bench.terms();
-    terms.stretch = 1.0;
-    terms.targetLatency = Milliseconds(0);
-    terms.cameAt = bench.now - Milliseconds(1);
-    EXPECT_EQ(startsIn(submitOne(bench, terms)), 1U);
+    SchedulerFixture fixture({ 4000 });
+    JobOptions options = fixture.options();
+    options.stretch = 1.0;
+    options.targetLatency = Milliseconds(0);
+    options.receivedAt = fixture.now - Milliseconds(1);
+    EXPECT_EQ(startsIn(submitOne(fixture, options)), 1U);
 }
 
 } // namespace
--- a/packages/scheduler/tests/bench.h
+++ b/packages/scheduler/tests/fixture.h
@@ -1,11 +1,11 @@
 /*
-    What the scheduler's tests share: a scheduler with agents, a clock, and what its actions hold.
+    Test fixture of the scheduler: a scheduler with agents and a clock, and queries on its actions.
 
-        Bench bench({ 4000, 4000 });
-        const SchedulerActions actions = bench.submit("job", 3);
+        SchedulerFixture fixture({ 4000, 4000 });
+        const SchedulerActions actions = fixture.submit("job", 3);
         EXPECT_EQ(startsIn(actions), 3U);
 
-    [SECTION] Bench
+    [SECTION] Fixture
     [SECTION] Actions
 */
 #pragma once
@@ -16,45 +16,46 @@
 
 namespace foxwing::scheduler {
 
-using jobs::RefusedStart;
-using jobs::RunEnd;
+using jobs::RunOutcome;
+using jobs::StartRefusal;
 
-// [SECTION] Bench
+// [SECTION] Fixture
 
-inline jobs::EndpointView makeView(std::int64_t cores)
+inline jobs::EndpointView makeView(std::int64_t milliCores)
 {
     jobs::EndpointView view;
-    view.life = "life";
+    view.endpointIncarnation = "life";
     view.service = "align";
-    view.capacity = { cores, 10000, 0 };
+    view.capacity = { milliCores, 10000, 0 };
     view.free = view.capacity;
-    view.mostStarts = 1000;
+    view.maxStarts = 1000;
     return view;
 }
 
-struct Bench
+struct SchedulerFixture
 {
-    explicit Bench(const std::vector<std::int64_t> &cores, const SchedulerSettings &settings = {})
+    explicit SchedulerFixture(const std::vector<std::int64_t> &milliCores,
+                              const SchedulerSettings &settings = {})
         : scheduler(makeScheduler(settings))
     {
-        for (std::size_t i = 0; i < cores.size(); ++i)
-            welcome("agent-" + std::to_string(i), makeView(cores[i]));
+        for (std::size_t i = 0; i < milliCores.size(); ++i)
+            openSession("agent-" + std::to_string(i), makeView(milliCores[i]));
     }
 
-    SchedulerActions welcome(const std::string &name, const jobs::EndpointView &view)
+    SchedulerActions openSession(const std::string &name, const jobs::EndpointView &view)
     {
         agentConnected(scheduler, name, now);
-        jobs::Welcome message;
+        jobs::SessionAccepted message;
         message.endpoint = view;
-        return agentWelcomed(scheduler, name, message, now);
+        return agentAccepted(scheduler, name, message, now);
     }
 
-    // A job of one step of tasks that take 1000 thousandths of a core and 100 ms.
+    // A job of one step, whose tasks take 1000 millicores and 100 ms.
     SchedulerActions submit(const std::string &id, std::uint32_t tasks)
     {
         jobs::StepSpec step;
         step.tasks = tasks;
-        step.room = { 1000, 10, 0 };
+        step.demand = { 1000, 10, 0 };
         step.estimate = Milliseconds(100);
         return submit(id, { step });
     }
@@ -65,39 +66,39 @@
         spec.id = id;
         spec.steps = steps;
         spec.traits = traits;
-        return scheduler::submit(scheduler, spec, terms(), now, &number);
+        return scheduler::submit(scheduler, spec, options(), now, &number);
     }
 
-    JobTerms terms() const
+    JobOptions options() const
     {
-        JobTerms terms;
-        terms.queue = "queue";
-        terms.service = "align";
-        terms.attempts = 2;
-        terms.stretch = 1.6;
-        terms.priority = priority;
-        terms.targetLatency = Milliseconds(60);
-        terms.beginBy = now + Milliseconds(1500);
-        return terms;
+        JobOptions options;
+        options.queue = "queue";
+        options.service = "align";
+        options.maxAttempts = 2;
+        options.stretch = 1.6;
+        options.priority = priority;
+        options.targetLatency = Milliseconds(60);
+        options.startDeadline = now + Milliseconds(1500);
+        return options;
     }
 
-    // The agent has dealt with all starts, and tells this.
+    // An update by the agent that includes all starts sent to it.
     SchedulerActions report(const std::string &agent, const std::vector<jobs::RunReport> &ended,
                             std::int64_t free = 100000)
     {
         jobs::AgentUpdate update;
-        update.startsTaken = scheduler.agents.at(agent).startsSent;
+        update.startsHandled = scheduler.agents.at(agent).startsSent;
         update.free = { free, 10000, 0 };
-        update.mostStarts = 1000;
+        update.maxStarts = 1000;
         update.ended = ended;
         return agentUpdated(scheduler, agent, update, now);
     }
 
-    SchedulerActions pass(Milliseconds span)
+    SchedulerActions advance(Milliseconds duration)
     {
-        now += span;
+        now += duration;
         for (auto &[name, agent] : scheduler.agents)
-            agent.heardAt = now;
+            agent.lastReceivedAt = now;
         return tick(scheduler, now);
     }
 
@@ -130,8 +131,8 @@
     return count;
 }
 
-inline jobs::RunReport endOf(const std::string &job, std::uint32_t index, std::uint32_t run,
-                             RunEnd end, RefusedStart refused = RefusedStart::None)
+inline jobs::RunReport runReport(const std::string &job, std::uint32_t index, std::uint32_t run,
+                                 RunOutcome end, StartRefusal refused = StartRefusal::None)
 {
     return { { { job, 0, 0, index }, run }, end, refused, Milliseconds(100) };
 }
--- a/packages/scheduler/tests/order_test.cpp
+++ b/packages/scheduler/tests/order_test.cpp
@@ -1,9 +1,9 @@
 /*
-    Which waiting job goes next, and what decisions do not depend on.
+    Which waiting job goes next, and what decisions must not depend on.
 
     [SECTION] Order
 */
-#include "bench.h"
+#include "fixture.h"
 
 namespace foxwing::scheduler {
 namespace {
@@ -20,30 +20,30 @@
 class Orders : public testing::TestWithParam<OrderCase>
 { };
 
-// An early job with much time, and a later one with little.
+// An earlier job with much slack, and a later one with little.
 TEST_P(Orders, DecideWhichJobGoesNext)
 {
     SchedulerSettings settings;
     settings.order = GetParam().order;
-    Bench bench({ 1000 }, settings);
-    bench.submit("running", 1);
+    SchedulerFixture fixture({ 1000 }, settings);
+    fixture.submit("running", 1);
     jobs::StepSpec step;
     step.tasks = 1;
-    step.room = { 1000, 10, 0 };
+    step.demand = { 1000, 10, 0 };
     step.estimate = Milliseconds(200);
-    bench.submit("patient", { step });
-    bench.now += Milliseconds(5);
+    fixture.submit("patient", { step });
+    fixture.now += Milliseconds(5);
     step.estimate = Milliseconds(50);
-    bench.submit("urgent", { step });
-    const SchedulerActions actions = bench.report("agent-0",
-                                                  { endOf("running", 0, 1, RunEnd::Done) }, 1000);
+    fixture.submit("urgent", { step });
+    const SchedulerActions actions =
+            fixture.report("agent-0", { runReport("running", 0, 1, RunOutcome::Done) }, 1000);
     ASSERT_EQ(startsIn(actions), 1U);
     EXPECT_EQ(std::get<jobs::StartTasks>(actions.sends.at(0).message).job, GetParam().first);
 }
 
 INSTANTIATE_TEST_SUITE_P(Scheduler, Orders,
-                         testing::Values(OrderCase { "LatestBegin", Order::LatestBegin, "urgent" },
-                                         OrderCase { "Newest", Order::Newest, "urgent" },
+                         testing::Values(OrderCase { "LatestStart", Order::LatestStart, "urgent" },
+                                         OrderCase { "Newest", Order::NewestFirst, "urgent" },
                                          OrderCase { "Priority", Order::Priority, "urgent" },
                                          OrderCase { "LeastWork", Order::LeastWork, "urgent" },
                                          OrderCase { "FirstCome", Order::FirstCome, "patient" }),
@@ -59,18 +59,18 @@
 class Widths : public testing::TestWithParam<WidthCase>
 { };
 
-// A wide job came first, a narrow one with as much time after it; only one task finds room.
-TEST_P(Widths, CountWhereLeastWorkGoesFirst)
+// A wide job, and after it a narrow one with the same slack; only one task fits.
+TEST_P(Widths, MatterOnlyWithLeastWork)
 {
     SchedulerSettings settings;
     settings.order = GetParam().order;
-    Bench bench({ 1000 }, settings);
-    bench.submit("running", 1);
-    bench.submit("wide", 4);
-    bench.now += Milliseconds(1);
-    bench.submit("narrow", 1);
-    const SchedulerActions actions = bench.report("agent-0",
-                                                  { endOf("running", 0, 1, RunEnd::Done) }, 1000);
+    SchedulerFixture fixture({ 1000 }, settings);
+    fixture.submit("running", 1);
+    fixture.submit("wide", 4);
+    fixture.now += Milliseconds(1);
+    fixture.submit("narrow", 1);
+    const SchedulerActions actions =
+            fixture.report("agent-0", { runReport("running", 0, 1, RunOutcome::Done) }, 1000);
     ASSERT_EQ(startsIn(actions), 1U);
     EXPECT_EQ(std::get<jobs::StartTasks>(actions.sends.at(0).message).job, GetParam().first);
 }
@@ -80,18 +80,18 @@
                                          WidthCase { "LeastWork", Order::LeastWork, "narrow" }),
                          [](const auto &tested) { return tested.param.name; });
 
-TEST(SchedulerOrder, NamesAreReadBack)
+TEST(SchedulerOrder, NamesRoundTrip)
 {
-    for (const Order order :
-         { Order::LatestBegin, Order::Newest, Order::FirstCome, Order::Priority, Order::LeastWork })
-        EXPECT_EQ(orderNamed(toString(order)), order);
-    EXPECT_FALSE(orderNamed("sideways"));
-    for (const Placement placement : { Placement::Fastest, Placement::Random, Placement::MostRoom })
-        EXPECT_EQ(placementNamed(toString(placement)), placement);
-    EXPECT_FALSE(placementNamed("sideways"));
+    for (const Order order : { Order::LatestStart, Order::NewestFirst, Order::FirstCome,
+                               Order::Priority, Order::LeastWork })
+        EXPECT_EQ(parseOrder(toString(order)), order);
+    EXPECT_FALSE(parseOrder("sideways"));
+    for (const Placement placement : { Placement::Fastest, Placement::Random, Placement::MostFree })
+        EXPECT_EQ(parsePlacement(toString(placement)), placement);
+    EXPECT_FALSE(parsePlacement("sideways"));
 }
 
-// What a decision depends on: not on what queues, services, jobs and data centres are called.
+// Decisions must not depend on the names of queues, services, jobs and data centres.
 struct Names
 {
     const char *queue;
@@ -100,26 +100,26 @@
     const char *dataCentre;
 };
 
-class RenamedWorlds : public testing::TestWithParam<Names>
+class RenamedSetups : public testing::TestWithParam<Names>
 { };
 
-// A busy second of two queues on three endpoints that differ in pace: all starts, stops and
-// answers.
+// All starts, stops and answers in a second of load by two queues on three endpoints of different
+// speed.
 std::vector<std::string> decisionsUnder(const Names &names)
 {
     SchedulerState scheduler = makeScheduler({});
     Time now(Seconds(100));
     for (int i = 0; i < 3; ++i) {
-        jobs::Welcome welcome;
-        welcome.endpoint = makeView(4000);
-        welcome.endpoint.service = names.service;
-        welcome.endpoint.dataCentre = names.dataCentre;
-        welcome.endpoint.paceMille = 800 + 300 * static_cast<std::uint32_t>(i);
+        jobs::SessionAccepted accepted;
+        accepted.endpoint = makeView(4000);
+        accepted.endpoint.service = names.service;
+        accepted.endpoint.dataCentre = names.dataCentre;
+        accepted.endpoint.slowdownPermille = 800 + 300 * static_cast<std::uint32_t>(i);
         agentConnected(scheduler, "agent-" + std::to_string(i), now);
-        agentWelcomed(scheduler, "agent-" + std::to_string(i), welcome, now);
+        agentAccepted(scheduler, "agent-" + std::to_string(i), accepted, now);
     }
     std::vector<std::string> decisions;
-    const auto note = [&](const SchedulerActions &actions) {
+    const auto record = [&](const SchedulerActions &actions) {
         for (const AgentSend &send : actions.sends) {
             const auto *start = std::get_if<jobs::StartTasks>(&send.message);
             decisions.push_back(send.agent + " " + std::to_string(send.message.index()) + " "
@@ -133,63 +133,63 @@
         now += Milliseconds(10);
         jobs::StepSpec step;
         step.tasks = 1 + static_cast<std::uint32_t>(i % 5);
-        step.room = { 700, 10, 0 };
+        step.demand = { 700, 10, 0 };
         step.estimate = Milliseconds(50 + 17 * (i % 7));
         jobs::JobSpec spec;
         spec.id = names.job + std::to_string(i);
         spec.steps = { step };
-        JobTerms terms;
-        terms.queue = names.queue + std::to_string(i % 2);
-        terms.service = names.service;
-        terms.priority = static_cast<std::uint32_t>(i % 2);
-        terms.attempts = 2;
-        terms.stretch = 1.6;
-        terms.targetLatency = Milliseconds(60);
-        terms.beginBy = now + Milliseconds(1500);
+        JobOptions options;
+        options.queue = names.queue + std::to_string(i % 2);
+        options.service = names.service;
+        options.priority = static_cast<std::uint32_t>(i % 2);
+        options.maxAttempts = 2;
+        options.stretch = 1.6;
+        options.targetLatency = Milliseconds(60);
+        options.startDeadline = now + Milliseconds(1500);
         std::uint64_t number = 0;
-        note(submit(scheduler, spec, terms, now, &number));
+        record(submit(scheduler, spec, options, now, &number));
         for (auto &[name, agent] : scheduler.agents)
-            agent.heardAt = now;
+            agent.lastReceivedAt = now;
         jobs::AgentUpdate update;
         const std::string name = "agent-" + std::to_string(i % 3);
-        update.startsTaken = scheduler.agents.at(name).startsSent;
+        update.startsHandled = scheduler.agents.at(name).startsSent;
         update.free = { std::int64_t { 700 } * (i % 4), 10000, 0 };
-        update.mostStarts = 1000;
-        note(agentUpdated(scheduler, name, update, now));
-        note(tick(scheduler, now));
+        update.maxStarts = 1000;
+        record(agentUpdated(scheduler, name, update, now));
+        record(tick(scheduler, now));
     }
     return decisions;
 }
 
-TEST_P(RenamedWorlds, GiveTheSameDecisions)
+TEST_P(RenamedSetups, GiveTheSameDecisions)
 {
     const std::vector<std::string> decisions = decisionsUnder({ "queue", "align", "job", "north" });
     EXPECT_GT(decisions.size(), 100U);
     EXPECT_EQ(decisionsUnder(GetParam()), decisions);
 }
 
-INSTANTIATE_TEST_SUITE_P(Scheduler, RenamedWorlds,
+INSTANTIATE_TEST_SUITE_P(Scheduler, RenamedSetups,
                          testing::Values(Names { "zebra", "align", "job", "north" },
                                          Names { "queue", "tag", "job", "north" },
                                          Names { "queue", "align", "9f", "north" },
                                          Names { "queue", "align", "job", "a-very-long-name" }));
 
-// A queue's priority goes before how little time a job of another queue has.
-TEST(SchedulerOrder, PriorityGoesBeforeTheLatestBegin)
+// A more urgent priority comes before less slack.
+TEST(SchedulerOrder, PriorityGoesBeforeTheLatestStart)
 {
-    Bench bench({ 1000 });
-    bench.submit("running", 1);
+    SchedulerFixture fixture({ 1000 });
+    fixture.submit("running", 1);
     jobs::StepSpec step;
     step.tasks = 1;
-    step.room = { 1000, 10, 0 };
+    step.demand = { 1000, 10, 0 };
     step.estimate = Milliseconds(50);
-    bench.priority = 2;
-    bench.submit("pressing", { step });
+    fixture.priority = 2;
+    fixture.submit("pressing", { step });
     step.estimate = Milliseconds(200);
-    bench.priority = 0;
-    bench.submit("first-class", { step });
-    const SchedulerActions actions = bench.report("agent-0",
-                                                  { endOf("running", 0, 1, RunEnd::Done) }, 1000);
+    fixture.priority = 0;
+    fixture.submit("first-class", { step });
+    const SchedulerActions actions =
+            fixture.report("agent-0", { runReport("running", 0, 1, RunOutcome::Done) }, 1000);
     ASSERT_EQ(startsIn(actions), 1U);
     EXPECT_EQ(std::get<jobs::StartTasks>(actions.sends.at(0).message).job, "first-class");
 }
@@ -199,9 +199,9 @@
     const char *name;
     bool refuseLate;
 
-    // After the job came: 100 ms of work within 220 ms, so a latest begin at 120 ms and 50 ms of
-    // margin
-    Milliseconds waited;
+    // Since the job's arrival: 100 ms of work due within 220 ms, so a latest start at 120 ms, and a
+    // margin of 50 ms
+    Milliseconds waitedFor;
     bool refused;
 };
 
@@ -213,10 +213,10 @@
     SchedulerSettings settings;
     settings.refuseLate = GetParam().refuseLate;
     settings.marginPercent = 50;
-    Bench bench({ 1000 }, settings);
-    bench.submit("running", 1);
-    bench.submit("waiting", 1);
-    const SchedulerActions actions = bench.pass(GetParam().waited);
+    SchedulerFixture fixture({ 1000 }, settings);
+    fixture.submit("running", 1);
+    fixture.submit("waiting", 1);
+    const SchedulerActions actions = fixture.advance(GetParam().waitedFor);
     ASSERT_EQ(actions.answers.size(), GetParam().refused ? 1U : 0U);
     if (!GetParam().refused)
         return;
@@ -227,53 +227,54 @@
 INSTANTIATE_TEST_SUITE_P(Scheduler, LateJobs,
                          testing::Values(LateCase { "StillOnTime", true, Milliseconds(60), false },
                                          LateCase { "PastTheMargin", true, Milliseconds(75), true },
-                                         LateCase { "KeptWhereAsked", false, Milliseconds(75),
+                                         LateCase { "KeptIfConfigured", false, Milliseconds(75),
                                                     false }),
                          [](const auto &tested) { return tested.param.name; });
 
-// Jobs of a queue that take twice what callers guess have half of the time that the guess leaves.
-TEST(SchedulerOrder, ObjectivesFollowWhatTheQueuesJobsShowed)
+// If a queue's jobs take twice their estimates, the expected time follows and leaves less slack.
+TEST(SchedulerOrder, ObjectivesFollowTheQueuesPastJobs)
 {
-    Bench bench({ 100000 });
+    SchedulerFixture fixture({ 100000 });
     for (int i = 0; i < 300; ++i) {
         const std::string id = "past-" + std::to_string(i);
-        bench.submit(id, 1);
-        jobs::RunReport report = endOf(id, 0, 1, RunEnd::Done);
-        report.took = Milliseconds(200);
-        bench.report("agent-0", { report });
+        fixture.submit(id, 1);
+        jobs::RunReport report = runReport(id, 0, 1, RunOutcome::Done);
+        report.duration = Milliseconds(200);
+        fixture.report("agent-0", { report });
     }
-    bench.submit("next", 1);
-    const Job &job = bench.scheduler.jobs.at(bench.number);
-    EXPECT_EQ(job.guessed, Milliseconds(100));
+    fixture.submit("next", 1);
+    const Job &job = fixture.scheduler.jobs.at(fixture.number);
+    EXPECT_EQ(job.estimated, Milliseconds(100));
     EXPECT_NEAR(static_cast<double>(job.expected.count()), 200, 15);
     EXPECT_EQ(job.tasks.at(0).expected, job.expected);
 }
 
-TEST(SchedulerOrder, QueuesThatAreDeclaredNoMoreAreForgotten)
+TEST(SchedulerOrder, UndeclaredQueuesAreForgotten)
 {
-    Bench bench({ 100000 });
-    bench.submit("job", 1);
-    jobs::RunReport report = endOf("job", 0, 1, RunEnd::Done);
-    report.took = Milliseconds(200);
-    bench.report("agent-0", { report });
-    keepQueues(bench.scheduler, { "queue" });
-    EXPECT_EQ(bench.scheduler.runTimes.size(), 1U);
-    keepQueues(bench.scheduler, { "another" });
-    EXPECT_TRUE(bench.scheduler.runTimes.empty());
+    SchedulerFixture fixture({ 100000 });
+    fixture.submit("job", 1);
+    jobs::RunReport report = runReport("job", 0, 1, RunOutcome::Done);
+    report.duration = Milliseconds(200);
+    fixture.report("agent-0", { report });
+    retainQueues(fixture.scheduler, { "queue" });
+    EXPECT_EQ(fixture.scheduler.runTimeModels.size(), 1U);
+    retainQueues(fixture.scheduler, { "another" });
+    EXPECT_TRUE(fixture.scheduler.runTimeModels.empty());
 }
 
-TEST(SchedulerOrder, AJobThatHasBegunGoesBeforeAMoreUrgentOne)
+TEST(SchedulerOrder, AStartedJobGoesBeforeAMoreUrgentOne)
 {
-    Bench bench({ 1000 });
+    SchedulerFixture fixture({ 1000 });
     jobs::StepSpec step;
     step.tasks = 2;
-    step.room = { 1000, 10, 0 };
+    step.demand = { 1000, 10, 0 };
     step.estimate = Milliseconds(200);
-    bench.submit("begun", { step });
+    fixture.submit("begun", { step });
     step.estimate = Milliseconds(20);
-    bench.submit("urgent", { step });
-    const SchedulerActions actions = bench.report("agent-0", { endOf("begun", 0, 1, RunEnd::Done) },
-                                                  1000);
+    fixture.submit("urgent", { step });
+    const SchedulerActions actions = fixture.report("agent-0",
+                                                    { runReport("begun", 0, 1, RunOutcome::Done) },
+                                                    1000);
     ASSERT_EQ(startsIn(actions), 1U);
     EXPECT_EQ(std::get<jobs::StartTasks>(actions.sends.at(0).message).job, "begun");
 }
--- a/packages/settings/include/foxwing/settings/tomlreader.h
+++ b/packages/settings/include/foxwing/settings/tomlreader.h
@@ -1,5 +1,10 @@
 /*
-    Reads tables of a TOML document and remembers what nobody asked for.
+    Typed access to the tables of a TOML document. Keys that were never read are reported as errors.
+
+        TomlReader root(std::move(document), path, &reason);
+        root.text("name", name);
+        if (!root.finish())
+            ...
 
     [SECTION] Reader
 */
@@ -17,57 +22,58 @@
 
 // [SECTION] Reader
 
-// One table. The first thing that is wrong is stored in reason and ends all further reading.
+// Reads one table. The first error is stored in the reason; nothing is read after it. Values of
+// absent keys stay as they are.
 class TomlReader
 {
 public:
     TomlReader(toml::table document, std::string path, Error *reason);
 
     void text(const char *key, std::string &value);
-    void flag(const char *key, bool &value);
-    void number(const char *key, double &value, double least, double most);
+    void boolean(const char *key, bool &value);
+    void number(const char *key, double &value, double min, double max);
 
-    // Spans are strings with a unit: "250ms", "3s", "5min".
-    void span(const char *key, Milliseconds &value);
-    void span(const char *key, Seconds &value);
+    // Durations are strings with a unit: "250ms", "3s", "5min".
+    void duration(const char *key, Milliseconds &value);
+    void duration(const char *key, Seconds &value);
     void list(const char *key, std::vector<std::string> &values);
 
     template<class Number>
-    void whole(const char *key, Number &value, std::int64_t least, std::int64_t most)
+    void integer(const char *key, Number &value, std::int64_t min, std::int64_t max)
     {
         std::int64_t read = static_cast<std::int64_t>(value);
-        readWhole(key, read, least, most);
+        readInteger(key, read, min, max);
         value = static_cast<Number>(read);
     }
 
-    // A table inside this one; empty if it is not there.
+    // A table inside this one; empty if absent.
     TomlReader table(const char *key);
     std::vector<TomlReader> tables(const char *key);
 
-    // The present key's value is wrong.
-    void refuse(const char *key, const std::string &what);
+    // Reports an error at the key, or at the table if the key is absent.
+    void refuse(const char *key, const std::string &problem);
 
-    // Fails if something of the table was not asked for. True if all is well.
+    // Reports an error if the table has keys that were never read. False if there was any error.
     bool finish();
 
     bool ok() const;
 
 private:
-    const toml::node *take(const char *key);
-    void readWhole(const char *key, std::int64_t &value, std::int64_t least, std::int64_t most);
-    void refuseAt(const toml::source_region &where, const std::string &key,
-                  const std::string &what);
+    const toml::node *findNode(const char *key);
+    void readInteger(const char *key, std::int64_t &value, std::int64_t min, std::int64_t max);
+    void refuseAt(const toml::source_region &region, const std::string &key,
+                  const std::string &problem);
 
     TomlReader(std::shared_ptr<const toml::table> document, const toml::table *table,
                std::string path, std::string prefix, Error *reason);
 
-    // The whole document is kept: copies of its parts would not know their lines any more.
+    // Keeps the document alive; copies of its tables would lose their line numbers.
     std::shared_ptr<const toml::table> m_document;
     const toml::table *m_table;
     std::string m_path;
     std::string m_prefix;
     Error *m_reason;
-    std::vector<std::string> m_asked;
+    std::vector<std::string> m_readKeys;
 };
 
 } // namespace foxwing::settings
--- a/packages/settings/src/settings.cpp
+++ b/packages/settings/src/settings.cpp
@@ -1,5 +1,5 @@
 /*
-    The tables of the settings file, and how they must fit together.
+    Reads the tables of the settings file and checks them, each and against each other.
 
     [SECTION] Tables
     [SECTION] Checks across tables
@@ -18,14 +18,14 @@
 
 // [SECTION] Tables
 
-constexpr int HighestPort = 65535;
+constexpr int MaxPort = 65535;
 
-// Three or five, and one more while it replaces another.
-constexpr std::size_t MostControlHosts = 6;
-constexpr std::int64_t MostBytes = std::int64_t { 1 } << 40;
-constexpr std::int64_t MostCount = 100000000;
+// One, three or five, and one more during a replacement.
+constexpr std::size_t MaxControlHosts = 6;
+constexpr std::int64_t MaxBytes = std::int64_t { 1 } << 40;
+constexpr std::int64_t MaxCount = 100000000;
 
-// "10.0.0.1:7100"; the host must be an IPv4 number.
+// Parses "10.0.0.1:7100"; the host must be an IPv4 address.
 std::optional<Address> parseAddress(const std::string &text)
 {
     const std::size_t colon = text.rfind(':');
@@ -35,12 +35,12 @@
     address.host = text.substr(0, colon);
     const std::string port = text.substr(colon + 1);
     const bool digits = port.find_first_not_of("0123456789") == std::string::npos;
-    const bool number = address.host.find_first_not_of("0123456789.") == std::string::npos
+    const bool isIPv4 = address.host.find_first_not_of("0123456789.") == std::string::npos
             && std::count(address.host.begin(), address.host.end(), '.') == 3;
-    if (!digits || !number)
+    if (!digits || !isIPv4)
         return std::nullopt;
     address.port = std::stoi(port);
-    return address.port <= HighestPort ? std::optional<Address>(address) : std::nullopt;
+    return address.port <= MaxPort ? std::optional<Address>(address) : std::nullopt;
 }
 
 void readAddress(TomlReader &table, const char *key, Address &address)
@@ -51,7 +51,7 @@
     if (read)
         address = *read;
     else
-        table.refuse(key, "must be an IPv4 number and a port, such as \"10.0.0.1:7100\"");
+        table.refuse(key, "must be an IPv4 address and a port, such as \"10.0.0.1:7100\"");
 }
 
 void readNode(TomlReader table, NodeSettings &node)
@@ -69,10 +69,10 @@
         else if (role == "agent")
             node.agent = true;
         else
-            table.refuse("roles", "knows control, entry and agent, not \"" + role + "\"");
+            table.refuse("roles", "accepts control, entry and agent, not \"" + role + "\"");
     }
     if (node.id.empty() || node.id.find_first_of("/@ \t") != std::string::npos)
-        table.refuse("id", "must be set, unique in the cluster, and without blanks and slashes");
+        table.refuse("id", "must be set, unique in the cluster, and without blanks, slashes and @");
     if (roles.empty())
         table.refuse("roles", "must name at least one of control, entry and agent");
     table.finish();
@@ -84,7 +84,7 @@
     readAddress(table, "outer", listen.outer);
     table.text("certificate_file", listen.certificateFile);
     table.text("key_file", listen.keyFile);
-    table.whole("most_body_bytes", listen.mostBodyBytes, 1024, MostBytes);
+    table.integer("most_body_bytes", listen.maxBodyBytes, 1024, MaxBytes);
     if (listen.certificateFile.empty() != listen.keyFile.empty())
         table.refuse("certificate_file", "and \"listen.key_file\" go together; set both or none");
     table.finish();
@@ -93,18 +93,18 @@
 void readCluster(TomlReader table, ClusterSettings &cluster)
 {
     table.text("secret", cluster.secret);
-    table.span("beat_interval", cluster.beatInterval);
+    table.duration("beat_interval", cluster.heartbeatInterval);
     for (TomlReader &peer : table.tables("control")) {
         Peer host;
         peer.text("id", host.id);
         peer.text("address", host.address);
         if (!parseAddress(host.address))
-            peer.refuse("address", "must be an IPv4 number and a port, such as \"10.0.0.1:7100\"");
+            peer.refuse("address", "must be an IPv4 address and a port, such as \"10.0.0.1:7100\"");
         peer.finish();
         cluster.control.push_back(host);
     }
     if (cluster.secret.size() < 16)
-        table.refuse("secret", "must have at least 16 characters; make one with: foxwing token");
+        table.refuse("secret", "must have at least 16 characters; create one with: foxwing token");
     if (cluster.control.empty())
         table.refuse("control",
                      "must name the control hosts, each as [[cluster.control]] with id "
@@ -117,23 +117,23 @@
     agent::AgentSettings &agent = settings.agent;
     table.text("endpoint", settings.endpoint.url);
     table.text("service", agent.service);
-    table.whole("slots", agent.slots, 1, 10000);
-    table.whole("connections", settings.endpoint.connections, 1, 10000);
-    table.span("stop_grace", settings.endpoint.stopGrace);
-    table.span("lease_span", agent.leaseSpan);
-    table.span("offer_interval", agent.offerInterval);
-    table.span("retention", agent.retention);
-    table.span("settled_span", agent.settledSpan);
-    table.whole("unsettled_bytes", agent.unsettledBytes, 1024, MostBytes);
-    table.whole("settled_bytes", agent.settledBytes, 0, MostBytes);
+    table.integer("slots", agent.slots, 1, 10000);
+    table.integer("connections", settings.endpoint.connections, 1, 10000);
+    table.duration("stop_grace", settings.endpoint.stopGrace);
+    table.duration("lease_span", agent.leaseDuration);
+    table.duration("offer_interval", agent.offerInterval);
+    table.duration("retention", agent.retention);
+    table.duration("settled_span", agent.settledRetention);
+    table.integer("unsettled_bytes", agent.unsettledBytes, 1024, MaxBytes);
+    table.integer("settled_bytes", agent.settledBytes, 0, MaxBytes);
     if (settings.node.agent && agent.service.empty())
         table.refuse("service", "must name the service of the endpoint");
     if (settings.node.agent && settings.endpoint.url.compare(0, 4, "http") != 0)
         table.refuse("endpoint",
                      "must be the endpoint's address, such as \"http://10.0.0.9:9000\"");
-    if (agent.offerInterval * 3 > agent.leaseSpan)
+    if (agent.offerInterval * 3 > agent.leaseDuration)
         table.refuse("offer_interval", "must be at most a third of \"agent.lease_span\"");
-    if (agent.retention <= agent.settledSpan)
+    if (agent.retention <= agent.settledRetention)
         table.refuse("retention", "must be longer than \"agent.settled_span\"");
     if (settings.endpoint.connections < agent.slots)
         table.refuse("connections", "must be at least \"agent.slots\": each running task has one");
@@ -145,26 +145,26 @@
     dispatch::DispatchSettings &dispatch = settings.entry.dispatch;
     claims::ClaimSettings &claims = settings.entry.claims;
     std::string order = "fair";
-    table.span("lease_span", dispatch.leaseSpan);
-    table.span("lost_after", dispatch.lostAfter);
-    table.span("verify_after", dispatch.verifyAfter);
-    table.span("answer_retention", dispatch.answerRetention);
-    table.whole("answer_bytes", dispatch.answerBytes, 1024, MostBytes);
-    table.whole("queue_bound", dispatch.queueBound, 1, MostCount);
-    table.number("retry_share", dispatch.retryShare, 0, 1);
-    table.span("pass_over_bound", dispatch.queue.passOverBound);
+    table.duration("lease_span", dispatch.leaseDuration);
+    table.duration("lost_after", dispatch.workerTimeout);
+    table.duration("verify_after", dispatch.verifyInterval);
+    table.duration("answer_retention", dispatch.answerRetention);
+    table.integer("answer_bytes", dispatch.maxAnswerBytes, 1024, MaxBytes);
+    table.integer("queue_bound", dispatch.maxQueuedTasks, 1, MaxCount);
+    table.number("retry_share", dispatch.retryRatio, 0, 1);
+    table.duration("pass_over_bound", dispatch.queue.starvationLimit);
     table.text("order", order);
-    table.span("claim_retention", claims.retention);
-    table.span("clock_skew", claims.clockSkew);
-    table.span("master_lease", claims.masterLease);
-    table.span("configuration_lease", settings.entry.configurationLease);
-    table.whole("most_waiters", settings.entry.mostWaiters, 1, MostCount);
-    table.span("drain_notice", settings.drainNotice);
+    table.duration("claim_retention", claims.retention);
+    table.duration("clock_skew", claims.clockSkew);
+    table.duration("master_lease", claims.controlLease);
+    table.duration("configuration_lease", settings.entry.configurationLease);
+    table.integer("most_waiters", settings.entry.maxWaiters, 1, MaxCount);
+    table.duration("drain_notice", settings.drainDelay);
     if (order == "first-come")
         dispatch.queue.order = dispatch::QueueOrder::FirstCome;
     else if (order != "fair")
         table.refuse("order", "must be \"fair\" or \"first-come\"");
-    if (dispatch.lostAfter <= dispatch.leaseSpan)
+    if (dispatch.workerTimeout <= dispatch.leaseDuration)
         table.refuse("lost_after", "must be longer than \"entry.lease_span\"");
     if (dispatch.answerRetention >= claims.retention)
         table.refuse("answer_retention", "must be shorter than \"entry.claim_retention\"");
@@ -173,18 +173,18 @@
 
 void readControl(TomlReader table, Settings &settings)
 {
-    table.span("dead_after", settings.control.deadAfter);
-    table.whole("claim_replicas", settings.control.replicaCount, 1, 5);
-    table.span("journal_added_delay", settings.journal.addedDelay);
-    table.whole("snapshot_every", settings.journal.snapshotEvery, 10, MostCount);
-    table.flag("bootstrap", settings.bootstrap);
+    table.duration("dead_after", settings.control.nodeTimeout);
+    table.integer("claim_replicas", settings.control.replicaCount, 1, 5);
+    table.duration("journal_added_delay", settings.journal.addedDelay);
+    table.integer("snapshot_every", settings.journal.snapshotEvery, 10, MaxCount);
+    table.boolean("bootstrap", settings.bootstrap);
     table.text("operator_salt", settings.operators.salt);
     table.text("operator_token_hash", settings.operators.tokenHash);
     if (settings.node.control && settings.operators.tokenHash.size() != 64)
         table.refuse("operator_token_hash",
                      "and \"control.operator_salt\" must be as printed by: "
                      "foxwing token");
-    if (settings.control.deadAfter <= settings.entry.claims.masterLease)
+    if (settings.control.nodeTimeout <= settings.entry.claims.controlLease)
         table.refuse("dead_after",
                      "must be longer than \"entry.master_lease\": an entry must stop "
                      "granting claims before control replaces it");
@@ -211,27 +211,28 @@
         root.refuse("node", "needs \"data_centre\"");
     if (settings.listen.inner.port == settings.listen.outer.port && settings.listen.inner.port != 0)
         root.refuse("listen", "needs different ports for \"inner\" and \"outer\"");
-    const bool named = std::any_of(settings.cluster.control.begin(), settings.cluster.control.end(),
-                                   [&](const Peer &peer) { return peer.id == node.id; });
-    if (node.control && !named)
+    const bool isListed = std::any_of(settings.cluster.control.begin(),
+                                      settings.cluster.control.end(),
+                                      [&](const Peer &peer) { return peer.id == node.id; });
+    if (node.control && !isListed)
         root.refuse("cluster",
                     "must name this node under [[cluster.control]], since it has the "
                     "role control");
-    if (!node.control && named)
+    if (!node.control && isListed)
         root.refuse("cluster",
                     "names this node under [[cluster.control]], but \"node.roles\" lacks "
                     "control");
     const std::size_t hosts = settings.cluster.control.size();
-    if (hosts > MostControlHosts)
+    if (hosts > MaxControlHosts)
         root.refuse("cluster", "names more than six control hosts; use one, three or five");
     if (settings.bootstrap && hosts % 2 == 0)
         root.refuse("cluster",
-                    "names an even number of control hosts; begin with one, three or "
-                    "five: an even number tolerates no more failures than one fewer");
+                    "names an even number of control hosts; use one, three or "
+                    "five: an even number tolerates no more failures than one host less");
 }
 
-// What several slices must agree on is set in one place.
-void shareIdentity(Settings &settings)
+// Copies values that several parts of the settings must agree on.
+void copySharedValues(Settings &settings)
 {
     const NodeSettings &node = settings.node;
     settings.agent.id = node.id;
@@ -244,7 +245,7 @@
     settings.control.self = node.id;
     settings.control.configurationLease = settings.entry.configurationLease;
     settings.control.clockSkew = settings.entry.claims.clockSkew;
-    settings.control.agentMemory = settings.agent.retention;
+    settings.control.agentRetention = settings.agent.retention;
 }
 
 } // namespace
@@ -267,11 +268,11 @@
     readEntry(root.table("entry"), settings);
     readControl(root.table("control"), settings);
     readLog(root.table("log"), settings);
-    root.span("drain_span", settings.drainSpan);
+    root.duration("drain_span", settings.drainTimeout);
     checkRoles(root, settings);
     if (!root.finish())
         return std::nullopt;
-    shareIdentity(settings);
+    copySharedValues(settings);
     return settings;
 }
 
--- a/packages/wire/src/rpcserver.cpp
+++ b/packages/wire/src/rpcserver.cpp
@@ -1,5 +1,5 @@
 /*
-    The epoll connector and the one procedure behind it.
+    The epoll connector and the "deliver" procedure.
 
     [SECTION] Connector
     [SECTION] Procedures
@@ -18,7 +18,7 @@
 
 // [SECTION] Connector
 
-// What has arrived of one call's body.
+// The part of a request body that has been received.
 struct Body
 {
     std::string text;
@@ -44,8 +44,8 @@
         m_daemon = MHD_start_daemon(flags, 0, nullptr, nullptr, &EpollConnector::onRequest, this,
                                     MHD_OPTION_SOCK_ADDR, &address, MHD_OPTION_THREAD_POOL_SIZE,
                                     m_settings.threads, MHD_OPTION_CONNECTION_LIMIT,
-                                    m_settings.connectionLimit, MHD_OPTION_CONNECTION_TIMEOUT,
-                                    m_settings.idleSeconds, MHD_OPTION_NOTIFY_COMPLETED,
+                                    m_settings.maxConnections, MHD_OPTION_CONNECTION_TIMEOUT,
+                                    m_settings.idleTimeoutSeconds, MHD_OPTION_NOTIFY_COMPLETED,
                                     &EpollConnector::onCompleted, nullptr,
                                     MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U, MHD_OPTION_END);
         return m_daemon != nullptr;
@@ -57,7 +57,7 @@
         return true;
     }
 
-    // The answer is queued by onRequest() itself, so nothing comes through here.
+    // Not used: onRequest() queues the response itself.
     bool SendResponse(const std::string &, void *) override { return false; }
 
     int port() const
@@ -74,8 +74,8 @@
         m_daemon = nullptr;
     }
 
-    static MHD_Result answer(MHD_Connection *connection, unsigned int status,
-                             const std::string &text)
+    static MHD_Result respond(MHD_Connection *connection, unsigned int status,
+                              const std::string &text)
     {
         MHD_Response *response = MHD_create_response_from_buffer(text.size(),
                                                                  const_cast<char *>(text.data()),
@@ -90,14 +90,14 @@
                        std::size_t *size) const
     {
         if (*size > 0) {
-            body.tooLarge = body.tooLarge || body.text.size() + *size > m_settings.mostBodyBytes;
+            body.tooLarge = body.tooLarge || body.text.size() + *size > m_settings.maxBodyBytes;
             if (!body.tooLarge)
                 body.text.append(data, *size);
             *size = 0;
             return MHD_YES;
         }
         if (body.tooLarge)
-            return answer(connection, MHD_HTTP_CONTENT_TOO_LARGE, {});
+            return respond(connection, MHD_HTTP_CONTENT_TOO_LARGE, {});
         return call(connection, body.text);
     }
 
@@ -109,9 +109,9 @@
         try {
             procedures->HandleRequest(request, response);
         } catch (const std::exception &) {
-            return answer(connection, MHD_HTTP_BAD_REQUEST, {});
+            return respond(connection, MHD_HTTP_BAD_REQUEST, {});
         }
-        return answer(connection, MHD_HTTP_OK, response);
+        return respond(connection, MHD_HTTP_OK, response);
     }
 
     static MHD_Result onRequest(void *self, MHD_Connection *connection, const char *,
@@ -124,7 +124,7 @@
             return MHD_YES;
         }
         if (std::string(method) != "POST")
-            return answer(connection, MHD_HTTP_METHOD_NOT_ALLOWED, {});
+            return respond(connection, MHD_HTTP_METHOD_NOT_ALLOWED, {});
         return connector->receive(connection, *static_cast<Body *>(*context), data, size);
     }
 
@@ -184,12 +184,12 @@
     Impl(const RpcServerSettings &settings, Receiver receiver)
         : connector(settings)
         , server(connector, settings.secret, std::move(receiver))
-        , where(settings.host + ":" + std::to_string(settings.port))
+        , listenAddress(settings.host + ":" + std::to_string(settings.port))
     { }
 
     EpollConnector connector;
     DeliveryServer server;
-    std::string where;
+    std::string listenAddress;
 };
 
 RpcServer::RpcServer(const RpcServerSettings &settings, Receiver receiver)
@@ -203,8 +203,8 @@
     if (m_impl->server.StartListening())
         return true;
     fail(reason, ErrorKind::Unavailable,
-         "can't listen on " + m_impl->where
-                 + "; give an IPv4 number of this host and a port that nobody uses");
+         "can't listen on " + m_impl->listenAddress
+                 + "; use an IPv4 address of this host and a free port");
     return false;
 }
 
