--- a/packages/wire/src/lanes.cpp
+++ b/packages/wire/src/senderpool.cpp
@@ -1,10 +1,10 @@
 /*
-    The threads that send.
+    The sending threads and the queue of peers that they serve.
 
     [SECTION] Peers
     [SECTION] Pool
 */
-#include <foxwing/wire/lanes.h>
+#include <foxwing/wire/senderpool.h>
 
 #include <algorithm>
 #include <condition_variable>
@@ -28,25 +28,25 @@
 struct Peer
 {
     std::string address;
-    std::vector<Json::Value> waiting;
+    std::vector<Json::Value> queued;
     std::unique_ptr<RpcClient> client;
 
-    // In the queue of peers, or with a thread.
+    // In the ready queue, or being served by a thread.
     bool scheduled = false;
 
-    // Left alone until then.
-    Time quietUntil {};
-    Milliseconds pause { 0 };
+    // Not called before then.
+    Time backoffUntil {};
+    Milliseconds backoff { 0 };
 };
 
 } // namespace
 
 // [SECTION] Pool
 
-class LanePool::Impl
+class SenderPool::Impl
 {
 public:
-    Impl(const LaneSettings &settings, FailureReceiver onFailure)
+    Impl(const SenderSettings &settings, FailureHandler onFailure)
         : m_settings(settings)
         , m_onFailure(std::move(onFailure))
     {
@@ -68,31 +68,31 @@
 
     void send(const std::string &address, Json::Value &&message)
     {
-        std::vector<Json::Value> lost;
+        std::vector<Json::Value> failed;
         {
             const std::lock_guard<std::mutex> lock(m_mutex);
             Peer &peer = m_peers[address];
             peer.address = address;
-            const bool quiet = steadyNow() < peer.quietUntil;
-            if (quiet || peer.waiting.size() >= m_settings.mostWaiting) {
+            const bool inBackoff = steadyNow() < peer.backoffUntil;
+            if (inBackoff || peer.queued.size() >= m_settings.maxQueued) {
                 ++m_counters.failedMessages;
-                lost.push_back(std::move(message));
+                failed.push_back(std::move(message));
             } else {
-                peer.waiting.push_back(std::move(message));
+                peer.queued.push_back(std::move(message));
                 schedule(peer);
             }
         }
-        if (!lost.empty())
-            m_onFailure(address, std::move(lost));
+        if (!failed.empty())
+            m_onFailure(address, std::move(failed));
     }
 
-    void flush(Milliseconds longest)
+    void flush(Milliseconds timeout)
     {
         std::unique_lock<std::mutex> lock(m_mutex);
-        m_idle.wait_for(lock, longest, [this] { return m_ready.empty() && m_busy == 0; });
+        m_idle.wait_for(lock, timeout, [this] { return m_ready.empty() && m_busy == 0; });
     }
 
-    LaneCounters counters() const
+    SenderCounters counters() const
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
         return m_counters;
@@ -111,13 +111,13 @@
     std::vector<Json::Value> takeBatch(Peer &peer)
     {
         std::vector<Json::Value> batch;
-        if (peer.waiting.size() <= m_settings.mostInCall) {
-            batch.swap(peer.waiting);
+        if (peer.queued.size() <= m_settings.maxBatchSize) {
+            batch.swap(peer.queued);
             return batch;
         }
-        const auto end = peer.waiting.begin() + static_cast<std::ptrdiff_t>(m_settings.mostInCall);
-        batch.assign(std::make_move_iterator(peer.waiting.begin()), std::make_move_iterator(end));
-        peer.waiting.erase(peer.waiting.begin(), end);
+        const auto end = peer.queued.begin() + static_cast<std::ptrdiff_t>(m_settings.maxBatchSize);
+        batch.assign(std::make_move_iterator(peer.queued.begin()), std::make_move_iterator(end));
+        peer.queued.erase(peer.queued.begin(), end);
         return batch;
     }
 
@@ -135,41 +135,41 @@
         return peer.client->deliver(envelope);
     }
 
-    void noteCall(Peer &peer, bool taken, std::size_t messages)
+    void recordCall(Peer &peer, bool delivered, std::size_t messages)
     {
         ++m_counters.calls;
         m_counters.messages += messages;
-        if (taken) {
-            peer.pause = Milliseconds::zero();
+        if (delivered) {
+            peer.backoff = Milliseconds::zero();
             return;
         }
         ++m_counters.failedCalls;
         m_counters.failedMessages += messages;
-        peer.pause = std::clamp(peer.pause * 2, m_settings.pause, m_settings.longestPause);
-        peer.quietUntil = steadyNow() + peer.pause;
+        peer.backoff = std::clamp(peer.backoff * 2, m_settings.minBackoff, m_settings.maxBackoff);
+        peer.backoffUntil = steadyNow() + peer.backoff;
         peer.client.reset();
     }
 
-    // Sends one batch to the peer that has waited longest.
-    void serveOne(std::unique_lock<std::mutex> &lock)
+    // Sends one batch to the peer at the head of the ready queue.
+    void servePeer(std::unique_lock<std::mutex> &lock)
     {
         Peer &peer = *m_ready.front();
         m_ready.pop_front();
         std::vector<Json::Value> batch = takeBatch(peer);
         ++m_busy;
         lock.unlock();
-        const bool taken = call(peer, batch);
+        const bool delivered = call(peer, batch);
         lock.lock();
-        noteCall(peer, taken, batch.size());
-        if (!taken)
-            std::move(peer.waiting.begin(), peer.waiting.end(), std::back_inserter(batch));
-        if (!taken)
-            peer.waiting.clear();
+        recordCall(peer, delivered, batch.size());
+        if (!delivered)
+            std::move(peer.queued.begin(), peer.queued.end(), std::back_inserter(batch));
+        if (!delivered)
+            peer.queued.clear();
         peer.scheduled = false;
-        if (!peer.waiting.empty())
+        if (!peer.queued.empty())
             schedule(peer);
         lock.unlock();
-        if (!taken)
+        if (!delivered)
             m_onFailure(peer.address, std::move(batch));
         lock.lock();
         --m_busy;
@@ -183,12 +183,12 @@
             if (m_ready.empty())
                 m_wakeUp.wait(lock);
             else
-                serveOne(lock);
+                servePeer(lock);
         }
     }
 
-    LaneSettings m_settings;
-    FailureReceiver m_onFailure;
+    SenderSettings m_settings;
+    FailureHandler m_onFailure;
     mutable std::mutex m_mutex;
     std::condition_variable m_wakeUp;
     std::condition_variable m_idle;
@@ -196,27 +196,27 @@
     std::deque<Peer *> m_ready;
     std::size_t m_busy = 0;
     bool m_stopping = false;
-    LaneCounters m_counters;
+    SenderCounters m_counters;
     std::vector<std::thread> m_threads;
 };
 
-LanePool::LanePool(const LaneSettings &settings, FailureReceiver onFailure)
+SenderPool::SenderPool(const SenderSettings &settings, FailureHandler onFailure)
     : m_impl(std::make_unique<Impl>(settings, std::move(onFailure)))
 { }
 
-LanePool::~LanePool() = default;
+SenderPool::~SenderPool() = default;
 
-void LanePool::send(const std::string &address, Json::Value &&message)
+void SenderPool::send(const std::string &address, Json::Value &&message)
 {
     m_impl->send(address, std::move(message));
 }
 
-void LanePool::flush(Milliseconds longest)
+void SenderPool::flush(Milliseconds timeout)
 {
-    m_impl->flush(longest);
+    m_impl->flush(timeout);
 }
 
-LaneCounters LanePool::counters() const
+SenderCounters SenderPool::counters() const
 {
     return m_impl->counters();
 }
--- a/packages/wire/tests/wire_test.cpp
+++ b/packages/wire/tests/wire_test.cpp
@@ -1,12 +1,12 @@
 /*
-    Batches arrive in order, strangers are turned away, a dead peer holds up nobody else, and
-   thousands of connections can be held.
+    Order of messages, refusal of a wrong secret, isolation of an unreachable peer, and more
+    connections than select() supports.
 
     [SECTION] Helpers
     [SECTION] Tests
 */
-#include <foxwing/wire/lanes.h>
 #include <foxwing/wire/rpcserver.h>
+#include <foxwing/wire/senderpool.h>
 
 #include <arpa/inet.h>
 #include <atomic>
@@ -23,7 +23,8 @@
 
 // [SECTION] Helpers
 
-// Collects what arrives and lets a test wait for it; a time-out only ends a test that failed.
+// Collects received messages and lets a test wait for them; only a failing test runs into the
+// timeout.
 class Collector
 {
 public:
@@ -56,9 +57,9 @@
     return settings;
 }
 
-LaneSettings laneSettings(const std::string &secret)
+SenderSettings senderSettings(const std::string &secret)
 {
-    LaneSettings settings;
+    SenderSettings settings;
     settings.from = "test";
     settings.secret = secret;
     return settings;
@@ -78,62 +79,63 @@
                      [&](Envelope &&envelope) { collector.add(std::move(envelope)); });
     Error reason;
     ASSERT_TRUE(server.start(&reason)) << reason.message;
-    LanePool lanes(laneSettings("secret"), [](const std::string &, std::vector<Json::Value> &&) {});
+    SenderPool sender(senderSettings("secret"),
+                      [](const std::string &, std::vector<Json::Value> &&) {});
     for (int i = 0; i < 2000; ++i)
-        lanes.send(addressOf(server), Json::Value(i));
+        sender.send(addressOf(server), Json::Value(i));
     const std::vector<int> numbers = collector.waitFor(2000);
     ASSERT_EQ(numbers.size(), 2000U);
     for (int i = 0; i < 2000; ++i)
         EXPECT_EQ(numbers[static_cast<std::size_t>(i)], i);
 }
 
-TEST(Wire, StrangersAreTurnedAwayAndTheSenderIsTold)
+TEST(Wire, WrongSecretIsRefusedAndReportedToTheSender)
 {
     std::atomic<int> arrived { 0 };
     RpcServer server(serverSettings(), [&](Envelope &&) { ++arrived; });
     Error reason;
     ASSERT_TRUE(server.start(&reason));
-    std::atomic<int> lost { 0 };
-    LanePool lanes(laneSettings("wrong"),
-                   [&](const std::string &, std::vector<Json::Value> &&messages) {
-                       lost += static_cast<int>(messages.size());
-                   });
-    lanes.send(addressOf(server), Json::Value(1));
-    lanes.flush(Milliseconds(30000));
+    std::atomic<int> failed { 0 };
+    SenderPool sender(senderSettings("wrong"),
+                      [&](const std::string &, std::vector<Json::Value> &&messages) {
+                          failed += static_cast<int>(messages.size());
+                      });
+    sender.send(addressOf(server), Json::Value(1));
+    sender.flush(Milliseconds(30000));
     EXPECT_EQ(arrived, 0);
-    EXPECT_EQ(lost, 1);
+    EXPECT_EQ(failed, 1);
 }
 
-TEST(Wire, ADeadPeerHoldsUpNobodyElse)
+TEST(Wire, UnreachablePeerDoesNotDelayOthers)
 {
     Collector collector;
     RpcServer server(serverSettings(),
                      [&](Envelope &&envelope) { collector.add(std::move(envelope)); });
     Error reason;
     ASSERT_TRUE(server.start(&reason));
-    std::atomic<int> lost { 0 };
-    LaneSettings settings = laneSettings("secret");
+    std::atomic<int> failed { 0 };
+    SenderSettings settings = senderSettings("secret");
     settings.threads = 1;
-    LanePool lanes(settings, [&](const std::string &, std::vector<Json::Value> &&messages) {
-        lost += static_cast<int>(messages.size());
+    SenderPool sender(settings, [&](const std::string &, std::vector<Json::Value> &&messages) {
+        failed += static_cast<int>(messages.size());
     });
     for (int i = 0; i < 100; ++i) {
-        lanes.send("127.0.0.1:1", Json::Value(i)); // nobody listens there
-        lanes.send(addressOf(server), Json::Value(i));
+        sender.send("127.0.0.1:1", Json::Value(i)); // nothing listens there
+        sender.send(addressOf(server), Json::Value(i));
     }
     EXPECT_EQ(collector.waitFor(100).size(), 100U);
-    lanes.flush(Milliseconds(30000));
-    EXPECT_EQ(lost, 100);
+    sender.flush(Milliseconds(30000));
+    EXPECT_EQ(failed, 100);
 }
 
-TEST(Wire, ThousandsOfConnectionsAreHeld)
+TEST(Wire, HandlesMoreConnectionsThanSelect)
 {
     rlimit limit {};
     ASSERT_EQ(getrlimit(RLIMIT_NOFILE, &limit), 0);
     limit.rlim_cur = limit.rlim_max;
     setrlimit(RLIMIT_NOFILE, &limit);
-    constexpr std::size_t Wanted = 1500; // select() ends at 1,024 descriptors
-    if (limit.rlim_cur < 2 * Wanted + 100)
+    constexpr std::size_t ConnectionCount = 1500; // select() supports 1,024 descriptors
+    if (limit.rlim_cur < 2 * ConnectionCount + 100)
         GTEST_SKIP() << "this host allows only " << limit.rlim_cur << " descriptors";
     Collector collector;
     RpcServer server(serverSettings(),
@@ -145,15 +147,16 @@
     address.sin_port = htons(static_cast<std::uint16_t>(server.port()));
     inet_pton(AF_INET, "127.0.0.1", &address.sin_addr);
     std::vector<int> sockets;
-    for (std::size_t i = 0; i < Wanted; ++i) {
+    for (std::size_t i = 0; i < ConnectionCount; ++i) {
         const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
         ASSERT_GE(socket, 0);
         sockets.push_back(socket);
         ASSERT_EQ(::connect(socket, reinterpret_cast<const sockaddr *>(&address), sizeof address),
                   0);
     }
-    LanePool lanes(laneSettings("secret"), [](const std::string &, std::vector<Json::Value> &&) {});
-    lanes.send(addressOf(server), Json::Value(7));
+    SenderPool sender(senderSettings("secret"),
+                      [](const std::string &, std::vector<Json::Value> &&) {});
+    sender.send(addressOf(server), Json::Value(7));
     EXPECT_EQ(collector.waitFor(1).size(), 1U);
     for (const int socket : sockets)
         ::close(socket);
--- a/tests/fleet/endpoint.cpp
+++ b/tests/fleet/endpoint.cpp
@@ -1,8 +1,8 @@
 /*
-    The pretended endpoint.
+    The fake endpoint.
 
     [SECTION] Clock and lease
-    [SECTION] Orders
+    [SECTION] Commands
 */
 #include "endpoint.h"
 
@@ -10,12 +10,12 @@
 
 namespace foxwing::test {
 
-using runner::Answer;
+using runner::CommandStatus;
 
 namespace {
 
-constexpr Milliseconds StopTakes { 50 };
-constexpr Milliseconds LongestLease { 1000 };
+constexpr Milliseconds StopDuration { 50 };
+constexpr Milliseconds MaxLease { 1000 };
 
 } // namespace
 
@@ -27,46 +27,46 @@
     return Milliseconds(static_cast<std::int64_t>(passed)) + m_offset;
 }
 
-void FakeEndpoint::end(const jobs::RunId &id, jobs::RunEnd how)
+void FakeEndpoint::end(const jobs::RunId &id, jobs::RunOutcome outcome)
 {
     m_runs.erase(id);
     std::uint32_t &highest = m_highestEnded[id.task];
     highest = std::max(highest, id.run);
-    m_ended.push_back({ ++m_lastEnd, id, how });
+    m_ended.push_back({ ++m_lastEnd, id, outcome });
 }
 
 void FakeEndpoint::advance(Time now)
 {
-    std::vector<std::pair<jobs::RunId, jobs::RunEnd>> over;
-    const bool lapsed = clock(now) > m_leaseUntil;
+    std::vector<std::pair<jobs::RunId, jobs::RunOutcome>> ends;
+    const bool leaseExpired = clock(now) > m_leaseUntil;
     for (const auto &[id, run] : m_runs) {
-        if (lapsed)
-            over.emplace_back(id, jobs::RunEnd::Lapsed);
+        if (leaseExpired)
+            ends.emplace_back(id, jobs::RunOutcome::LeaseExpired);
         else if (now >= run.doneAt && run.stopping)
-            over.emplace_back(id, jobs::RunEnd::Stopped);
+            ends.emplace_back(id, jobs::RunOutcome::Stopped);
         else if (now >= run.doneAt)
-            over.emplace_back(id, run.fails ? jobs::RunEnd::Failed : jobs::RunEnd::Done);
+            ends.emplace_back(id, run.fails ? jobs::RunOutcome::Failed : jobs::RunOutcome::Done);
     }
-    for (const auto &[id, how] : over)
-        end(id, how);
+    for (const auto &[id, outcome] : ends)
+        end(id, outcome);
 }
 
-void FakeEndpoint::crash(std::string nextLife)
+void FakeEndpoint::crash(std::string nextIncarnation)
 {
-    life = std::move(nextLife);
-    forgetAll();
+    endpointIncarnation = std::move(nextIncarnation);
+    reset();
 }
 
-void FakeEndpoint::beginAgain(Time now)
+void FakeEndpoint::restart(Time now)
 {
-    forgetAll();
-    born += Milliseconds(1);
+    reset();
+    startedAt += Milliseconds(1);
     m_offset -= clock(now);
 }
 
-void FakeEndpoint::forgetAll()
+void FakeEndpoint::reset()
 {
-    beats = 0;
+    heartbeats = 0;
     leaving = false;
     m_runs.clear();
     m_ended.clear();
@@ -76,78 +76,82 @@
     m_leaseUntil = Milliseconds(0);
 }
 
-// [SECTION] Orders
+// [SECTION] Commands
 
-std::optional<Answer> FakeEndpoint::refuse(const std::string &lifeWanted, std::uint64_t fence)
+std::optional<CommandStatus> FakeEndpoint::refuse(const std::string &expectedIncarnation,
+                                                  std::uint64_t fence)
 {
-    if (lifeWanted != life)
-        return Answer::OtherLife;
-    if (keepsFence && fence < m_fence)
-        return Answer::Fenced;
+    if (expectedIncarnation != endpointIncarnation)
+        return CommandStatus::OtherIncarnation;
+    if (checksFence && fence < m_fence)
+        return CommandStatus::Fenced;
     m_fence = fence;
     return std::nullopt;
 }
 
-runner::Answered FakeEndpoint::start(const runner::StartOrder &order, Time now, Milliseconds work)
+runner::CommandResult FakeEndpoint::start(const runner::StartCommand &command, Time now,
+                                          Milliseconds work)
 {
     advance(now);
-    if (const auto refused = refuse(order.life, order.fence))
+    if (const auto refused = refuse(command.endpointIncarnation, command.fence))
         return { *refused, clock(now) };
-    if (order.deadline < clock(now))
-        return { Answer::TooLate, clock(now) };
-    m_leaseUntil = std::max(m_leaseUntil, std::min(order.deadline, clock(now) + LongestLease));
-    if (m_runs.count(order.id) != 0)
-        return { Answer::Ok, clock(now) };
-    const auto highest = m_highestEnded.find(order.id.task);
-    if (highest != m_highestEnded.end() && order.id.run <= highest->second)
-        return { Answer::OldRun, clock(now) };
+    if (command.deadline < clock(now))
+        return { CommandStatus::TooLate, clock(now) };
+    m_leaseUntil = std::max(m_leaseUntil, std::min(command.deadline, clock(now) + MaxLease));
+    if (m_runs.count(command.id) != 0)
+        return { CommandStatus::Ok, clock(now) };
+    const auto highest = m_highestEnded.find(command.id.task);
+    if (highest != m_highestEnded.end() && command.id.run <= highest->second)
+        return { CommandStatus::StaleRun, clock(now) };
     EndpointRun run;
     run.startedAt = now;
-    const auto takes = std::chrono::duration_cast<Microseconds>(work * slowness);
-    run.doneAt = hangs ? now + std::chrono::hours(1) : now + takes;
+    const auto runTime = std::chrono::duration_cast<Microseconds>(work * slowdown);
+    run.doneAt = stalls ? now + std::chrono::hours(1) : now + runTime;
     run.fails = failsAll;
-    m_runs.emplace(order.id, run);
-    return { Answer::Ok, clock(now) };
+    m_runs.emplace(command.id, run);
+    return { CommandStatus::Ok, clock(now) };
 }
 
-runner::Answered FakeEndpoint::stop(const runner::StopOrder &order, Time now)
+runner::CommandResult FakeEndpoint::stop(const runner::StopCommand &command, Time now)
 {
     advance(now);
-    if (const auto refused = refuse(order.life, order.fence))
+    if (const auto refused = refuse(command.endpointIncarnation, command.fence))
         return { *refused, clock(now) };
-    std::uint32_t &highest = m_highestEnded[order.id.task];
-    highest = std::max(highest, order.id.run);
-    const auto run = m_runs.find(order.id);
+    std::uint32_t &highest = m_highestEnded[command.id.task];
+    highest = std::max(highest, command.id.run);
+    const auto run = m_runs.find(command.id);
     if (run != m_runs.end() && !run->second.stopping) {
         run->second.stopping = true;
-        run->second.doneAt = now + StopTakes;
+        run->second.doneAt = now + StopDuration;
     }
-    return { Answer::Ok, clock(now) };
+    return { CommandStatus::Ok, clock(now) };
 }
 
-runner::Look FakeEndpoint::look(const runner::LookOrder &order, Time now)
+runner::PollResult FakeEndpoint::poll(const runner::PollCommand &command, Time now)
 {
     advance(now);
-    runner::Look look;
-    if (const auto refused = refuse(order.life, order.fence)) {
-        look.answered = { *refused, clock(now) };
-        return look;
+    runner::PollResult poll;
+    if (const auto refused = refuse(command.endpointIncarnation, command.fence)) {
+        poll.result = { *refused, clock(now) };
+        return poll;
     }
-    if (order.deadline)
-        m_leaseUntil = std::max(m_leaseUntil, std::min(*order.deadline, clock(now) + LongestLease));
-    const auto seen = [&](const runner::EndedRow &row) { return row.number <= order.lastSeen; };
-    m_ended.erase(std::remove_if(m_ended.begin(), m_ended.end(), seen), m_ended.end());
-    look.answered = { Answer::Ok, clock(now) };
-    if (tellsBorn)
-        look.born = born;
+    if (command.deadline)
+        m_leaseUntil = std::max(m_leaseUntil, std::min(*command.deadline, clock(now) + MaxLease));
+    const auto acknowledged = [&](const runner::EndedRun &run) {
+        return run.number <= command.lastSeenEnd;
+    };
+    m_ended.erase(std::remove_if(m_ended.begin(), m_ended.end(), acknowledged), m_ended.end());
+    poll.result = { CommandStatus::Ok, clock(now) };
+    if (reportsStartTime)
+        poll.startedAt = startedAt;
     for (const auto &[id, run] : m_runs) {
-        const double whole = static_cast<double>((run.doneAt - run.startedAt).count());
-        const double ran = static_cast<double>((now - run.startedAt).count());
-        look.running.push_back(
-                { id, static_cast<std::uint32_t>(100 * ran / std::max(1.0, whole)) });
+        const double total = static_cast<double>((run.doneAt - run.startedAt).count());
+        const double elapsed = static_cast<double>((now - run.startedAt).count());
+        poll.running.push_back(
+                { id, static_cast<std::uint32_t>(100 * elapsed / std::max(1.0, total)) });
     }
-    look.ended = m_ended;
-    return look;
+    poll.ended = m_ended;
+    return poll;
 }
 
 } // namespace foxwing::test
--- a/tests/rig/main.cpp
+++ b/tests/rig/main.cpp
@@ -1,9 +1,9 @@
 /*
-    Plays the load replay under several ways of deciding, and prints a table of each spell.
+    Runs the load replay with several policy variants, and prints a table for each scenario.
 
-        policy_rig [seeds [part of a spell's name [part of a way's name]]]
+        policy_rig [seeds [part of a scenario's name [part of a variant's name]]]
 
-    [SECTION] Ways
+    [SECTION] Variants
     [SECTION] Main
 */
 #include <cstdio>
@@ -17,9 +17,9 @@
 using foxwing::test::RigReport;
 using foxwing::test::RigSettings;
 
-// [SECTION] Ways
+// [SECTION] Variants
 
-struct Way
+struct Variant
 {
     const char *name;
     std::function<void(RigSettings &)> change;
@@ -30,112 +30,117 @@
     settings.scheduler.serveLate = true;
 }
 
-Way floorWay(const char *name, std::uint32_t percent)
+Variant guaranteeVariant(const char *name, std::uint32_t percent)
 {
     return { name, [percent](RigSettings &s) {
                 s.scheduler.waitingQueues = foxwing::scheduler::WaitingQueues::AllButLeast;
-                s.scheduler.shares.floorPercent = percent;
+                s.scheduler.shares.guaranteedPercent = percent;
             } };
 }
 
-std::vector<Way> ways()
+std::vector<Variant> variants()
 {
     using foxwing::scheduler::Order;
     return {
-        { "as it stands", [](RigSettings &) {} },
+        { "default policy", [](RigSettings &) {} },
         { "all but the least urgent queue wait at agents",
           [](RigSettings &s) {
               s.scheduler.waitingQueues = foxwing::scheduler::WaitingQueues::AllButLeast;
           } },
-        floorWay("all but the least urgent queue wait at agents, floor 50 percent", 50),
-        floorWay("all but the least urgent queue wait at agents, floor 60 percent", 60),
-        floorWay("all but the least urgent queue wait at agents, floor 70 percent", 70),
-        floorWay("all but the least urgent queue wait at agents, floor 80 percent", 80),
-        { "late jobs wait on", [](RigSettings &s) { s.scheduler.refuseLate = false; } },
+        guaranteeVariant("all but the least urgent queue wait at agents, 50 percent guaranteed",
+                         50),
+        guaranteeVariant("all but the least urgent queue wait at agents, 60 percent guaranteed",
+                         60),
+        guaranteeVariant("all but the least urgent queue wait at agents, 70 percent guaranteed",
+                         70),
+        guaranteeVariant("all but the least urgent queue wait at agents, 80 percent guaranteed",
+                         80),
+        { "late jobs keep waiting", [](RigSettings &s) { s.scheduler.refuseLate = false; } },
         { "forecast", [](RigSettings &s) { s.scheduler.forecast = true; } },
         { "forecast at 100 percent",
           [](RigSettings &s) {
               s.scheduler.forecast = true;
-              s.scheduler.refuseAtArrivalPercent = 100;
+              s.scheduler.maxWaitPercent = 100;
           } },
         { "forecast at 400 percent",
           [](RigSettings &s) {
               s.scheduler.forecast = true;
-              s.scheduler.refuseAtArrivalPercent = 400;
+              s.scheduler.maxWaitPercent = 400;
           } },
-        { "late jobs are served behind the rest", serveLate },
-        { "late jobs are served behind the rest, all but the least urgent queue wait at agents",
+        { "late jobs are served last", serveLate },
+        { "late jobs are served last, all but the least urgent queue wait at agents",
           [](RigSettings &s) {
               serveLate(s);
               s.scheduler.waitingQueues = foxwing::scheduler::WaitingQueues::AllButLeast;
           } },
-        { "nothing waits at agents", [](RigSettings &s) { s.scheduler.waitPercent = 0; } },
-        { "endpoints are not judged", [](RigSettings &s) { s.runner.judgeEndpoint = false; } },
-        { "any endpoint",
+        { "nothing waits at agents", [](RigSettings &s) { s.scheduler.maxShortfallPercent = 0; } },
+        { "no probation of endpoints", [](RigSettings &s) { s.runner.probationEnabled = false; } },
+        { "random placement",
           [](RigSettings &s) { s.scheduler.placement = foxwing::scheduler::Placement::Random; } },
         { "order: first come", [](RigSettings &s) { s.scheduler.order = Order::FirstCome; } },
-        { "order: latest begin", [](RigSettings &s) { s.scheduler.order = Order::LatestBegin; } },
+        { "order: latest start", [](RigSettings &s) { s.scheduler.order = Order::LatestStart; } },
         { "order: least work", [](RigSettings &s) { s.scheduler.order = Order::LeastWork; } },
         { "margin 30 percent", [](RigSettings &s) { s.scheduler.marginPercent = 30; } },
         { "margin 80 percent", [](RigSettings &s) { s.scheduler.marginPercent = 80; } },
         { "refused at arrival from 100 percent",
-          [](RigSettings &s) { s.scheduler.refuseAtArrivalPercent = 100; } },
-        { "room told every 5 ms",
-          [](RigSettings &s) { s.runner.roomInterval = foxwing::Milliseconds(5); } },
-        { "64 jobs looked through", [](RigSettings &s) { s.scheduler.mostPassedOver = 64; } },
-        { "entries turn every 5 ms", [](RigSettings &s) { s.tick = foxwing::Milliseconds(5); } },
+          [](RigSettings &s) { s.scheduler.maxWaitPercent = 100; } },
+        { "capacity updates every 5 ms",
+          [](RigSettings &s) { s.runner.capacityUpdateInterval = foxwing::Milliseconds(5); } },
+        { "at most 64 unplaced jobs", [](RigSettings &s) { s.scheduler.maxUnplaced = 64; } },
+        { "scheduler ticks every 5 ms", [](RigSettings &s) { s.tick = foxwing::Milliseconds(5); } },
     };
 }
 
 void addQueue(foxwing::test::QueueReport &total, const foxwing::test::QueueReport &queue)
 {
-    total.asked += queue.asked;
-    total.inAim += queue.inAim;
+    total.submitted += queue.submitted;
+    total.onTime += queue.onTime;
     total.late += queue.late;
     total.refused += queue.refused;
     total.failed += queue.failed;
-    total.largeAsked += queue.largeAsked;
-    total.largeInAim += queue.largeInAim;
+    total.largeSubmitted += queue.largeSubmitted;
+    total.largeOnTime += queue.largeOnTime;
     total.largeRefused += queue.largeRefused;
     for (const auto &[number, entry] : queue.entries) {
-        total.entries[number].asked += entry.asked;
+        total.entries[number].submitted += entry.submitted;
         total.entries[number].refused += entry.refused;
     }
-    total.refusedAfter.insert(total.refusedAfter.end(), queue.refusedAfter.begin(),
-                              queue.refusedAfter.end());
+    total.refusalDelays.insert(total.refusalDelays.end(), queue.refusalDelays.begin(),
+                               queue.refusalDelays.end());
 }
 
-// The reports of all seeds, added up.
-RigReport playSeeds(RigSettings (*spell)(std::uint64_t), const Way &way, std::uint64_t seeds)
+// Combines the reports of all seeds: means of percentages, sums of counts.
+RigReport replaySeeds(RigSettings (*scenario)(std::uint64_t), const Variant &variant,
+                      std::uint64_t seeds)
 {
     RigReport sum;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        RigSettings settings = spell(seed);
-        way.change(settings);
-        const RigReport one = foxwing::test::play(settings);
+        RigSettings settings = scenario(seed);
+        variant.change(settings);
+        const RigReport one = foxwing::test::replay(settings);
         const double wrong = foxwing::test::wronglyRefusedPercent(settings, one);
-        const auto part = 1.0 / static_cast<double>(seeds);
-        sum.creditPercent += part * one.creditPercent;
-        sum.servedPercent += part * one.servedPercent;
-        sum.refusedAtOncePercent += part * one.refusedAtOncePercent;
-        sum.wronglyRefusedPercent += part * wrong;
-        sum.startsPerTask += part * one.startsPerTask;
-        sum.idleWhileWaiting += part * one.idleWhileWaiting;
-        sum.refusedWithRoom += one.refusedWithRoom;
+        const auto weight = 1.0 / static_cast<double>(seeds);
+        sum.creditPercent += weight * one.creditPercent;
+        sum.servedPercent += weight * one.servedPercent;
+        sum.refusedImmediatelyPercent += weight * one.refusedImmediatelyPercent;
+        sum.wronglyRefusedPercent += weight * wrong;
+        sum.startsPerTask += weight * one.startsPerTask;
+        sum.idleWhileWaitingPercent += weight * one.idleWhileWaitingPercent;
+        sum.refusedDespiteCapacity += one.refusedDespiteCapacity;
         for (const auto &[name, queue] : one.queues)
             addQueue(sum.queues[name], queue);
     }
     return sum;
 }
 
-// Prints what the ways whose names contain the text have done in one spell.
-void printSpell(const char *name, RigSettings (*spell)(std::uint64_t), std::uint64_t seeds,
-                const std::string &only)
+// Prints the results of one scenario for the variants whose names contain the filter.
+void printScenario(const char *name, RigSettings (*scenario)(std::uint64_t), std::uint64_t seeds,
+                   const std::string &filter)
 {
     std::vector<std::pair<std::string, RigReport>> rows;
-    for (const Way &way : ways()) {
-        if (std::string(way.name).find(only) != std::string::npos)
-            rows.emplace_back(way.name, playSeeds(spell, way, seeds));
+    for (const Variant &variant : variants()) {
+        if (std::string(variant.name).find(filter) != std::string::npos)
+            rows.emplace_back(variant.name, replaySeeds(scenario, variant, seeds));
     }
     std::printf("%s, %llu seeds\n\n%s\n", name, static_cast<unsigned long long>(seeds),
                 foxwing::test::table(rows).c_str());
@@ -147,24 +152,24 @@
 
 int main(int count, char **arguments)
 {
-    struct Spell
+    struct Scenario
     {
         const char *name;
         RigSettings (*settings)(std::uint64_t);
     };
-    const std::vector<Spell> spells {
-        { "Busy spell", foxwing::test::busySpell },
-        { "A third cordoned", foxwing::test::cordonedThird },
-        { "Short spell", foxwing::test::shortSpell },
+    const std::vector<Scenario> scenarios {
+        { "Long overload", foxwing::test::longOverload },
+        { "Cordoned data centre", foxwing::test::cordonedDataCentre },
+        { "Short overload", foxwing::test::shortOverload },
         { "Competing queues", foxwing::test::competingQueues },
         { "Uneven endpoints", foxwing::test::unevenEndpoints },
     };
     const std::uint64_t seeds = count > 1 ? std::strtoull(arguments[1], nullptr, 10) : 3;
-    const std::string onlySpell = count > 2 ? arguments[2] : "";
-    const std::string onlyWay = count > 3 ? arguments[3] : "";
-    for (const Spell &spell : spells) {
-        if (std::string(spell.name).find(onlySpell) != std::string::npos)
-            printSpell(spell.name, spell.settings, seeds, onlyWay);
+    const std::string scenarioFilter = count > 2 ? arguments[2] : "";
+    const std::string variantFilter = count > 3 ? arguments[3] : "";
+    for (const Scenario &scenario : scenarios) {
+        if (std::string(scenario.name).find(scenarioFilter) != std::string::npos)
+            printScenario(scenario.name, scenario.settings, seeds, variantFilter);
     }
     return 0;
 }
--- a/tests/rig/report.cpp
+++ b/tests/rig/report.cpp
@@ -1,5 +1,5 @@
 /*
-    What a replay has shown: shares, hindsight and the table.
+    Evaluates replays: shares, wrong refusals and the table.
 
     [SECTION] Shares
     [SECTION] Table
@@ -15,18 +15,18 @@
 
 namespace {
 
-double percentOf(std::uint64_t part, std::uint64_t whole)
+double percentOf(std::uint64_t part, std::uint64_t total)
 {
     return 100.0 * static_cast<double>(part)
-            / static_cast<double>(std::max<std::uint64_t>(1, whole));
+            / static_cast<double>(std::max<std::uint64_t>(1, total));
 }
 
-double medianMilliseconds(std::vector<Microseconds> spans)
+double medianMilliseconds(std::vector<Microseconds> delays)
 {
-    if (spans.empty())
+    if (delays.empty())
         return 0;
-    std::sort(spans.begin(), spans.end());
-    return toMilliseconds(spans[spans.size() / 2]);
+    std::sort(delays.begin(), delays.end());
+    return toMilliseconds(delays[delays.size() / 2]);
 }
 
 } // namespace
@@ -34,26 +34,26 @@
 double wronglyRefusedPercent(const RigSettings &settings, const RigReport &report)
 {
     RigSettings other = settings;
-    other.scheduler.refuseAtArrivalPercent = 0;
-    other.scheduler.refuseAbove = 1e6;
-    const std::set<std::string> completed = play(other).completed;
-    const auto wrong = std::count_if(report.refusedAtOnce.begin(), report.refusedAtOnce.end(),
-                                     [&](const std::string &id) {
+    other.scheduler.maxWaitPercent = 0;
+    other.scheduler.maxWaitFactor = 1e6;
+    const std::set<std::string> completed = replay(other).completed;
+    const auto wrong = std::count_if(report.refusedImmediately.begin(),
+                                     report.refusedImmediately.end(), [&](const std::string &id) {
                                          return completed.count(id) != 0;
                                      });
-    return percentOf(static_cast<std::uint64_t>(wrong), report.refusedAtOnce.size());
+    return percentOf(static_cast<std::uint64_t>(wrong), report.refusedImmediately.size());
 }
 
 std::pair<double, double> refusedByEntry(const QueueReport &queue)
 {
-    double least = 100;
-    double most = 0;
+    double lowest = 100;
+    double highest = 0;
     for (const auto &[number, entry] : queue.entries) {
-        const double percent = percentOf(entry.refused, entry.asked);
-        least = std::min(least, percent);
-        most = std::max(most, percent);
+        const double percent = percentOf(entry.refused, entry.submitted);
+        lowest = std::min(lowest, percent);
+        highest = std::max(highest, percent);
     }
-    return { std::min(least, most), most };
+    return { std::min(lowest, highest), highest };
 }
 
 // [SECTION] Table
@@ -61,9 +61,10 @@
 std::string table(const std::vector<std::pair<std::string, RigReport>> &rows)
 {
     std::string text =
-            "| way | credit | served | refused within 5 ms | of these wrongly | starts a task | "
-            "refused with room | idle while jobs wait |"
-            " by queue: in aim, of the largest tenth, late, refused, of the largest tenth,"
+            "| variant | credit | served | refused within 5 ms | of these wrongly | starts per "
+            "task | "
+            "refused despite capacity | idle while jobs wait |"
+            " by queue: on time, of the largest tenth, late, refused, of the largest tenth,"
             " at the entries with the least and the most, failed, refused after"
             " (median) |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
     char line[256];
@@ -71,20 +72,22 @@
         std::snprintf(line, sizeof line,
                       "| %s | %.2f %% | %.2f %% | %.0f %% | %.1f %% | %.2f | %llu | %.1f %% |",
                       name.c_str(), report.creditPercent, report.servedPercent,
-                      report.refusedAtOncePercent, report.wronglyRefusedPercent,
-                      report.startsPerTask, static_cast<unsigned long long>(report.refusedWithRoom),
-                      report.idleWhileWaiting);
+                      report.refusedImmediatelyPercent, report.wronglyRefusedPercent,
+                      report.startsPerTask,
+                      static_cast<unsigned long long>(report.refusedDespiteCapacity),
+                      report.idleWhileWaitingPercent);
         text += line;
         for (const auto &[queue, one] : report.queues) {
             std::snprintf(line, sizeof line,
                           " %s: %.2f %%, %.2f %%, %.2f %%, %.2f %%, %.2f %%, %.0f to %.0f %%,"
                           " %.2f %%, %.0f ms;",
-                          queue.c_str(), percentOf(one.inAim, one.asked),
-                          percentOf(one.largeInAim, one.largeAsked), percentOf(one.late, one.asked),
-                          percentOf(one.refused, one.asked),
-                          percentOf(one.largeRefused, one.largeAsked), refusedByEntry(one).first,
-                          refusedByEntry(one).second, percentOf(one.failed, one.asked),
-                          medianMilliseconds(one.refusedAfter));
+                          queue.c_str(), percentOf(one.onTime, one.submitted),
+                          percentOf(one.largeOnTime, one.largeSubmitted),
+                          percentOf(one.late, one.submitted), percentOf(one.refused, one.submitted),
+                          percentOf(one.largeRefused, one.largeSubmitted),
+                          refusedByEntry(one).first, refusedByEntry(one).second,
+                          percentOf(one.failed, one.submitted),
+                          medianMilliseconds(one.refusalDelays));
             text += line;
         }
         text += " |\n";
